--- a/tests/forms/samples.py
+++ b/tests/forms/samples.py
@@ -2,37 +2,85 @@
 
 The only module here that names classes and functions of the code under test. A sample is named by
 what its form is, so its name stays when the code's own names change.
+
+Of the types that are encoded by the order of their fields, one value each is built by the fields'
+names: were all built by position, fields that changed places would go unseen.
 """
 
 import random
 from collections.abc import Callable, Iterable, Iterator
 from itertools import chain
+from pathlib import Path
+from tempfile import NamedTemporaryFile
+from types import SimpleNamespace
+from typing import Any, cast
+from unittest.mock import MagicMock
 
 from tests.forms.forms import Form, plain
-from troutswitch.common import Address
+from tests.forms.server import sent_to_server
+from troutswitch.common import Address, rendezvous_order, stable_hash
 from troutswitch.daemons import datagram, messages, peerstate, slotmessages
+from troutswitch.decisions import gateway
+from troutswitch.decisions.batch.jobs import ItemState
+from troutswitch.decisions.batch.placement import weight_of
+from troutswitch.decisions.crashes import shared as shared_module
+from troutswitch.decisions.crashes.content import content_key
 from troutswitch.decisions.crashes.messages import Crash
 from troutswitch.decisions.crashes.shared import SharedCrashes
+from troutswitch.decisions.forwarding import serverlist
 from troutswitch.decisions.forwarding.experience import BatchPace, Experience
+from troutswitch.decisions.forwarding.longprompts import homes_of
+from troutswitch.decisions.forwarding.messages import LogLine
 from troutswitch.decisions.forwarding.types import ServerRecord
 from troutswitch.decisions.jobs import records
 from troutswitch.decisions.jobs.index import JobIndex
+from troutswitch.decisions.jobs.messages import (
+    ItemBody,
+    JobAccepted,
+    JobEnded,
+    JobRefused,
+    JobResults,
+)
+from troutswitch.decisions.jobs.ownership import ShardOwnership
+from troutswitch.decisions.jobs.replicas import JobReplicas
 from troutswitch.decisions.jobs.retention import content_keys
 from troutswitch.decisions.jobs.shard import JobContent
+from troutswitch.decisions.members import bucket_of
+from troutswitch.decisions.peers import directory
 from troutswitch.decisions.peers.directory import DirectoryEntry, decode_entry, encode_entry
+from troutswitch.decisions.slots import claims as claims_module
 from troutswitch.decisions.slots.claims import CoordinatorClaims
-from troutswitch.decisions.slots.groups import ServerGroups
+from troutswitch.decisions.slots.groups import ServerGroups, deal_groups
 from troutswitch.decisions.storage.follower import CallNumbers
 from troutswitch.decisions.storage.messages import (
     AppendRecords,
+    GroupJoined,
+    JoinGroup,
     KeyedRecord,
+    LeaveGroup,
     NewestPage,
     ReadNewest,
     ReadRecords,
     RecordsRead,
+    StoreCall,
+    WriterStamp,
 )
+from troutswitch.decisions.tenants.callers import CallerDirectory
+from troutswitch.decisions.tenants.types import key_digest
+from troutswitch.gateway.application import CallerApplication, final_answer
+from troutswitch.gateway.metrics import GatewayMetrics
+from troutswitch.gateway.peerstate import PEER_STATE_PATH
+from troutswitch.gateway.policies import read_policies
+from troutswitch.gateway.process import METRICS_PATH
 from troutswitch.logservice import records as entries
-from troutswitch.platform.store import decode_records, encode_records
+from troutswitch.outcomes import AttemptKind, Cut, MayHaveRun, NotRun, Step
+from troutswitch.platform import names
+from troutswitch.platform.configuration import decode_configuration, decode_server
+from troutswitch.platform.jobs import read_submission, write_answer
+from troutswitch.platform.requests import IncomingRequest, read_prompt
+from troutswitch.platform.settings import load_gateway_settings
+from troutswitch.platform.store import StoreClient, decode_records, encode_records, topic_name
+from troutswitch.runtime.http import Response, send
 
 HOST = Address("10.0.0.7", 7400)
 LARGE = 2**40 + 5
@@ -41,18 +89,21 @@
 
 _REPORT_SHORT = slotmessages.HoldingsReport("d-1", "z1", HOST, 3, 4)
 _REPORT_FULL = slotmessages.HoldingsReport(
-    "d-1",
-    "zone é",
-    HOST,
-    LARGE,
-    5,
-    (slotmessages.ServerShare(11, 1, 2, 3), slotmessages.ServerShare(4294967295, 4, 5, 6)),
-    7,
-    8,
-    9,
-    LARGE + 1,
-    12,
-    (21, 22, 23),
+    sender="d-1",
+    zone="zone é",
+    address=HOST,
+    life=LARGE,
+    sequence=5,
+    shares=(
+        slotmessages.ServerShare(server_key=11, online=1, batch=2, prefill_units=3),
+        slotmessages.ServerShare(4294967295, 4, 5, 6),
+    ),
+    waiting_items=7,
+    late_items=8,
+    open_items=9,
+    word_life=LARGE + 1,
+    word_seen=12,
+    unusable=(21, 22, 23),
 )
 
 
@@ -69,72 +120,112 @@
         slotmessages.PlaceAsk(_REPORT_SHORT, 31, "s|z|0", 4, -1)
     ),
     "ask for a place, all fields": _peer_message(
-        slotmessages.PlaceAsk(_REPORT_FULL, 31, "s|z|0", 4, 1500, (41, 42))
+        slotmessages.PlaceAsk(
+            report=_REPORT_FULL,
+            number=31,
+            group="s|z|0",
+            prefill_units=4,
+            wait_most_ms=1500,
+            avoid=(41, 42),
+        )
     ),
     "answer with a place, defaults": _peer_message(
         slotmessages.PlaceAnswer("d-2", LARGE, 31, "s|z|0", 51, 4294967295, 52, 53, 54)
     ),
     "answer of one that counts not": _peer_message(
-        slotmessages.PlaceAnswer("d-2", 6, 31, "s|z|0", 0, 0, 0, 0, 0, False)
+        slotmessages.PlaceAnswer(
+            sender="d-2",
+            life=6,
+            number=31,
+            group="s|z|0",
+            word=0,
+            server_key=0,
+            wait_ms=0,
+            queued=0,
+            slots=0,
+            is_coordinator=False,
+        )
     ),
     "places for batch items, granted": _peer_message(
         slotmessages.BatchPlaces("d-2", 6, "s|z|0", 61, 62, 63)
     ),
     "places for batch items, taken back": _peer_message(
-        slotmessages.BatchPlaces("d-2", 6, "s|z|0", 61, 62, -3)
+        slotmessages.BatchPlaces(
+            sender="d-2", life=6, group="s|z|0", word=61, server_key=62, count=-3
+        )
     ),
     "digest of a group, empty": _peer_message(
         slotmessages.GroupDigest("d-2", 6, "s|z|0", (), 0, 0)
     ),
     "digest of a group, filled": _peer_message(
         slotmessages.GroupDigest(
-            "d-2",
-            6,
-            "s|z|0",
-            (slotmessages.ServerCounts(71, 72, 73), slotmessages.ServerCounts(74, 75, 76)),
-            777,
-            78,
+            sender="d-2",
+            life=6,
+            group="s|z|0",
+            counts=(
+                slotmessages.ServerCounts(server_key=71, online=72, batch=73),
+                slotmessages.ServerCounts(74, 75, 76),
+            ),
+            free_slots_hundredths=777,
+            open_items=78,
         )
     ),
     "sign of life, defaults": _peer_message(slotmessages.Hello("d-1", "z1", HOST, 81, -1)),
     "sign of life, claims": _peer_message(
         slotmessages.Hello(
-            "d-1",
-            "z1",
-            HOST,
-            LARGE,
-            82,
-            (
+            sender="d-1",
+            zone="z1",
+            address=HOST,
+            life=LARGE,
+            configuration_version=82,
+            claims=(
                 slotmessages.ClaimTold("s|z|0", "d-2", Address("10.0.0.8", 1), 83),
-                slotmessages.ClaimTold("s|z|1", "d-3", HOST, LARGE),
+                slotmessages.ClaimTold(group="s|z|1", daemon="d-3", address=HOST, offset=LARGE),
             ),
         )
     ),
     "news of crashes, empty": _peer_message(slotmessages.CrashNews("d-1", ())),
     "news of crashes, filled": _peer_message(
         slotmessages.CrashNews(
-            "d-1",
-            (
+            sender="d-1",
+            crashes=(
                 slotmessages.CrashTold("0123456789abcdef", "i-1", 1_700_000_000, True),
-                slotmessages.CrashTold("fedcba9876543210", "i-2", 1_700_000_001, False),
+                slotmessages.CrashTold(
+                    content="fedcba9876543210", server_id="i-2", at=1_700_000_001, stands=False
+                ),
             ),
         )
     ),
     "servers that leave, empty": _peer_message(slotmessages.ServersLeaving("d-1", (), ())),
     "servers that leave, filled": _peer_message(
-        slotmessages.ServersLeaving("d-1", ("i-1", "i-2"), ("i-3", "i-4", "i-5"))
+        slotmessages.ServersLeaving(
+            sender="d-1", draining=("i-1", "i-2"), left=("i-3", "i-4", "i-5")
+        )
     ),
     "ask for a quota, defaults": _peer_message(
         slotmessages.QuotaAsk("d-1", HOST, 91, "s|z|0", "tenant", 65.0, 6.5, 92, 93)
     ),
     "ask for a quota, all fields": _peer_message(
-        slotmessages.QuotaAsk("d-1", HOST, 91, "s|z|0", "tenant", 0.1, 6.5, 92, 93, 94)
+        slotmessages.QuotaAsk(
+            sender="d-1",
+            address=HOST,
+            number=91,
+            group="s|z|0",
+            tenant="tenant",
+            rate=0.1,
+            burst=6.5,
+            version=92,
+            count=93,
+            spent=94,
+        )
     ),
     "answer on a quota, defaults": _peer_message(
         slotmessages.QuotaAnswer("d-2", 91, "s|z|0", 101, 102)
     ),
     "answer on a quota of one that counts not": _peer_message(
-        slotmessages.QuotaAnswer("d-2", 91, "s|z|0", 0, 102, False)
+        slotmessages.QuotaAnswer(
+            sender="d-2", number=91, group="s|z|0", granted=0, wait_ms=102, is_coordinator=False
+        )
     ),
 }
 
@@ -165,7 +256,9 @@
 SENT_AT = 1_700_000_000.25
 _MEMBERS = [
     messages.MemberUpdate("m-1", 2, "alive", "10.0.0.1:7400", "z1"),
-    messages.MemberUpdate("m-2", LARGE, "suspect", "10.0.0.2:7400", "é"),
+    messages.MemberUpdate(
+        name="m-2", incarnation=LARGE, state="suspect", address="10.0.0.2:7400", zone="é"
+    ),
 ]
 
 
@@ -180,23 +273,49 @@
 
 SEALED_MESSAGES = {
     "ping, no updates": _sealed(messages.Ping(1, "m-1", 3, [])),
-    "ping, updates": _sealed(messages.Ping(LARGE, "m-1", 3, _MEMBERS)),
+    "ping, updates": _sealed(
+        messages.Ping(sequence=LARGE, sender="m-1", configuration_offset=3, updates=_MEMBERS)
+    ),
     "answer to a ping, no updates": _sealed(messages.Ack(1, "m-2", 4, [])),
-    "answer to a ping, updates": _sealed(messages.Ack(1, "m-2", 4, _MEMBERS)),
-    "indirect ping": _sealed(messages.IndirectPing(5, "m-1", "m-2", "10.0.0.2:7400")),
+    "answer to a ping, updates": _sealed(
+        messages.Ack(sequence=1, subject="m-2", configuration_offset=4, updates=_MEMBERS)
+    ),
+    "indirect ping": _sealed(
+        messages.IndirectPing(
+            sequence=5, sender="m-1", subject="m-2", subject_address="10.0.0.2:7400"
+        )
+    ),
     "ask for members, empty": _sealed(messages.SyncRequest("m-1", [], [])),
-    "ask for members, filled": _sealed(messages.SyncRequest("m-1", [6, 2**63 - 1, 7], _MEMBERS)),
+    "ask for members, filled": _sealed(
+        messages.SyncRequest(sender="m-1", digests=[6, 2**63 - 1, 7], members=_MEMBERS)
+    ),
     "members, empty": _sealed(messages.SyncReply("m-1", [])),
-    "members, filled": _sealed(messages.SyncReply("m-1", _MEMBERS)),
-    "ask for configuration": _sealed(messages.ConfigurationRequest("m-1", 8)),
+    "members, filled": _sealed(messages.SyncReply(sender="m-1", members=_MEMBERS)),
+    "ask for configuration": _sealed(messages.ConfigurationRequest(sender="m-1", offset=8)),
     "configuration, empty": _sealed(messages.ConfigurationEntries("m-1", 8, [])),
-    "configuration, filled": _sealed(messages.ConfigurationEntries("m-1", 8, [b"\x00\xff", b""])),
-    "ask for slots": _sealed(messages.SlotAsk("m-1", "e-1", 9, 10)),
-    "grant of slots": _sealed(messages.SlotGrant("m-1", "e-1", "inc", 11, 12, 1.5, 13)),
-    "online requests were sent": _sealed(messages.OnlineNotice("m-1", "e-1", 14)),
-    "an engine leaves": _sealed(messages.EngineLeaving("m-1", "e-1", "inc")),
-    "a shard has grown": _sealed(messages.ShardTouched("m-1", 15)),
-    "a shard is asked for": _sealed(messages.ShardWanted("m-1", 16)),
+    "configuration, filled": _sealed(
+        messages.ConfigurationEntries(sender="m-1", offset=8, entries=[b"\x00\xff", b""])
+    ),
+    "ask for slots": _sealed(messages.SlotAsk(sender="m-1", engine="e-1", held=9, wanted=10)),
+    "grant of slots": _sealed(
+        messages.SlotGrant(
+            sender="m-1",
+            engine="e-1",
+            incarnation="inc",
+            slots=11,
+            firm=12,
+            seconds=1.5,
+            priority=13,
+        )
+    ),
+    "online requests were sent": _sealed(
+        messages.OnlineNotice(sender="m-1", engine="e-1", count=14)
+    ),
+    "an engine leaves": _sealed(
+        messages.EngineLeaving(sender="m-1", engine="e-1", incarnation="inc")
+    ),
+    "a shard has grown": _sealed(messages.ShardTouched(sender="m-1", shard=15)),
+    "a shard is asked for": _sealed(messages.ShardWanted(sender="m-1", shard=16)),
 }
 
 # Records of the gateway in its store: keys and values as the store's calls carry them.
@@ -447,38 +566,318 @@
     "items of a job, empty": _entry(entries.ChunkSubmitted("job", 1, [])),
     "items of a job, filled": _entry(
         entries.ChunkSubmitted(
-            "job", 1, [entries.BatchItem("c-1", "prompt é", 5), entries.BatchItem("c-2", "", 6)]
+            job_id="job",
+            chunk_index=1,
+            items=[
+                entries.BatchItem(custom_id="c-1", prompt="prompt é", max_tokens=5),
+                entries.BatchItem("c-2", "", 6),
+            ],
         )
     ),
     "job committed": _entry(
-        entries.JobCommitted("job", "identity", "digest", "tenant", "s", 2, True, 1.5, 2.5, 3.5)
+        entries.JobCommitted(
+            job_id="job",
+            identity="identity",
+            content_digest="digest",
+            tenant="tenant",
+            service="s",
+            item_count=2,
+            repeatable=True,
+            committed_at=1.5,
+            deadline=2.5,
+            identity_window=3.5,
+        )
     ),
     "job cancelled": _entry(entries.JobCancelled("job")),
     "shard claimed": _entry(entries.EpochClaimed("owner", 8)),
     "shard released": _entry(entries.EpochReleased(9)),
     "shard renewed": _entry(entries.EpochRenewed(10)),
-    "attempt started": _entry(entries.AttemptStarted(11, "job", 12)),
-    "item finished": _entry(entries.ItemFinished(13, "job", 14, "completed", "body")),
-    "job closed": _entry(entries.JobClosed(15, "job", b"\x00\xff")),
-    "request claimed once": _entry(entries.OnceClaimed("key", "id", 16.5, 17.5)),
+    "attempt started": _entry(entries.AttemptStarted(epoch=11, job_id="job", item_index=12)),
+    "item finished": _entry(
+        entries.ItemFinished(
+            epoch=13, job_id="job", item_index=14, outcome="completed", body="body"
+        )
+    ),
+    "job closed": _entry(entries.JobClosed(epoch=15, job_id="job", result_offsets=b"\x00\xff")),
+    "request claimed once": _entry(
+        entries.OnceClaimed(key="key", request_id="id", claimed_at=16.5, window=17.5)
+    ),
     "configuration published, empty": _entry(
         entries.ConfigurationPublished("p", "author", "message", 18, 19.5, [])
     ),
     "configuration published, a value of each type": _entry(
         entries.ConfigurationPublished(
-            "p",
-            "author",
-            "message",
-            18,
-            19.5,
-            [
+            publication_id="p",
+            author="author",
+            message="message",
+            base_version=18,
+            published_at=19.5,
+            changes=[
                 entries.ConfigurationChange("a/b", "bool", True),
                 entries.ConfigurationChange("a/b", "int", 1),
                 entries.ConfigurationChange("a/b", "float", 1.0),
                 entries.ConfigurationChange("a/b", "str", "1"),
-                entries.ConfigurationChange("a/b", "none", None),
+                entries.ConfigurationChange(path="a/b", key="none", value=None),
             ],
         )
     ),
-    "several records": _entry(entries.EpochClaimed("owner", 8), entries.JobCancelled("job")),
+    "several records": _entry(
+        entries.EpochClaimed(owner="owner", previous_epoch=8), entries.JobCancelled("job")
+    ),
+}
+
+# Calls to the store, as they go over its connection.
+
+_KEYED = (KeyedRecord("key é", b"\x00\xff"), KeyedRecord("removed", b""))
+
+
+def request_of(call: StoreCall) -> bytes:
+    """Returns what the client of the store sends for a call, without the port of its host."""
+    return sent_to_server(lambda address: StoreClient(address).call(call))
+
+
+def _store_call(call: StoreCall) -> Form:
+    return Form(lambda: request_of(call))
+
+
+def ownership_calls() -> list[StoreCall]:
+    """Returns the calls with which a daemon joins, claims a shard that it is dealt, and leaves."""
+    numbers, rng = CallNumbers(), random.Random(1)
+    ownership = ShardOwnership("d-1", 1.0, JobReplicas(numbers, rng), numbers, rng, _no_log)
+    (join,) = ownership.on_timer(0.0)
+    dealt = GroupJoined(3, (records.shard_partition(2), records.shard_partition(5)))
+    ownership.on_answer(0.1, join.call, dealt)
+    again, *claims = ownership.on_timer(0.2)
+    return [join, again, *claims, *ownership.leave()]
+
+
+_INDEX, _SHARD = records.INDEX, records.shard_partition(3)
+STORE_CALLS = {
+    "newest records": _store_call(ReadNewest(1, _SHARD)),
+    "newest records after a key": _store_call(ReadNewest(1, _INDEX, "b:j é:&")),
+    "records": _store_call(ReadRecords(1, _SHARD, 7)),
+    "records, waiting": _store_call(ReadRecords(1, _INDEX, 7, 1.25)),
+    "append": _store_call(AppendRecords(1, _SHARD, _KEYED)),
+    "append at an expected end": _store_call(AppendRecords(1, _SHARD, _KEYED, 9)),
+    "append with a fence": _store_call(
+        AppendRecords(1, _SHARD, _KEYED, None, WriterStamp("writer", LARGE, 4))
+    ),
+    "append at an end with a fence": _store_call(
+        AppendRecords(1, _SHARD, (), 0, WriterStamp("writer", 2, 0))
+    ),
+    "join a group": _store_call(JoinGroup(1, "group", "d-1", ("items", "servers"), 2.5, 6)),
+    "leave a group": _store_call(LeaveGroup(1, "group", "d-1")),
+    **{
+        f"ownership of shards, call {number}": _store_call(call)
+        for number, call in enumerate(ownership_calls())
+    },
 }
+
+# Refusals and answers as callers get them.
+
+
+def _answered(response: Response) -> Form:
+    def encode() -> bytes:
+        heads: list[bytes] = []
+
+        def start(status: str, headers: list[tuple[str, str]]) -> None:
+            rows = [status, *(f"{name}: {value}" for name, value in headers)]
+            heads.append("".join(f"{row}\r\n" for row in rows).encode())
+
+        body = b"".join(send(response, start))
+        return heads[0] + b"\r\n" + body
+
+    return Form(encode)
+
+
+def _given_up(outcome: NotRun | MayHaveRun | Cut, request_id: str = "id-1") -> Form:
+    return _answered(final_answer(outcome, request_id))
+
+
+def _without_request_id() -> Response:
+    """Returns the answer to a request without an id, as the application gives it."""
+    held: list[Any] = []
+    application = CallerApplication(
+        MagicMock(), MagicMock(), MagicMock(), MagicMock(), lambda request, body: None
+    )
+    body = application({"REQUEST_METHOD": "GET", "PATH_INFO": "/"}, lambda *told: held.extend(told))
+    status, headers = held
+    rows = dict(headers)
+    return Response(int(status[:3]), b"".join(body), rows["Content-Type"])
+
+
+def _identified(key: str, *, is_behind: bool) -> NotRun:
+    """Returns the refusal of a caller's key."""
+    routes = MagicMock()
+    routes.configuration = decode_configuration(CONFIGURATION_OF_TENANTS)
+    directory = CallerDirectory(routes)
+    directory.is_behind = is_behind
+    refusal = directory.owner_of(key)
+    assert isinstance(refusal, NotRun)
+    return refusal
+
+
+CONFIGURATION_OF_TENANTS = b'{"version": 1, "tenants": [{"name": "t", "apiKeys": ["k"]}]}'
+REFUSALS = {
+    "not run": _given_up(NotRun("reason", Step.ADMIT)),
+    "not run, to be asked again": _given_up(NotRun("reason", Step.DISPATCH, "peer", 0.25)),
+    "not run, to be asked again at once": _given_up(NotRun("reason", Step.RELAY, "peer", 0.0)),
+    "not run, another status": _given_up(NotRun("reason", Step.ROUTE, "", None, 404)),
+    "not run, no request id": _given_up(NotRun("reason", Step.ADMIT, "", 12.3456), ""),
+    "may have run": _given_up(MayHaveRun("reason", Step.DISPATCH, "peer", 1.5)),
+    "may have run, another status": _given_up(MayHaveRun("reason", Step.RELAY, "", None, 502)),
+    "cut": _given_up(Cut("reason", 5, Step.RELAY, "peer")),
+    **{f"step {n}": _given_up(NotRun("reason", step)) for n, step in enumerate(Step)},
+    "request without an id": _answered(_without_request_id()),
+    "no key": _given_up(_identified("", is_behind=False)),
+    "unknown key": _given_up(_identified("x", is_behind=False)),
+    "unknown key, configuration may be old": _given_up(_identified("x", is_behind=True)),
+    "job accepted": _answered(write_answer(JobAccepted())),
+    "job ended": _answered(write_answer(JobEnded())),
+    "item's body": _answered(write_answer(ItemBody(b"\x00\xff"))),
+    "results, none": _answered(write_answer(JobResults(3, 0, ()))),
+    "results": _answered(
+        write_answer(
+            JobResults(
+                9,
+                4,
+                (
+                    records.ItemResult("a", records.DONE, "one\ntwo é"),
+                    records.ItemResult("b", records.DEAD, ""),
+                ),
+            )
+        )
+    ),
+    "job refused": _answered(write_answer(JobRefused(409, "reason"))),
+    "job refused, to be asked again": _answered(write_answer(JobRefused(429, "reason", 0.5))),
+}
+
+# Figures told at the metrics address.
+
+
+def metric_rows() -> dict[str, Any]:
+    """Returns type, label names and buckets of each metric, by its name."""
+    figures = GatewayMetrics(MagicMock())
+    rows: dict[str, Any] = {}
+    for collector in figures.registry._collector_to_names:
+        (family,) = collector.collect()
+        buckets = [row.labels["le"] for row in family.samples if "le" in row.labels]
+        rows[family.name] = [family.type, list(getattr(collector, "_labelnames")), buckets]  # noqa: B009
+    return rows
+
+
+def metrics_of_lines() -> list[str]:
+    """Returns the rows of the text that count what log lines tell, without their help."""
+    figures = GatewayMetrics(MagicMock())
+    for event, told in LINES:
+        figures.on_line(LogLine(event, told))
+    rows = figures.text().decode().splitlines()
+    return [row for row in rows if not row.startswith("# HELP") and "_created" not in row]
+
+
+LINES: list[tuple[str, dict[str, object]]] = [
+    *(
+        ("attempt ended", {"kind": kind, "first_ms": 30 * number})
+        for number, kind in enumerate(AttemptKind)
+    ),
+    ("item run ended", {"kind": AttemptKind.CUT}),
+    ("attempt ended", {}),
+    ("caller gone", {"close_to_abort_ms": 20}),
+    ("request refused", {"status": 429}),
+    ("request refused", {}),
+    ("request given up", {"outcome": "NotRun", "step": Step.ADMIT, "route": "r"}),
+    ("request given up", {}),
+]
+
+# Settings, configuration and records of servers: text that operators and the platform write.
+
+
+def read_settings(text: str) -> Any:
+    """Returns the settings that a file holds."""
+    with NamedTemporaryFile("w", suffix=".toml") as file:
+        file.write(text)
+        file.flush()
+        return plain(load_gateway_settings(Path(file.name)))
+
+
+SETTINGS: dict[str, Callable[[str], Any]] = {
+    "settings file": read_settings,
+    "configuration": lambda text: plain(decode_configuration(text.encode())),
+    "server": lambda text: plain(decode_server("i-1", text.encode())),
+    "policies": lambda text: plain(read_policies(text)),
+    "hand-in of a job": lambda text: plain(
+        read_submission(
+            1,
+            IncomingRequest("j", "POST", "/p", "h", "/p", "", [], 4.0, "", read_prompt("", ""), ""),
+            text.encode(),
+        )
+    ),
+}
+
+# Names on the wire, and hashes on which all daemons must agree.
+
+_SERVERS = [
+    ServerRecord(f"i-{number}", service, HOST, f"z{number % 2}", 4, False)
+    for service, count in (("small", 16), ("large", 80))
+    for number in range(count)
+]
+
+
+PACKED_OFFSETS = "789c636480005610c1c8c00000004b0008"
+"""Offsets as packed on one machine; another compression library may pack them otherwise."""
+
+
+def names_told() -> dict[str, Any]:
+    """Returns names and hashes, as plain values."""
+    groups = deal_groups(_SERVERS[:16]) | deal_groups(_SERVERS[16:])
+    prompt = read_prompt("9000,10", "a:4000,session:4000,own:1000")
+    held = [SimpleNamespace(record=record) for record in _SERVERS[16:]]
+    constants = (value for name, value in vars(names).items() if name.isupper())
+    return {
+        "hash of parts": [stable_hash("a"), stable_hash("a", "é", ""), stable_hash()],
+        "order of candidates": rendezvous_order("key", [f"c-{n}" for n in range(9)]),
+        "shards of jobs": [records.shard_of(f"job-{n}", 64) for n in range(20)],
+        "keys of servers": [slotmessages.server_key(f"i-{n}") for n in range(9)],
+        "units of prompts": [slotmessages.prefill_units(n) for n in (0, 1023, 1024, 1025, 9999)],
+        "groups of servers": {server: group.name for server, group in groups.items()},
+        "servers for a long prompt": [
+            home.record.server_id for home in homes_of(prompt, cast(Any, held))
+        ],
+        "content of requests": [
+            content_key("h.example", "POST", "/p?q=1", b"\x00body"),
+            content_key("", "", "", b""),
+        ],
+        "digests of keys": [key_digest("secret é"), key_digest("")],
+        "digest of a hand-in": records_digest(b'{"requests": [{"id": "a", "path": "/p"}]}'),
+        "topics": [
+            topic_name(topic)
+            for topic in (
+                gateway.CONFIGURATION_TOPIC,
+                serverlist.SERVERS_TOPIC,
+                directory.PEERS_TOPIC,
+                claims_module.CLAIMS_TOPIC,
+                shared_module.CRASHES_TOPIC,
+                records.INDEX_TOPIC,
+                records.SHARD_TOPIC,
+            )
+        ],
+        "paths between daemons": [PEER_STATE_PATH, METRICS_PATH],
+        "texts of the platform": sorted(
+            plain(value) if isinstance(value, str) else ",".join(sorted(value))
+            for value in constants
+        ),
+        "kinds of attempts": [str(kind) for kind in AttemptKind],
+        "outcomes of items on the log": [state.name.lower() for state in ItemState],
+        "buckets of members": [bucket_of(f"m-{n}") for n in range(20)],
+        "weights of daemons for shards": [weight_of(n, "m-1")[0] for n in range(5)],
+        "digest of a submission": entries.content_digest(
+            "s", True, (entries.BatchItem("c", "prompt é", 5),)
+        ),
+        "offsets unpacked": list(entries.unpack_offsets(bytes.fromhex(PACKED_OFFSETS))),
+    }
+
+
+def records_digest(body: bytes) -> str:
+    """Returns the digest by which a hand-in is known again."""
+    request = IncomingRequest("j", "POST", "/p", "h", "/p", "", [], 4.0, "", read_prompt("", ""))
+    return read_submission(1, request, body).digest
--- a/tests/forms/write.py
+++ b/tests/forms/write.py
@@ -14,7 +14,7 @@
 from typing import Any
 
 from tests.forms import samples
-from tests.forms.forms import DATA, Forms
+from tests.forms.forms import DATA, Forms, stored
 
 
 def encoded(forms: Forms) -> dict[str, str]:
@@ -22,12 +22,28 @@
     return {name: form.encode().hex() for name, form in forms.items()}
 
 
+def rewritten(held: dict[str, Any]) -> dict[str, Any]:
+    """Returns settings with what their texts, which are written by hand, are read as now."""
+    return {
+        name: {**row, "read": samples.SETTINGS[row["kind"]](row["text"])}
+        for name, row in held.items()
+    }
+
+
 KINDS: dict[str, Callable[[], dict[str, Any]]] = {
     "peer_messages": lambda: encoded(samples.PEER_MESSAGES),
     "sealed_messages": lambda: encoded(samples.SEALED_MESSAGES),
     "peer_state": lambda: encoded(samples.PEER_STATES),
     "stored_records": lambda: encoded(samples.STORED_RECORDS),
     "log_entries": lambda: encoded(samples.LOG_ENTRIES),
+    "store_calls": lambda: encoded(samples.STORE_CALLS),
+    "refusals": lambda: encoded(samples.REFUSALS),
+    "metrics": lambda: {
+        "metrics": samples.metric_rows(),
+        "text after log lines": samples.metrics_of_lines(),
+    },
+    "names": samples.names_told,
+    "settings": lambda: rewritten(stored("settings")),
     "experience": lambda: encoded(samples.EXPERIENCES),
 }
 
