--- a/src/troutswitch/cli/bench.py
+++ b/src/troutswitch/cli/bench.py
@@ -4,7 +4,7 @@
 
 import click
 
-from troutswitch.simulation.batch_bench import run_batch_bench
+from troutswitch.standalone.simulation.batch_bench import run_batch_bench
 
 
 @click.command()
--- a/src/troutswitch/cli/ctl.py
+++ b/src/troutswitch/cli/ctl.py
@@ -15,14 +15,14 @@
 from troutswitch.cli.standin import parse_address
 from troutswitch.clock import steady_seconds
 from troutswitch.common import Address
-from troutswitch.decisions.configuration.declarations import (
+from troutswitch.runtime.http import ConnectionPool, HttpError
+from troutswitch.standalone.decisions.configuration.declarations import (
     DeclarationError,
     changes_between,
     read_declarations,
 )
-from troutswitch.decisions.configuration.tree import ConfigurationTree, place_of
-from troutswitch.logservice.records import ConfigurationChange
-from troutswitch.runtime.http import ConnectionPool, HttpError
+from troutswitch.standalone.decisions.configuration.tree import ConfigurationTree, place_of
+from troutswitch.standalone.log_service.records import ConfigurationChange
 
 CALL_SECONDS = 40.0
 WAIT_POLL_SECONDS = 0.2
--- a/src/troutswitch/cli/demo.py
+++ b/src/troutswitch/cli/demo.py
@@ -4,8 +4,8 @@
 
 import click
 
-from troutswitch.runtime.logging import configure_logging
-from troutswitch.standins.demonstration import Demonstration
+from troutswitch.standalone.runtime.logging import configure_logging
+from troutswitch.standalone.standins.demonstration import Demonstration
 
 DEMO_DAEMONS = 2
 DEMO_ENGINES = 3
--- a/src/troutswitch/cli/load.py
+++ b/src/troutswitch/cli/load.py
@@ -5,7 +5,7 @@
 import click
 
 from troutswitch.cli.standin import parse_address
-from troutswitch.standins.loadgen import LoadPlan, run_load
+from troutswitch.standalone.standins.load_generator import LoadPlan, run_load
 
 
 @click.command()
--- a/src/troutswitch/cli/main.py
+++ b/src/troutswitch/cli/main.py
@@ -8,7 +8,6 @@
 from troutswitch.cli.bench import bench
 from troutswitch.cli.bound import bound
 from troutswitch.cli.ctl import ctl
-from troutswitch.cli.daemon import daemon, settings
 from troutswitch.cli.demo import demo
 from troutswitch.cli.explain import explain
 from troutswitch.cli.gateway import gateway
@@ -17,6 +16,7 @@
 from troutswitch.cli.soak import soak
 from troutswitch.cli.standin import standin
 from troutswitch.cli.world import experiment, simulate
+from troutswitch.standalone.command import daemon, settings
 
 
 @click.group()
--- a/src/troutswitch/cli/world.py
+++ b/src/troutswitch/cli/world.py
@@ -5,10 +5,10 @@
 
 import click
 
-from troutswitch.simulation.experiment import run_experiment, to_json
-from troutswitch.simulation.report import table, write_report
-from troutswitch.simulation.scenarios import SCENARIOS
-from troutswitch.simulation.world import SimulatedWorld, WorldOptions, parse_faults
+from troutswitch.standalone.simulation.experiment import run_experiment, to_json
+from troutswitch.standalone.simulation.report import table, write_report
+from troutswitch.standalone.simulation.scenarios import SCENARIOS
+from troutswitch.standalone.simulation.world import SimulatedWorld, WorldOptions, parse_faults
 
 SECONDS_A_MINUTE = 60.0
 
--- a/src/troutswitch/decisions/forwarding/requests.py
+++ b/src/troutswitch/decisions/forwarding/requests.py
@@ -18,7 +18,6 @@
 import random
 from dataclasses import dataclass, replace
 
-from troutswitch.constants import ROOM_WAIT_SECONDS
 from troutswitch.decisions.crashes.interface import NO_SUSPECTS, Suspects
 from troutswitch.decisions.forwarding.admission import (
     ADMISSION_POLICIES,
@@ -77,6 +76,9 @@
     conclude,
 )
 
+ROOM_WAIT_SECONDS = 0.1
+"""Time after which a request that can't be refused any more, and that no engine could take, is
+offered again. Engines that are full have a free slot about so soon."""
 RETRY_AFTER_FIRST_SECONDS = 0.1
 """Least time after which a refused caller is asked to come back."""
 RETRY_AFTER_SPREAD_SECONDS = 0.2
--- a/src/troutswitch/decisions/tenants/asked.py
+++ b/src/troutswitch/decisions/tenants/asked.py
@@ -27,7 +27,7 @@
 AGAIN_SECONDS = 0.012
 """Time after which an ask that was not answered is sent once more. Where one message in twenty was
 lost and none was sent again, a tenant at eleven times its usual came to 1.22 of what users allow in
-a window (`simulation/quotaworld.py`, 61 daemons)."""
+a window (`tests/worlds/quota_world.py`, 61 daemons)."""
 LEASE_SECONDS = 0.5
 """Time for which requests that were allowed in advance may be used."""
 LEASED_MOST = 4
--- a/src/troutswitch/decisions/tenants/ledger.py
+++ b/src/troutswitch/decisions/tenants/ledger.py
@@ -89,7 +89,7 @@
         """Takes off what went while this daemon was not heard; an account may run into debt.
 
         Without it, what went meanwhile came on top of what had gathered here: 1.04 of what users
-        allow in a window after two seconds of silence (`simulation/quotaworld.py`).
+        allow in a window after two seconds of silence (`tests/worlds/quota_world.py`).
         """
         if spent > 0:
             account = self._account(now, tenant, limit, counts_since)
--- a/src/troutswitch/decisions/tenants/shares.py
+++ b/src/troutswitch/decisions/tenants/shares.py
@@ -11,7 +11,7 @@
 ALONE_FACTOR = 1.5
 """How many times its equal share a daemon may send while nobody counts for all: callers are drawn
 to daemons unevenly. With four times, a tenant at eleven times its usual came to 1.61 of what
-users allow in a window while nobody counted for 4 s (`simulation/quotaworld.py`, 61 daemons)."""
+users allow in a window while nobody counted for 4 s (`tests/worlds/quota_world.py`, 61 daemons)."""
 SHARE_LEAST = 1.0
 """Least requests at once of a share."""
 WORD_SECONDS = 5.0
--- a/src/troutswitch/callers/batch_app.py
+++ b/src/troutswitch/standalone/callers/batch_app.py
@@ -1,29 +1,34 @@
 """WSGI application for batch callers: submit, status, results and cancellation."""
 
-from troutswitch.callers.context import CallApplication
-from troutswitch.callers.errors import bad_request, refused_call
-from troutswitch.callers.parsing import BadInput, parse_batch, parse_window, to_json_lines
-from troutswitch.decisions.batch.results import RESULTS_MOST
-from troutswitch.decisions.effects import (
+from troutswitch.runtime.http import (
+    Request,
+    Response,
+    json_response,
+)
+from troutswitch.standalone.callers.context import CallApplication
+from troutswitch.standalone.callers.errors import bad_request, refused_call
+from troutswitch.standalone.callers.parsing import (
+    BadInput,
+    parse_batch,
+    parse_window,
+    to_json_lines,
+)
+from troutswitch.standalone.decisions.batch.results import RESULTS_MOST
+from troutswitch.standalone.decisions.effects import (
     CallAnswer,
     CallRefused,
     ItemResult,
     JobResults,
     JobView,
 )
-from troutswitch.decisions.events import (
+from troutswitch.standalone.decisions.events import (
     Event,
     JobAsked,
     JobCancelAsked,
     JobResultsAsked,
     JobSubmitted,
 )
-from troutswitch.logservice.records import content_digest
-from troutswitch.runtime.http import (
-    Request,
-    Response,
-    json_response,
-)
+from troutswitch.standalone.log_service.records import content_digest
 
 DEFAULT_WINDOW = "24h"
 JSON_LINES_TYPE = "application/jsonl"
--- a/src/troutswitch/callers/context.py
+++ b/src/troutswitch/standalone/callers/context.py
@@ -6,15 +6,15 @@
 from concurrent.futures import TimeoutError as FutureTimeoutError
 from dataclasses import dataclass, field
 
-from troutswitch.callers.errors import bad_request
-from troutswitch.callers.parsing import BadInput
-from troutswitch.decisions.effects import CallAnswer, CallRefused
-from troutswitch.decisions.events import Event
 from troutswitch.decisions.tenants.types import key_digest
-from troutswitch.decisions.views import Directory
 from troutswitch.outcomes import Step
-from troutswitch.runtime.effects import EffectRunner
 from troutswitch.runtime.http import Environ, Request, Response, StartResponse, send
+from troutswitch.standalone.callers.errors import bad_request
+from troutswitch.standalone.callers.parsing import BadInput
+from troutswitch.standalone.decisions.effects import CallAnswer, CallRefused
+from troutswitch.standalone.decisions.events import Event
+from troutswitch.standalone.decisions.views import Directory
+from troutswitch.standalone.runtime.effects import EffectRunner
 
 
 class CallApplication:
--- a/src/troutswitch/callers/errors.py
+++ b/src/troutswitch/standalone/callers/errors.py
@@ -2,9 +2,9 @@
 
 import math
 
-from troutswitch.decisions.effects import CallRefused
 from troutswitch.outcomes import Completed, Cut, MayHaveRun, NotRun, OnlineOutcome, Step
 from troutswitch.runtime.http import Response, json_response
+from troutswitch.standalone.decisions.effects import CallRefused
 
 _TYPES = {
     400: "invalid_request_error",
--- a/src/troutswitch/callers/online_app.py
+++ b/src/troutswitch/standalone/callers/online_app.py
@@ -5,17 +5,6 @@
 
 from prometheus_client import CollectorRegistry, generate_latest
 
-from troutswitch.callers.context import CallerContext
-from troutswitch.callers.errors import bad_request, failed_request
-from troutswitch.callers.parsing import (
-    BadInput,
-    CompletionBody,
-    estimate_tokens,
-    parse_completion,
-    prefix_of,
-)
-from troutswitch.callers.relay import OnlineWork, Relay
-from troutswitch.decisions.events import OnlineArrived
 from troutswitch.outcomes import Completed, OnlineOutcome
 from troutswitch.runtime.http import (
     EVENT_STREAM_TYPE,
@@ -27,6 +16,17 @@
     send,
     status_line,
 )
+from troutswitch.standalone.callers.context import CallerContext
+from troutswitch.standalone.callers.errors import bad_request, failed_request
+from troutswitch.standalone.callers.parsing import (
+    BadInput,
+    CompletionBody,
+    estimate_tokens,
+    parse_completion,
+    prefix_of,
+)
+from troutswitch.standalone.callers.relay import OnlineWork, Relay
+from troutswitch.standalone.decisions.events import OnlineArrived
 
 REQUEST_SECONDS = 120.0
 NOT_REPEATABLE = "no"
--- a/src/troutswitch/callers/parsing.py
+++ b/src/troutswitch/standalone/callers/parsing.py
@@ -7,7 +7,7 @@
 import xxhash
 from msgspec import Meta
 
-from troutswitch.logservice.records import BatchItem
+from troutswitch.standalone.log_service.records import BatchItem
 
 CHARACTERS_PER_TOKEN = 4
 PREFIX_CHARACTERS = 256
--- a/src/troutswitch/callers/relay.py
+++ b/src/troutswitch/standalone/callers/relay.py
@@ -3,17 +3,6 @@
 from collections.abc import Callable, Iterator
 from dataclasses import dataclass
 
-from troutswitch.decisions.effects import FinishOnline, StartOnlineAttempt
-from troutswitch.decisions.events import (
-    Event,
-    OnlineAbandoned,
-    OnlineArrived,
-    OnlineAttemptEnded,
-    OnlineFirstToken,
-)
-from troutswitch.engines.assembler import AnswerAssembler, BrokenStream, ForeignPiece
-from troutswitch.engines.client import EngineStream, StreamEnded, ending_of
-from troutswitch.engines.protocol import CompletionOrder
 from troutswitch.outcomes import (
     AttemptKind,
     Cut,
@@ -22,7 +11,18 @@
     OnlineOutcome,
     Step,
 )
-from troutswitch.runtime.effects import EffectRunner
+from troutswitch.standalone.decisions.effects import FinishOnline, StartOnlineAttempt
+from troutswitch.standalone.decisions.events import (
+    Event,
+    OnlineAbandoned,
+    OnlineArrived,
+    OnlineAttemptEnded,
+    OnlineFirstToken,
+)
+from troutswitch.standalone.engines.assembler import AnswerAssembler, BrokenStream, ForeignPiece
+from troutswitch.standalone.engines.client import EngineStream, StreamEnded, ending_of
+from troutswitch.standalone.engines.protocol import CompletionOrder
+from troutswitch.standalone.runtime.effects import EffectRunner
 
 DIRECTIVE_SLACK_SECONDS = 5.0
 """Time past its deadline after which a request's thread no longer waits for the loop."""
--- a/src/troutswitch/cli/daemon.py
+++ b/src/troutswitch/standalone/command.py
@@ -11,10 +11,10 @@
 import click
 import msgspec
 
-from troutswitch.runtime.logging import configure_logging
 from troutswitch.runtime.memory import freeze_startup_objects, limit_allocator_arenas
-from troutswitch.runtime.server import DaemonServer
-from troutswitch.runtime.settings import DaemonSettings, SettingsError, load_settings
+from troutswitch.standalone.runtime.logging import configure_logging
+from troutswitch.standalone.runtime.server import DaemonServer
+from troutswitch.standalone.runtime.settings import DaemonSettings, SettingsError, load_settings
 
 Command = Callable[..., Any]
 
--- a/src/troutswitch/constants.py
+++ b/src/troutswitch/standalone/constants.py
@@ -1,7 +1,7 @@
-"""Tunables of the fleet, each with its unit.
+"""Constants of the standalone daemon that several of its modules share, each with its unit.
 
 Values that operators change while the fleet runs are in the configuration tree
-(`troutswitch.decisions.configuration`), not here.
+(`troutswitch.standalone.decisions.configuration`), not here.
 """
 
 # Log service.
@@ -146,14 +146,7 @@
 """Interval between two requests to peers for missing entries."""
 
 # Online requests.
-RETRY_BUDGET_RATIO = 0.1
-"""Retries earned by one success."""
-RETRY_BUDGET_MOST = 10.0
-"""Most retries a service can save up on one daemon."""
 RETRY_FIRST_SECONDS = 0.02
 """First delay before an online retry; doubles, with jitter."""
-ROOM_WAIT_SECONDS = 0.1
-"""Time after which a request that can't be refused any more, and that no engine could take, is
-offered again. Engines that are full have room about so soon; at most ten offers a second."""
 RETRY_AFTER_SECONDS = 1.0
 """Retry-After told to a caller when nothing better is known."""
--- /dev/null
+++ b/src/troutswitch/standalone/daemons/__init__.py
@@ -0,0 +1,1 @@
+"""Messages between standalone daemons."""
--- a/src/troutswitch/daemons/messages.py
+++ b/src/troutswitch/standalone/daemons/messages.py
@@ -12,7 +12,7 @@
 import cbor2
 import msgspec
 
-from troutswitch.constants import DATAGRAM_MOST_BYTES, REPLAY_WINDOW_SECONDS
+from troutswitch.standalone.constants import DATAGRAM_MOST_BYTES, REPLAY_WINDOW_SECONDS
 
 DIGEST_BYTES = 16
 
--- /dev/null
+++ b/src/troutswitch/standalone/decisions/__init__.py
@@ -0,0 +1,1 @@
+"""Decisions of the standalone daemon: typed events in, typed effects out."""
--- /dev/null
+++ b/src/troutswitch/standalone/decisions/admission_control.py
@@ -0,0 +1,60 @@
+"""Limits on the online requests that one standalone daemon admits.
+
+Owns the counts of requests in flight and the rate of each tenant, on this daemon alone.
+"""
+
+from collections import OrderedDict
+
+from troutswitch.decisions.invariants import ensure
+from troutswitch.decisions.limits import TokenBucket
+from troutswitch.outcomes import NotRun, Step
+from troutswitch.standalone.constants import RETRY_AFTER_SECONDS
+from troutswitch.standalone.decisions.configuration.keys import ServingPolicy
+
+TENANTS_KEPT = 10_000
+"""Idle tenants whose rate is remembered."""
+
+
+class AdmissionControl:
+    """Admits online requests on one daemon.
+
+    A tenant's limits hold for the fleet; each daemon enforces its equal share, but
+    at least one, so the sum may exceed a small limit by the number of daemons.
+    """
+
+    def __init__(self) -> None:
+        self.in_flight = 0
+        self._tenant_in_flight: dict[str, int] = {}
+        self._buckets: OrderedDict[str, TokenBucket] = OrderedDict()
+
+    def admit(self, now: float, tenant: str, policy: ServingPolicy, daemons: int) -> NotRun | None:
+        """Admits a request, or returns the refusal."""
+        if self.in_flight >= policy.online_concurrency:
+            return NotRun("daemon is full", Step.ADMIT, "", RETRY_AFTER_SECONDS, 503)
+        concurrency = max(1, policy.tenant_concurrency // max(1, daemons))
+        if self._tenant_in_flight.get(tenant, 0) >= concurrency:
+            return NotRun("tenant concurrency limit", Step.ADMIT, "", RETRY_AFTER_SECONDS, 429)
+        rate = policy.tenant_requests_per_second / max(1, daemons)
+        wait = self._bucket(now, tenant, rate).take(now, rate)
+        if wait > 0:
+            return NotRun("tenant rate limit", Step.ADMIT, "", wait, 429)
+        self.in_flight += 1
+        self._tenant_in_flight[tenant] = self._tenant_in_flight.get(tenant, 0) + 1
+        return None
+
+    def release(self, tenant: str) -> None:
+        """Ends an admitted request."""
+        self.in_flight -= 1
+        left = self._tenant_in_flight[tenant] - 1
+        ensure(self.in_flight >= 0 and left >= 0, "more requests ended than admitted")
+        if left:
+            self._tenant_in_flight[tenant] = left
+        else:
+            del self._tenant_in_flight[tenant]
+
+    def _bucket(self, now: float, tenant: str, rate: float) -> TokenBucket:
+        bucket = self._buckets.pop(tenant, None) or TokenBucket(max(1.0, rate), now)
+        self._buckets[tenant] = bucket
+        if len(self._buckets) > TENANTS_KEPT:
+            self._buckets.popitem(last=False)
+        return bucket
--- a/src/troutswitch/decisions/batch/calls.py
+++ b/src/troutswitch/standalone/decisions/batch/calls.py
@@ -8,16 +8,16 @@
 from abc import ABC, abstractmethod
 from dataclasses import dataclass, field
 
-from troutswitch.constants import RETRY_AFTER_SECONDS
-from troutswitch.decisions.batch.fold import ShardFold
-from troutswitch.decisions.batch.jobs import Job, JobStatus
-from troutswitch.decisions.batch.ownership import Ownership
-from troutswitch.decisions.batch.replica import ShardReplica
-from troutswitch.decisions.effects import AnswerCall, CallRefused, Effect, JobView
-from troutswitch.decisions.logreader import LogReader
-from troutswitch.decisions.logwriter import LogWriter
-from troutswitch.logservice.records import Record
 from troutswitch.outcomes import Step
+from troutswitch.standalone.constants import RETRY_AFTER_SECONDS
+from troutswitch.standalone.decisions.batch.fold import ShardFold
+from troutswitch.standalone.decisions.batch.jobs import Job, JobStatus
+from troutswitch.standalone.decisions.batch.ownership import Ownership
+from troutswitch.standalone.decisions.batch.replica import ShardReplica
+from troutswitch.standalone.decisions.effects import AnswerCall, CallRefused, Effect, JobView
+from troutswitch.standalone.decisions.log_reader import LogReader
+from troutswitch.standalone.decisions.log_writer import LogWriter
+from troutswitch.standalone.log_service.records import Record
 
 LOG_PEER = "log"
 """Name of the log service in errors."""
--- a/src/troutswitch/decisions/batch/claims.py
+++ b/src/troutswitch/standalone/decisions/batch/claims.py
@@ -3,20 +3,20 @@
 from collections.abc import Callable
 
 from troutswitch.common import stable_hash
-from troutswitch.constants import RETRY_AFTER_SECONDS
-from troutswitch.decisions.batch.calls import (
+from troutswitch.outcomes import MayHaveRun, NotRun, Step
+from troutswitch.standalone.constants import RETRY_AFTER_SECONDS
+from troutswitch.standalone.decisions.batch.calls import (
     LOG_PEER,
     STILL_WAITING,
     CallContext,
     Progress,
     ShardCall,
 )
-from troutswitch.decisions.batch.replica import ShardReplica
-from troutswitch.decisions.configuration.keys import ServingPolicy
-from troutswitch.decisions.effects import Effect
-from troutswitch.decisions.events import OnlineArrived
-from troutswitch.logservice.records import OnceClaimed
-from troutswitch.outcomes import MayHaveRun, NotRun, Step
+from troutswitch.standalone.decisions.batch.replica import ShardReplica
+from troutswitch.standalone.decisions.configuration.keys import ServingPolicy
+from troutswitch.standalone.decisions.effects import Effect
+from troutswitch.standalone.decisions.events import OnlineArrived
+from troutswitch.standalone.log_service.records import OnceClaimed
 
 ClaimOutcome = NotRun | MayHaveRun | None
 ClaimEnded = Callable[[float, str, ClaimOutcome], list[Effect]]
--- a/src/troutswitch/decisions/batch/dispatcher.py
+++ b/src/troutswitch/standalone/decisions/batch/dispatcher.py
@@ -4,28 +4,28 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from troutswitch.constants import (
+from troutswitch.decisions.invariants import ensure
+from troutswitch.outcomes import AttemptKind
+from troutswitch.standalone.constants import (
     SLOT_ASK_ENGINES,
     SLOT_ASK_SECONDS,
     WRITER_QUEUE_MOST_RECORDS,
 )
-from troutswitch.daemons.messages import SlotAsk, SlotGrant
-from troutswitch.decisions.batch.jobs import Job
-from troutswitch.decisions.batch.owner import Handout, ItemReference, ShardOwner
-from troutswitch.decisions.batch.ownership import Ownership
-from troutswitch.decisions.effects import (
+from troutswitch.standalone.daemons.messages import SlotAsk, SlotGrant
+from troutswitch.standalone.decisions.batch.jobs import Job
+from troutswitch.standalone.decisions.batch.owner import Handout, ItemReference, ShardOwner
+from troutswitch.standalone.decisions.batch.ownership import Ownership
+from troutswitch.standalone.decisions.effects import (
     CancelAttempt,
     Effect,
     SendDatagram,
     StartBatchAttempt,
 )
-from troutswitch.decisions.engines import EngineRegistry
-from troutswitch.decisions.events import BatchAttemptEnded
-from troutswitch.decisions.invariants import ensure
-from troutswitch.decisions.logwriter import LogWriter
-from troutswitch.decisions.membership import Membership
-from troutswitch.decisions.stewardship import Stewardship
-from troutswitch.outcomes import AttemptKind
+from troutswitch.standalone.decisions.engines import EngineRegistry
+from troutswitch.standalone.decisions.events import BatchAttemptEnded
+from troutswitch.standalone.decisions.log_writer import LogWriter
+from troutswitch.standalone.decisions.membership import Membership
+from troutswitch.standalone.decisions.stewardship import Stewardship
 
 
 @dataclass(slots=True)
--- a/src/troutswitch/decisions/batch/fold.py
+++ b/src/troutswitch/standalone/decisions/batch/fold.py
@@ -11,16 +11,16 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from troutswitch.constants import STAGED_JOBS_MOST, VERDICTS_KEPT
-from troutswitch.decisions.batch.jobs import (
+from troutswitch.standalone.constants import STAGED_JOBS_MOST, VERDICTS_KEPT
+from troutswitch.standalone.decisions.batch.jobs import (
     FINAL_OUTCOMES,
     ItemState,
     Job,
     JobStatus,
     chunk_count,
 )
-from troutswitch.decisions.sequences import WriterSequences
-from troutswitch.logservice.records import (
+from troutswitch.standalone.decisions.sequences import WriterSequences
+from troutswitch.standalone.log_service.records import (
     AttemptStarted,
     ChunkSubmitted,
     Entry,
--- a/src/troutswitch/decisions/batch/jobs.py
+++ b/src/troutswitch/standalone/decisions/batch/jobs.py
@@ -4,8 +4,8 @@
 from dataclasses import dataclass, field
 from enum import IntEnum
 
-from troutswitch.constants import CHUNK_ITEMS
 from troutswitch.decisions.invariants import ensure
+from troutswitch.standalone.constants import CHUNK_ITEMS
 
 
 class ItemState(IntEnum):
--- a/src/troutswitch/decisions/batch/owner.py
+++ b/src/troutswitch/standalone/decisions/batch/owner.py
@@ -9,7 +9,9 @@
 from collections.abc import Callable, Iterator
 from dataclasses import dataclass, field
 
-from troutswitch.constants import (
+from troutswitch.decisions.invariants import ensure
+from troutswitch.outcomes import AttemptKind
+from troutswitch.standalone.constants import (
     CHUNK_CACHE_ENTRIES,
     CHUNK_ITEMS,
     ITEM_RETRY_FIRST_SECONDS,
@@ -18,7 +20,7 @@
     RENEW_SECONDS,
     SNAPSHOT_EVERY_ENTRIES,
 )
-from troutswitch.decisions.batch.fold import (
+from troutswitch.standalone.decisions.batch.fold import (
     AttemptRecorded,
     FoldChange,
     JobCompleted,
@@ -26,14 +28,13 @@
     JobStopped,
     ShardFold,
 )
-from troutswitch.decisions.batch.jobs import ItemState, Job
-from troutswitch.decisions.batch.replica import ShardReplica, shard_stream
-from troutswitch.decisions.effects import Effect, LogEvent
-from troutswitch.decisions.events import BatchAttemptEnded, LogRead, LogReadFailed
-from troutswitch.decisions.invariants import ensure
-from troutswitch.decisions.logreader import LogReader
-from troutswitch.decisions.logwriter import LogWriter
-from troutswitch.logservice.records import (
+from troutswitch.standalone.decisions.batch.jobs import ItemState, Job
+from troutswitch.standalone.decisions.batch.replica import ShardReplica, shard_stream
+from troutswitch.standalone.decisions.effects import Effect, LogEvent
+from troutswitch.standalone.decisions.events import BatchAttemptEnded, LogRead, LogReadFailed
+from troutswitch.standalone.decisions.log_reader import LogReader
+from troutswitch.standalone.decisions.log_writer import LogWriter
+from troutswitch.standalone.log_service.records import (
     AttemptStarted,
     BatchItem,
     ChunkSubmitted,
@@ -45,7 +46,6 @@
     decode_entry,
     pack_offsets,
 )
-from troutswitch.outcomes import AttemptKind
 
 
 @dataclass(frozen=True, slots=True)
--- a/src/troutswitch/decisions/batch/ownership.py
+++ b/src/troutswitch/standalone/decisions/batch/ownership.py
@@ -7,25 +7,25 @@
 
 from collections.abc import Callable, Iterator
 
-from troutswitch.constants import (
+from troutswitch.decisions.invariants import ensure
+from troutswitch.standalone.constants import (
     CLAIM_RETRY_SECONDS,
     HANDOVER_SECONDS,
     LEASE_SECONDS,
     SHARD_FOLLOWERS,
     SHARD_IDLE_UNLOAD_SECONDS,
 )
-from troutswitch.daemons.messages import ShardTouched, ShardWanted
-from troutswitch.decisions.batch.fold import FoldChange, JobStopped, OwnerChanged
-from troutswitch.decisions.batch.owner import ShardOwner
-from troutswitch.decisions.batch.placement import ShardPlacement
-from troutswitch.decisions.batch.replica import ShardReplica, snapshot_stream
-from troutswitch.decisions.batch.snapshot import encode_snapshot
-from troutswitch.decisions.effects import AppendToLog, Effect, LogEvent, SendDatagram
-from troutswitch.decisions.invariants import ensure
-from troutswitch.decisions.logreader import LogReader
-from troutswitch.decisions.logwriter import LogWriter
-from troutswitch.decisions.membership import Membership
-from troutswitch.logservice.records import EpochClaimed
+from troutswitch.standalone.daemons.messages import ShardTouched, ShardWanted
+from troutswitch.standalone.decisions.batch.fold import FoldChange, JobStopped, OwnerChanged
+from troutswitch.standalone.decisions.batch.owner import ShardOwner
+from troutswitch.standalone.decisions.batch.placement import ShardPlacement
+from troutswitch.standalone.decisions.batch.replica import ShardReplica, snapshot_stream
+from troutswitch.standalone.decisions.batch.snapshot import encode_snapshot
+from troutswitch.standalone.decisions.effects import AppendToLog, Effect, LogEvent, SendDatagram
+from troutswitch.standalone.decisions.log_reader import LogReader
+from troutswitch.standalone.decisions.log_writer import LogWriter
+from troutswitch.standalone.decisions.membership import Membership
+from troutswitch.standalone.log_service.records import EpochClaimed
 
 OwnerHook = Callable[[float, ShardOwner], list[Effect]]
 
--- a/src/troutswitch/decisions/batch/replica.py
+++ b/src/troutswitch/standalone/decisions/batch/replica.py
@@ -2,19 +2,19 @@
 
 from collections.abc import Callable
 
-from troutswitch.constants import (
+from troutswitch.decisions.invariants import ensure
+from troutswitch.standalone.constants import (
     LAST_ENTRY,
     LOG_RETRY_FIRST_SECONDS,
     LOG_RETRY_MOST_SECONDS,
     SHARD_POLL_SECONDS,
 )
-from troutswitch.decisions.batch.fold import FoldChange, JobOpened, ShardFold
-from troutswitch.decisions.batch.snapshot import decode_snapshot
-from troutswitch.decisions.effects import Effect
-from troutswitch.decisions.events import LogRead, LogReadFailed
-from troutswitch.decisions.invariants import ensure
-from troutswitch.decisions.logreader import LogReader
-from troutswitch.logservice.records import UnreadableEntry, decode_entry
+from troutswitch.standalone.decisions.batch.fold import FoldChange, JobOpened, ShardFold
+from troutswitch.standalone.decisions.batch.snapshot import decode_snapshot
+from troutswitch.standalone.decisions.effects import Effect
+from troutswitch.standalone.decisions.events import LogRead, LogReadFailed
+from troutswitch.standalone.decisions.log_reader import LogReader
+from troutswitch.standalone.log_service.records import UnreadableEntry, decode_entry
 
 ChangeHandler = Callable[[float, list[FoldChange]], list[Effect]]
 
--- a/src/troutswitch/decisions/batch/results.py
+++ b/src/troutswitch/standalone/decisions/batch/results.py
@@ -2,20 +2,27 @@
 
 from array import array
 
-from troutswitch.constants import CHUNK_ITEMS
-from troutswitch.decisions.batch.calls import (
+from troutswitch.outcomes import Step
+from troutswitch.standalone.constants import CHUNK_ITEMS
+from troutswitch.standalone.decisions.batch.calls import (
     STILL_WAITING,
     CallContext,
     JobCall,
     Progress,
     log_silent,
 )
-from troutswitch.decisions.batch.jobs import Job
-from troutswitch.decisions.batch.owner import chunk_items
-from troutswitch.decisions.batch.replica import ShardReplica
-from troutswitch.decisions.effects import AnswerCall, CallRefused, Effect, ItemResult, JobResults
-from troutswitch.decisions.events import LogRead, LogReadFailed
-from troutswitch.logservice.records import (
+from troutswitch.standalone.decisions.batch.jobs import Job
+from troutswitch.standalone.decisions.batch.owner import chunk_items
+from troutswitch.standalone.decisions.batch.replica import ShardReplica
+from troutswitch.standalone.decisions.effects import (
+    AnswerCall,
+    CallRefused,
+    Effect,
+    ItemResult,
+    JobResults,
+)
+from troutswitch.standalone.decisions.events import LogRead, LogReadFailed
+from troutswitch.standalone.log_service.records import (
     BatchItem,
     Entry,
     ItemFinished,
@@ -24,7 +31,6 @@
     decode_entry,
     unpack_offsets,
 )
-from troutswitch.outcomes import Step
 
 RESULTS_MOST = 256
 """Most results in one answer."""
--- a/src/troutswitch/decisions/batch/snapshot.py
+++ b/src/troutswitch/standalone/decisions/batch/snapshot.py
@@ -7,8 +7,8 @@
 import cbor2
 import msgspec
 
-from troutswitch.constants import ENTRY_SCHEMA_VERSION
-from troutswitch.decisions.batch.fold import (
+from troutswitch.standalone.constants import ENTRY_SCHEMA_VERSION
+from troutswitch.standalone.decisions.batch.fold import (
     Accepted,
     Conflict,
     Duplicate,
@@ -17,9 +17,9 @@
     ShardFold,
     SubmissionVerdict,
 )
-from troutswitch.decisions.batch.jobs import Job, JobStatus
-from troutswitch.decisions.sequences import WriterSequences
-from troutswitch.logservice.records import UnreadableEntry
+from troutswitch.standalone.decisions.batch.jobs import Job, JobStatus
+from troutswitch.standalone.decisions.sequences import WriterSequences
+from troutswitch.standalone.log_service.records import UnreadableEntry
 
 
 class _JobImage(msgspec.Struct, frozen=True, array_like=True):
--- a/src/troutswitch/decisions/batch/submission.py
+++ b/src/troutswitch/standalone/decisions/batch/submission.py
@@ -3,12 +3,13 @@
 import itertools
 
 from troutswitch.common import stable_hash
-from troutswitch.constants import (
+from troutswitch.outcomes import Step
+from troutswitch.standalone.constants import (
     CHUNK_ITEMS,
     RETRY_AFTER_SECONDS,
     WRITER_QUEUE_MOST_RECORDS,
 )
-from troutswitch.decisions.batch.calls import (
+from troutswitch.standalone.decisions.batch.calls import (
     LOG_PEER,
     STILL_WAITING,
     CallContext,
@@ -18,25 +19,24 @@
     log_silent,
     view_of,
 )
-from troutswitch.decisions.batch.fold import (
+from troutswitch.standalone.decisions.batch.fold import (
     Accepted,
     Conflict,
     Duplicate,
     Incomplete,
     ShardFold,
 )
-from troutswitch.decisions.batch.jobs import Job, chunk_count
-from troutswitch.decisions.batch.replica import ShardReplica
-from troutswitch.decisions.configuration.follower import ConfigurationFollower
-from troutswitch.decisions.effects import AnswerCall, CallAnswer, CallRefused, Effect
-from troutswitch.decisions.events import JobSubmitted
-from troutswitch.logservice.records import (
+from troutswitch.standalone.decisions.batch.jobs import Job, chunk_count
+from troutswitch.standalone.decisions.batch.replica import ShardReplica
+from troutswitch.standalone.decisions.configuration.follower import ConfigurationFollower
+from troutswitch.standalone.decisions.effects import AnswerCall, CallAnswer, CallRefused, Effect
+from troutswitch.standalone.decisions.events import JobSubmitted
+from troutswitch.standalone.log_service.records import (
     ChunkSubmitted,
     JobCancelled,
     JobCommitted,
     Record,
 )
-from troutswitch.outcomes import Step
 
 JOB_ID_PREFIX = "batch_"
 
--- a/src/troutswitch/decisions/configuration/declarations.py
+++ b/src/troutswitch/standalone/decisions/configuration/declarations.py
@@ -8,8 +8,8 @@
 from pathlib import Path
 from typing import Any
 
-from troutswitch.decisions.configuration.tree import ConfigurationTree, check_change
-from troutswitch.logservice.records import ConfigurationChange
+from troutswitch.standalone.decisions.configuration.tree import ConfigurationTree, check_change
+from troutswitch.standalone.log_service.records import ConfigurationChange
 
 
 class DeclarationError(Exception):
--- a/src/troutswitch/decisions/configuration/fold.py
+++ b/src/troutswitch/standalone/decisions/configuration/fold.py
@@ -8,11 +8,11 @@
 from dataclasses import dataclass, field
 
 from troutswitch.common import stable_hash
-from troutswitch.constants import CONFIGURATION_CHANGES_MOST, VERDICTS_KEPT
-from troutswitch.decisions.configuration.tree import ConfigurationTree, check_change
 from troutswitch.decisions.invariants import ensure
-from troutswitch.decisions.sequences import WriterSequences
-from troutswitch.logservice.records import ConfigurationPublished, Entry
+from troutswitch.standalone.constants import CONFIGURATION_CHANGES_MOST, VERDICTS_KEPT
+from troutswitch.standalone.decisions.configuration.tree import ConfigurationTree, check_change
+from troutswitch.standalone.decisions.sequences import WriterSequences
+from troutswitch.standalone.log_service.records import ConfigurationPublished, Entry
 
 
 @dataclass(frozen=True, slots=True)
--- a/src/troutswitch/decisions/configuration/follower.py
+++ b/src/troutswitch/standalone/decisions/configuration/follower.py
@@ -10,7 +10,8 @@
 from dataclasses import dataclass
 
 from troutswitch.common import Address
-from troutswitch.constants import (
+from troutswitch.outcomes import Step
+from troutswitch.standalone.constants import (
     CONFIGURATION_DATAGRAM_BYTES,
     CONFIGURATION_ENTRIES_KEPT,
     CONFIGURATION_FANOUT,
@@ -18,14 +19,14 @@
     CONFIGURATION_REQUEST_SECONDS,
     CONFIGURATION_STREAM,
 )
-from troutswitch.daemons.messages import ConfigurationEntries, ConfigurationRequest
-from troutswitch.decisions.configuration.fold import (
+from troutswitch.standalone.daemons.messages import ConfigurationEntries, ConfigurationRequest
+from troutswitch.standalone.decisions.configuration.fold import (
     ConfigurationFold,
     PublicationAccepted,
     Verdict,
 )
-from troutswitch.decisions.configuration.keys import ServingPolicy
-from troutswitch.decisions.effects import (
+from troutswitch.standalone.decisions.configuration.keys import ServingPolicy
+from troutswitch.standalone.decisions.effects import (
     AnswerCall,
     CallRefused,
     Effect,
@@ -33,16 +34,15 @@
     PublicationVerdict,
     SendDatagram,
 )
-from troutswitch.decisions.events import ConfigurationSubmitted, LogRead, LogReadFailed
-from troutswitch.decisions.logreader import LogReader
-from troutswitch.decisions.logwriter import LogWriter
-from troutswitch.decisions.membership import Membership
-from troutswitch.logservice.records import (
+from troutswitch.standalone.decisions.events import ConfigurationSubmitted, LogRead, LogReadFailed
+from troutswitch.standalone.decisions.log_reader import LogReader
+from troutswitch.standalone.decisions.log_writer import LogWriter
+from troutswitch.standalone.decisions.membership import Membership
+from troutswitch.standalone.log_service.records import (
     ConfigurationPublished,
     UnreadableEntry,
     decode_entry,
 )
-from troutswitch.outcomes import Step
 
 NOT_READY = -1
 """Offset on probes of a daemon that is not ready."""
--- a/src/troutswitch/decisions/configuration/tree.py
+++ b/src/troutswitch/standalone/decisions/configuration/tree.py
@@ -3,14 +3,14 @@
 import re
 from dataclasses import dataclass, field
 
-from troutswitch.decisions.configuration.keys import (
+from troutswitch.standalone.decisions.configuration.keys import (
     DEFAULTS,
     ServingPolicy,
     Value,
     check_value,
     policy_of,
 )
-from troutswitch.logservice.records import ConfigurationChange
+from troutswitch.standalone.log_service.records import ConfigurationChange
 
 ROOT = "root"
 _NAME = r"[A-Za-z0-9][A-Za-z0-9._-]{0,63}"
--- a/src/troutswitch/decisions/daemon.py
+++ b/src/troutswitch/standalone/decisions/daemon.py
@@ -11,25 +11,36 @@
 from typing import Any
 
 from troutswitch.common import Address
-from troutswitch.constants import CONFIGURATION_STREAM
-from troutswitch.daemons import messages
-from troutswitch.decisions.batch.calls import (
+from troutswitch.decisions.invariants import ensure
+from troutswitch.standalone.constants import CONFIGURATION_STREAM
+from troutswitch.standalone.daemons import messages
+from troutswitch.standalone.decisions.batch.calls import (
     CallContext,
     JobCall,
     JobQuestion,
     WaitingCalls,
     unknown_job,
 )
-from troutswitch.decisions.batch.claims import ClaimOutcome, OnceClaim
-from troutswitch.decisions.batch.dispatcher import BatchDispatcher
-from troutswitch.decisions.batch.ownership import Ownership
-from troutswitch.decisions.batch.results import ResultsRead
-from troutswitch.decisions.batch.submission import Cancellation, Submissions, shard_of_job
-from troutswitch.decisions.configuration.follower import ConfigurationFollower
-from troutswitch.decisions.configuration.keys import ServingPolicy
-from troutswitch.decisions.effects import AnswerCall, DirectoryChanged, Drained, Effect, LogEvent
-from troutswitch.decisions.engines import EngineRegistry
-from troutswitch.decisions.events import (
+from troutswitch.standalone.decisions.batch.claims import ClaimOutcome, OnceClaim
+from troutswitch.standalone.decisions.batch.dispatcher import BatchDispatcher
+from troutswitch.standalone.decisions.batch.ownership import Ownership
+from troutswitch.standalone.decisions.batch.results import ResultsRead
+from troutswitch.standalone.decisions.batch.submission import (
+    Cancellation,
+    Submissions,
+    shard_of_job,
+)
+from troutswitch.standalone.decisions.configuration.follower import ConfigurationFollower
+from troutswitch.standalone.decisions.configuration.keys import ServingPolicy
+from troutswitch.standalone.decisions.effects import (
+    AnswerCall,
+    DirectoryChanged,
+    Drained,
+    Effect,
+    LogEvent,
+)
+from troutswitch.standalone.decisions.engines import EngineRegistry
+from troutswitch.standalone.decisions.events import (
     BatchAttemptEnded,
     ConfigurationSubmitted,
     DatagramReceived,
@@ -55,14 +66,13 @@
     TimerFired,
     TreeAsked,
 )
-from troutswitch.decisions.fleet import MachineListFollower
-from troutswitch.decisions.invariants import ensure
-from troutswitch.decisions.logreader import LogReader
-from troutswitch.decisions.logwriter import LogWriter
-from troutswitch.decisions.members import INCARNATION_STEP
-from troutswitch.decisions.membership import Membership
-from troutswitch.decisions.online import OnlineRequests
-from troutswitch.decisions.status import (
+from troutswitch.standalone.decisions.fleet import MachineListFollower
+from troutswitch.standalone.decisions.log_reader import LogReader
+from troutswitch.standalone.decisions.log_writer import LogWriter
+from troutswitch.standalone.decisions.members import INCARNATION_STEP
+from troutswitch.standalone.decisions.membership import Membership
+from troutswitch.standalone.decisions.online import OnlineRequests
+from troutswitch.standalone.decisions.status import (
     build_directory,
     view_effective,
     view_engines,
@@ -71,8 +81,8 @@
     view_shards,
     view_tree,
 )
-from troutswitch.decisions.stewardship import Stewardship
-from troutswitch.decisions.views import Directory, StatusView
+from troutswitch.standalone.decisions.stewardship import Stewardship
+from troutswitch.standalone.decisions.views import Directory, StatusView
 
 DRAIN_CHECK_SECONDS = 0.1
 """Interval between looks at whether a stopping daemon has finished."""
--- a/src/troutswitch/decisions/effects.py
+++ b/src/troutswitch/standalone/decisions/effects.py
@@ -3,16 +3,16 @@
 from dataclasses import dataclass, field
 
 from troutswitch.common import Address
-from troutswitch.daemons.messages import Message
-from troutswitch.decisions.views import (
+from troutswitch.outcomes import OnlineOutcome, Step
+from troutswitch.standalone.daemons.messages import Message
+from troutswitch.standalone.decisions.views import (
     Directory,
     EffectiveView,
     HistoryView,
     StatusView,
     TreeView,
 )
-from troutswitch.logservice.records import BatchItem
-from troutswitch.outcomes import OnlineOutcome, Step
+from troutswitch.standalone.log_service.records import BatchItem
 
 
 @dataclass(frozen=True, slots=True)
--- a/src/troutswitch/decisions/engines.py
+++ b/src/troutswitch/standalone/decisions/engines.py
@@ -13,7 +13,7 @@
 from dataclasses import dataclass, field
 
 from troutswitch.common import Address, rendezvous_order
-from troutswitch.constants import (
+from troutswitch.standalone.constants import (
     EJECT_AFTER_FAILURES,
     EJECT_FIRST_SECONDS,
     EJECT_MOST_SECONDS,
@@ -24,10 +24,10 @@
     LOAD_LAG_SECONDS,
     POLLS_PER_SECOND,
 )
-from troutswitch.daemons.messages import EngineLeaving
-from troutswitch.decisions.effects import Effect, LogEvent, PollEngine, SendDatagram
-from troutswitch.decisions.events import EngineLoad, EngineLoadRead, Machine
-from troutswitch.decisions.membership import Membership
+from troutswitch.standalone.daemons.messages import EngineLeaving
+from troutswitch.standalone.decisions.effects import Effect, LogEvent, PollEngine, SendDatagram
+from troutswitch.standalone.decisions.events import EngineLoad, EngineLoadRead, Machine
+from troutswitch.standalone.decisions.membership import Membership
 
 ENGINE_TICK_SECONDS = 0.1
 """Interval between looks at which engines are to be polled."""
--- a/src/troutswitch/decisions/events.py
+++ b/src/troutswitch/standalone/decisions/events.py
@@ -6,9 +6,9 @@
 from dataclasses import dataclass, field
 
 from troutswitch.common import Address
-from troutswitch.daemons.messages import Message
-from troutswitch.logservice.records import BatchItem, ConfigurationChange
 from troutswitch.outcomes import AttemptKind
+from troutswitch.standalone.daemons.messages import Message
+from troutswitch.standalone.log_service.records import BatchItem, ConfigurationChange
 
 
 @dataclass(frozen=True, slots=True)
--- a/src/troutswitch/decisions/fleet.py
+++ b/src/troutswitch/standalone/decisions/fleet.py
@@ -1,12 +1,12 @@
 """What this daemon takes from the machine list: peers to contact and engines."""
 
 from troutswitch.common import Address
-from troutswitch.constants import MACHINE_LIST_SECONDS
-from troutswitch.decisions.configuration.follower import ConfigurationFollower
-from troutswitch.decisions.effects import Effect, ReadMachineList
-from troutswitch.decisions.engines import EngineRegistry
-from troutswitch.decisions.events import Machine, MachineListRead
-from troutswitch.decisions.membership import Membership
+from troutswitch.standalone.constants import MACHINE_LIST_SECONDS
+from troutswitch.standalone.decisions.configuration.follower import ConfigurationFollower
+from troutswitch.standalone.decisions.effects import Effect, ReadMachineList
+from troutswitch.standalone.decisions.engines import EngineRegistry
+from troutswitch.standalone.decisions.events import Machine, MachineListRead
+from troutswitch.standalone.decisions.membership import Membership
 
 DAEMON_KIND = "daemon"
 ENGINE_KIND = "engine"
--- a/src/troutswitch/decisions/gossip.py
+++ b/src/troutswitch/standalone/decisions/gossip.py
@@ -3,7 +3,7 @@
 import heapq
 import math
 
-from troutswitch.constants import (
+from troutswitch.standalone.constants import (
     GOSSIP_RETRANSMIT_FACTOR,
     GOSSIP_UPDATES_MOST,
     SYNC_BURST_DATAGRAMS,
--- a/src/troutswitch/decisions/logreader.py
+++ b/src/troutswitch/standalone/decisions/log_reader.py
@@ -2,9 +2,9 @@
 
 from collections.abc import Callable
 
-from troutswitch.constants import LOG_READ_LIMIT_ENTRIES
-from troutswitch.decisions.effects import Effect, ReadLog
-from troutswitch.decisions.events import LogRead, LogReadFailed
+from troutswitch.standalone.constants import LOG_READ_LIMIT_ENTRIES
+from troutswitch.standalone.decisions.effects import Effect, ReadLog
+from troutswitch.standalone.decisions.events import LogRead, LogReadFailed
 
 ReadHandler = Callable[[float, LogRead | LogReadFailed], list[Effect]]
 
--- a/src/troutswitch/decisions/logwriter.py
+++ b/src/troutswitch/standalone/decisions/log_writer.py
@@ -3,13 +3,13 @@
 from collections import deque
 from dataclasses import dataclass, field
 
-from troutswitch.constants import (
+from troutswitch.standalone.constants import (
     ENTRY_WEIGHT_MOST,
     LOG_RETRY_FIRST_SECONDS,
     LOG_RETRY_MOST_SECONDS,
 )
-from troutswitch.decisions.effects import AppendToLog, Effect
-from troutswitch.logservice.records import ChunkSubmitted, Record, encode_entry
+from troutswitch.standalone.decisions.effects import AppendToLog, Effect
+from troutswitch.standalone.log_service.records import ChunkSubmitted, Record, encode_entry
 
 
 @dataclass
--- a/src/troutswitch/decisions/members.py
+++ b/src/troutswitch/standalone/decisions/members.py
@@ -5,9 +5,9 @@
 from enum import IntEnum
 
 from troutswitch.common import Address, stable_hash
-from troutswitch.constants import DIGEST_BUCKETS
-from troutswitch.daemons.messages import MemberUpdate
 from troutswitch.decisions.invariants import ensure
+from troutswitch.standalone.constants import DIGEST_BUCKETS
+from troutswitch.standalone.daemons.messages import MemberUpdate
 
 INCARNATION_STEP = 1 << 20
 """Incarnations are `started * INCARNATION_STEP + refutations`."""
--- a/src/troutswitch/decisions/membership.py
+++ b/src/troutswitch/standalone/decisions/membership.py
@@ -9,7 +9,7 @@
 import random
 
 from troutswitch.common import Address
-from troutswitch.constants import (
+from troutswitch.standalone.constants import (
     DEAD_KEPT_SECONDS,
     EAGER_PEERS,
     INDIRECT_PROBES,
@@ -22,7 +22,7 @@
     SYNC_MEMBERS_PER_DATAGRAM,
     SYNC_SECONDS,
 )
-from troutswitch.daemons.messages import (
+from troutswitch.standalone.daemons.messages import (
     Ack,
     IndirectPing,
     MemberUpdate,
@@ -30,9 +30,9 @@
     SyncReply,
     SyncRequest,
 )
-from troutswitch.decisions.effects import Effect, LogEvent, SendDatagram
-from troutswitch.decisions.gossip import GossipQueue, SyncCredit
-from troutswitch.decisions.members import (
+from troutswitch.standalone.decisions.effects import Effect, LogEvent, SendDatagram
+from troutswitch.standalone.decisions.gossip import GossipQueue, SyncCredit
+from troutswitch.standalone.decisions.members import (
     Member,
     MemberState,
     MemberTable,
--- a/src/troutswitch/decisions/online.py
+++ b/src/troutswitch/standalone/decisions/online.py
@@ -13,48 +13,49 @@
 import random
 from collections.abc import Callable
 
-from troutswitch.constants import (
+from troutswitch.decisions.forwarding.requests import ROOM_WAIT_SECONDS
+from troutswitch.decisions.invariants import ensure
+from troutswitch.decisions.limits import RetryBudget
+from troutswitch.outcomes import (
+    RAN_NOTHING,
+    AttemptKind,
+    Completed,
+    MayHaveRun,
+    NotRun,
+    OnlineOutcome,
+    Step,
+    conclude,
+)
+from troutswitch.standalone.constants import (
     RETRY_AFTER_SECONDS,
     RETRY_FIRST_SECONDS,
-    ROOM_WAIT_SECONDS,
 )
-from troutswitch.daemons.messages import OnlineNotice
-from troutswitch.decisions.configuration.follower import ConfigurationFollower
-from troutswitch.decisions.configuration.keys import ServingPolicy
-from troutswitch.decisions.effects import (
+from troutswitch.standalone.daemons.messages import OnlineNotice
+from troutswitch.standalone.decisions.admission_control import AdmissionControl
+from troutswitch.standalone.decisions.configuration.follower import ConfigurationFollower
+from troutswitch.standalone.decisions.configuration.keys import ServingPolicy
+from troutswitch.standalone.decisions.effects import (
     CancelAttempt,
     Effect,
     FinishOnline,
     SendDatagram,
     StartOnlineAttempt,
 )
-from troutswitch.decisions.engines import Engine, EngineRegistry
-from troutswitch.decisions.events import (
+from troutswitch.standalone.decisions.engines import Engine, EngineRegistry
+from troutswitch.standalone.decisions.events import (
     OnlineAbandoned,
     OnlineArrived,
     OnlineAttemptEnded,
     OnlineFirstToken,
 )
-from troutswitch.decisions.invariants import ensure
-from troutswitch.decisions.limits import AdmissionControl, RetryBudget
-from troutswitch.decisions.membership import Membership
-from troutswitch.decisions.onlinerequest import (
+from troutswitch.standalone.decisions.membership import Membership
+from troutswitch.standalone.decisions.online_request import (
     OnlineCounts,
     OnlineRequest,
     RequestState,
     line_of_end,
 )
-from troutswitch.decisions.routing import Router
-from troutswitch.outcomes import (
-    RAN_NOTHING,
-    AttemptKind,
-    Completed,
-    MayHaveRun,
-    NotRun,
-    OnlineOutcome,
-    Step,
-    conclude,
-)
+from troutswitch.standalone.decisions.routing import Router
 
 PROBE_SECONDS = 2.0
 """Longest time a request waits for engines that had to be asked first."""
@@ -317,8 +318,7 @@
 
         One that ran nowhere is refused at once, with a time to come back. One that may have
         run, or was delivered in part, could only be cut, although engines that are full have
-        room a moment later (it was, with 9.9 of 10 s left, in tests/decisions/test_online.py):
-        it is offered again until its deadline.
+        a free slot a moment later: it is offered again until its deadline.
         """
         is_over = now >= request.arrival.deadline
         if is_over or request.runs == 0 or not request.may_be_sent:
--- a/src/troutswitch/decisions/onlinerequest.py
+++ b/src/troutswitch/standalone/decisions/online_request.py
@@ -3,11 +3,11 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-from troutswitch.constants import RETRY_AFTER_SECONDS
-from troutswitch.decisions.configuration.keys import ServingPolicy
-from troutswitch.decisions.effects import LogEvent
-from troutswitch.decisions.events import OnlineArrived
 from troutswitch.outcomes import RAN_NOTHING, AttemptKind, Completed, OnlineOutcome
+from troutswitch.standalone.constants import RETRY_AFTER_SECONDS
+from troutswitch.standalone.decisions.configuration.keys import ServingPolicy
+from troutswitch.standalone.decisions.effects import LogEvent
+from troutswitch.standalone.decisions.events import OnlineArrived
 
 
 class RequestState(Enum):
--- a/src/troutswitch/decisions/routing.py
+++ b/src/troutswitch/standalone/decisions/routing.py
@@ -4,9 +4,9 @@
 from abc import ABC, abstractmethod
 
 from troutswitch.common import stable_hash
-from troutswitch.constants import FIRM_SHARE
-from troutswitch.decisions.configuration.keys import RoutingPolicyName
-from troutswitch.decisions.engines import Engine
+from troutswitch.standalone.constants import FIRM_SHARE
+from troutswitch.standalone.decisions.configuration.keys import RoutingPolicyName
+from troutswitch.standalone.decisions.engines import Engine
 
 PREFIX_LOAD_SLACK = 1.25
 """A prefix stays on its engine while that engine's load is within this factor of the
--- a/src/troutswitch/decisions/sequences.py
+++ b/src/troutswitch/standalone/decisions/sequences.py
@@ -1,6 +1,6 @@
 """Duplicate detection for log entries: the last sequence number of each writer."""
 
-from troutswitch.constants import WRITERS_KEPT
+from troutswitch.standalone.constants import WRITERS_KEPT
 
 
 class WriterSequences:
--- a/src/troutswitch/decisions/sharing.py
+++ b/src/troutswitch/standalone/decisions/sharing.py
@@ -3,7 +3,7 @@
 from abc import ABC, abstractmethod
 from dataclasses import dataclass
 
-from troutswitch.decisions.configuration.keys import BatchPolicyName, ServingPolicy
+from troutswitch.standalone.decisions.configuration.keys import BatchPolicyName, ServingPolicy
 
 ONLINE_PRIORITY = 0
 """Engine priority of online requests; lower runs first."""
--- a/src/troutswitch/decisions/status.py
+++ b/src/troutswitch/standalone/decisions/status.py
@@ -1,11 +1,11 @@
 """Builds the views of a daemon's state."""
 
-from troutswitch.decisions.batch.ownership import Ownership
-from troutswitch.decisions.configuration.follower import ConfigurationFollower
-from troutswitch.decisions.engines import EngineRegistry
-from troutswitch.decisions.membership import Membership
-from troutswitch.decisions.stewardship import Stewardship
-from troutswitch.decisions.views import (
+from troutswitch.standalone.decisions.batch.ownership import Ownership
+from troutswitch.standalone.decisions.configuration.follower import ConfigurationFollower
+from troutswitch.standalone.decisions.engines import EngineRegistry
+from troutswitch.standalone.decisions.membership import Membership
+from troutswitch.standalone.decisions.stewardship import Stewardship
+from troutswitch.standalone.decisions.views import (
     Directory,
     EffectiveView,
     EngineView,
--- a/src/troutswitch/decisions/stewardship.py
+++ b/src/troutswitch/standalone/decisions/stewardship.py
@@ -11,19 +11,19 @@
 from dataclasses import dataclass, field
 
 from troutswitch.common import rendezvous_choice, rendezvous_order
-from troutswitch.constants import (
+from troutswitch.decisions.invariants import ensure
+from troutswitch.standalone.constants import (
     FIRM_SHARE,
     GRANT_SECONDS,
     LOAD_LAG_SECONDS,
     ONLINE_WINDOW_SECONDS,
 )
-from troutswitch.daemons.messages import OnlineNotice, SlotAsk, SlotGrant
-from troutswitch.decisions.configuration.follower import ConfigurationFollower
-from troutswitch.decisions.effects import Effect, SendDatagram
-from troutswitch.decisions.engines import Engine, EngineRegistry
-from troutswitch.decisions.invariants import ensure
-from troutswitch.decisions.membership import Membership
-from troutswitch.decisions.sharing import SHARING_POLICIES, EngineUse
+from troutswitch.standalone.daemons.messages import OnlineNotice, SlotAsk, SlotGrant
+from troutswitch.standalone.decisions.configuration.follower import ConfigurationFollower
+from troutswitch.standalone.decisions.effects import Effect, SendDatagram
+from troutswitch.standalone.decisions.engines import Engine, EngineRegistry
+from troutswitch.standalone.decisions.membership import Membership
+from troutswitch.standalone.decisions.sharing import SHARING_POLICIES, EngineUse
 
 
 @dataclass(slots=True)
--- a/src/troutswitch/decisions/views.py
+++ b/src/troutswitch/standalone/decisions/views.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass
 
-from troutswitch.decisions.configuration.keys import Value
+from troutswitch.standalone.decisions.configuration.keys import Value
 
 
 @dataclass(frozen=True, slots=True)
--- a/src/troutswitch/engines/assembler.py
+++ b/src/troutswitch/standalone/engines/assembler.py
@@ -1,6 +1,6 @@
 """Puts the pieces of one answer in order, each once, and knows when it is whole."""
 
-from troutswitch.engines.protocol import Piece
+from troutswitch.standalone.engines.protocol import Piece
 
 
 class ForeignPiece(Exception):
--- a/src/troutswitch/engines/client.py
+++ b/src/troutswitch/standalone/engines/client.py
@@ -10,9 +10,11 @@
 import msgspec
 
 from troutswitch.common import Address
-from troutswitch.decisions.events import EngineLoad
-from troutswitch.engines.assembler import BrokenStream
-from troutswitch.engines.protocol import (
+from troutswitch.outcomes import AttemptKind
+from troutswitch.runtime.http import ConnectionPool, HttpError
+from troutswitch.standalone.decisions.events import EngineLoad
+from troutswitch.standalone.engines.assembler import BrokenStream
+from troutswitch.standalone.engines.protocol import (
     LEAVING_HEADER,
     LEAVING_YES,
     CompletionOrder,
@@ -20,8 +22,6 @@
     Piece,
     Refusal,
 )
-from troutswitch.outcomes import AttemptKind
-from troutswitch.runtime.http import ConnectionPool, HttpError
 
 CONNECT_TIMEOUT_SECONDS = 1.0
 LOAD_TIMEOUT_SECONDS = 1.0
--- a/src/troutswitch/logservice/records.py
+++ b/src/troutswitch/standalone/log_service/records.py
@@ -14,7 +14,7 @@
 import cbor2
 import msgspec
 
-from troutswitch.constants import ENTRY_SCHEMA_VERSION
+from troutswitch.standalone.constants import ENTRY_SCHEMA_VERSION
 
 
 class BatchItem(msgspec.Struct, frozen=True, array_like=True):
@@ -91,7 +91,7 @@
     epoch: int
     job_id: str
     item_index: int
-    outcome: str  # one of the names in `troutswitch.decisions.batch.jobs.ItemState`
+    outcome: str  # one of the names in `troutswitch.standalone.decisions.batch.jobs.ItemState`
     body: str
 
 
--- a/src/troutswitch/operators/app.py
+++ b/src/troutswitch/standalone/operators/app.py
@@ -2,11 +2,16 @@
 
 import msgspec
 
-from troutswitch.callers.context import ANONYMOUS_TENANT, CallApplication
-from troutswitch.callers.errors import bad_request, refused_call
-from troutswitch.callers.parsing import BadInput
-from troutswitch.decisions.effects import CallAnswer, CallRefused
-from troutswitch.decisions.events import (
+from troutswitch.runtime.http import (
+    Request,
+    Response,
+    json_response,
+)
+from troutswitch.standalone.callers.context import ANONYMOUS_TENANT, CallApplication
+from troutswitch.standalone.callers.errors import bad_request, refused_call
+from troutswitch.standalone.callers.parsing import BadInput
+from troutswitch.standalone.decisions.effects import CallAnswer, CallRefused
+from troutswitch.standalone.decisions.events import (
     ConfigurationSubmitted,
     EffectiveAsked,
     HistoryAsked,
@@ -15,12 +20,7 @@
     StatusAsked,
     TreeAsked,
 )
-from troutswitch.logservice.records import ConfigurationChange
-from troutswitch.runtime.http import (
-    Request,
-    Response,
-    json_response,
-)
+from troutswitch.standalone.log_service.records import ConfigurationChange
 
 HISTORY_LIMIT = 100
 JOBS_PATH = "/jobs/"
--- a/src/troutswitch/runtime/effects.py
+++ b/src/troutswitch/standalone/runtime/effects.py
@@ -11,7 +11,9 @@
 
 import structlog
 
-from troutswitch.decisions.effects import (
+from troutswitch.outcomes import AttemptKind
+from troutswitch.runtime.channels import Channel
+from troutswitch.standalone.decisions.effects import (
     AnswerCall,
     AppendToLog,
     CallAnswer,
@@ -28,7 +30,7 @@
     StartBatchAttempt,
     StartOnlineAttempt,
 )
-from troutswitch.decisions.events import (
+from troutswitch.standalone.decisions.events import (
     BatchAttemptEnded,
     EngineLoadRead,
     Event,
@@ -38,15 +40,13 @@
     LogReadFailed,
     MachineListRead,
 )
-from troutswitch.decisions.views import Directory
-from troutswitch.engines.assembler import AnswerAssembler, BrokenStream, ForeignPiece
-from troutswitch.engines.client import EngineClient, EngineStream, StreamEnded, ending_of
-from troutswitch.engines.protocol import CompletionOrder
-from troutswitch.logservice.client import LogClient, LogUnavailable
-from troutswitch.machinelist.client import MachineListClient
-from troutswitch.outcomes import AttemptKind
-from troutswitch.runtime.channels import Channel
-from troutswitch.runtime.loop import PeerSocket
+from troutswitch.standalone.decisions.views import Directory
+from troutswitch.standalone.engines.assembler import AnswerAssembler, BrokenStream, ForeignPiece
+from troutswitch.standalone.engines.client import EngineClient, EngineStream, StreamEnded, ending_of
+from troutswitch.standalone.engines.protocol import CompletionOrder
+from troutswitch.standalone.log_service.client import LogClient, LogUnavailable
+from troutswitch.standalone.machine_list.client import MachineListClient
+from troutswitch.standalone.runtime.loop import PeerSocket
 
 LOG_THREADS = 8
 POLL_THREADS = 8
--- a/src/troutswitch/runtime/loop.py
+++ b/src/troutswitch/standalone/runtime/loop.py
@@ -13,11 +13,11 @@
 
 from troutswitch.clock import steady_seconds
 from troutswitch.common import Address
-from troutswitch.constants import DATAGRAM_MOST_BYTES
-from troutswitch.daemons.messages import Message, Sealer
-from troutswitch.decisions.daemon import DaemonCore
-from troutswitch.decisions.effects import Effect
-from troutswitch.decisions.events import DatagramReceived, Event, TimerFired
+from troutswitch.standalone.constants import DATAGRAM_MOST_BYTES
+from troutswitch.standalone.daemons.messages import Message, Sealer
+from troutswitch.standalone.decisions.daemon import DaemonCore
+from troutswitch.standalone.decisions.effects import Effect
+from troutswitch.standalone.decisions.events import DatagramReceived, Event, TimerFired
 
 IDLE_SECONDS = 1.0
 """Longest wait when nothing is due."""
--- a/src/troutswitch/runtime/metrics.py
+++ b/src/troutswitch/standalone/runtime/metrics.py
@@ -4,8 +4,8 @@
 
 from prometheus_client import CollectorRegistry, Counter, Gauge
 
-from troutswitch.decisions.daemon import DaemonCore
 from troutswitch.outcomes import OnlineOutcome
+from troutswitch.standalone.decisions.daemon import DaemonCore
 
 
 class DaemonMetrics:
--- a/src/troutswitch/runtime/server.py
+++ b/src/troutswitch/standalone/runtime/server.py
@@ -5,21 +5,21 @@
 
 import structlog
 
-from troutswitch.callers.batch_app import BatchApplication
-from troutswitch.callers.context import CallerContext
-from troutswitch.callers.online_app import OnlineApplication
 from troutswitch.common import Address
-from troutswitch.daemons.messages import Sealer
-from troutswitch.decisions.daemon import DaemonCore, DaemonIdentity
-from troutswitch.decisions.events import DrainAsked
-from troutswitch.logservice.client import LogClient
-from troutswitch.machinelist.client import MachineListClient
-from troutswitch.operators.app import OperatorApplication
-from troutswitch.runtime.effects import EffectRunner
 from troutswitch.runtime.http import HttpServer
-from troutswitch.runtime.loop import Clock, Loop, PeerSocket
-from troutswitch.runtime.metrics import DaemonMetrics
-from troutswitch.runtime.settings import DaemonSettings
+from troutswitch.standalone.callers.batch_app import BatchApplication
+from troutswitch.standalone.callers.context import CallerContext
+from troutswitch.standalone.callers.online_app import OnlineApplication
+from troutswitch.standalone.daemons.messages import Sealer
+from troutswitch.standalone.decisions.daemon import DaemonCore, DaemonIdentity
+from troutswitch.standalone.decisions.events import DrainAsked
+from troutswitch.standalone.log_service.client import LogClient
+from troutswitch.standalone.machine_list.client import MachineListClient
+from troutswitch.standalone.operators.app import OperatorApplication
+from troutswitch.standalone.runtime.effects import EffectRunner
+from troutswitch.standalone.runtime.loop import Clock, Loop, PeerSocket
+from troutswitch.standalone.runtime.metrics import DaemonMetrics
+from troutswitch.standalone.runtime.settings import DaemonSettings
 
 BATCH_CALL_THREADS = 16
 OPERATOR_THREADS = 8
--- a/src/troutswitch/simulation/batch_bench.py
+++ b/src/troutswitch/standalone/simulation/batch_bench.py
@@ -9,13 +9,13 @@
 from array import array
 from collections.abc import Callable
 
-from troutswitch.constants import CHUNK_ITEMS, ENTRY_WEIGHT_MOST
-from troutswitch.decisions.batch.fold import ShardFold
-from troutswitch.decisions.batch.jobs import chunk_count
-from troutswitch.decisions.batch.snapshot import decode_snapshot, encode_snapshot
-from troutswitch.decisions.effects import AppendToLog
-from troutswitch.decisions.logwriter import LogWriter
-from troutswitch.logservice.records import (
+from troutswitch.standalone.constants import CHUNK_ITEMS, ENTRY_WEIGHT_MOST
+from troutswitch.standalone.decisions.batch.fold import ShardFold
+from troutswitch.standalone.decisions.batch.jobs import chunk_count
+from troutswitch.standalone.decisions.batch.snapshot import decode_snapshot, encode_snapshot
+from troutswitch.standalone.decisions.effects import AppendToLog
+from troutswitch.standalone.decisions.log_writer import LogWriter
+from troutswitch.standalone.log_service.records import (
     BatchItem,
     ChunkSubmitted,
     EpochClaimed,
--- a/src/troutswitch/simulation/callers.py
+++ b/src/troutswitch/standalone/simulation/callers.py
@@ -3,26 +3,26 @@
 import random
 from collections.abc import Callable
 
-from troutswitch.decisions.effects import (
+from troutswitch.outcomes import NotRun, OnlineOutcome
+from troutswitch.standalone.decisions.effects import (
     CallAnswer,
     CallRefused,
     ItemResult,
     JobResults,
     JobView,
 )
-from troutswitch.decisions.events import (
+from troutswitch.standalone.decisions.events import (
     JobAsked,
     JobCancelAsked,
     JobResultsAsked,
     JobSubmitted,
     OnlineArrived,
 )
-from troutswitch.logservice.records import BatchItem, content_digest
-from troutswitch.outcomes import NotRun, OnlineOutcome
-from troutswitch.simulation.clock import VirtualClock
-from troutswitch.simulation.daemon import SimulatedDaemon
-from troutswitch.simulation.observer import JobRecord, Observer, OnlineRecord
-from troutswitch.simulation.scenarios import Scenario
+from troutswitch.standalone.log_service.records import BatchItem, content_digest
+from troutswitch.standalone.simulation.clock import VirtualClock
+from troutswitch.standalone.simulation.daemon import SimulatedDaemon
+from troutswitch.standalone.simulation.observer import JobRecord, Observer, OnlineRecord
+from troutswitch.standalone.simulation.scenarios import Scenario
 
 CALL_SECONDS = 10.0
 REQUEST_SECONDS = 60.0
--- a/src/troutswitch/simulation/daemon.py
+++ b/src/troutswitch/standalone/simulation/daemon.py
@@ -6,11 +6,18 @@
 from dataclasses import dataclass
 from typing import Any
 
-from troutswitch.callers.parsing import estimate_tokens
 from troutswitch.common import Address
-from troutswitch.daemons.messages import Message
-from troutswitch.decisions.daemon import DaemonCore, DaemonIdentity
-from troutswitch.decisions.effects import (
+from troutswitch.outcomes import (
+    AttemptKind,
+    Cut,
+    MayHaveRun,
+    NotRun,
+    OnlineOutcome,
+)
+from troutswitch.standalone.callers.parsing import estimate_tokens
+from troutswitch.standalone.daemons.messages import Message
+from troutswitch.standalone.decisions.daemon import DaemonCore, DaemonIdentity
+from troutswitch.standalone.decisions.effects import (
     AnswerCall,
     AppendToLog,
     CallAnswer,
@@ -26,7 +33,7 @@
     StartBatchAttempt,
     StartOnlineAttempt,
 )
-from troutswitch.decisions.events import (
+from troutswitch.standalone.decisions.events import (
     BatchAttemptEnded,
     DatagramReceived,
     DrainAsked,
@@ -42,18 +49,11 @@
     OnlineFirstToken,
     TimerFired,
 )
-from troutswitch.outcomes import (
-    AttemptKind,
-    Cut,
-    MayHaveRun,
-    NotRun,
-    OnlineOutcome,
-)
-from troutswitch.simulation.clock import VirtualClock
-from troutswitch.simulation.engine import SimulatedEngine, StreamEnd
-from troutswitch.simulation.network import Network
-from troutswitch.simulation.observer import Observer
-from troutswitch.simulation.platform import SimulatedPlatform
+from troutswitch.standalone.simulation.clock import VirtualClock
+from troutswitch.standalone.simulation.engine import SimulatedEngine, StreamEnd
+from troutswitch.standalone.simulation.network import Network
+from troutswitch.standalone.simulation.observer import Observer
+from troutswitch.standalone.simulation.platform import SimulatedPlatform
 
 
 @dataclass
--- a/src/troutswitch/simulation/engine.py
+++ b/src/troutswitch/standalone/simulation/engine.py
@@ -6,12 +6,12 @@
 from dataclasses import dataclass
 
 from troutswitch.common import Address
-from troutswitch.decisions.events import EngineLoad, Machine
 from troutswitch.outcomes import AttemptKind
-from troutswitch.simulation.clock import VirtualClock
-from troutswitch.simulation.network import Network
-from troutswitch.simulation.observer import Observer
-from troutswitch.standins.engine_model import EngineModel, EngineShape, Sequence
+from troutswitch.standalone.decisions.events import EngineLoad, Machine
+from troutswitch.standalone.simulation.clock import VirtualClock
+from troutswitch.standalone.simulation.network import Network
+from troutswitch.standalone.simulation.observer import Observer
+from troutswitch.standalone.standins.engine_model import EngineModel, EngineShape, Sequence
 
 LOAD_LAG_SECONDS = 0.2
 LOAD_SAMPLE_SECONDS = 0.1
--- a/src/troutswitch/simulation/experiment.py
+++ b/src/troutswitch/standalone/simulation/experiment.py
@@ -11,12 +11,12 @@
 from collections import Counter
 from dataclasses import asdict, dataclass, field, replace
 
-from troutswitch.decisions.effects import CallAnswer
-from troutswitch.decisions.events import ConfigurationSubmitted
-from troutswitch.logservice.records import ConfigurationChange
-from troutswitch.simulation.scenarios import Scenario
-from troutswitch.simulation.world import WARM_UP_SECONDS, SimulatedWorld, WorldOptions
-from troutswitch.standins.engine_model import EngineModel
+from troutswitch.standalone.decisions.effects import CallAnswer
+from troutswitch.standalone.decisions.events import ConfigurationSubmitted
+from troutswitch.standalone.log_service.records import ConfigurationChange
+from troutswitch.standalone.simulation.scenarios import Scenario
+from troutswitch.standalone.simulation.world import WARM_UP_SECONDS, SimulatedWorld, WorldOptions
+from troutswitch.standalone.standins.engine_model import EngineModel
 
 BATCH_POLICIES = ("none", "first_come", "fixed_share", "engine_priority", "stewarded")
 ROUTING_POLICIES = ("round_robin", "least_loaded", "prefix_aware")
--- a/src/troutswitch/simulation/faults.py
+++ b/src/troutswitch/standalone/simulation/faults.py
@@ -4,12 +4,12 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING
 
-from troutswitch.decisions.effects import CallAnswer, JobView
-from troutswitch.simulation.network import PLATFORM, DatagramFaults
+from troutswitch.standalone.decisions.effects import CallAnswer, JobView
+from troutswitch.standalone.simulation.network import PLATFORM, DatagramFaults
 
 if TYPE_CHECKING:
-    from troutswitch.simulation.daemon import SimulatedDaemon
-    from troutswitch.simulation.world import SimulatedWorld
+    from troutswitch.standalone.simulation.daemon import SimulatedDaemon
+    from troutswitch.standalone.simulation.world import SimulatedWorld
 
 REPLACE_SECONDS = (2.0, 10.0)
 """Time until a lost machine is replaced."""
--- a/src/troutswitch/simulation/network.py
+++ b/src/troutswitch/standalone/simulation/network.py
@@ -5,8 +5,8 @@
 from dataclasses import dataclass
 
 from troutswitch.common import Address
-from troutswitch.daemons.messages import Message
-from troutswitch.simulation.clock import VirtualClock
+from troutswitch.standalone.daemons.messages import Message
+from troutswitch.standalone.simulation.clock import VirtualClock
 
 PLATFORM = "platform"
 """Place of the log service and the machine list, for cuts."""
--- a/src/troutswitch/simulation/observer.py
+++ b/src/troutswitch/standalone/simulation/observer.py
@@ -8,11 +8,11 @@
 from dataclasses import dataclass, field
 from typing import TYPE_CHECKING
 
-from troutswitch.decisions.effects import ItemResult, JobView, StartBatchAttempt
 from troutswitch.outcomes import Completed, Cut, MayHaveRun, NotRun, OnlineOutcome
+from troutswitch.standalone.decisions.effects import ItemResult, JobView, StartBatchAttempt
 
 if TYPE_CHECKING:
-    from troutswitch.simulation.daemon import SimulatedDaemon
+    from troutswitch.standalone.simulation.daemon import SimulatedDaemon
 
 LEAVING_GRACE_SECONDS = 2.0
 """Time after which a leaving engine must get no new work."""
--- a/src/troutswitch/simulation/operators.py
+++ b/src/troutswitch/standalone/simulation/operators.py
@@ -2,12 +2,12 @@
 
 import random
 
-from troutswitch.decisions.effects import CallAnswer, PublicationVerdict
-from troutswitch.decisions.events import ConfigurationSubmitted
-from troutswitch.logservice.records import ConfigurationChange
-from troutswitch.simulation.callers import ChooseDaemon
-from troutswitch.simulation.clock import VirtualClock
-from troutswitch.simulation.observer import Observer
+from troutswitch.standalone.decisions.effects import CallAnswer, PublicationVerdict
+from troutswitch.standalone.decisions.events import ConfigurationSubmitted
+from troutswitch.standalone.log_service.records import ConfigurationChange
+from troutswitch.standalone.simulation.callers import ChooseDaemon
+from troutswitch.standalone.simulation.clock import VirtualClock
+from troutswitch.standalone.simulation.observer import Observer
 
 PUBLISH_EVERY_SECONDS = 15.0
 CALL_SECONDS = 10.0
--- a/src/troutswitch/simulation/platform.py
+++ b/src/troutswitch/standalone/simulation/platform.py
@@ -4,10 +4,10 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from troutswitch.decisions.events import Machine
-from troutswitch.simulation.clock import VirtualClock
-from troutswitch.simulation.network import PLATFORM, Network
-from troutswitch.standins.stores import LogStore, MachineListStore
+from troutswitch.standalone.decisions.events import Machine
+from troutswitch.standalone.simulation.clock import VirtualClock
+from troutswitch.standalone.simulation.network import PLATFORM, Network
+from troutswitch.standalone.standins.stores import LogStore, MachineListStore
 
 TIMEOUT_SECONDS = 3.0
 """Time after which a call that was not answered fails at its caller."""
--- a/src/troutswitch/simulation/report.py
+++ b/src/troutswitch/standalone/simulation/report.py
@@ -2,7 +2,7 @@
 
 from pathlib import Path
 
-from troutswitch.simulation.experiment import PolicyRun
+from troutswitch.standalone.simulation.experiment import PolicyRun
 
 COLUMNS = (
     ("batch_items_per_second", "batch items/s"),
--- a/src/troutswitch/simulation/scenarios.py
+++ b/src/troutswitch/standalone/simulation/scenarios.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass, field
 
-from troutswitch.standins.engine_model import EngineShape
+from troutswitch.standalone.standins.engine_model import EngineShape
 
 
 @dataclass(frozen=True)
--- a/src/troutswitch/simulation/world.py
+++ b/src/troutswitch/standalone/simulation/world.py
@@ -5,23 +5,23 @@
 from dataclasses import dataclass, field
 
 from troutswitch.common import Address
-from troutswitch.decisions.daemon import DaemonIdentity
-from troutswitch.decisions.effects import CallAnswer
-from troutswitch.decisions.events import Machine
-from troutswitch.simulation.callers import BatchCallers, OnlineCallers
-from troutswitch.simulation.clock import VirtualClock, stream_of
-from troutswitch.simulation.daemon import SimulatedDaemon, World
-from troutswitch.simulation.engine import SimulatedEngine
-from troutswitch.simulation.faults import FAULTS, Faults
-from troutswitch.simulation.network import Network
-from troutswitch.simulation.observer import (
+from troutswitch.standalone.decisions.daemon import DaemonIdentity
+from troutswitch.standalone.decisions.effects import CallAnswer
+from troutswitch.standalone.decisions.events import Machine
+from troutswitch.standalone.simulation.callers import BatchCallers, OnlineCallers
+from troutswitch.standalone.simulation.clock import VirtualClock, stream_of
+from troutswitch.standalone.simulation.daemon import SimulatedDaemon, World
+from troutswitch.standalone.simulation.engine import SimulatedEngine
+from troutswitch.standalone.simulation.faults import FAULTS, Faults
+from troutswitch.standalone.simulation.network import Network
+from troutswitch.standalone.simulation.observer import (
     CONFIGURATION_SECONDS,
     JobRecord,
     Observer,
 )
-from troutswitch.simulation.operators import Operators
-from troutswitch.simulation.platform import SimulatedPlatform
-from troutswitch.simulation.scenarios import Scenario
+from troutswitch.standalone.simulation.operators import Operators
+from troutswitch.standalone.simulation.platform import SimulatedPlatform
+from troutswitch.standalone.simulation.scenarios import Scenario
 
 WARM_UP_SECONDS = 5.0
 """Time for the daemons to find each other before load begins."""
--- /dev/null
+++ b/src/troutswitch/standalone/standins/__init__.py
@@ -0,0 +1,1 @@
+"""Stand-ins for what the standalone daemon talks to, and a load generator."""
--- a/src/troutswitch/standins/demonstration.py
+++ b/src/troutswitch/standalone/standins/demonstration.py
@@ -9,13 +9,13 @@
 import structlog
 
 from troutswitch.common import Address
-from troutswitch.decisions.events import Machine
 from troutswitch.runtime.http import ConnectionPool, HttpError
-from troutswitch.runtime.server import DaemonServer
-from troutswitch.runtime.settings import DaemonSettings
-from troutswitch.standins.engine import EngineStandin
-from troutswitch.standins.loadgen import LoadPlan, LoadReport, quantile, run_load
-from troutswitch.standins.platform import PlatformStandin
+from troutswitch.standalone.decisions.events import Machine
+from troutswitch.standalone.runtime.server import DaemonServer
+from troutswitch.standalone.runtime.settings import DaemonSettings
+from troutswitch.standalone.standins.engine import EngineStandin
+from troutswitch.standalone.standins.load_generator import LoadPlan, LoadReport, quantile, run_load
+from troutswitch.standalone.standins.platform import PlatformStandin
 
 ANY_PORT = "127.0.0.1:0"
 SERVICE = "demo-lm"
--- a/src/troutswitch/standins/engine.py
+++ b/src/troutswitch/standalone/standins/engine.py
@@ -13,16 +13,6 @@
 import msgspec
 
 from troutswitch.common import Address, stable_hash
-from troutswitch.engines.protocol import (
-    LEAVING_HEADER,
-    LEAVING_NO,
-    LEAVING_YES,
-    CompletionOrder,
-    FencedOrder,
-    LoadReport,
-    Piece,
-    Refusal,
-)
 from troutswitch.runtime.http import (
     EVENT_STREAM_TYPE,
     HttpServer,
@@ -33,8 +23,18 @@
     send,
     status_line,
 )
-from troutswitch.standins.engine_model import EngineModel, EngineShape
-from troutswitch.standins.faults import FaultPlan, FaultSwitch
+from troutswitch.standalone.engines.protocol import (
+    LEAVING_HEADER,
+    LEAVING_NO,
+    LEAVING_YES,
+    CompletionOrder,
+    FencedOrder,
+    LoadReport,
+    Piece,
+    Refusal,
+)
+from troutswitch.standalone.standins.engine_model import EngineModel, EngineShape
+from troutswitch.standalone.standins.faults import FaultPlan, FaultSwitch
 
 ENGINE_THREADS = 700
 TICK_SECONDS = 0.005
--- a/src/troutswitch/standins/platform.py
+++ b/src/troutswitch/standalone/standins/platform.py
@@ -7,7 +7,6 @@
 import msgspec
 
 from troutswitch.common import Address
-from troutswitch.machinelist.client import MachineRow, machine_from_row, machine_to_row
 from troutswitch.runtime.http import (
     CBOR_TYPE,
     HttpServer,
@@ -17,8 +16,9 @@
     json_response,
     send,
 )
-from troutswitch.standins.faults import FaultPlan, FaultSwitch
-from troutswitch.standins.stores import LogStore, MachineListStore, WeightStore
+from troutswitch.standalone.machine_list.client import MachineRow, machine_from_row, machine_to_row
+from troutswitch.standalone.standins.faults import FaultPlan, FaultSwitch
+from troutswitch.standalone.standins.stores import LogStore, MachineListStore, WeightStore
 
 PLATFORM_THREADS = 64
 WEIGHT_BYTES = 1_000_000
--- a/src/troutswitch/standins/stores.py
+++ b/src/troutswitch/standalone/standins/stores.py
@@ -3,8 +3,8 @@
 from collections import defaultdict, deque
 from dataclasses import dataclass, replace
 
-from troutswitch.constants import LAST_ENTRY
-from troutswitch.decisions.events import Machine
+from troutswitch.standalone.constants import LAST_ENTRY
+from troutswitch.standalone.decisions.events import Machine
 
 
 class LogStore:
--- a/src/troutswitch/standins/hollow.py
+++ b/src/troutswitch/standins/hollow.py
@@ -18,17 +18,17 @@
 from typing import Any
 
 from troutswitch.common import Address
-from troutswitch.constants import CONFIGURATION_STREAM
-from troutswitch.daemons.messages import Sealer
-from troutswitch.decisions.daemon import DaemonCore, DaemonIdentity
-from troutswitch.decisions.effects import (
+from troutswitch.standalone.constants import CONFIGURATION_STREAM
+from troutswitch.standalone.daemons.messages import Sealer
+from troutswitch.standalone.decisions.daemon import DaemonCore, DaemonIdentity
+from troutswitch.standalone.decisions.effects import (
     AppendToLog,
     Effect,
     ReadLog,
     ReadMachineList,
     SendDatagram,
 )
-from troutswitch.decisions.events import (
+from troutswitch.standalone.decisions.events import (
     ConfigurationSubmitted,
     LogAppended,
     LogRead,
@@ -37,9 +37,9 @@
     MachineListRead,
     TimerFired,
 )
-from troutswitch.decisions.members import MemberState
-from troutswitch.logservice.records import ConfigurationChange
-from troutswitch.runtime.loop import Clock, PeerSocket
+from troutswitch.standalone.decisions.members import MemberState
+from troutswitch.standalone.log_service.records import ConfigurationChange
+from troutswitch.standalone.runtime.loop import Clock, PeerSocket
 
 BASE_PORT = 20_000
 FLEET_KEY = b"hollow-fleet-key"
--- a/tests/decisions/forwarding/test_hold_late.py
+++ b/tests/decisions/forwarding/test_hold_late.py
@@ -4,7 +4,6 @@
 
 from tests.decisions.forwarding.test_admission import TIME_LEFT_SECONDS, fill
 from tests.decisions.forwarding.worlds import World, arrival
-from troutswitch.constants import ROOM_WAIT_SECONDS
 from troutswitch.decisions.forwarding.admission import ADMISSION_POLICIES, AdmissionRequest
 from troutswitch.decisions.forwarding.messages import (
     AnswerBegun,
@@ -15,6 +14,7 @@
 from troutswitch.decisions.forwarding.requests import (
     HELD_SHARE,
     LAST_CALL_SECONDS,
+    ROOM_WAIT_SECONDS,
     ForwardedRequests,
 )
 from troutswitch.decisions.forwarding.runtimes import ServiceTimes
--- a/tests/decisions/forwarding/test_kept_missing.py
+++ b/tests/decisions/forwarding/test_kept_missing.py
@@ -1,9 +1,9 @@
 """A server that stays in use although the list lacks it can be seen from outside."""
 
 from tests.decisions.forwarding.worlds import World, arrival, server
+from tests.worlds.gateway_world import GatewayWorld
 from troutswitch.decisions.forwarding.messages import CallerGone, LogLine
 from troutswitch.decisions.forwarding.servers import ServerRegistry
-from troutswitch.simulation.gatewayworld import GatewayWorld
 
 
 def test_the_registry_tells_which_missing_servers_it_keeps() -> None:
--- a/tests/decisions/forwarding/test_lapsed.py
+++ b/tests/decisions/forwarding/test_lapsed.py
@@ -12,12 +12,12 @@
 import pytest
 
 from tests.decisions.forwarding.worlds import server
+from tests.worlds.gateway_world import GatewayWorld
+from tests.worlds.plain_formats import SERVICE
 from troutswitch.decisions.forwarding.serverlist import TIMEOUT_FIRST_SECONDS, ServerListReader
 from troutswitch.decisions.forwarding.servers import ServerRegistry
 from troutswitch.decisions.storage.follower import CallNumbers
 from troutswitch.decisions.storage.messages import CallFailed, NewestPage, ReadNewest
-from troutswitch.simulation.gatewayworld import GatewayWorld
-from troutswitch.simulation.plainformats import SERVICE
 
 DRAIN_SECONDS = 2.0
 
--- a/tests/decisions/forwarding/test_requests.py
+++ b/tests/decisions/forwarding/test_requests.py
@@ -4,7 +4,6 @@
 import pytest
 
 from tests.decisions.forwarding.worlds import World, arrival, route, server
-from troutswitch.constants import ROOM_WAIT_SECONDS
 from troutswitch.decisions.crashes.interface import NO_SUSPECTS, NoSuspects
 from troutswitch.decisions.forwarding.arrivals import Arrivals
 from troutswitch.decisions.forwarding.messages import (
@@ -15,7 +14,11 @@
     SendRequest,
     ServerHeard,
 )
-from troutswitch.decisions.forwarding.requests import TIME_LEFT_LEAST_SECONDS, ForwardedRequests
+from troutswitch.decisions.forwarding.requests import (
+    ROOM_WAIT_SECONDS,
+    TIME_LEFT_LEAST_SECONDS,
+    ForwardedRequests,
+)
 from troutswitch.decisions.forwarding.routes import RouteTable
 from troutswitch.decisions.forwarding.types import RouteKind
 from troutswitch.outcomes import AttemptKind, Cut, MayHaveRun, NotRun
--- a/tests/decisions/jobs/test_claims.py
+++ b/tests/decisions/jobs/test_claims.py
@@ -2,8 +2,8 @@
 
 import pytest
 
+from tests.worlds.gateway_world import GatewayWorld
 from troutswitch.decisions.jobs.ownership import ShardOwnership
-from troutswitch.simulation.gatewayworld import GatewayWorld
 
 DOWN_SECONDS = 6.0
 
--- a/tests/decisions/jobs/test_failures.py
+++ b/tests/decisions/jobs/test_failures.py
@@ -4,10 +4,10 @@
 
 import pytest
 
+from tests.worlds.gateway_world import Daemon, GatewayWorld
 from troutswitch.decisions.jobs.messages import ItemRunEnded, RunItem
 from troutswitch.decisions.jobs.records import DEAD, DONE
 from troutswitch.outcomes import AttemptKind
-from troutswitch.simulation.gatewayworld import Daemon, GatewayWorld
 
 ATTEMPTS_MOST = 3
 
--- a/tests/decisions/jobs/test_progress.py
+++ b/tests/decisions/jobs/test_progress.py
@@ -3,6 +3,7 @@
 import random
 from collections import Counter
 
+from tests.worlds.gateway_world import GatewayWorld
 from troutswitch.decisions.jobs.index import JobIndex
 from troutswitch.decisions.jobs.ownership import ShardClaim, ShardOwnership, ShardState
 from troutswitch.decisions.jobs.records import (
@@ -21,7 +22,6 @@
 from troutswitch.decisions.jobs.writer import ShardWriter
 from troutswitch.decisions.storage.follower import CallNumbers
 from troutswitch.decisions.storage.messages import AppendRecords, StoreCall
-from troutswitch.simulation.gatewayworld import GatewayWorld
 
 JOBS = 3
 ITEMS = 4
--- a/tests/decisions/jobs/test_tenants.py
+++ b/tests/decisions/jobs/test_tenants.py
@@ -2,6 +2,8 @@
 
 import pytest
 
+from tests.worlds.gateway_world import Daemon, GatewayWorld
+from tests.worlds.plain_formats import HOST, PREFIX
 from troutswitch.decisions.jobs.messages import (
     BodyAsked,
     ItemBody,
@@ -17,8 +19,6 @@
 )
 from troutswitch.decisions.jobs.records import JobItem, Manifest, manifest_record, read_manifest
 from troutswitch.decisions.tenants.types import Tenant, key_digest
-from troutswitch.simulation.gatewayworld import Daemon, GatewayWorld
-from troutswitch.simulation.plainformats import HOST, PREFIX
 
 OURS = key_digest("ours-1")
 OURS_NEW = key_digest("ours-2")
--- a/tests/decisions/jobs/test_turned_away.py
+++ b/tests/decisions/jobs/test_turned_away.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from troutswitch.simulation.gatewayworld import GatewayWorld
+from tests.worlds.gateway_world import GatewayWorld
 
 CANCEL_SECONDS = 3.0
 
--- a/tests/decisions/peers/test_catchup.py
+++ b/tests/decisions/peers/test_catchup.py
@@ -2,6 +2,7 @@
 
 import pytest
 
+from tests.worlds.gateway_world import Daemon, GatewayWorld
 from troutswitch.common import Address
 from troutswitch.decisions.peers.catchup import (
     ANSWER_SECONDS,
@@ -9,7 +10,6 @@
     PeerCatchUp,
     ReadingState,
 )
-from troutswitch.simulation.gatewayworld import Daemon, GatewayWorld
 
 NEVER = float("inf")
 SOUND = ReadingState(3, 3, NEVER, NEVER)
--- a/tests/forms/samples.py
+++ b/tests/forms/samples.py
@@ -19,10 +19,8 @@
 from tests.forms.forms import Form, plain
 from tests.forms.server import sent_to_server
 from troutswitch.common import Address, rendezvous_order, stable_hash
-from troutswitch.daemons import datagram, messages, peerstate, slotmessages
+from troutswitch.daemons import datagram, peerstate, slotmessages
 from troutswitch.decisions import gateway
-from troutswitch.decisions.batch.jobs import ItemState
-from troutswitch.decisions.batch.placement import weight_of
 from troutswitch.decisions.crashes import shared as shared_module
 from troutswitch.decisions.crashes.content import content_key
 from troutswitch.decisions.crashes.messages import Crash
@@ -45,7 +43,6 @@
 from troutswitch.decisions.jobs.replicas import JobReplicas
 from troutswitch.decisions.jobs.retention import content_keys
 from troutswitch.decisions.jobs.shard import JobContent
-from troutswitch.decisions.members import bucket_of
 from troutswitch.decisions.peers import directory
 from troutswitch.decisions.peers.directory import DirectoryEntry, decode_entry, encode_entry
 from troutswitch.decisions.slots import claims as claims_module
@@ -72,7 +69,6 @@
 from troutswitch.gateway.peerstate import PEER_STATE_PATH
 from troutswitch.gateway.policies import read_policies
 from troutswitch.gateway.process import METRICS_PATH
-from troutswitch.logservice import records as entries
 from troutswitch.outcomes import AttemptKind, Cut, MayHaveRun, NotRun, Step
 from troutswitch.platform import names
 from troutswitch.platform.configuration import decode_configuration, decode_server
@@ -81,6 +77,11 @@
 from troutswitch.platform.settings import load_gateway_settings
 from troutswitch.platform.store import StoreClient, decode_records, encode_records, topic_name
 from troutswitch.runtime.http import Response, send
+from troutswitch.standalone.daemons import messages
+from troutswitch.standalone.decisions.batch.jobs import ItemState
+from troutswitch.standalone.decisions.batch.placement import weight_of
+from troutswitch.standalone.decisions.members import bucket_of
+from troutswitch.standalone.log_service import records as entries
 
 HOST = Address("10.0.0.7", 7400)
 LARGE = 2**40 + 5
--- a/tests/proofs/test_crashes.py
+++ b/tests/proofs/test_crashes.py
@@ -15,17 +15,17 @@
 
 import pytest
 
-from troutswitch.decisions.crashes.content import content_key
-from troutswitch.decisions.crashes.record import CrashRecord
-from troutswitch.decisions.jobs.itemrefusals import TRIAL_SECONDS, TRIALS_MOST
-from troutswitch.simulation.crashworld import (
+from tests.worlds.crash_world import (
     CALLER_SECONDS,
     CONTACT_SECONDS,
     REJECTED,
     Caller,
     CrashWorld,
 )
-from troutswitch.simulation.plainformats import HOST, PREFIX
+from tests.worlds.plain_formats import HOST, PREFIX
+from troutswitch.decisions.crashes.content import content_key
+from troutswitch.decisions.crashes.record import CrashRecord
+from troutswitch.decisions.jobs.itemrefusals import TRIAL_SECONDS, TRIALS_MOST
 
 START_SECONDS = 3.0
 LEFT_LYING_SECONDS = 20.0
--- a/tests/proofs/test_jobs.py
+++ b/tests/proofs/test_jobs.py
@@ -4,6 +4,8 @@
 
 import pytest
 
+from tests.worlds.gateway_world import Daemon, GatewayWorld
+from tests.worlds.job_truth import EVENTS_AN_ITEM
 from troutswitch.decisions.jobs.messages import RunItem
 from troutswitch.decisions.jobs.ownership import WRITER
 from troutswitch.decisions.jobs.records import (
@@ -21,8 +23,6 @@
     StoreCall,
     WriterStamp,
 )
-from troutswitch.simulation.gatewayworld import Daemon, GatewayWorld
-from troutswitch.simulation.jobtruth import EVENTS_AN_ITEM
 from troutswitch.standins.keyedstore import KeyedStoreModel
 
 START_SECONDS = 3.0
--- a/tests/proofs/test_quotas.py
+++ b/tests/proofs/test_quotas.py
@@ -10,8 +10,8 @@
 
 import pytest
 
+from tests.worlds.quota_world import QuotaWorld
 from troutswitch.decisions.tenants.types import Tenant
-from troutswitch.simulation.quotaworld import QuotaWorld
 
 DAEMONS = 61
 MEAN_RATE = 20.0
--- a/tests/proofs/test_slots.py
+++ b/tests/proofs/test_slots.py
@@ -4,12 +4,12 @@
 
 import pytest
 
+from tests.worlds.gateway_world import Daemon, GatewayWorld
+from tests.worlds.plain_formats import HOST
 from troutswitch.decisions.forwarding.messages import RequestArrived
 from troutswitch.decisions.forwarding.types import PromptShape, RouteKind
 from troutswitch.decisions.slots.asks import ANSWER_SECONDS
 from troutswitch.decisions.slots.coordinator import SlotCoordinator
-from troutswitch.simulation.gatewayworld import Daemon, GatewayWorld
-from troutswitch.simulation.plainformats import HOST
 
 BURST = 24
 YIELD_SECONDS = 0.03
--- a/tests/proofs/test_starvation.py
+++ b/tests/proofs/test_starvation.py
@@ -2,9 +2,9 @@
 
 import pytest
 
+from tests.worlds.gateway_world import GatewayWorld
 from troutswitch.decisions.jobs import lateturns
 from troutswitch.decisions.slots import batchplaces
-from troutswitch.simulation.gatewayworld import GatewayWorld
 
 OBJECTIVE_SECONDS = 20.0
 
--- a/tests/callers/test_parsing.py
+++ b/tests/standalone/callers/test_parsing.py
@@ -4,7 +4,12 @@
 
 import pytest
 
-from troutswitch.callers.parsing import BadInput, parse_batch, parse_completion, parse_window
+from troutswitch.standalone.callers.parsing import (
+    BadInput,
+    parse_batch,
+    parse_completion,
+    parse_window,
+)
 
 
 def line(custom_id: str, model: str = "m", **body: object) -> bytes:
--- a/tests/daemons/test_messages.py
+++ b/tests/standalone/daemons/test_messages.py
@@ -2,8 +2,8 @@
 
 import cbor2
 
-from troutswitch.constants import DATAGRAM_MOST_BYTES
-from troutswitch.daemons.messages import Ping, Sealer
+from troutswitch.standalone.constants import DATAGRAM_MOST_BYTES
+from troutswitch.standalone.daemons.messages import Ping, Sealer
 
 PING = Ping(1, "a", 3, [])
 
--- a/tests/decisions/batch/test_fencing.py
+++ b/tests/standalone/decisions/batch/test_fencing.py
@@ -2,9 +2,9 @@
 
 import pytest
 
-from troutswitch.decisions.batch.fold import ShardFold
-from troutswitch.decisions.batch.jobs import ItemState, JobStatus
-from troutswitch.logservice.records import (
+from troutswitch.standalone.decisions.batch.fold import ShardFold
+from troutswitch.standalone.decisions.batch.jobs import ItemState, JobStatus
+from troutswitch.standalone.log_service.records import (
     AttemptStarted,
     BatchItem,
     ChunkSubmitted,
--- a/tests/decisions/batch/test_fold_machine.py
+++ b/tests/standalone/decisions/batch/test_fold_machine.py
@@ -6,10 +6,10 @@
 from hypothesis import settings
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
-from troutswitch.decisions.batch.fold import Accepted, Duplicate, ShardFold
-from troutswitch.decisions.batch.jobs import Job
-from troutswitch.decisions.batch.snapshot import decode_snapshot, encode_snapshot
-from troutswitch.logservice.records import (
+from troutswitch.standalone.decisions.batch.fold import Accepted, Duplicate, ShardFold
+from troutswitch.standalone.decisions.batch.jobs import Job
+from troutswitch.standalone.decisions.batch.snapshot import decode_snapshot, encode_snapshot
+from troutswitch.standalone.log_service.records import (
     AttemptStarted,
     BatchItem,
     ChunkSubmitted,
--- a/tests/decisions/batch/test_owner.py
+++ b/tests/standalone/decisions/batch/test_owner.py
@@ -3,16 +3,17 @@
 import random
 
 from troutswitch.common import Address
-from troutswitch.decisions.batch.owner import ItemReference, ShardOwner
-from troutswitch.decisions.batch.ownership import Ownership
-from troutswitch.decisions.batch.replica import ShardReplica, shard_stream
-from troutswitch.decisions.effects import AppendToLog, Effect, ReadLog
-from troutswitch.decisions.events import BatchAttemptEnded, LogRead
-from troutswitch.decisions.logreader import LogReader
-from troutswitch.decisions.logwriter import LogWriter
-from troutswitch.decisions.members import INCARNATION_STEP
-from troutswitch.decisions.membership import Membership
-from troutswitch.logservice.records import (
+from troutswitch.outcomes import AttemptKind
+from troutswitch.standalone.decisions.batch.owner import ItemReference, ShardOwner
+from troutswitch.standalone.decisions.batch.ownership import Ownership
+from troutswitch.standalone.decisions.batch.replica import ShardReplica, shard_stream
+from troutswitch.standalone.decisions.effects import AppendToLog, Effect, ReadLog
+from troutswitch.standalone.decisions.events import BatchAttemptEnded, LogRead
+from troutswitch.standalone.decisions.log_reader import LogReader
+from troutswitch.standalone.decisions.log_writer import LogWriter
+from troutswitch.standalone.decisions.members import INCARNATION_STEP
+from troutswitch.standalone.decisions.membership import Membership
+from troutswitch.standalone.log_service.records import (
     AttemptStarted,
     BatchItem,
     ChunkSubmitted,
@@ -23,7 +24,6 @@
     decode_entry,
     encode_entry,
 )
-from troutswitch.outcomes import AttemptKind
 
 NOW = 100.0
 
--- a/tests/decisions/batch/test_placement.py
+++ b/tests/standalone/decisions/batch/test_placement.py
@@ -4,7 +4,7 @@
 from hypothesis import given, settings
 
 from troutswitch.common import rendezvous_order
-from troutswitch.decisions.batch.placement import ShardPlacement
+from troutswitch.standalone.decisions.batch.placement import ShardPlacement
 
 SHARDS = 7
 names = st.lists(st.sampled_from([f"d{n}" for n in range(9)]), unique=True).map(sorted)
--- a/tests/decisions/configuration/test_declarations.py
+++ b/tests/standalone/decisions/configuration/test_declarations.py
@@ -4,15 +4,15 @@
 
 import pytest
 
-from troutswitch.decisions.configuration.declarations import (
+from troutswitch.standalone.decisions.configuration.declarations import (
     DeclarationError,
     changes_between,
     read_declarations,
 )
-from troutswitch.decisions.configuration.tree import ConfigurationTree, place_of
-from troutswitch.runtime.settings import load_settings
+from troutswitch.standalone.decisions.configuration.tree import ConfigurationTree, place_of
+from troutswitch.standalone.runtime.settings import load_settings
 
-EXAMPLES = Path(__file__).parents[3] / "examples"
+EXAMPLES = Path(__file__).parents[4] / "examples"
 
 
 @pytest.mark.parametrize("name", ["quetzal", "ndiaye"])
--- a/tests/decisions/configuration/test_fold.py
+++ b/tests/standalone/decisions/configuration/test_fold.py
@@ -4,12 +4,12 @@
 from hypothesis import settings
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
-from troutswitch.decisions.configuration.fold import (
+from troutswitch.standalone.decisions.configuration.fold import (
     ConfigurationFold,
     PublicationAccepted,
     PublicationRejected,
 )
-from troutswitch.logservice.records import (
+from troutswitch.standalone.log_service.records import (
     ConfigurationChange,
     ConfigurationPublished,
     Entry,
--- a/tests/decisions/test_engines.py
+++ b/tests/standalone/decisions/test_engines.py
@@ -5,10 +5,10 @@
 import pytest
 
 from troutswitch.common import Address
-from troutswitch.decisions.engines import Engine, EngineRegistry
-from troutswitch.decisions.events import EngineLoad, EngineLoadRead, Machine
-from troutswitch.decisions.members import INCARNATION_STEP
-from troutswitch.decisions.membership import Membership
+from troutswitch.standalone.decisions.engines import Engine, EngineRegistry
+from troutswitch.standalone.decisions.events import EngineLoad, EngineLoadRead, Machine
+from troutswitch.standalone.decisions.members import INCARNATION_STEP
+from troutswitch.standalone.decisions.membership import Membership
 
 
 def registry() -> tuple[EngineRegistry, Engine]:
--- a/tests/decisions/test_logwriter.py
+++ b/tests/standalone/decisions/test_log_writer.py
@@ -1,9 +1,9 @@
 """An append is repeated with the same bytes until it is confirmed."""
 
-from troutswitch.decisions.effects import AppendToLog, Effect
-from troutswitch.decisions.logwriter import LogWriter
-from troutswitch.decisions.sequences import WriterSequences
-from troutswitch.logservice.records import EpochRenewed, decode_entry
+from troutswitch.standalone.decisions.effects import AppendToLog, Effect
+from troutswitch.standalone.decisions.log_writer import LogWriter
+from troutswitch.standalone.decisions.sequences import WriterSequences
+from troutswitch.standalone.log_service.records import EpochRenewed, decode_entry
 
 
 def payload(effects: list[Effect]) -> bytes:
--- a/tests/decisions/test_membership.py
+++ b/tests/standalone/decisions/test_membership.py
@@ -8,10 +8,10 @@
 import pytest
 
 from troutswitch.common import Address
-from troutswitch.daemons import messages
-from troutswitch.decisions.effects import SendDatagram
-from troutswitch.decisions.members import INCARNATION_STEP, MemberState
-from troutswitch.decisions.membership import Membership
+from troutswitch.standalone.daemons import messages
+from troutswitch.standalone.decisions.effects import SendDatagram
+from troutswitch.standalone.decisions.members import INCARNATION_STEP, MemberState
+from troutswitch.standalone.decisions.membership import Membership
 
 STEP = 0.05
 
--- a/tests/decisions/test_online.py
+++ b/tests/standalone/decisions/test_online.py
@@ -14,20 +14,20 @@
 import pytest
 
 from troutswitch.common import Address
-from troutswitch.decisions.configuration.keys import ServingPolicy
-from troutswitch.decisions.effects import FinishOnline, StartOnlineAttempt
-from troutswitch.decisions.engines import EngineRegistry
-from troutswitch.decisions.events import (
+from troutswitch.outcomes import AttemptKind, Cut, NotRun
+from troutswitch.standalone.decisions.configuration.keys import ServingPolicy
+from troutswitch.standalone.decisions.effects import FinishOnline, StartOnlineAttempt
+from troutswitch.standalone.decisions.engines import EngineRegistry
+from troutswitch.standalone.decisions.events import (
     EngineLoad,
     EngineLoadRead,
     Machine,
     OnlineArrived,
     OnlineAttemptEnded,
 )
-from troutswitch.decisions.members import INCARNATION_STEP
-from troutswitch.decisions.membership import Membership
-from troutswitch.decisions.online import OnlineRequests
-from troutswitch.outcomes import AttemptKind, Cut, NotRun
+from troutswitch.standalone.decisions.members import INCARNATION_STEP
+from troutswitch.standalone.decisions.membership import Membership
+from troutswitch.standalone.decisions.online import OnlineRequests
 
 START_SECONDS = 100.0
 DEADLINE_SECONDS = 110.0
--- a/tests/engines/test_assembler.py
+++ b/tests/standalone/engines/test_assembler.py
@@ -4,8 +4,8 @@
 import pytest
 from hypothesis import given, settings
 
-from troutswitch.engines.assembler import AnswerAssembler, ForeignPiece
-from troutswitch.engines.protocol import Piece
+from troutswitch.standalone.engines.assembler import AnswerAssembler, ForeignPiece
+from troutswitch.standalone.engines.protocol import Piece
 
 
 @settings(max_examples=200, derandomize=True, deadline=None, database=None)
--- a/tests/proofs/test_determinism.py
+++ b/tests/standalone/proofs/test_determinism.py
@@ -7,9 +7,9 @@
 
 import pytest
 
-from tests.proofs.worlds import run_world
-from troutswitch.simulation.faults import FAULTS
-from troutswitch.simulation.world import parse_faults
+from tests.standalone.proofs.worlds import run_world
+from troutswitch.standalone.simulation.faults import FAULTS
+from troutswitch.standalone.simulation.world import parse_faults
 
 
 def digest_in_process(hash_seed: str) -> dict[str, object]:
--- a/tests/proofs/test_limits.py
+++ b/tests/standalone/proofs/test_limits.py
@@ -4,12 +4,12 @@
 
 import pytest
 
-from tests.proofs.worlds import QUETZAL, make_world
+from tests.standalone.proofs.worlds import QUETZAL, make_world
 from troutswitch.decisions import limits
-from troutswitch.decisions.batch.dispatcher import BatchDispatcher
-from troutswitch.decisions.engines import EngineRegistry
 from troutswitch.outcomes import NotRun
-from troutswitch.simulation.world import SimulatedWorld
+from troutswitch.standalone.decisions.batch.dispatcher import BatchDispatcher
+from troutswitch.standalone.decisions.engines import EngineRegistry
+from troutswitch.standalone.simulation.world import SimulatedWorld
 
 STORM = replace(QUETZAL.workload, online_per_second=60.0, jobs_per_heap=(0, 0), once_share=0.0)
 SATURATED = replace(
--- a/tests/proofs/test_promises.py
+++ b/tests/standalone/proofs/test_promises.py
@@ -11,18 +11,19 @@
 
 import pytest
 
-from tests.proofs.worlds import run_world
-from troutswitch.decisions import online, onlinerequest
-from troutswitch.decisions.batch import claims, owner, ownership, submission
-from troutswitch.decisions.batch.calls import Progress
-from troutswitch.decisions.batch.fold import Accepted, ShardFold
-from troutswitch.decisions.batch.jobs import ItemState
-from troutswitch.decisions.batch.replica import shard_stream
-from troutswitch.decisions.configuration.follower import ConfigurationFollower
-from troutswitch.decisions.daemon import DaemonCore
-from troutswitch.decisions.effects import AnswerCall, Drained, JobView
-from troutswitch.decisions.engines import EngineRegistry
+from tests.standalone.proofs.worlds import run_world
 from troutswitch.outcomes import AttemptKind, NotRun
+from troutswitch.standalone.decisions import online
+from troutswitch.standalone.decisions import online_request as onlinerequest
+from troutswitch.standalone.decisions.batch import claims, owner, ownership, submission
+from troutswitch.standalone.decisions.batch.calls import Progress
+from troutswitch.standalone.decisions.batch.fold import Accepted, ShardFold
+from troutswitch.standalone.decisions.batch.jobs import ItemState
+from troutswitch.standalone.decisions.batch.replica import shard_stream
+from troutswitch.standalone.decisions.configuration.follower import ConfigurationFollower
+from troutswitch.standalone.decisions.daemon import DaemonCore
+from troutswitch.standalone.decisions.effects import AnswerCall, Drained, JobView
+from troutswitch.standalone.decisions.engines import EngineRegistry
 
 
 @dataclass(frozen=True)
--- a/tests/proofs/test_seeds.py
+++ b/tests/standalone/proofs/test_seeds.py
@@ -6,8 +6,8 @@
 
 import pytest
 
-from tests.proofs.worlds import run_world
-from troutswitch.simulation.faults import FAULTS
+from tests.standalone.proofs.worlds import run_world
+from troutswitch.standalone.simulation.faults import FAULTS
 
 
 @pytest.mark.parametrize(
--- a/tests/proofs/worlds.py
+++ b/tests/standalone/proofs/worlds.py
@@ -2,8 +2,8 @@
 
 from dataclasses import replace
 
-from troutswitch.simulation.scenarios import SCENARIOS, Workload
-from troutswitch.simulation.world import SimulatedWorld, WorldOptions, WorldReport
+from troutswitch.standalone.simulation.scenarios import SCENARIOS, Workload
+from troutswitch.standalone.simulation.world import SimulatedWorld, WorldOptions, WorldReport
 
 QUETZAL = SCENARIOS["quetzal"]
 
--- a/tests/runtime/test_settings.py
+++ b/tests/standalone/runtime/test_settings.py
@@ -6,7 +6,7 @@
 from click.testing import CliRunner
 
 from troutswitch.cli import main as command_line
-from troutswitch.runtime.settings import SettingsError, load_settings
+from troutswitch.standalone.runtime.settings import SettingsError, load_settings
 
 GOOD = 'name = "a"\nzone = "z"\nfleet_key = "12345678"\n'
 
--- a/tests/standins/test_engine_model.py
+++ b/tests/standalone/standins/test_engine_model.py
@@ -1,6 +1,6 @@
 """The engine's timing model, including causes found by simulation."""
 
-from troutswitch.standins.engine_model import EngineModel, EngineShape
+from troutswitch.standalone.standins.engine_model import EngineModel, EngineShape
 
 SHAPE = EngineShape(slots=2, step_base=0.02, step_per_sequence=0.001)
 
--- a/tests/standins/test_processes.py
+++ b/tests/standalone/standins/test_processes.py
@@ -5,16 +5,16 @@
 
 import pytest
 
-from tests.system.fleet import call
+from tests.standalone.system.fleet import call
 from troutswitch.common import Address
-from troutswitch.decisions.events import Machine
-from troutswitch.engines.client import EngineClient, EngineStream, StreamEnded
-from troutswitch.engines.protocol import CompletionOrder
-from troutswitch.logservice.client import LogClient, LogUnavailable
-from troutswitch.machinelist.client import MachineListClient
 from troutswitch.outcomes import AttemptKind
-from troutswitch.standins.engine import EngineStandin
-from troutswitch.standins.platform import PlatformStandin
+from troutswitch.standalone.decisions.events import Machine
+from troutswitch.standalone.engines.client import EngineClient, EngineStream, StreamEnded
+from troutswitch.standalone.engines.protocol import CompletionOrder
+from troutswitch.standalone.log_service.client import LogClient, LogUnavailable
+from troutswitch.standalone.machine_list.client import MachineListClient
+from troutswitch.standalone.standins.engine import EngineStandin
+from troutswitch.standalone.standins.platform import PlatformStandin
 from troutswitch.weightstore.client import WeightStoreClient
 
 ANY_PORT = Address("127.0.0.1", 0)
--- a/tests/system/fleet.py
+++ b/tests/standalone/system/fleet.py
@@ -15,8 +15,8 @@
 
 from tests.ports import HOST, Ports
 from troutswitch.common import Address
-from troutswitch.decisions.events import Machine
-from troutswitch.machinelist.client import MachineListClient
+from troutswitch.standalone.decisions.events import Machine
+from troutswitch.standalone.machine_list.client import MachineListClient
 
 SERVICE = "test-lm"
 PATIENCE_SECONDS = 60.0
--- a/tests/system/test_ctl.py
+++ b/tests/standalone/system/test_ctl.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from tests.system.fleet import SERVICE, Fleet
+from tests.standalone.system.fleet import SERVICE, Fleet
 
 
 @pytest.fixture
--- a/tests/system/test_failures.py
+++ b/tests/standalone/system/test_failures.py
@@ -12,10 +12,10 @@
 import openai
 import pytest
 
-from tests.system.fleet import SERVICE, Fleet, call, wait_until
+from tests.standalone.system.fleet import SERVICE, Fleet, call, wait_until
 from troutswitch.common import Address
-from troutswitch.standins.engine import token_text
-from troutswitch.standins.loadgen import LoadPlan, LoadReport, run_load
+from troutswitch.standalone.standins.engine import token_text
+from troutswitch.standalone.standins.load_generator import LoadPlan, LoadReport, run_load
 
 
 @pytest.fixture
--- a/tests/system/test_whole_path.py
+++ b/tests/standalone/system/test_whole_path.py
@@ -7,8 +7,8 @@
 
 import pytest
 
-from tests.system.fleet import SERVICE, Fleet, call, wait_until
-from troutswitch.standins.engine import token_text
+from tests.standalone.system.fleet import SERVICE, Fleet, call, wait_until
+from troutswitch.standalone.standins.engine import token_text
 
 
 @pytest.fixture
--- a/src/troutswitch/simulation/crashworld.py
+++ b/tests/worlds/crash_world.py
@@ -10,6 +10,8 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
+from tests.worlds.gateway_world import Daemon, GatewayWorld
+from tests.worlds.plain_formats import HOST, SERVICE
 from troutswitch.common import Address
 from troutswitch.decisions.crashes.content import content_key
 from troutswitch.decisions.crashes.messages import CheckServer, ServerChecked, ServerFound
@@ -25,8 +27,6 @@
 from troutswitch.decisions.gatewaymessages import StoodStill
 from troutswitch.decisions.jobs.messages import ItemRunEnded, RunItem
 from troutswitch.outcomes import AttemptKind, Cut, MayHaveRun, NotRun
-from troutswitch.simulation.gatewayworld import Daemon, GatewayWorld
-from troutswitch.simulation.plainformats import HOST, SERVICE
 
 ONLINE_PREFIX = "/online/"
 SLOTS = 8
--- a/src/troutswitch/simulation/gatewayworld.py
+++ b/tests/worlds/gateway_world.py
@@ -14,6 +14,9 @@
 import cbor2
 import simpy
 
+from tests.worlds.job_clients import JOB_KEPT_SECONDS, JobClients
+from tests.worlds.job_truth import EVENTS_AN_ITEM, JobTruth, event_text
+from tests.worlds.plain_formats import HOST, PREFIX, SERVICE, PlainFormats
 from troutswitch.common import Address
 from troutswitch.decisions.forwarding.types import (
     Backend,
@@ -59,9 +62,6 @@
 )
 from troutswitch.decisions.tenants.types import Tenant
 from troutswitch.outcomes import AttemptKind
-from troutswitch.simulation.jobclients import JOB_KEPT_SECONDS, JobClients
-from troutswitch.simulation.jobtruth import EVENTS_AN_ITEM, JobTruth, event_text
-from troutswitch.simulation.plainformats import HOST, PREFIX, SERVICE, PlainFormats
 from troutswitch.standins.keyedstore import KeyedStoreModel
 
 STORE_SECONDS = 0.01
--- a/src/troutswitch/simulation/jobclients.py
+++ b/tests/worlds/job_clients.py
@@ -4,6 +4,8 @@
 from collections.abc import Callable
 from typing import Protocol
 
+from tests.worlds.job_truth import JobTruth
+from tests.worlds.plain_formats import HOST, PREFIX
 from troutswitch.decisions.jobs.messages import (
     JobAccepted,
     JobAnswer,
@@ -15,8 +17,6 @@
     ResultsAsked,
 )
 from troutswitch.decisions.jobs.records import JobItem
-from troutswitch.simulation.jobtruth import JobTruth
-from troutswitch.simulation.plainformats import HOST, PREFIX
 
 READ_INTERVAL_SECONDS = 0.5
 CALL_SECONDS = 4.0
