--- a/src/troutswitch/cli/main.py
+++ b/src/troutswitch/cli/main.py
@@ -5,14 +5,12 @@
 import click
 
 from troutswitch import __version__
-from troutswitch.cli.bench import bench
 from troutswitch.cli.bound import bound
 from troutswitch.cli.ctl import ctl
 from troutswitch.cli.demo import demo
 from troutswitch.cli.explain import explain
 from troutswitch.cli.gateway import gateway
 from troutswitch.cli.load import load
-from troutswitch.cli.scale import scale
 from troutswitch.cli.soak import soak
 from troutswitch.cli.standin import standin
 from troutswitch.cli.world import experiment, simulate
@@ -37,8 +35,6 @@
     standin,
     simulate,
     experiment,
-    scale,
-    bench,
     soak,
 ):
     cli.add_command(command)
--- a/src/troutswitch/cli/standin.py
+++ b/src/troutswitch/cli/standin.py
@@ -46,7 +46,7 @@
 @click.option("--address", default="127.0.0.1:7000", show_default=True)
 @click.option("--list-lag", default=1.0, show_default=True, help="Seconds.")
 def platform(address: str, list_lag: float) -> None:
-    """Run the platform: log service, machine list, weight store."""
+    """Run the platform: log service and machine list."""
     server = PlatformStandin(parse_address(address), list_lag)
     server.start()
     click.echo(f"platform on {server.address}", err=True)
--- a/src/troutswitch/standalone/runtime/loop.py
+++ b/src/troutswitch/standalone/runtime/loop.py
@@ -46,15 +46,11 @@
         self.socket.setblocking(False)
         self.address = Address(address.host, self.socket.getsockname()[1])
         self.sealer = sealer
-        self.bytes_sent = 0
-        self.messages_sent = 0
         self._clock = clock
 
     def send(self, address: Address, message: Message) -> None:
         """Sends a message; a full buffer drops it, as the network may."""
         datagram = self.sealer.seal(self._clock.now(), message)
-        self.bytes_sent += len(datagram)
-        self.messages_sent += 1
         try:
             self.socket.sendto(datagram, (address.host, address.port))
         except OSError:
--- a/src/troutswitch/standalone/standins/platform.py
+++ b/src/troutswitch/standalone/standins/platform.py
@@ -1,4 +1,4 @@
-"""Stand-in for the platform: log service, machine list and weight store."""
+"""Stand-in for the platform: log service and machine list."""
 
 import threading
 import time
@@ -18,10 +18,9 @@
 )
 from troutswitch.standalone.machine_list.client import MachineRow, machine_from_row, machine_to_row
 from troutswitch.standalone.standins.faults import FaultPlan, FaultSwitch
-from troutswitch.standalone.standins.stores import LogStore, MachineListStore, WeightStore
+from troutswitch.standalone.standins.stores import LogStore, MachineListStore
 
 PLATFORM_THREADS = 64
-WEIGHT_BYTES = 1_000_000
 
 
 class PlatformStandin:
@@ -31,12 +30,10 @@
         self,
         address: Address,
         list_lag_seconds: float = 1.0,
-        weight_bytes_per_second: float = 10_000_000.0,
         seed: int = 0,
     ) -> None:
         self.log = LogStore()
         self.machines = MachineListStore(list_lag_seconds)
-        self.weights = WeightStore(weight_bytes_per_second)
         self.faults = FaultSwitch(seed)
         self._lock = threading.Lock()
         self._server = HttpServer(self._application, address, PLATFORM_THREADS, "platform")
@@ -85,8 +82,6 @@
                 return self._put_machine(request)
             case ("machines", "DELETE"):
                 return self._remove_machine(name, request)
-            case ("weights", "GET"):
-                return self._fetch_weights()
             case _:
                 return json_response(404, {"error": "unknown path"})
 
@@ -125,11 +120,3 @@
             else:
                 self.machines.remove(time.time(), name)
         return json_response(200, {})
-
-    def _fetch_weights(self) -> Response:
-        with self._lock:
-            wait = self.weights.fetch(time.time(), WEIGHT_BYTES)
-        if wait > 0:
-            headers = (("Retry-After", str(int(wait) + 1)),)
-            return json_response(429, {"retry_after": wait}, headers)
-        return Response(200, bytes(WEIGHT_BYTES), "application/octet-stream")
--- a/src/troutswitch/standalone/standins/stores.py
+++ b/src/troutswitch/standalone/standins/stores.py
@@ -72,18 +72,3 @@
             else:
                 self._shown[change.name] = change.machine
         return list(self._shown.values())
-
-
-class WeightStore:
-    """Model weights behind a rate limit in bytes a second."""
-
-    def __init__(self, bytes_per_second: float) -> None:
-        self.bytes_per_second = bytes_per_second
-        self._free_at = 0.0
-
-    def fetch(self, now: float, size: int) -> float:
-        """Starts a fetch of `size` bytes; returns 0, or seconds to wait before asking again."""
-        if self._free_at > now:
-            return self._free_at - now
-        self._free_at = now + size / self.bytes_per_second
-        return 0.0
--- a/src/troutswitch/weightstore/__init__.py
+++ /dev/null
@@ -1,1 +0,0 @@
-"""Protocol spoken with the store of model weights."""
--- a/tests/standalone/standins/test_processes.py
+++ b/tests/standalone/standins/test_processes.py
@@ -15,7 +15,6 @@
 from troutswitch.standalone.machine_list.client import MachineListClient
 from troutswitch.standalone.standins.engine import EngineStandin
 from troutswitch.standalone.standins.platform import PlatformStandin
-from troutswitch.weightstore.client import WeightStoreClient
 
 ANY_PORT = Address("127.0.0.1", 0)
 
@@ -59,13 +58,6 @@
     assert call(platform.address, "POST", "/machines", {"name": 1})[0] == 400
 
 
-def test_weights_are_limited_in_rate(platform: PlatformStandin) -> None:
-    client = WeightStoreClient(platform.address)
-    assert isinstance(client.fetch("m"), bytes)
-    wait = client.fetch("m")
-    assert isinstance(wait, float) and 0 < wait < 1
-
-
 def test_orders_with_a_stale_fence_are_refused(engine: EngineStandin) -> None:
     def order(fence: int, name: str) -> int:
         body = {"fence": fence, "kind": "load_model", "name": name}
