--- a/src/troutswitch/decisions/forwarding/requests.py
+++ b/src/troutswitch/decisions/forwarding/requests.py
@@ -16,7 +16,7 @@
 """
 
 import random
-from dataclasses import dataclass, replace
+from dataclasses import replace
 
 from troutswitch.decisions.crashes.interface import NO_SUSPECTS, Suspects
 from troutswitch.decisions.forwarding.admission import (
@@ -104,18 +104,6 @@
 Instructions = list[ForwardingInstruction]
 
 
-@dataclass
-class RequestCounts:
-    """Counters for metrics."""
-
-    arrived: int = 0
-    refused: int = 0
-    deferred: int = 0
-    attempts: int = 0
-    retries: int = 0
-    gone: int = 0
-
-
 class ForwardedRequests:
     """All requests that this daemon forwards."""
 
@@ -130,7 +118,6 @@
         suspects: Suspects = NO_SUSPECTS,
     ) -> None:
         self.requests: dict[int, ForwardedRequest] = {}
-        self.counts = RequestCounts()
         self._routes = routes
         self._servers = servers
         self._rng = rng
@@ -147,7 +134,6 @@
 
     def on_arrived(self, now: float, event: RequestArrived) -> Instructions:
         """Starts a request, or gives the final answer at once; waits if its quota is asked for."""
-        self.counts.arrived += 1
         ensure(event.token not in self.requests, "a request token is used twice")
         return self._begin(now, self.arrivals.on_arrived(now, event))
 
@@ -159,7 +145,6 @@
         if decided is None:
             return []
         if isinstance(decided, Refused):
-            self.counts.refused += 1
             line = line_of_refusal(decided, self._routes.version)
             return [FinishRequest(decided.arrival.token, decided.refusal), line]
         event, route = decided.arrival, decided.route
@@ -212,7 +197,6 @@
         """Asks the caller to come back: the request was not sent anywhere."""
         ensure(not request.kinds, "a request that was sent is deferred")
         del self.requests[request.arrival.token]
-        self.counts.deferred += 1
         time_left = request.arrival.time_left
         estimate = replace(found.estimate, held=self.times.of(request.service).held)
         come_back = self._admission.come_back(now, time_left, estimate, self._rng)
@@ -309,7 +293,6 @@
             not request.runs or request.route.is_repeatable,
             "a request not to be repeated is sent again",
         )
-        self.counts.attempts += 1
         request.attempt += 1
         request.server_id = server.record.server_id
         request.tried.add(server.record.server_id)
@@ -443,7 +426,6 @@
             reason = f"{reason}; retry budget spent"
             return self._wait_or_give_up(now, request, reason, Step.DISPATCH)
         request.owes_retry = False
-        self.counts.retries += 1
         return self._dispatch(now, request, reason)
 
     @staticmethod
@@ -484,7 +466,6 @@
         wait = RETRY_AFTER_FIRST_SECONDS + self._rng.random() * RETRY_AFTER_SPREAD_SECONDS
         peer = request.server_id
         outcome = conclude(request.kinds, request.delivered, reason, step, peer, wait)
-        self.counts.refused += 1
         servers = self._servers
         list_age = now - servers.listed_at
         line = line_of_give_up(now, request, outcome, step, len(servers.servers), list_age)
@@ -495,7 +476,6 @@
         request = self.requests.get(event.token)
         if request is None:
             return self._leave_counting(event)
-        self.counts.gone += 1
         line = line_of_gone_caller(now, request, event)
         aborted = self._abort(now, request, AttemptKind.CANCELLED)
         return [line, *aborted, *self._give_up(now, request, "caller went away", Step.RELAY)]
@@ -505,7 +485,6 @@
         arrival = self.arrivals.withdraw(event.token)
         if arrival is None:
             return []
-        self.counts.gone += 1
         refusal = NotRun("caller went away", Step.ADMIT)
         return [
             FinishRequest(event.token, refusal),
--- a/src/troutswitch/decisions/forwarding/types.py
+++ b/src/troutswitch/decisions/forwarding/types.py
@@ -38,7 +38,6 @@
     attempts_most: int
     priority: int = 0
     is_resumable: bool = False
-    is_sticky: bool = False
     gap_limit: float = 0.0
     queued_tokens_most: int = 0
     completion_target: float = 0.0
@@ -74,7 +73,6 @@
 
     header_bytes: int = 16384
     body_bytes: int = 4 * 1024 * 1024
-    header_seconds: float = 3.0
     idle_seconds: float = 15.0
 
 
@@ -102,7 +100,6 @@
     zone: str
     slots: int
     is_draining: bool
-    cold_seconds: float = 0.0
 
 
 @dataclass(frozen=True, slots=True)
--- a/src/troutswitch/decisions/jobs/coordinator.py
+++ b/src/troutswitch/decisions/jobs/coordinator.py
@@ -167,11 +167,6 @@
         self.owner.is_draining = True
         self._drain_until = now + DRAIN_SECONDS
 
-    @property
-    def is_drained(self) -> bool:
-        """Whether the shards were passed on."""
-        return self.ownership.is_leaving
-
     def _go_on_draining(self, now: float) -> None:
         if not self.owner.is_draining or self.ownership.is_leaving:
             return
--- a/src/troutswitch/decisions/jobs/owner.py
+++ b/src/troutswitch/decisions/jobs/owner.py
@@ -13,7 +13,6 @@
 
 import random
 from collections.abc import Callable
-from dataclasses import dataclass
 from typing import Protocol
 
 from troutswitch.decisions.crashes.interface import Suspects
@@ -75,14 +74,6 @@
 Instruction = StoreCall | RunItem | StopItem | LogLine
 
 
-@dataclass
-class OwnerCounts:
-    """Counters for metrics."""
-
-    dead: int = 0
-    yielded: int = 0
-
-
 class BatchSlots(Protocol):
     """What is known of the slots for batch items."""
 
@@ -114,7 +105,6 @@
         suspects: Suspects,
     ) -> None:
         self._runs = ItemRuns(servers, log)
-        self.counts = OwnerCounts()
         self._items = OpenItems(replicas)
         self._refusals = ItemRefusals(suspects, replicas)
         self._routes = routes
@@ -261,7 +251,6 @@
         if count <= 0 or not running:
             return []
         chosen = self._selection.least_urgent(running, count)
-        self.counts.yielded += len(chosen)
         return [self._runs.stop(now, progress.run) for progress in chosen]
 
     # Starting.
@@ -471,7 +460,6 @@
             self._give_up(progress, f"{progress.failures} runs failed")
 
     def _give_up(self, progress: ItemProgress, reason: str) -> None:
-        self.counts.dead += 1
         self._log(
             "item given up", job_id=progress.job_id, item_id=progress.item.item_id, reason=reason
         )
--- a/src/troutswitch/decisions/jobs/reads.py
+++ b/src/troutswitch/decisions/jobs/reads.py
@@ -74,7 +74,7 @@
             if self._entry_of(event) is None:
                 self._finish(event.token, JobRefused(404, "no such job"))
                 return []
-            return self._with_job(now, event.token)
+            return self._with_job(event.token)
         self._replicas.index_refresher.ask(
             lambda at, succeeded: self._on_index_read(at, event.token, succeeded)
         )
@@ -96,7 +96,7 @@
         else:
             self._unsure(token, "the index could not be read")
 
-    def _with_job(self, now: float, token: int) -> list[StoreCall]:
+    def _with_job(self, token: int) -> list[StoreCall]:
         call = self.pending[token]
         call.retry_at = float("inf")
         entry = self._entry_of(call.event)
@@ -200,7 +200,7 @@
             if now >= call.give_up_at:
                 self._unsure(token, "the store did not answer in time")
             elif call.retry_at <= now:
-                calls += self._with_job(now, token)
+                calls += self._with_job(token)
         return calls
 
     def _unsure(self, token: int, reason: str) -> None:
--- a/src/troutswitch/decisions/slots/ledger.py
+++ b/src/troutswitch/decisions/slots/ledger.py
@@ -146,7 +146,7 @@
         self._looked_at = now
         for name, holder in list(self.holders.items()):
             if now - holder.heard_at > SILENT_SECONDS:
-                self._silence(now, holder)
+                self._silence(holder)
             while holder.words and now - holder.words[0].told_at > WORD_LAPSE_SECONDS:
                 holder.words.popleft()
             self._apply(now, holder)
@@ -154,7 +154,7 @@
                 del self.holders[name]
 
     @staticmethod
-    def _silence(now: float, holder: Holder) -> None:
+    def _silence(holder: Holder) -> None:
         holder.reported = {}
         holder.words.clear()
         holder.waiting_items = 0
--- a/src/troutswitch/gateway/exchange.py
+++ b/src/troutswitch/gateway/exchange.py
@@ -154,7 +154,6 @@
     """
 
     def __init__(self, on_doubt: OnDoubt = _ignore_doubt) -> None:
-        self.opened = 0
         self._on_doubt = on_doubt
         self._idle: dict[str, deque[_Connection]] = {}
         self._lock = threading.Lock()
@@ -266,7 +265,6 @@
     def _connect(self, connection: _Connection) -> None:
         if connection.sock is not None:
             return
-        self.connections.opened += 1
         try:
             connection.connect()
         except OSError as error:
--- a/src/troutswitch/gateway/settings.py
+++ b/src/troutswitch/gateway/settings.py
@@ -29,9 +29,6 @@
     configuration_apply: float = 2.0
     drain: float = 2.0
     grace: float = 8.0
-    recovery: float = 12.0
-    settle: float = 1.0
-    acknowledge: float = 4.0
     job_kept: float = 120.0
     quota: QuotaBounds = field(default_factory=QuotaBounds)
 
@@ -46,9 +43,5 @@
     readiness: Address | None
     peer_host: str
     peer_ports: tuple[int, int]
-    seeds: tuple[Address, ...]
-    heartbeat: float
     store: StoreSettings
     bounds: Bounds = field(default_factory=Bounds)
-    memory_mb: int = 0
-    descriptors_most: int = 0
--- a/src/troutswitch/outcomes.py
+++ b/src/troutswitch/outcomes.py
@@ -13,7 +13,6 @@
     """Step of the path at which an outcome arose."""
 
     PARSE = "parse"
-    AUTHENTICATE = "authenticate"
     ADMIT = "admit"
     CLAIM = "claim"
     ROUTE = "route"
--- a/src/troutswitch/platform/configuration.py
+++ b/src/troutswitch/platform/configuration.py
@@ -117,7 +117,6 @@
     limits = RequestLimits(
         held.limits.maxHeaderBytes,
         held.limits.maxBodyBytes,
-        held.limits.headerTimeoutMs / 1000,
         held.limits.idleTimeoutMs / 1000,
     )
     services = {service.name: _service(service) for service in held.services}
@@ -151,7 +150,6 @@
         attempts_most=max(1, held.maxAttempts),
         priority=held.priority,
         is_resumable=held.resumable,
-        is_sticky=held.sticky,
         gap_limit=held.gapTargetMs / 1000,
         queued_tokens_most=held.maxQueuedTokens,
         completion_target=held.completionTargetMs / 1000,
@@ -183,7 +181,6 @@
         held.zone,
         held.slots,
         held.state == DRAINING,
-        held.coldRemainingMs / 1000,
     )
 
 
--- a/src/troutswitch/platform/settings.py
+++ b/src/troutswitch/platform/settings.py
@@ -110,6 +110,7 @@
 
 
 def _translate(held: _Settings) -> GatewaySettings:
+    _check_seeds(held.seed_nodes)
     bounds = held.timing_bounds
     return GatewaySettings(
         name=held.node_name,
@@ -118,24 +119,23 @@
         readiness=_address("listen.ready", held.listen.ready),
         peer_host=held.ip,
         peer_ports=held.internal_ports,
-        seeds=tuple(Address.parse(seed) for seed in held.seed_nodes),
-        heartbeat=held.heartbeat_ms / 1000,
         store=_store(held.platform),
         bounds=Bounds(
             configuration_apply=bounds.configApplyMs / 1000,
             drain=bounds.drainTimeoutMs / 1000,
             grace=bounds.gracePeriodS,
-            recovery=bounds.recoveryS,
-            settle=bounds.settleTimeoutMs / 1000,
-            acknowledge=bounds.ackTimeoutMs / 1000,
             job_kept=bounds.statusIntervalS,
             quota=QuotaBounds(bounds.quotaWindowS, bounds.quotaOvershoot, bounds.quotaSlack),
         ),
-        memory_mb=held.limits.memory_mb,
-        descriptors_most=held.limits.max_fds,
     )
 
 
+def _check_seeds(seeds: list[str]) -> None:
+    """Checks the addresses of the seeds; daemons find each other through the store."""
+    for seed in seeds:
+        Address.parse(seed)
+
+
 def _store(held: _Store) -> StoreSettings:
     address = _address("platform.address", held.address)
     if address is None:
--- a/src/troutswitch/runtime/http.py
+++ b/src/troutswitch/runtime/http.py
@@ -178,11 +178,9 @@
 class HttpError(Exception):
     """A call that was not answered as hoped. `was_sent` tells whether it may have run."""
 
-    def __init__(self, reason: str, was_sent: bool, status: int = 0, body: bytes = b"") -> None:
+    def __init__(self, reason: str, was_sent: bool) -> None:
         super().__init__(reason)
         self.was_sent = was_sent
-        self.status = status
-        self.body = body
 
 
 class ConnectionPool:
--- a/src/troutswitch/runtime/keptconnections.py
+++ b/src/troutswitch/runtime/keptconnections.py
@@ -62,13 +62,14 @@
 class KeptConnections:
     """The connections to one peer.
 
+    `on_doubt` is called with how many connections were closed since another fell silent.
+
     Args:
         address: the peer's.
-        on_doubt: called with how many connections were closed since another fell silent.
     """
 
-    def __init__(self, address: Address, on_doubt: Callable[[int], None] = _ignore_doubt) -> None:
-        self.on_doubt = on_doubt
+    def __init__(self, address: Address) -> None:
+        self.on_doubt: Callable[[int], None] = _ignore_doubt
         self._address = address
         self._idle: deque[KeptConnection] = deque()
         self._in_use: list[KeptConnection] = []
--- a/src/troutswitch/soak/calmend.py
+++ b/src/troutswitch/soak/calmend.py
@@ -14,12 +14,8 @@
 
 CALM_SECONDS = 60.0
 """Bound on each thing that has to come true, five times the platform's `recoveryS` of 12 s."""
-READ_ROUND_SECONDS = 0.2
-"""Rest between two rounds of reading all jobs."""
 LEAVING_SECONDS = 3.0
 """Time with callers after the last planned stop, so that one would be cut if any is."""
-POSITIONS = 200
-"""Most items of a job on the platform, so no job has more positions."""
 REFUSED_SECONDS = 3.0
 """Time for which an ending request comes to a daemon that is to refuse it."""
 
--- a/src/troutswitch/standalone/simulation/observer.py
+++ b/src/troutswitch/standalone/simulation/observer.py
@@ -67,7 +67,6 @@
         self.runs: dict[str, set[str]] = defaultdict(set)
         self.faults: Counter[str] = Counter()
         self.publications_accepted: list[tuple[float, int]] = []
-        self.configuration_spread: list[float] = []
         self.longest_wait_behind_batch = 0.0
         self.waits_behind_batch = 0
         self.wait_limit = float("inf")
--- a/tests/forms/samples.py
+++ b/tests/forms/samples.py
@@ -728,7 +728,7 @@
     "may have run": _given_up(MayHaveRun("reason", Step.DISPATCH, "peer", 1.5)),
     "may have run, another status": _given_up(MayHaveRun("reason", Step.RELAY, "", None, 502)),
     "cut": _given_up(Cut("reason", 5, Step.RELAY, "peer")),
-    **{f"step {n}": _given_up(NotRun("reason", step)) for n, step in enumerate(Step)},
+    **{f"step {step}": _given_up(NotRun("reason", step)) for step in Step},
     "request without an id": _answered(_without_request_id()),
     "no key": _given_up(_identified("", is_behind=False)),
     "unknown key": _given_up(_identified("x", is_behind=False)),
--- a/tests/gateway/test_settingsfile.py
+++ b/tests/gateway/test_settingsfile.py
@@ -15,7 +15,7 @@
     if not text.isdigit():
         raise GatewaySettingsError(f"{path}: expected a number")
     bounds = Bounds(drain=float(text))
-    return GatewaySettings("n", "z", HERE, HERE, "h", (1, 2), (), 1.0, Store(HERE), bounds)
+    return GatewaySettings("n", "z", HERE, HERE, "h", (1, 2), Store(HERE), bounds)
 
 
 def watched(path: Path) -> SettingsFile:
--- /dev/null
+++ b/tests/platform/test_settings.py
@@ -0,0 +1,40 @@
+"""Settings that the daemon does not use stay accepted, and are checked."""
+
+from pathlib import Path
+
+import pytest
+
+from troutswitch.common import Address
+from troutswitch.gateway.settings import GatewaySettingsError
+from troutswitch.platform.settings import load_gateway_settings, write_settings
+
+UNUSED = (
+    ('heartbeatMs = "often"', "heartbeatMs"),
+    ('seedNodes = ["nowhere"]', "nowhere"),
+    ('[limits]\nmemoryMb = "much"', "memoryMb"),
+    ('[limits]\nmaxFds = "many"', "maxFds"),
+    ('[timingBounds]\nrecoveryS = "soon"', "recoveryS"),
+    ('[timingBounds]\nsettleTimeoutMs = "soon"', "settleTimeoutMs"),
+    ('[timingBounds]\nackTimeoutMs = "soon"', "ackTimeoutMs"),
+)
+
+
+def load(tmp_path: Path, more: str) -> None:
+    held = write_settings("n", "127.0.0.1", 1, 2, (3, 4), Address("127.0.0.1", 5))
+    rest = held.replace("seedNodes = []\n", "").replace("[timingBounds]\ngracePeriodS = 8\n", "")
+    key, _, tables = rest.partition("[listen]")
+    path = tmp_path / "settings"
+    path.write_text(f"{key}{more}\n[listen]{tables}" if more[0] != "[" else f"{rest}{more}\n")
+    load_gateway_settings(path)
+
+
+def test_settings_that_are_not_used_are_accepted(tmp_path: Path) -> None:
+    load(tmp_path, 'heartbeatMs = 900\nseedNodes = ["127.0.0.1:9"]')
+    load(tmp_path, "[limits]\nmemoryMb = 64\nmaxFds = 1024")
+    load(tmp_path, "[timingBounds]\nrecoveryS = 12\nsettleTimeoutMs = 1000\nackTimeoutMs = 4000")
+
+
+@pytest.mark.parametrize(("text", "named"), UNUSED)
+def test_a_wrong_value_of_one_is_refused(tmp_path: Path, text: str, named: str) -> None:
+    with pytest.raises(GatewaySettingsError, match=named):
+        load(tmp_path, text)
