--- a/src/troutswitch/decisions/forwarding/admission.py
+++ b/src/troutswitch/decisions/forwarding/admission.py
@@ -126,26 +126,6 @@
         return time_left * RETURN_SHARE * rng.uniform(RETURN_LEAST, 1.0)
 
 
-class RejectUnservable:
-    """Refuses only what cannot be answered whole before its caller's deadline."""
-
-    holds_late = False
-
-    def __init__(self) -> None:
-        self.patience: dict[str, float] = {}
-        self._turns = _Turns()
-
-    def longest_wait(self, request: AdmissionRequest, times: ServiceTimes) -> float:
-        """Returns the wait up to which the answer ends before the deadline."""
-        return servable_wait(request, times)
-
-    def come_back(
-        self, now: float, time_left: float, estimate: Estimate, rng: random.Random
-    ) -> float:
-        """Names the time at which room is expected, in the order of refusals."""
-        return self._turns.next(now, estimate)
-
-
 class HoldLate(DeferLate):
     """Holds what is surely late since its first try, for slots that the others leave free.
 
@@ -195,21 +175,9 @@
         return self._last - now
 
 
-def servable_wait(request: AdmissionRequest, times: ServiceTimes) -> float:
-    """Returns the longest wait with which a request is answered whole before its deadline.
-
-    Infinite for one that goes on with an answer, whose rest is not known, and while run
-    times are not known.
-    """
-    if request.is_resumed or times.held == 0.0:
-        return float("inf")
-    return max(0.0, request.time_left - times.held)
-
-
 ADMISSION_POLICIES: dict[str, Callable[[], AdmissionPolicy]] = {
     "admit_all": AdmitAll,
     "defer_late": DeferLate,
     "hold_late": HoldLate,
-    "reject_unservable": RejectUnservable,
 }
 """Admission policies by name."""
--- a/src/troutswitch/decisions/forwarding/placement.py
+++ b/src/troutswitch/decisions/forwarding/placement.py
@@ -1,7 +1,7 @@
 """Chooses a server for a request: an interface and its implementations.
 
-`least_loaded` and `round_robin` are the baselines that `headroom` and `prefix_aware` are
-compared with.
+`prefix_shortest` is the default. `two_choices` also acts, whatever the policy, where no
+coordinator answers (`slots/asks.py`). `prefix_aware` is there to be compared with.
 """
 
 import random
@@ -17,10 +17,6 @@
 up the first token of whatever comes, while free slots beyond one do not matter."""
 ZONE_PENALTY = 0.1
 """Load share that a server of another zone counts as more."""
-CHOICES = 3
-"""Servers drawn at random, of which the better one is taken. What is known of loads is
-some tenths of a second old: if all took the best server, all would take the same one."""
-
 HEADROOM_CHOICES = 2
 """Servers drawn by their room, of which the better one is taken."""
 HEADROOM_LEAST = 0.05
@@ -89,41 +85,6 @@
     return load_share(now, server) + away
 
 
-class RoundRobin:
-    """Each in turn."""
-
-    def __init__(self) -> None:
-        self._turn = 0
-
-    def choose(
-        self,
-        now: float,
-        candidates: list[Server],
-        prompt: PromptShape,
-        zone: str,
-        rng: random.Random,
-    ) -> Server:
-        """Chooses the next one."""
-        self._turn += 1
-        return candidates[self._turn % len(candidates)]
-
-
-class LeastLoaded:
-    """The better one of few servers drawn at random."""
-
-    def choose(
-        self,
-        now: float,
-        candidates: list[Server],
-        prompt: PromptShape,
-        zone: str,
-        rng: random.Random,
-    ) -> Server:
-        """Chooses the better of the servers drawn."""
-        drawn = rng.sample(candidates, min(CHOICES, len(candidates)))
-        return min(drawn, key=lambda server: placement_cost(now, server, zone))
-
-
 class Headroom:
     """The better one of two servers, drawn the more often the more room they have.
 
@@ -234,10 +195,6 @@
 
 
 POLICIES: dict[str, Callable[[], PlacementPolicy]] = {
-    "round_robin": RoundRobin,
-    "least_loaded": LeastLoaded,
-    "headroom": Headroom,
-    "shortest_queue": ShortestQueue,
     "two_choices": TwoChoices,
     "prefix_aware": lambda: PrefixAware(Headroom()),
     "prefix_shortest": lambda: PrefixAware(ShortestQueue()),
--- a/tests/decisions/forwarding/test_admission.py
+++ b/tests/decisions/forwarding/test_admission.py
@@ -17,7 +17,7 @@
     AdmitAll,
     DeferLate,
     Deferral,
-    RejectUnservable,
+    HoldLate,
 )
 from troutswitch.decisions.forwarding.messages import AnswerBegun, FinishRequest, SendRequest
 from troutswitch.decisions.forwarding.requests import ForwardedRequests
@@ -94,19 +94,8 @@
     assert decide(policy, asked(), full) is not None
 
 
-def test_only_what_cannot_end_before_its_deadline_is_rejected() -> None:
-    policy = RejectUnservable()
-    full = held_servers(20, 20)
-    assert decide(policy, asked(), full) is None
-    assert decide(policy, asked(time_left=3.0), full) is None
-    rejected = decide(policy, asked(time_left=1.0), full)
-    assert rejected is not None
-    assert rejected.come_back >= rejected.estimate.wait
-    assert decide(policy, asked(time_left=1.0, is_resumed=True), full) is None
-
-
 def test_those_refused_together_come_back_in_order_as_room_is_expected() -> None:
-    policy = RejectUnservable()
+    policy = HoldLate()
     unservable = asked(time_left=0.7)
     refused = [decide(policy, unservable, held_servers(16, 14)) for _ in range(5)]
     turns = [deferral.come_back for deferral in refused if deferral is not None]
--- a/tests/decisions/forwarding/test_placement.py
+++ b/tests/decisions/forwarding/test_placement.py
@@ -12,8 +12,9 @@
 )
 from troutswitch.decisions.forwarding.placement import (
     POLICIES,
-    LeastLoaded,
+    Headroom,
     ShortestQueue,
+    TwoChoices,
     placement_cost,
 )
 from troutswitch.decisions.forwarding.servers import Server, ServerRegistry
@@ -81,7 +82,7 @@
     reading, running = servers(2)
     reading.prefill_tokens = 8000
     running.online_in_flight = 4
-    chosen = LeastLoaded().choose(0.0, [reading, running], PromptShape(), "z", random.Random(1))
+    chosen = TwoChoices().choose(0.0, [reading, running], PromptShape(), "z", random.Random(1))
     assert chosen is running
 
 
@@ -90,7 +91,7 @@
     for number, one in enumerate(held):
         one.peers_online = number
     chosen = [
-        LeastLoaded().choose(0.0, held, PromptShape(), "z", random.Random(seed)).record.server_id
+        TwoChoices().choose(0.0, held, PromptShape(), "z", random.Random(seed)).record.server_id
         for seed in range(100)
     ]
     assert max(chosen.count(name) for name in set(chosen)) < 70
@@ -110,7 +111,7 @@
     rng = random.Random(1)
     counts = dict.fromkeys((s.record.server_id for s in held), 0)
     for _ in range(2000):
-        chosen = POLICIES["headroom"]().choose(0.0, held, PromptShape(), "z", rng)
+        chosen = Headroom().choose(0.0, held, PromptShape(), "z", rng)
         counts[chosen.record.server_id] += 1
     assert counts["s0"] < 40
     assert counts["s0"] < counts["s1"] < counts["s2"]
@@ -121,7 +122,7 @@
     held = servers(2)
     for full in held:
         full.online_in_flight = 3 * full.slots
-    assert POLICIES["headroom"]().choose(0.0, held, PromptShape(), "z", random.Random(1)) in held
+    assert Headroom().choose(0.0, held, PromptShape(), "z", random.Random(1)) in held
 
 
 def test_all_daemons_agree_on_few_servers_for_long_prompts() -> None:
--- a/tests/gateway/test_policies.py
+++ b/tests/gateway/test_policies.py
@@ -11,9 +11,11 @@
 
 
 def test_each_policy_can_be_named() -> None:
-    text = "places=own_counts,placement=headroom,admission=admit_all,items=least_slack,room=shares"
+    text = (
+        "places=own_counts,placement=two_choices,admission=admit_all,items=least_slack,room=shares"
+    )
     batch = BatchPolicies("least_slack", "shares")
-    assert read_policies(text) == Policies("own_counts", "headroom", "admit_all", batch)
+    assert read_policies(text) == Policies("own_counts", "two_choices", "admit_all", batch)
 
 
 @pytest.mark.parametrize(
@@ -29,3 +31,23 @@
 def test_what_cannot_be_used_is_told(text: str, told: str) -> None:
     with pytest.raises(GatewaySettingsError, match=told):
         read_policies(text)
+
+
+@pytest.mark.parametrize(
+    ("name", "removed"),
+    [
+        ("placement", "round_robin"),
+        ("placement", "least_loaded"),
+        ("placement", "headroom"),
+        ("placement", "shortest_queue"),
+        ("admission", "reject_unservable"),
+    ],
+)
+def test_a_removed_policy_is_refused_as_an_unknown_one(name: str, removed: str) -> None:
+    with pytest.raises(GatewaySettingsError) as told_of_removed:
+        read_policies(f"{name}={removed}")
+    with pytest.raises(GatewaySettingsError) as told_of_unknown:
+        read_policies(f"{name}=unknown")
+    text = str(told_of_removed.value)
+    assert text.startswith(f"TROUTSWITCH_POLICIES: {name}: expected one of ")
+    assert text == str(told_of_unknown.value).replace("unknown", removed)
