--- a/src/troutswitch/decisions/crashes/record.py
+++ b/src/troutswitch/decisions/crashes/record.py
@@ -53,7 +53,7 @@
     When it is full, requests with one crash go first, the oldest of them first.
     """
 
-    def __init__(self, held_seconds: float = HELD_SECONDS) -> None:
+    def __init__(self, held_seconds: float) -> None:
         self.held_seconds = held_seconds
         """Time after its last crash for which this daemon holds a request back."""
         self.refused: frozenset[str] = frozenset()
--- a/src/troutswitch/decisions/forwarding/requests.py
+++ b/src/troutswitch/decisions/forwarding/requests.py
@@ -113,8 +113,8 @@
         routes: RouteTable,
         servers: ServerRegistry,
         rng: random.Random,
-        policy: str = "prefix_aware",
-        admission: str = "defer_late",
+        policy: str,
+        admission: str,
         suspects: Suspects = NO_SUSPECTS,
     ) -> None:
         self.requests: dict[int, ForwardedRequest] = {}
--- a/src/troutswitch/gateway/process.py
+++ b/src/troutswitch/gateway/process.py
@@ -63,7 +63,7 @@
         self,
         settings: GatewaySettings,
         logger: structlog.typing.FilteringBoundLogger,
-        policies: Policies | None = None,
+        policies: Policies,
     ) -> None:
         self.settings = settings
         self.failure: BaseException | None = None
--- a/src/troutswitch/gateway/registry.py
+++ b/src/troutswitch/gateway/registry.py
@@ -36,7 +36,7 @@
         post: hands an event to the loop.
     """
 
-    def __init__(self, post: Callable[[object], None] = lambda event: None) -> None:
+    def __init__(self, post: Callable[[object], None]) -> None:
         self._post = post
         self.caller_watch = CallerWatch(self._on_gone)
         self._tokens = itertools.count(1)
--- a/tests/decisions/crashes/test_record.py
+++ b/tests/decisions/crashes/test_record.py
@@ -8,6 +8,7 @@
     CONTENTS_MOST,
     CRASHES_CERTAIN,
     CRASHES_MOST,
+    HELD_SECONDS,
     KEPT_SECONDS,
     REFUSED_SECONDS,
     CrashRecord,
@@ -18,7 +19,7 @@
 
 def record_of(**servers: str) -> CrashRecord:
     """Returns a record; each request's servers are letters."""
-    record = CrashRecord()
+    record = CrashRecord(HELD_SECONDS)
     for content, letters in servers.items():
         for letter in letters:
             record.add(NOW, Crash(content, letter), NOW)
@@ -77,7 +78,7 @@
 def test_the_order_of_tellings_changes_nothing() -> None:
     crashes = [Crash("x", "a"), Crash("x", "b"), Crash("x", "c"), Crash("y", "a"), Crash("y", "b")]
     for order in permutations(crashes):
-        record = CrashRecord()
+        record = CrashRecord(HELD_SECONDS)
         for crash in order:
             record.add(NOW, crash, NOW)
         assert record.refused == {"x"}
@@ -93,7 +94,7 @@
 
 
 def test_renewal_goes_on_when_the_record_is_full() -> None:
-    record = CrashRecord()
+    record = CrashRecord(HELD_SECONDS)
     for number in range(CRASHES_MOST + 3):
         at = NOW + number
         record.add(at, Crash("x", f"s{number}"), at)
@@ -109,7 +110,7 @@
 
 
 def test_a_clock_that_is_ahead_elsewhere_does_not_prolong_a_refusal() -> None:
-    record = CrashRecord()
+    record = CrashRecord(HELD_SECONDS)
     for letter in "abc":
         record.add(NOW, Crash("x", letter), NOW + 1e6)
     assert record.last_at("x") == NOW
@@ -127,7 +128,7 @@
 def test_what_is_noted_by_server_follows_what_is_noted_by_request() -> None:
     """Random additions and removals, checked against a plain set."""
     drawn = random.Random(7)
-    record, held = CrashRecord(), set[Crash]()
+    record, held = CrashRecord(HELD_SECONDS), set[Crash]()
     for _ in range(3000):
         crash = Crash(f"c{drawn.randrange(9)}", f"s{drawn.randrange(9)}")
         if drawn.random() < 0.6:
--- a/tests/decisions/forwarding/test_admission.py
+++ b/tests/decisions/forwarding/test_admission.py
@@ -174,7 +174,7 @@
 def test_without_the_policy_all_join_the_queue() -> None:
     world = World(servers=1)
     world.requests = ForwardedRequests(
-        "z", world.routes, world.servers, random.Random(1), admission="admit_all"
+        "z", world.routes, world.servers, random.Random(1), "prefix_aware", "admit_all"
     )
     assert len(fill(world, 40)) == 40
 
--- a/tests/decisions/forwarding/test_hold_late.py
+++ b/tests/decisions/forwarding/test_hold_late.py
@@ -28,7 +28,7 @@
     """Returns a world of one server whose queue is too long for a new request."""
     world = World(servers=1)
     world.requests = ForwardedRequests(
-        "z", world.routes, world.servers, random.Random(1), admission="hold_late"
+        "z", world.routes, world.servers, random.Random(1), "prefix_aware", "hold_late"
     )
     running = fill(world, 0)
     for token in range(10, 60):
--- a/tests/decisions/forwarding/test_requests.py
+++ b/tests/decisions/forwarding/test_requests.py
@@ -216,7 +216,7 @@
     world = World(route(attempts=3))
     suspects = Refusing()
     world.requests = ForwardedRequests(
-        "z", world.routes, world.servers, random.Random(1), suspects=suspects
+        "z", world.routes, world.servers, random.Random(1), "prefix_aware", "defer_late", suspects
     )
     return world, suspects
 
--- a/tests/decisions/forwarding/worlds.py
+++ b/tests/decisions/forwarding/worlds.py
@@ -72,7 +72,9 @@
         self.routes.replace(0.0, configuration(1, *routes))
         self.servers = ServerRegistry()
         self.servers.on_list(0.0, [server(f"s{n}") for n in range(servers)])
-        self.requests = ForwardedRequests("z", self.routes, self.servers, random.Random(1))
+        self.requests = ForwardedRequests(
+            "z", self.routes, self.servers, random.Random(1), "prefix_aware", "defer_late"
+        )
 
     def arrive(self, now: float, event: RequestArrived) -> SendRequest | FinishRequest:
         return self.directive(self.requests.on_arrived(now, event))
--- a/tests/decisions/peers/test_directory.py
+++ b/tests/decisions/peers/test_directory.py
@@ -132,7 +132,9 @@
 def busy_world(experience: Experience | None) -> World:
     """Returns a world whose one server was sent 40 requests since the daemon started."""
     world = World(servers=1)
-    world.requests = ForwardedRequests("z", world.routes, world.servers, random.Random(1))
+    world.requests = ForwardedRequests(
+        "z", world.routes, world.servers, random.Random(1), "prefix_aware", "defer_late"
+    )
     if experience is not None:
         world.requests.begin_with(experience)
     for token in range(40):
--- a/tests/gateway/test_relay.py
+++ b/tests/gateway/test_relay.py
@@ -44,7 +44,7 @@
 def run() -> tuple[list[ServerStandin], LateLoop, bytes]:
     servers = [ServerStandin("one"), ServerStandin("two")]
     servers[0].break_after = 2
-    relays = Relays()
+    relays = Relays(lambda event: None)
     loop = LateLoop(relays, servers)
     request = IncomingRequest("x", "POST", "/a", "h", "/a", "", [], 5.0, "", PromptShape())
     request.headers.append(("X-Troutswitch-Request-Id", "x"))
--- a/tests/gateway/test_silent_servers.py
+++ b/tests/gateway/test_silent_servers.py
@@ -120,7 +120,7 @@
     monkeypatch.setattr(exchange_module, "DOUBT_LEAST_SECONDS", 0.0)
     world.keep(KEPT)
     world.proxy.silence()
-    relays = Relays()
+    relays = Relays(lambda event: None)
     relays.open(1)
     exchange = world.exchange("left")
     relays.begin_attempt(1, 1, exchange)
@@ -201,7 +201,7 @@
 def relay(silent: Address) -> tuple[ServerStandin, ScriptedLoop, bytes]:
     """Relays a stream whose first server falls silent, up to its end at the second."""
     second = ServerStandin("two")
-    relays = Relays()
+    relays = Relays(lambda event: None)
     loop = ScriptedLoop(relays, [("one", silent), ("two", second.address)])
     request = IncomingRequest("x", "POST", "/a", "h", "/a", "", [], 5.0, "", PromptShape())
     request.headers.append((names.REQUEST_ID, "x"))
--- a/tests/gateway/test_standstill.py
+++ b/tests/gateway/test_standstill.py
@@ -91,7 +91,7 @@
         self.suspended = suspended
         monkeypatch.setattr(relay_module, "steady_seconds", self.clock)
         self.server = ServerStandin("one")
-        self.relays = Relays()
+        self.relays = Relays(lambda event: None)
         self.arrived: list[RequestArrived] = []
         self.ended: list[RequestAttemptEnded] = []
         request = IncomingRequest("x", "POST", "/a", "h", "/a", "", [], 5.0, "", PromptShape())
