--- a/tests/test_layout.py
+++ b/tests/test_layout.py
@@ -10,6 +10,9 @@
 
 SOURCE = Path(__file__).parent.parent / "src"
 STANDALONE = "troutswitch.standalone"
+PROGRAMS = ("troutswitch.gateway.__main__", "troutswitch.cli.__main__", "troutswitch.cli.main")
+STARTED_BY_NAME = ("troutswitch.soak.clockeddaemon",)
+"""Modules that another program starts as a process of its own, by `python -m`."""
 
 
 def module_name(path: Path) -> str:
@@ -65,3 +68,8 @@
         if module.split(".")[1:2] and module.split(".")[1] in packages:
             names = list(imported_names(path))
             assert not [name for name in names if name.startswith(STANDALONE)], module
+
+
+def test_a_program_reaches_each_module() -> None:
+    reached = reached_from(*PROGRAMS, *STARTED_BY_NAME)
+    assert sorted(set(MODULES) - reached) == []
