--- a/src/troutswitch/cli/soak.py
+++ b/src/troutswitch/cli/soak.py
@@ -29,7 +29,7 @@
 @click.option("--seconds", type=float, help="Length of the schedule, instead of minutes.")
 @click.option("--seed", type=int, help="Drawn and told if not given.")
 @click.option("--daemons", default=SoakSize().daemons, show_default=True)
-@click.option("--servers", default=SoakSize().servers, show_default=True)
+@click.option("--servers", default=SoakSize().engines, show_default=True)
 @click.option("--callers", default=SoakSize().callers, show_default=True)
 @click.option("--report", type=click.Path(path_type=Path), help="Folder for summary and logs.")
 def soak(
--- a/src/troutswitch/cli/standin.py
+++ b/src/troutswitch/cli/standin.py
@@ -14,7 +14,7 @@
 from troutswitch.standalone.standins.engine import EngineStandin
 from troutswitch.standalone.standins.engine_model import EngineShape
 from troutswitch.standalone.standins.platform import PlatformStandin
-from troutswitch.standins.model_engine import ModelServer
+from troutswitch.standins.model_engine import ModelEngine
 
 REGISTER_TRIES = 50
 KV_TOKENS_A_SLOT = 5000
@@ -86,13 +86,13 @@
 
 @standin.command()
 @click.option("--address", default="127.0.0.1:7100", show_default=True)
-@click.option("--id", "server_id", required=True, help="Id of this start of the server.")
+@click.option("--id", "engine_id", required=True, help="Id of this incarnation of the engine.")
 @click.option("--journal", type=click.Path(path_type=Path), required=True)
 @click.option("--seed", default=0, show_default=True, help="Draws which requests meet a fault.")
-def server(address: str, server_id: str, journal: Path, seed: int) -> None:
-    """Run a server of the users' protocol that writes down what it runs."""
-    standin_server = ModelServer(parse_address(address), server_id, journal, seed)
-    click.echo(f"server {server_id} on {standin_server.address}", err=True)
+def server(address: str, engine_id: str, journal: Path, seed: int) -> None:
+    """Run an engine of the users' protocol that writes down what it runs."""
+    model_engine = ModelEngine(parse_address(address), engine_id, journal, seed)
+    click.echo(f"engine {engine_id} on {model_engine.address}", err=True)
     wait_for_signal()
 
 
--- a/src/troutswitch/daemons/messages.py
+++ b/src/troutswitch/daemons/messages.py
@@ -1,6 +1,6 @@
-"""Messages between daemons about the slots of servers, each other, crashes and quotas.
+"""Messages between daemons about the slots of engines, each other, crashes and quotas.
 
-One daemon, the coordinator, counts the slots of a group of servers. The others report to it
+One daemon, the coordinator, counts the slots of a group of engines. The others report to it
 what they hold there, and ask it for a place before they send a request.
 """
 
@@ -15,16 +15,16 @@
 PREFILL_TOLD_TOKENS = 1024
 """Least prompt tokens that are told: fewer are read in some 20 ms, about as long as it takes
 to tell of them."""
-SERVER_KEY_MASK = 0xFFFFFFFF
-SERVER_KEYS_REMEMBERED = 8192
-NO_SERVER = 0
-"""Stands for no server in an answer."""
+ENGINE_KEY_MASK = 0xFFFFFFFF
+ENGINE_KEYS_REMEMBERED = 8192
+NO_ENGINE = 0
+"""Stands for no engine in an answer."""
 
 
-@lru_cache(maxsize=SERVER_KEYS_REMEMBERED)
-def server_key(server_id: str) -> int:
-    """Returns the short key that names a server in messages."""
-    return stable_hash("server", server_id) & SERVER_KEY_MASK or 1
+@lru_cache(maxsize=ENGINE_KEYS_REMEMBERED)
+def engine_key(engine_id: str) -> int:
+    """Returns the short key that names an engine in messages."""
+    return stable_hash("server", engine_id) & ENGINE_KEY_MASK or 1
 
 
 def prefill_units(tokens: int) -> int:
@@ -32,26 +32,26 @@
     return -(-tokens // PREFILL_UNIT_TOKENS) if tokens >= PREFILL_TOLD_TOKENS else 0
 
 
-class ServerShare(msgspec.Struct, frozen=True, array_like=True):
-    """One daemon's requests in flight on one server.
+class EngineShare(msgspec.Struct, frozen=True, array_like=True):
+    """One daemon's requests in flight on one engine.
 
-    `prefill_units` counts the prompt tokens that the server has still to read for them.
+    `prefill_units` counts the prompt tokens that the engine has still to read for them.
     """
 
-    server_key: int
+    engine_key: int
     online: int
     batch: int
     prefill_units: int
 
 
 class HoldingsReport(msgspec.Struct, frozen=True, array_like=True, tag="holds"):
-    """What one daemon has in flight on the servers of the receiver's groups.
+    """What one daemon has in flight on the engines of the receiver's groups.
 
     `sequence` rises with each report of one life of the sender; `life` names the life.
     `waiting_items` counts the batch items that it could start now to have them in time,
     `late_items` those that it could start although they will be late, `open_items` all that
     it has to finish. `word_seen` is the highest number of the receiver's words to the sender
-    that the report includes, of the receiver's life `word_life`. `unusable` names servers to
+    that the report includes, of the receiver's life `word_life`. `unusable` names engines to
     which the sender sends nothing for now.
     """
 
@@ -60,7 +60,7 @@
     address: Address
     life: int
     sequence: int
-    shares: tuple[ServerShare, ...] = ()
+    shares: tuple[EngineShare, ...] = ()
     waiting_items: int = 0
     late_items: int = 0
     open_items: int = 0
@@ -72,9 +72,9 @@
 class PlaceAsk(msgspec.Struct, frozen=True, array_like=True, tag="ask"):
     """Asks for a place for one online request.
 
-    `number` names the ask within the sender's life. `prefill_units` is what the server will
+    `number` names the ask within the sender's life. `prefill_units` is what the engine will
     have to read. `wait_most_ms` is the longest wait for a slot that the sender takes; a
-    negative one is no bound. `avoid` names servers that it will not send this request to.
+    negative one is no bound. `avoid` names engines that it will not send this request to.
     """
 
     report: HoldingsReport
@@ -86,7 +86,7 @@
 
 
 class PlaceAnswer(msgspec.Struct, frozen=True, array_like=True, tag="place"):
-    """Answers an ask: a place at a server, or none.
+    """Answers an ask: a place at an engine, or none.
 
     `word` numbers the coordinator's words to one peer that change what it holds; 0 where no
     place is granted. `wait_ms` is the wait expected for a slot, `queued` and `slots` what it
@@ -98,7 +98,7 @@
     number: int
     group: str
     word: int
-    server_key: int
+    engine_key: int
     wait_ms: int
     queued: int
     slots: int
@@ -106,7 +106,7 @@
 
 
 class BatchPlaces(msgspec.Struct, frozen=True, array_like=True, tag="batch"):
-    """Grants a peer places for batch items at a server, or takes some back.
+    """Grants a peer places for batch items at an engine, or takes some back.
 
     A negative `count` asks the peer to stop so many items there: online requests need them.
     """
@@ -115,29 +115,29 @@
     life: int
     group: str
     word: int
-    server_key: int
+    engine_key: int
     count: int
 
 
-class ServerCounts(msgspec.Struct, frozen=True, array_like=True):
-    """All requests on one server, of all daemons."""
+class EngineCounts(msgspec.Struct, frozen=True, array_like=True):
+    """All requests on one engine, of all daemons."""
 
-    server_key: int
+    engine_key: int
     online: int
     batch: int
 
 
 class GroupDigest(msgspec.Struct, frozen=True, array_like=True, tag="digest"):
-    """What a coordinator tells now and then to peers that have work at its servers.
+    """What a coordinator tells now and then to peers that have work at its engines.
 
     `free_slots_hundredths` is the mean number of slots that online requests leave at all
-    servers of the group, in hundredths; `open_items` the items that all daemons have to finish.
+    engines of the group, in hundredths; `open_items` the items that all daemons have to finish.
     """
 
     sender: str
     life: int
     group: str
-    counts: tuple[ServerCounts, ...]
+    counts: tuple[EngineCounts, ...]
     free_slots_hundredths: int
     open_items: int
 
@@ -163,26 +163,26 @@
 
 
 class CrashTold(msgspec.Struct, frozen=True, array_like=True):
-    """One server's life that ended under a request, or is said not to have (`stands` False).
+    """One engine's life that ended under a request, or is said not to have (`stands` False).
 
     `content` names the request by its content, `at` is in seconds since the epoch.
     """
 
     content: str
-    server_id: str
+    engine_id: str
     at: int
     stands: bool
 
 
 class CrashNews(msgspec.Struct, frozen=True, array_like=True, tag="crashes"):
-    """Tells what the sender has just learnt of servers that ended under requests."""
+    """Tells what the sender has just learnt of engines that ended under requests."""
 
     sender: str
     crashes: tuple[CrashTold, ...]
 
 
-class ServersLeaving(msgspec.Struct, frozen=True, array_like=True, tag="leaving"):
-    """Tells which servers drain, and which left the list, as the sender has just learnt."""
+class EnginesLeaving(msgspec.Struct, frozen=True, array_like=True, tag="leaving"):
+    """Tells which engines drain, and which left the list, as the sender has just learnt."""
 
     sender: str
     draining: tuple[str, ...]
@@ -232,7 +232,7 @@
     | GroupDigest
     | Hello
     | CrashNews
-    | ServersLeaving
+    | EnginesLeaving
     | QuotaAsk
     | QuotaAnswer
 )
--- a/src/troutswitch/daemons/peer_state.py
+++ b/src/troutswitch/daemons/peer_state.py
@@ -25,22 +25,22 @@
 
 @dataclass(frozen=True, slots=True)
 class PeerState:
-    """The newest configuration that a daemon acts on, and its list of servers.
+    """The newest configuration that a daemon acts on, and its list of engines.
 
-    `servers_age` is the time since the list was read, in seconds; None where it has none.
+    `engines_age` is the time since the list was read, in seconds; None where it has none.
     """
 
     configuration: StoredRecord | None
-    servers: tuple[StoredRecord, ...]
-    servers_age: float | None
+    engines: tuple[StoredRecord, ...]
+    engines_age: float | None
 
 
 def encode_state(state: PeerState) -> bytes:
     """Encodes a daemon's state."""
     held = state.configuration
     configuration = [held.key, held.value] if held is not None else None
-    servers = [[row.key, row.value] for row in state.servers]
-    return cbor2.dumps([VERSION, configuration, servers, state.servers_age])
+    engines = [[row.key, row.value] for row in state.engines]
+    return cbor2.dumps([VERSION, configuration, engines, state.engines_age])
 
 
 def decode_state(data: bytes) -> PeerState:
@@ -50,12 +50,12 @@
         PeerStateError: the bytes are no state of this version.
     """
     try:
-        version, configuration, servers, age = cbor2.loads(data)
+        version, configuration, engines, age = cbor2.loads(data)
         if version != VERSION:
             raise PeerStateError(f"state of version {version}")
         return PeerState(
             None if configuration is None else _record(configuration),
-            tuple(_record(row) for row in servers),
+            tuple(_record(row) for row in engines),
             None if age is None else float(age),
         )
     except (cbor2.CBORDecodeError, ValueError, TypeError) as error:
--- a/src/troutswitch/decisions/crashes/__init__.py
+++ b/src/troutswitch/decisions/crashes/__init__.py
@@ -1,1 +1,1 @@
-"""Requests under which servers end: who was there, what is known of it, and what is refused."""
+"""Requests under which engines end: who was there, what is known of it, and what is refused."""
--- a/src/troutswitch/decisions/crashes/content.py
+++ b/src/troutswitch/decisions/crashes/content.py
@@ -1,7 +1,7 @@
 """Names a request by its content, so that its tries at any daemon have one name.
 
 Each try has an id of its own. A caller's address is no part of the name: it may differ between
-tries, and what a server makes of a request depends on what it reads.
+tries, and what an engine makes of a request depends on what it reads.
 """
 
 import hashlib
--- a/src/troutswitch/decisions/crashes/interface.py
+++ b/src/troutswitch/decisions/crashes/interface.py
@@ -1,4 +1,4 @@
-"""What the parts that send requests to servers need to know of crashes."""
+"""What the parts that send requests to engines need to know of crashes."""
 
 from typing import Protocol
 
@@ -6,7 +6,7 @@
 
 
 class Suspects(Protocol):
-    """Requests that were on servers when these ended, by their content keys."""
+    """Requests that were on engines when these ended, by their content keys."""
 
     @property
     def refused(self) -> frozenset[str]:
@@ -18,27 +18,27 @@
         ...
 
     def waits_for_word(self, content: str) -> bool:
-        """Returns whether a request's next attempt waits for word of its last server."""
+        """Returns whether a request's next attempt waits for word of its last engine."""
         ...
 
     def may_try(self, now: float, content: str, pause: float, trials_most: int) -> bool:
         """Returns whether a refused request may be tried once more.
 
-        Its last crash is then at least `pause` seconds ago, and at most `trials_most` servers
+        Its last crash is then at least `pause` seconds ago, and at most `trials_most` engines
         ended under it since it was refused first.
         """
         ...
 
-    def on_lost(self, now: float, content: str, server_id: str, *, is_silent: bool = False) -> None:
+    def on_lost(self, now: float, content: str, engine_id: str, *, is_silent: bool = False) -> None:
         """An attempt's answer was lost; `is_silent` if nothing came, not even an end."""
         ...
 
     def on_served(self, now: float, content: str) -> None:
-        """A server ran a request to its end."""
+        """An engine ran a request to its end."""
         ...
 
-    def on_answered(self, now: float, server_id: str, sent_at: float) -> None:
-        """A server answers an attempt that was sent at a time of this process's clock."""
+    def on_answered(self, now: float, engine_id: str, sent_at: float) -> None:
+        """An engine answers an attempt that was sent at a time of this process's clock."""
         ...
 
 
@@ -59,13 +59,13 @@
         """Is not asked, as nothing is refused."""
         return True
 
-    def on_lost(self, now: float, content: str, server_id: str, *, is_silent: bool = False) -> None:
+    def on_lost(self, now: float, content: str, engine_id: str, *, is_silent: bool = False) -> None:
         """Takes no note."""
 
     def on_served(self, now: float, content: str) -> None:
         """Takes no note."""
 
-    def on_answered(self, now: float, server_id: str, sent_at: float) -> None:
+    def on_answered(self, now: float, engine_id: str, sent_at: float) -> None:
         """Takes no note."""
 
 
--- a/src/troutswitch/decisions/crashes/record.py
+++ b/src/troutswitch/decisions/crashes/record.py
@@ -1,8 +1,8 @@
-"""Which server lives ended under which requests, and which requests are the cause.
+"""Which engine lives ended under which requests, and which requests are the cause.
 
-Everything that was on a server is cut with it, so each of a server's requests gets the crash on
-its record, the innocent ones too. These come again and may meet the cause at its next server: as
-servers end, the rest carry all. So a record of three crashes is no proof by itself. Of the requests
+Everything that was on an engine is cut with it, so each of an engine's requests gets the crash on
+its record, the innocent ones too. These come again and may meet the cause at its next engine: as
+engines end, the rest carry all. So a record of three crashes is no proof by itself. Of the requests
 with three or more, those are refused that at least one crash can't be explained without. Two that
 share all crashes are told apart by the next one, which only the cause has.
 """
@@ -13,13 +13,13 @@
 from troutswitch.decisions.crashes.messages import Crash
 
 CRASHES_TO_REFUSE = 3
-"""Server lives that must have ended under a request before it is refused: users allow three, and
+"""Engine lives that must have ended under a request before it is refused: users allow three, and
 each costs all that ran beside."""
 CRASHES_CERTAIN = 5
 """Crashes after which a request is refused whatever else explains them. Causes that always come
 together would otherwise never be; users allow three more times once all daemons know of three."""
 REFUSED_SECONDS = 600.0
-"""Time after its last crash for which a request is refused. Then one try shows whether servers
+"""Time after its last crash for which a request is refused. Then one try shows whether engines
 can run it by now; a crash in it refuses the request again at once."""
 HELD_SECONDS = 10.0
 """Longest time after its last crash for which a request with three crashes is held back that others
@@ -27,22 +27,22 @@
 six causes at once, 9 to 18 of their sends came past the bound without this, and bystanders were
 served less often (docs/design/crashes.md)."""
 KEPT_SECONDS = 3600.0
-"""Time for which a crash is remembered: six tries of a request that goes on ending servers."""
+"""Time for which a crash is remembered: six tries of a request that goes on ending engines."""
 CONTENTS_MOST = 4096
-"""Requests on record. A fleet of 300 servers that all end at once adds up to some 4,000."""
+"""Requests on record. A fleet of 300 engines that all end at once adds up to some 4,000."""
 CRASHES_MOST = 12
 """Crashes on one request's record, the newest: far more than refuse it."""
 
 
 @dataclass(slots=True)
 class _Entry:
-    """One request's crashes: when each server's life ended, in seconds since the epoch."""
+    """One request's crashes: when each engine's life ended, in seconds since the epoch."""
 
     ended_at: dict[str, float] = field(default_factory=dict)
 
     @property
     def last_at(self) -> float:
-        """When the last server ended."""
+        """When the last engine ended."""
         return max(self.ended_at.values())
 
 
@@ -71,12 +71,12 @@
         return self._often.get(content) or self._once.get(content)
 
     def crashes(self, content: str) -> int:
-        """Returns how many server lives ended under a request, as far as is known."""
+        """Returns how many engine lives ended under a request, as far as is known."""
         entry = self._entry(content)
         return len(entry.ended_at) if entry is not None else 0
 
     def last_at(self, content: str) -> float:
-        """Returns when the last server ended under a request; minus infinity if none did."""
+        """Returns when the last engine ended under a request; minus infinity if none did."""
         entry = self._entry(content)
         return entry.last_at if entry is not None else float("-inf")
 
@@ -85,9 +85,9 @@
         entry = self._entry(content)
         return [Crash(content, name) for name in entry.ended_at] if entry is not None else []
 
-    def of_server(self, server_id: str) -> list[Crash]:
-        """Returns the crashes of one server's life."""
-        return [Crash(content, server_id) for content in sorted(self._contents.get(server_id, ()))]
+    def of_engine(self, engine_id: str) -> list[Crash]:
+        """Returns the crashes of one engine's life."""
+        return [Crash(content, engine_id) for content in sorted(self._contents.get(engine_id, ()))]
 
     @staticmethod
     def is_over(now: float, at: float) -> bool:
@@ -98,11 +98,11 @@
         """Takes a crash in; returns whether it is news. Times are seconds since the epoch."""
         at = min(at, now)
         entry = self._entry(crash.content) or _Entry()
-        is_known = crash.server_id in entry.ended_at
+        is_known = crash.engine_id in entry.ended_at
         if is_known or self.is_over(now, at):
             return False
-        entry.ended_at[crash.server_id] = at
-        self._contents[crash.server_id].add(crash.content)
+        entry.ended_at[crash.engine_id] = at
+        self._contents[crash.engine_id].add(crash.content)
         self._file(crash.content, entry)
         self._make_room(crash.content, entry)
         self._judge(now, len(entry.ended_at))
@@ -111,20 +111,20 @@
     def remove(self, now: float, crash: Crash) -> bool:
         """Takes a crash back; returns whether it was known."""
         entry = self._entry(crash.content)
-        if entry is None or crash.server_id not in entry.ended_at:
+        if entry is None or crash.engine_id not in entry.ended_at:
             return False
         count = len(entry.ended_at)
-        del entry.ended_at[crash.server_id]
+        del entry.ended_at[crash.engine_id]
         self._unlink(crash)
         self._file(crash.content, entry)
         self._judge(now, count)
         return True
 
     def _unlink(self, crash: Crash) -> None:
-        contents = self._contents[crash.server_id]
+        contents = self._contents[crash.engine_id]
         contents.discard(crash.content)
         if not contents:
-            del self._contents[crash.server_id]
+            del self._contents[crash.engine_id]
 
     def _file(self, content: str, entry: _Entry) -> None:
         """Files an entry anew by how many crashes it has, as the newest."""
@@ -137,21 +137,21 @@
 
     def _make_room(self, content: str, entry: _Entry) -> None:
         while len(entry.ended_at) > CRASHES_MOST:
-            oldest = min(entry.ended_at, key=lambda server_id: entry.ended_at[server_id])
+            oldest = min(entry.ended_at, key=lambda engine_id: entry.ended_at[engine_id])
             del entry.ended_at[oldest]
             self._unlink(Crash(content, oldest))
         while len(self) > CONTENTS_MOST:
             forgotten, held = (self._once or self._often).popitem(last=False)
-            for server_id in held.ended_at:
-                self._unlink(Crash(forgotten, server_id))
+            for engine_id in held.ended_at:
+                self._unlink(Crash(forgotten, engine_id))
 
     def lapse(self, now: float) -> list[Crash]:
         """Forgets crashes that are too old, and returns them; ends refusals that are over."""
         lapsed = [
-            Crash(content, server_id)
+            Crash(content, engine_id)
             for held in (self._once, self._often)
             for content, entry in held.items()
-            for server_id, at in entry.ended_at.items()
+            for engine_id, at in entry.ended_at.items()
             if self.is_over(now, at)
         ]
         for crash in lapsed:
@@ -188,7 +188,7 @@
             for content, entry in self._often.items()
             if len(entry.ended_at) >= CRASHES_TO_REFUSE
         }
-        on_records = Counter(server_id for lives in records.values() for server_id in lives)
+        on_records = Counter(engine_id for lives in records.values() for engine_id in lives)
         return frozenset(
             content
             for content, lives in records.items()
@@ -198,5 +198,5 @@
 
 def _is_cause(lives: frozenset[str], on_records: Counter[str]) -> bool:
     """Returns whether a request is the only explanation of a crash, by the records that count."""
-    is_needed = any(on_records[server_id] == 1 for server_id in lives)
+    is_needed = any(on_records[engine_id] == 1 for engine_id in lives)
     return is_needed or len(lives) >= CRASHES_CERTAIN
--- a/src/troutswitch/decisions/crashes/shared.py
+++ b/src/troutswitch/decisions/crashes/shared.py
@@ -33,9 +33,9 @@
 """The same while crashes are on record: a lost answer must be noticed, and the read be made again,
 well inside the three seconds in which all daemons must know."""
 READ_PAUSE_SECONDS = 0.05
-"""Least time between reads: the crashes of one server are written within some 50 ms."""
+"""Least time between reads: the crashes of one engine are written within some 50 ms."""
 WRITE_SECONDS = 0.02
-"""Time in which crashes are gathered for one call: those of one server come within 2 ms."""
+"""Time in which crashes are gathered for one call: those of one engine come within 2 ms."""
 WRITE_RETRY_SECONDS = 0.5
 WRITE_LOST_SECONDS = 4.0
 """Time after which a write whose outcome is not told is made again."""
@@ -112,7 +112,7 @@
             self._queue(now, crash, b"")
 
     def _queue(self, now: float, crash: Crash, value: bytes) -> None:
-        self._to_write.append(KeyedRecord(f"{crash.content}/{crash.server_id}", value))
+        self._to_write.append(KeyedRecord(f"{crash.content}/{crash.engine_id}", value))
         if len(self._to_write) > RECORDS_WAITING_MOST:
             self._to_write.popleft()
         if not self._write_call:
@@ -125,7 +125,7 @@
             self._taken_back[crash] = None
             if len(self._taken_back) > TAKEN_BACK_MOST:
                 self._taken_back.popitem(last=False)
-        self._to_tell.append(CrashTold(crash.content, crash.server_id, int(at), stands))
+        self._to_tell.append(CrashTold(crash.content, crash.engine_id, int(at), stands))
         if len(self._to_tell) > TOLD_WAITING_MOST:
             self._to_tell.popleft()
 
@@ -134,20 +134,20 @@
     def on_news(self, now: float, news: CrashNews) -> None:
         """Takes what a peer tells, and passes on what is news."""
         for told in news.crashes:
-            crash = Crash(told.content, told.server_id)
+            crash = Crash(told.content, told.engine_id)
             if told.stands and crash in self._taken_back:
                 continue
             if self._take(now, crash, told.at, told.stands):
                 self._pass_on(crash, told.at, told.stands)
 
     def _take_record(self, record: KeyedRecord) -> None:
-        content, _, server_id = record.key.partition("/")
+        content, _, engine_id = record.key.partition("/")
         try:
             at = float(cbor2.loads(record.value)[0]) if record.value else 0.0
         except (cbor2.CBORDecodeError, ValueError, TypeError, LookupError):
             self._log("crash record malformed", key=record.key)
             return
-        self._take(self._now, Crash(content, server_id), at, bool(record.value))
+        self._take(self._now, Crash(content, engine_id), at, bool(record.value))
 
     # The store.
 
--- a/src/troutswitch/decisions/crashes/suspects.py
+++ b/src/troutswitch/decisions/crashes/suspects.py
@@ -1,21 +1,21 @@
-"""What this daemon knows of requests under which servers ended, and what it does about it."""
+"""What this daemon knows of requests under which engines ended, and what it does about it."""
 
 import random
 from collections.abc import Callable
 
 from troutswitch.common import Address, stable_hash
 from troutswitch.daemons.messages import CrashNews
-from troutswitch.decisions.crashes.engine_crashes import ServerEndings
-from troutswitch.decisions.crashes.messages import Crash, ServerChecked
+from troutswitch.decisions.crashes.engine_crashes import EngineEndings
+from troutswitch.decisions.crashes.messages import Crash, EngineChecked
 from troutswitch.decisions.crashes.record import CRASHES_TO_REFUSE, HELD_SECONDS, CrashRecord
 from troutswitch.decisions.crashes.shared import SharedCrashes
-from troutswitch.decisions.forwarding.engines import ServerRegistry
+from troutswitch.decisions.forwarding.engines import EngineRegistry
 from troutswitch.decisions.storage.follower import CallNumbers
 from troutswitch.decisions.storage.messages import StoreOutcome
 from troutswitch.outcomes import NotRun, Step
 
 CRASHES_TO_WAIT = 2
-"""Crashes from which a request's next attempt waits until it is known whether its last server
+"""Crashes from which a request's next attempt waits until it is known whether its last engine
 ended. A retry goes within a millisecond, and knowing takes two to four."""
 SETTLED_SECONDS = 1.0
 """Time after the last crash in which a refused caller is asked to come back, as others may still
@@ -27,15 +27,15 @@
 LAPSE_SECONDS = 5.0
 """Interval of looks for crashes that are too old to count."""
 ENDED_MOST = 4096
-"""Server lives that are remembered as ended."""
+"""Engine lives that are remembered as ended."""
 CONTENTS_LOGGED = 24
-"""Requests that one log line names: two servers' slots."""
+"""Requests that one log line names: two engines' slots."""
 NEVER_STATUS = 400
 """Status after which a well-made client doesn't try again."""
 
 
 class CrashSuspects:
-    """Requests that were on servers when these ended.
+    """Requests that were on engines when these ended.
 
     What is decided here holds for the fleet: daemons that know the same crashes refuse the same
     requests, in whichever order they heard of them.
@@ -44,7 +44,7 @@
     def __init__(
         self,
         name: str,
-        servers: ServerRegistry,
+        engines: EngineRegistry,
         numbers: CallNumbers,
         peers: Callable[[], list[Address]],
         emit: Callable[[object], None],
@@ -57,11 +57,11 @@
         """Changes of what is refused."""
         self._emit = emit
         self._log = log
-        self._endings = ServerEndings(servers, emit)
+        self._endings = EngineEndings(engines, emit)
         self._record = CrashRecord(_held_seconds(name))
         self._shared = SharedCrashes(name, numbers, rng, peers, self._take, log)
         self._ended: dict[str, float] = {}
-        """When this daemon learnt that a server's life had ended, by its own clock."""
+        """When this daemon learnt that an engine's life had ended, by its own clock."""
         self._lapse_at = float("-inf")
         self._refused: frozenset[str] = frozenset()
 
@@ -78,7 +78,7 @@
         return len(self._record)
 
     def waits_for_word(self, content: str) -> bool:
-        """Returns whether a request's next attempt waits for word of its last server."""
+        """Returns whether a request's next attempt waits for word of its last engine."""
         return self._record.crashes(content) >= CRASHES_TO_WAIT
 
     def may_try(self, now: float, content: str, pause: float, trials_most: int) -> bool:
@@ -99,26 +99,26 @@
 
     # What requests meet.
 
-    def on_lost(self, now: float, content: str, server_id: str, *, is_silent: bool = False) -> None:
+    def on_lost(self, now: float, content: str, engine_id: str, *, is_silent: bool = False) -> None:
         """An attempt's answer was lost; `is_silent` if nothing came, not even an end."""
-        self._endings.on_lost(now, content, server_id, is_silent)
+        self._endings.on_lost(now, content, engine_id, is_silent)
 
-    def on_checked(self, now: float, event: ServerChecked) -> None:
-        """A server was checked after an answer of it was lost."""
+    def on_checked(self, now: float, event: EngineChecked) -> None:
+        """An engine was checked after an answer of it was lost."""
         crashes = self._endings.on_checked(event)
         self._log(
-            "server checked",
-            server=event.server_id,
+            "engine checked",
+            engine=event.engine_id,
             found=event.found,
             contents=_named(crashes),
         )
         self._on_crashes(now, crashes)
 
     def on_list(self, now: float) -> None:
-        """A new list of servers was taken in."""
+        """A new list of engines was taken in."""
         crashes = self._endings.on_list()
         for crash in crashes:
-            self._log("silent server gone", server=crash.server_id, contents=[crash.content])
+            self._log("silent engine gone", engine=crash.engine_id, contents=[crash.content])
         self._on_crashes(now, crashes)
 
     def _on_crashes(self, now: float, crashes: list[Crash]) -> None:
@@ -128,20 +128,20 @@
                 self._shared.publish(now, crash, at, True)
 
     def on_served(self, now: float, content: str) -> None:
-        """A server ran the request to its end: it was beside the cause of its crashes."""
+        """An engine ran the request to its end: it was beside the cause of its crashes."""
         if self._record.crashes(content):
             self._take_back(now, self._record.of_content(content), "served")
 
-    def on_answered(self, now: float, server_id: str, sent_at: float) -> None:
-        """A server answers an attempt; one sent after its end was told shows that it lives.
+    def on_answered(self, now: float, engine_id: str, sent_at: float) -> None:
+        """An engine answers an attempt; one sent after its end was told shows that it lives.
 
         Guards against a daemon whose connections are refused or reset on the way: it takes all
-        its servers for ended, under all its requests.
+        its engines for ended, under all its requests.
         """
-        self._endings.on_answered(server_id, sent_at)
-        if sent_at > self._ended.get(server_id, float("inf")):
-            del self._ended[server_id]
-            self._take_back(now, self._record.of_server(server_id), "server lives")
+        self._endings.on_answered(engine_id, sent_at)
+        if sent_at > self._ended.get(engine_id, float("inf")):
+            del self._ended[engine_id]
+            self._take_back(now, self._record.of_engine(engine_id), "engine lives")
 
     def _take_back(self, now: float, crashes: list[Crash], reason: str) -> None:
         if crashes:
@@ -160,12 +160,12 @@
             return False
         else:
             is_news = self._record.add(time_of_day, crash, at)
-            self._note_ended(now, crash.server_id)
+            self._note_ended(now, crash.engine_id)
         self._look_at_refused()
         return is_news
 
-    def _note_ended(self, now: float, server_id: str) -> None:
-        self._ended.setdefault(server_id, now)
+    def _note_ended(self, now: float, engine_id: str) -> None:
+        self._ended.setdefault(engine_id, now)
         if len(self._ended) > ENDED_MOST:
             del self._ended[next(iter(self._ended))]
 
@@ -177,10 +177,10 @@
         self.changes += 1
         for content in sorted(self._refused - before):
             crashes = self._record.of_content(content)
-            servers = [crash.server_id for crash in crashes]
+            engines = [crash.engine_id for crash in crashes]
             is_held = content in self._record.held
             self._log(
-                "request refused from now on", content=content, servers=servers, is_held=is_held
+                "request refused from now on", content=content, engines=engines, is_held=is_held
             )
         for content in sorted(before - self._refused):
             self._log("request no longer refused", content=content)
--- a/src/troutswitch/decisions/forwarding/admission.py
+++ b/src/troutswitch/decisions/forwarding/admission.py
@@ -1,6 +1,6 @@
 """Decides whether a request is sent now, waits here, or is refused with a time to come back.
 
-Servers serve in the order of arrival. While more arrives than they can do, a queue stands
+Engines serve in the order of arrival. While more arrives than they can do, a queue stands
 before them, and once its wait is longer than the objective leaves, each request that joins
 it is late and makes the next ones late. So one that is surely late waits at the daemon for
 slots that the others leave free; one that cannot end before its deadline is refused at once.
@@ -27,7 +27,7 @@
 """Time by which a caller's time left is shorter than usual if it was here before."""
 COME_BACK_LEAST_SECONDS = 0.1
 """Least time after which a caller is told to come back: a tenth of a second is what a look
-at the servers' slots may be old."""
+at the engines' slots may be old."""
 
 
 @dataclass(frozen=True, slots=True)
--- a/src/troutswitch/decisions/forwarding/engine_list.py
+++ b/src/troutswitch/decisions/forwarding/engine_list.py
@@ -1,4 +1,4 @@
-"""Reads the whole list of servers again and again, page by page.
+"""Reads the whole list of engines again and again, page by page.
 
 Reading the newest records whole, instead of following them, costs no more at the list's
 rate of heartbeats, and an entry that lapsed is missed at the next reading.
@@ -26,10 +26,10 @@
 READING_SECONDS_MOST = 3.0
 """Age up to which the first pages of a reading count when a later one must be asked for again.
 Begun anew after each failure, a list of six pages is hardly ever read while one call in two fails:
-a fleet of 300 daemons and 3,000 servers knew hardly any server (0.41 of its requests served)."""
+a fleet of 300 daemons and 3,000 engines knew hardly any engine (0.41 of its requests served)."""
 
 
-class ServerListReader:
+class EngineListReader:
     """Reads the list each `interval` seconds, or `pace` if the size of the fleet asks for more."""
 
     def __init__(self, numbers: CallNumbers, rng: random.Random, interval: float) -> None:
--- a/src/troutswitch/decisions/forwarding/expired_entries.py
+++ b/src/troutswitch/decisions/forwarding/expired_entries.py
@@ -1,7 +1,7 @@
-"""Tells servers that left from entries that lapsed while the store was away.
+"""Tells engines that left from entries that lapsed while the store was away.
 
-An entry also lapses when its server cannot write for a while, and is back soon after the
-store is. So a list that was read just after such a time may lack servers that are well. That
+An entry also lapses when its engine cannot write for a while, and is back soon after the
+store is. So a list that was read just after such a time may lack engines that are well. That
 this daemon's own call failed is no sign of it: the store may serve all others. Only a time in
 which no whole list came, neither from the store nor from a peer, counts as one.
 """
@@ -12,7 +12,7 @@
 """Least time without any whole list, with a failed reading in it, that is taken for an outage
 of the store. An entry lapses after three heartbeats without a write (3.6 s at the usual 1.2 s),
 so a shorter outage hardly lapses one. One reading that is not answered leaves up to 1.77 s
-between lists that are read each 0.6 s; at a limit of 1.5 s, a server that had left was used for
+between lists that are read each 0.6 s; at a limit of 1.5 s, an engine that had left was used for
 more than 2 s in 534 of 1,000 runs of the reader's own timing with one such reading."""
 UNANSWERED_SECONDS = 1.05
 """What one reading that is not answered adds to the time between lists: the reader's first
@@ -26,7 +26,7 @@
 
 
 class LapsedEntries:
-    """Decides which servers that a list lacks stay in use for a while."""
+    """Decides which engines that a list lacks stay in use for a while."""
 
     def __init__(self) -> None:
         self.interval = 0.6
@@ -43,7 +43,7 @@
         self.failed_at = now
 
     def on_list(self, read_at: float, missing: Iterable[str]) -> set[str]:
-        """Takes note of a whole list; returns which of the missing servers have left."""
+        """Takes note of a whole list; returns which of the missing engines have left."""
         if self._is_after_outage(read_at):
             self._kept_until = self.failed_at + LAPSED_SECONDS
         self.listed_at = read_at
--- a/src/troutswitch/decisions/forwarding/log_events.py
+++ b/src/troutswitch/decisions/forwarding/log_events.py
@@ -44,8 +44,8 @@
 def line_of_start(
     now: float, request: ForwardedRequest, place: Place, version: int, listed_at: float
 ) -> LogLine:
-    """Returns the line of an attempt that begins; the list of servers was read at `listed_at`."""
-    server = place.server
+    """Returns the line of an attempt that begins; the list of engines was read at `listed_at`."""
+    engine = place.engine
     return LogLine(
         "request sent",
         {
@@ -54,10 +54,10 @@
             "route": request.route.name,
             "tenant": request.tenant,
             "attempt": request.attempt,
-            "server": server.record.server_id,
-            "load": server.in_flight(now),
+            "engine": engine.record.engine_id,
+            "load": engine.in_flight(now),
             "found_by": place.found_by.value,
-            "load_age_ms": milliseconds(now - server.load_at),
+            "load_age_ms": milliseconds(now - engine.load_at),
             "objective_ms": milliseconds(request.route.objective),
             "time_left_ms": milliseconds(request.ends_at - now),
             "configuration_version": version,
@@ -99,7 +99,7 @@
             "request_id": request.arrival.request_id,
             "content": request.arrival.content,
             "attempt": request.attempt,
-            "server": request.server_id,
+            "engine": request.engine_id,
             "kind": event.kind,
             "status": event.status,
             "reason": event.reason,
@@ -112,12 +112,12 @@
 
 
 def line_of_silence(now: float, request: ForwardedRequest) -> LogLine:
-    """Returns the line of an attempt that is left since its server sends nothing."""
+    """Returns the line of an attempt that is left since its engine sends nothing."""
     return LogLine(
-        "server fell silent",
+        "engine fell silent",
         {
             "request_id": request.arrival.request_id,
-            "server": request.server_id,
+            "engine": request.engine_id,
             "waited_ms": milliseconds(now - request.sent_at),
         },
     )
@@ -132,7 +132,7 @@
             "request_id": request.arrival.request_id,
             "route": request.route.name,
             "state": request.state(now),
-            "server": request.server_id,
+            "engine": request.engine_id,
             "attempt": request.attempt,
             "delivered": request.delivered,
             "close_to_abort_ms": milliseconds(left_at - event.closed_at),
@@ -170,7 +170,7 @@
     request: ForwardedRequest,
     outcome: NotRun | MayHaveRun | Cut,
     step: Step,
-    servers_known: int,
+    engines_known: int,
     list_age: float,
 ) -> LogLine:
     """Returns the line of a request that gets its final answer; `list_age` is in seconds."""
@@ -184,7 +184,7 @@
             "outcome": type(outcome).__name__,
             "reason": outcome.reason,
             "step": step,
-            "peer": request.server_id,
+            "peer": request.engine_id,
             "attempts": len(request.kinds),
             "rejections": rejections,
             "waits": request.waits,
@@ -193,7 +193,7 @@
             "given_ms": milliseconds(request.arrival.time_left),
             "here_ms": milliseconds(now - request.arrived_at),
             "objective_ms": milliseconds(request.route.objective),
-            "servers_known": servers_known,
+            "engines_known": engines_known,
             "list_age_ms": milliseconds(list_age),
         },
     )
--- a/src/troutswitch/decisions/forwarding/messages.py
+++ b/src/troutswitch/decisions/forwarding/messages.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass
 
 from troutswitch.common import Address
-from troutswitch.decisions.forwarding.types import PromptShape, ServerLoad
+from troutswitch.decisions.forwarding.types import EngineLoad, PromptShape
 from troutswitch.decisions.tenants.types import NO_KEY, NO_TENANT
 from troutswitch.outcomes import AttemptKind, Cut, MayHaveRun, NotRun
 
@@ -38,12 +38,12 @@
     """The head of an answer to an attempt came.
 
     `not_run` tells that it is a rejection. Whoever has the address now may have sent it: a
-    server that ended may have been followed there by another.
+    engine that ended may have been followed there by another.
     """
 
     token: int
     attempt: int
-    load: ServerLoad | None
+    load: EngineLoad | None
     not_run: bool = False
 
 
@@ -52,7 +52,7 @@
     """An attempt ended.
 
     `position` is the id of the last whole event delivered to the caller, or empty.
-    `has_answer` tells that the relay holds a whole answer of the server that can be
+    `has_answer` tells that the relay holds a whole answer of the engine that can be
     passed on as it is; `longest_gap` is the longest pause between events, in seconds.
     """
 
@@ -63,7 +63,7 @@
     position: str = ""
     delivered: int = 0
     status: int = 0
-    load: ServerLoad | None = None
+    load: EngineLoad | None = None
     retry_after: float | None = None
     wrong_instance: bool = False
     has_answer: bool = False
@@ -74,7 +74,7 @@
 class CallerGone:
     """The caller closed its connection.
 
-    `aborted_at` is when its server's connection was shut down, infinite if there was none.
+    `aborted_at` is when its engine's connection was shut down, infinite if there was none.
     Both are times of this process's clock.
     """
 
@@ -92,10 +92,10 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ServerHeard:
-    """Bytes of an answer came from a server; told a few times a second at most."""
+class EngineHeard:
+    """Bytes of an answer came from an engine; told a few times a second at most."""
 
-    server_id: str
+    engine_id: str
 
 
 # Instructions.
@@ -103,17 +103,17 @@
 
 @dataclass(frozen=True, slots=True)
 class SendRequest:
-    """Send the request to a server. Times are seconds.
+    """Send the request to an engine. Times are seconds.
 
     `gap_wait` bounds how long each next bytes of the answer may take after its first event,
     `first_event_wait` those after its head; `time_left` bounds the head and is told to the
-    server as the deadline. `decided_at` is when that was worked out, by this process's clock;
-    infinite stands for now. `tenant` names the caller's tenant to the server.
+    engine as the deadline. `decided_at` is when that was worked out, by this process's clock;
+    infinite stands for now. `tenant` names the caller's tenant to the engine.
     """
 
     token: int
     attempt: int
-    server_id: str
+    engine_id: str
     address: Address
     time_left: float
     gap_wait: float
@@ -127,7 +127,7 @@
 class FinishRequest:
     """Give the caller its final answer.
 
-    `passes_on` tells to pass on the server's whole answer that the relay holds.
+    `passes_on` tells to pass on the engine's whole answer that the relay holds.
     """
 
     token: int
@@ -149,9 +149,9 @@
 
 @dataclass(frozen=True, slots=True)
 class SlotWanted:
-    """A request was sent to a server that has no free slot: a batch item there is to yield."""
+    """A request was sent to an engine that has no free slot: a batch item there is to yield."""
 
-    server_id: str
+    engine_id: str
     request_id: str
 
 
--- a/src/troutswitch/decisions/forwarding/placement.py
+++ b/src/troutswitch/decisions/forwarding/placement.py
@@ -1,163 +1,163 @@
-"""Chooses a server for a request: an interface and its implementations.
+"""Chooses an engine for a request: an interface and its implementations.
 
 `prefix_shortest` is the default. `two_choices` also acts, whatever the policy, where no
-coordinator answers (`slots/asks.py`). `prefix_aware` is there to be compared with.
+coordinator answers (`slots/slot_requests.py`). `prefix_aware` is there to be compared with.
 """
 
 import random
 from collections.abc import Callable
 from typing import Protocol
 
-from troutswitch.decisions.forwarding.engines import Server
+from troutswitch.decisions.forwarding.engines import Engine
 from troutswitch.decisions.forwarding.long_prompts import PromptSizes, choose_home
 from troutswitch.decisions.forwarding.types import PromptShape
 
 PREFILL_TOKENS_AS_FULL = 8192
-"""Prompt tokens waiting at a server that count as much as all its slots taken: they hold
+"""Prompt tokens waiting at an engine that count as much as all its slots taken: they hold
 up the first token of whatever comes, while free slots beyond one do not matter."""
 ZONE_PENALTY = 0.1
-"""Load share that a server of another zone counts as more."""
+"""Load share that an engine of another zone counts as more."""
 HEADROOM_CHOICES = 2
-"""Servers drawn by their room, of which the better one is taken."""
+"""Engines drawn by their room, of which the better one is taken."""
 HEADROOM_LEAST = 0.05
-"""Room by which a server without any is still drawn now and then."""
+"""Room by which an engine without any is still drawn now and then."""
 
 BATCH_WEIGHT = 0.2
 """Part of a request that a batch item counts as where items yield at once."""
 ZONE_CHOICES = 2
-"""Servers drawn by `TwoChoices`, and the least number of near ones of which it draws."""
+"""Engines drawn by `TwoChoices`, and the least number of near ones of which it draws."""
 QUEUE_NOISE = 0.1
-"""Random part of a server's cost, in shares of its slots."""
+"""Random part of an engine's cost, in shares of its slots."""
 
 
 class PlacementPolicy(Protocol):
-    """Chooses among servers that may take a request."""
+    """Chooses among engines that may take a request."""
 
     def choose(
         self,
         now: float,
-        candidates: list[Server],
+        candidates: list[Engine],
         prompt: PromptShape,
         zone: str,
         rng: random.Random,
-    ) -> Server:
+    ) -> Engine:
         """Returns one of the candidates, of which there is at least one."""
         ...
 
 
 class HomePolicy(Protocol):
-    """Knows servers to which some requests go whatever the counts of others are."""
+    """Knows engines to which some requests go whatever the counts of others are."""
 
-    def home(self, candidates: list[Server], prompt: PromptShape) -> Server | None:
-        """Returns the server for a request, or None if any may take it."""
+    def home(self, candidates: list[Engine], prompt: PromptShape) -> Engine | None:
+        """Returns the engine for a request, or None if any may take it."""
         ...
 
 
-def load_share(now: float, server: Server) -> float:
-    """Returns the share of the server's slots that is taken; over 1 if requests wait."""
-    return server.in_flight(now) / server.slots
+def load_share(now: float, engine: Engine) -> float:
+    """Returns the share of the engine's slots that is taken; over 1 if requests wait."""
+    return engine.in_flight(now) / engine.slots
 
 
-def placement_cost(now: float, server: Server, zone: str) -> float:
-    """Returns how bad a server is for the next request: 1 is as bad as no free slot.
+def placement_cost(now: float, engine: Engine, zone: str) -> float:
+    """Returns how bad an engine is for the next request: 1 is as bad as no free slot.
 
     Where prompts often wait, they probably wait again when the request arrives.
     """
-    prefill = max(server.waiting_prefill_tokens, server.usual_prefill_tokens)
-    return _room_cost(now, server, zone) + prefill / PREFILL_TOKENS_AS_FULL
+    prefill = max(engine.waiting_prefill_tokens, engine.usual_prefill_tokens)
+    return _room_cost(now, engine, zone) + prefill / PREFILL_TOKENS_AS_FULL
 
 
-def queue_cost(now: float, server: Server, zone: str) -> float:
-    """Returns how bad a server is for the next request where batch items yield at once."""
-    away = ZONE_PENALTY if server.record.zone != zone else 0.0
-    taken = server.online_load(now) + BATCH_WEIGHT * server.batch()
-    prefill = max(server.waiting_prefill_tokens, server.usual_prefill_tokens)
-    return taken / server.slots + away + prefill / PREFILL_TOKENS_AS_FULL
+def queue_cost(now: float, engine: Engine, zone: str) -> float:
+    """Returns how bad an engine is for the next request where batch items yield at once."""
+    away = ZONE_PENALTY if engine.record.zone != zone else 0.0
+    taken = engine.online_load(now) + BATCH_WEIGHT * engine.batch()
+    prefill = max(engine.waiting_prefill_tokens, engine.usual_prefill_tokens)
+    return taken / engine.slots + away + prefill / PREFILL_TOKENS_AS_FULL
 
 
-def batch_cost(now: float, server: Server, zone: str) -> float:
-    """Returns how bad a server is for a batch item, which may wait to be read."""
-    return _room_cost(now, server, zone)
+def batch_cost(now: float, engine: Engine, zone: str) -> float:
+    """Returns how bad an engine is for a batch item, which may wait to be read."""
+    return _room_cost(now, engine, zone)
 
 
-def _room_cost(now: float, server: Server, zone: str) -> float:
-    away = ZONE_PENALTY if server.record.zone != zone else 0.0
-    return load_share(now, server) + away
+def _room_cost(now: float, engine: Engine, zone: str) -> float:
+    away = ZONE_PENALTY if engine.record.zone != zone else 0.0
+    return load_share(now, engine) + away
 
 
 class Headroom:
-    """The better one of two servers, drawn the more often the more room they have.
+    """The better one of two engines, drawn the more often the more room they have.
 
-    What is known of loads is as old as the last reports. If many daemons took the server
+    What is known of loads is as old as the last reports. If many daemons took the engine
     that seems best, it would not stay so; drawn by their room, all fill alike.
     """
 
     def choose(
         self,
         now: float,
-        candidates: list[Server],
+        candidates: list[Engine],
         prompt: PromptShape,
         zone: str,
         rng: random.Random,
-    ) -> Server:
-        """Chooses the better of the servers drawn."""
-        costs = [placement_cost(now, server, zone) for server in candidates]
+    ) -> Engine:
+        """Chooses the better of the engines drawn."""
+        costs = [placement_cost(now, engine, zone) for engine in candidates]
         weights = [max(HEADROOM_LEAST, 1.0 - cost) ** 2 for cost in costs]
         places = rng.choices(range(len(candidates)), weights, k=HEADROOM_CHOICES)
         return candidates[min(places, key=lambda place: costs[place])]
 
 
 class ShortestQueue:
-    """The server with fewest online requests for its slots.
+    """The engine with fewest online requests for its slots.
 
     Batch items count little, as they yield. It needs counts that are fresh: with old ones
-    all daemons take the same server, which the random part of the cost lessens.
+    all daemons take the same engine, which the random part of the cost lessens.
     """
 
     def choose(
         self,
         now: float,
-        candidates: list[Server],
+        candidates: list[Engine],
         prompt: PromptShape,
         zone: str,
         rng: random.Random,
-    ) -> Server:
-        """Chooses the best server, any of those that are nearly alike."""
+    ) -> Engine:
+        """Chooses the best engine, any of those that are nearly alike."""
         return min(
             candidates,
-            key=lambda server: queue_cost(now, server, zone) + QUEUE_NOISE * rng.random(),
+            key=lambda engine: queue_cost(now, engine, zone) + QUEUE_NOISE * rng.random(),
         )
 
 
 class TwoChoices:
-    """The better one of two servers drawn at random, near ones if there are two.
+    """The better one of two engines drawn at random, near ones if there are two.
 
-    For counts that are old: if all daemons took the best server, all would take the same.
+    For counts that are old: if all daemons took the best engine, all would take the same.
     """
 
     def choose(
         self,
         now: float,
-        candidates: list[Server],
+        candidates: list[Engine],
         prompt: PromptShape,
         zone: str,
         rng: random.Random,
-    ) -> Server:
-        """Chooses the better of the servers drawn."""
-        near = [server for server in candidates if server.record.zone == zone]
+    ) -> Engine:
+        """Chooses the better of the engines drawn."""
+        near = [engine for engine in candidates if engine.record.zone == zone]
         pool = near if len(near) >= ZONE_CHOICES else candidates
         drawn = rng.sample(pool, min(ZONE_CHOICES, len(pool)))
-        return min(drawn, key=lambda server: queue_cost(now, server, zone))
+        return min(drawn, key=lambda engine: queue_cost(now, engine, zone))
 
 
 class LongPromptHomes:
-    """Long prompts go to their session's server among few."""
+    """Long prompts go to their session's engine among few."""
 
     def __init__(self) -> None:
         self._sizes = PromptSizes()
 
-    def home(self, candidates: list[Server], prompt: PromptShape) -> Server | None:
-        """Returns a long prompt's server; all daemons order those servers alike."""
+    def home(self, candidates: list[Engine], prompt: PromptShape) -> Engine | None:
+        """Returns a long prompt's engine; all daemons order those engines alike."""
         if not candidates:
             return None
         service = candidates[0].record.service
@@ -167,15 +167,15 @@
 
 
 class NoHomes:
-    """Any server may take any request."""
+    """Any engine may take any request."""
 
-    def home(self, candidates: list[Server], prompt: PromptShape) -> Server | None:
+    def home(self, candidates: list[Engine], prompt: PromptShape) -> Engine | None:
         """Names none."""
         return None
 
 
 class PrefixAware:
-    """Long prompts to their session's server among few, others as a second policy says."""
+    """Long prompts to their session's engine among few, others as a second policy says."""
 
     def __init__(self, others: PlacementPolicy) -> None:
         self.homes = LongPromptHomes()
@@ -184,12 +184,12 @@
     def choose(
         self,
         now: float,
-        candidates: list[Server],
+        candidates: list[Engine],
         prompt: PromptShape,
         zone: str,
         rng: random.Random,
-    ) -> Server:
-        """Chooses a server."""
+    ) -> Engine:
+        """Chooses an engine."""
         home = self.homes.home(candidates, prompt)
         return home or self.others.choose(now, candidates, prompt, zone, rng)
 
--- a/src/troutswitch/decisions/forwarding/placer.py
+++ b/src/troutswitch/decisions/forwarding/placer.py
@@ -5,7 +5,7 @@
 from enum import Enum
 from typing import Protocol
 
-from troutswitch.decisions.forwarding.engines import Server
+from troutswitch.decisions.forwarding.engines import Engine
 from troutswitch.decisions.forwarding.placement import PlacementPolicy
 from troutswitch.decisions.forwarding.run_times import RunTimes
 from troutswitch.decisions.forwarding.types import PromptShape
@@ -37,38 +37,38 @@
 
 @dataclass(frozen=True, slots=True)
 class Place:
-    """A server for a request; `waits` tells whether the request will wait for a slot there."""
+    """An engine for a request; `waits` tells whether the request will wait for a slot there."""
 
-    server: Server
+    engine: Engine
     found_by: FoundBy
     waits: bool
 
 
 @dataclass(frozen=True, slots=True)
 class NoPlaceInTime:
-    """The request would wait too long at every server."""
+    """The request would wait too long at every engine."""
 
     estimate: Estimate
 
 
 @dataclass(frozen=True, slots=True)
-class NoServer:
-    """There is no server left that may take the request."""
+class NoEngine:
+    """There is no engine left that may take the request."""
 
 
-Placing = Place | NoPlaceInTime | NoServer
+Placing = Place | NoPlaceInTime | NoEngine
 
 
 class Placer(Protocol):
     """Finds places for requests."""
 
-    def place(self, now: float, wish: PlaceWish, candidates: list[Server]) -> Placing | None:
+    def place(self, now: float, wish: PlaceWish, candidates: list[Engine]) -> Placing | None:
         """Returns where a request goes; None if that is told later.
 
         Args:
             now: this process's clock, in seconds.
             wish: what the request wants.
-            candidates: servers that may take it, of which there is at least one.
+            candidates: engines that may take it, of which there is at least one.
         """
         ...
 
@@ -88,14 +88,14 @@
         self._times = times
         self._rng = rng
 
-    def place(self, now: float, wish: PlaceWish, candidates: list[Server]) -> Placing | None:
+    def place(self, now: float, wish: PlaceWish, candidates: list[Engine]) -> Placing | None:
         """Chooses by the policy, unless the wait is too long everywhere."""
         if wish.longest_wait < float("inf"):
             best = least_wait(now, candidates, self._times.of(wish.service))
             if best is not None and best.wait > wish.longest_wait:
                 return NoPlaceInTime(best)
-        server = self._policy.choose(now, candidates, wish.prompt, self._zone, self._rng)
-        return Place(server, FoundBy.OWN_COUNTS, server.in_flight(now) >= server.slots)
+        engine = self._policy.choose(now, candidates, wish.prompt, self._zone, self._rng)
+        return Place(engine, FoundBy.OWN_COUNTS, engine.in_flight(now) >= engine.slots)
 
     def withdraw(self, now: float, token: int) -> None:
         """Has nothing to forget."""
--- a/src/troutswitch/decisions/forwarding/request.py
+++ b/src/troutswitch/decisions/forwarding/request.py
@@ -1,21 +1,21 @@
-"""One forwarded request in flight, and how long its server may stay silent."""
+"""One forwarded request in flight, and how long its engine may stay silent."""
 
 from dataclasses import dataclass, field
 
-from troutswitch.decisions.forwarding.engines import NO_SIZE, RequestSize, Server
+from troutswitch.decisions.forwarding.engines import NO_SIZE, Engine, RequestSize
 from troutswitch.decisions.forwarding.messages import RequestArrived
 from troutswitch.decisions.forwarding.types import Route
 from troutswitch.decisions.tenants.types import NO_TENANT
 from troutswitch.outcomes import RAN_NOTHING, AttemptKind
 
 SUSPECT_LEAST_SECONDS = 0.4
-"""Least time without a first event, and without any byte of the server, before another
-server is tried."""
+"""Least time without a first event, and without any byte of the engine, before another
+engine is tried."""
 SUSPECT_OBJECTIVES = 1.0
 """The same time in objectives of the route."""
 HUNG_SUSPECTS = 5.0
 """The time for the first event in these units after which a request is taken for hung,
-although the server answers others."""
+although the engine answers others."""
 GAP_WAIT_LEAST_SECONDS = 0.3
 """Least time between events before a resumable stream goes on elsewhere."""
 GAP_WAIT_LIMITS = 2.0
@@ -32,10 +32,10 @@
     deadline: float
     limit_at: float
     attempt: int = 0
-    server_id: str = ""
+    engine_id: str = ""
     kinds: list[AttemptKind] = field(default_factory=list)
     tried: set[str] = field(default_factory=set)
-    """Servers that it was sent to, but for those whose rejection was forgotten."""
+    """Engines that it was sent to, but for those whose rejection was forgotten."""
     rejected_by: set[str] = field(default_factory=set)
     """Those of them that rejected it unrun."""
     position: str = ""
@@ -74,10 +74,10 @@
 
     @property
     def may_wait_for_room(self) -> bool:
-        """Whether the request waits where no server can take it now.
+        """Whether the request waits where no engine can take it now.
 
         One that has run nowhere is refused instead, with a time to come back. One that may
-        have run can't be, and would only be cut: it was, with 4.3 of 5 s left, where servers
+        have run can't be, and would only be cut: it was, with 4.3 of 5 s left, where engines
         that had just rejected it as full had room a tenth of a second later.
         """
         return self.runs > 0
@@ -89,7 +89,7 @@
 
     @property
     def runs(self) -> int:
-        """Attempts that may have run at a server."""
+        """Attempts that may have run at an engine."""
         return sum(kind not in RAN_NOTHING for kind in self.kinds)
 
     @property
@@ -97,7 +97,7 @@
         """Whether another attempt is allowed if the one in flight may have run.
 
         Rejections don't count: after one run and two rejections, of three attempts allowed, a
-        server that fell silent was kept until the deadline (tests in test_rejections.py).
+        engine that fell silent was kept until the deadline (tests in test_rejections.py).
         """
         return self.route.is_repeatable and self.runs + 1 < self.route.attempts_most
 
@@ -111,7 +111,7 @@
     def first_event_wait(self, now: float) -> float:
         """Returns the seconds that bytes may take after a head, before the attempt is left.
 
-        A head says that the server has the request, not that its connection lives on: without
+        A head says that the engine has the request, not that its connection lives on: without
         this bound a stream silent from there on held its thread and place to its deadline.
         """
         left = self.ends_at - now
@@ -123,14 +123,14 @@
     def _patience(self) -> float:
         return max(SUSPECT_LEAST_SECONDS, SUSPECT_OBJECTIVES * self.route.objective)
 
-    def is_stuck(self, now: float, server: Server | None) -> bool:
-        """Returns whether the server seems not to answer this request any more.
+    def is_stuck(self, now: float, engine: Engine | None) -> bool:
+        """Returns whether the engine seems not to answer this request any more.
 
-        A loaded server answers others meanwhile: leaving it would only add to the load.
+        A loaded engine answers others meanwhile: leaving it would only add to the load.
         """
         if self.began_at <= now or not self.may_try_again:
             return False
         if now - self.sent_at > HUNG_SUSPECTS * self._patience:
             return True
-        heard_at = server.heard_at if server is not None else float("-inf")
+        heard_at = engine.heard_at if engine is not None else float("-inf")
         return now - max(heard_at, self.sent_at) > self._patience
--- a/src/troutswitch/decisions/forwarding/requests.py
+++ b/src/troutswitch/decisions/forwarding/requests.py
@@ -5,12 +5,12 @@
     (arrived) -> PLACING    a route was found, and a place is asked for
     PLACING   -> RUNNING    a place was found, and an attempt started
     RUNNING   -> PLACING    the attempt failed and may be repeated
-    PLACING   -> WAITING    no server can take it now, and it can't be refused any more, or
+    PLACING   -> WAITING    no engine can take it now, and it can't be refused any more, or
                             it is late anyway and leaves the slots to others
     WAITING   -> PLACING    after `ROOM_WAIT_SECONDS`
     any       -> finished   at most one `FinishRequest` is given, the request forgotten
 
-An attempt that the server says it did not run may be followed by another one on any
+An attempt that the engine says it did not run may be followed by another one on any
 route. One that may have run is followed only where the route allows repetition, and on
 a resumable stream the next one goes on after the last whole event delivered.
 """
@@ -26,7 +26,7 @@
     Deferral,
 )
 from troutswitch.decisions.forwarding.arrivals import Admitted, Arrivals, Refused
-from troutswitch.decisions.forwarding.engines import RequestSize, Server, ServerRegistry
+from troutswitch.decisions.forwarding.engines import Engine, EngineRegistry, RequestSize
 from troutswitch.decisions.forwarding.experience import Experience
 from troutswitch.decisions.forwarding.log_events import (
     line_of_deferral,
@@ -54,8 +54,8 @@
 from troutswitch.decisions.forwarding.placer import (
     FoundBy,
     LocalPlacer,
+    NoEngine,
     NoPlaceInTime,
-    NoServer,
     Place,
     Placer,
     PlaceWish,
@@ -84,15 +84,15 @@
 RETRY_AFTER_SPREAD_SECONDS = 0.2
 """Random part of that time, so that callers do not come back together."""
 LOOK_SECONDS = 0.1
-"""Interval between looks for servers that fell silent."""
+"""Interval between looks for engines that fell silent."""
 TIME_LEFT_LEAST_SECONDS = 0.05
 """Time left below which a request is not sent any more."""
 FULL_SECONDS = 0.15
-"""Time for which a server that rejected a request as full is left out."""
-SERVER_REJECTIONS_MOST = 3
-"""Servers that may reject one request unrun before the caller is told to come back."""
+"""Time for which an engine that rejected a request as full is left out."""
+ENGINE_REJECTIONS_MOST = 3
+"""Engines that may reject one request unrun before the caller is told to come back."""
 FAILED_STATUS_LEAST = 300
-"""Least status of a whole answer that doesn't show that a server ran the request to its end."""
+"""Least status of a whole answer that doesn't show that an engine ran the request to its end."""
 HELD_SHARE = 1 / 3
 """Share of the time that its caller gave for which a late request is held at most, and then
 sent whatever the wait: callers without any event leave after about half of their time (2.4
@@ -111,7 +111,7 @@
         self,
         zone: str,
         routes: RouteTable,
-        servers: ServerRegistry,
+        engines: EngineRegistry,
         rng: random.Random,
         policy: str,
         admission: str,
@@ -119,7 +119,7 @@
     ) -> None:
         self.requests: dict[int, ForwardedRequest] = {}
         self._routes = routes
-        self._servers = servers
+        self._engines = engines
         self._rng = rng
         self._suspects = suspects
         self.arrivals = Arrivals(routes, suspects)
@@ -249,7 +249,7 @@
         request.is_placing = False
         if isinstance(found, NoPlaceInTime):
             return self._hold_or_defer(now, request, found)
-        if isinstance(found, NoServer):
+        if isinstance(found, NoEngine):
             reason = "no server can take the request now"
             return self._wait_or_give_up(now, request, reason, Step.ROUTE)
         if request.ends_at - now < TIME_LEFT_LEAST_SECONDS:
@@ -277,35 +277,35 @@
         del self.requests[request.arrival.token]
         return self._begin(now, Refused(request.arrival, refusal, request.tenant))
 
-    def _candidates(self, now: float, request: ForwardedRequest) -> list[Server]:
-        usable = self._servers.usable(now, request.service)
-        untried = [s for s in usable if s.record.server_id not in request.tried]
+    def _candidates(self, now: float, request: ForwardedRequest) -> list[Engine]:
+        usable = self._engines.usable(now, request.service)
+        untried = [s for s in usable if s.record.engine_id not in request.tried]
         return [s for s in untried if now >= s.full_until] or untried
 
-    def candidates(self, now: float, token: int) -> list[Server]:
-        """Returns the servers that may take a request for which a place is sought."""
+    def candidates(self, now: float, token: int) -> list[Engine]:
+        """Returns the engines that may take a request for which a place is sought."""
         request = self.requests.get(token)
         return self._candidates(now, request) if request is not None else []
 
     def _start(self, now: float, request: ForwardedRequest, place: Place) -> Instructions:
-        server = place.server
+        engine = place.engine
         ensure(
             not request.runs or request.route.is_repeatable,
             "a request not to be repeated is sent again",
         )
         request.attempt += 1
-        request.server_id = server.record.server_id
-        request.tried.add(server.record.server_id)
+        request.engine_id = engine.record.engine_id
+        request.tried.add(engine.record.engine_id)
         request.began_at = float("inf")
         request.sent_at = now
-        request.size = self._size(request, server)
+        request.size = self._size(request, engine)
         request.waited = place.waits
-        self._servers.on_sent(now, server.record.server_id, False, request.size)
+        self._engines.on_sent(now, engine.record.engine_id, False, request.size)
         send = SendRequest(
             request.arrival.token,
             request.attempt,
-            server.record.server_id,
-            server.record.address,
+            engine.record.engine_id,
+            engine.record.address,
             request.ends_at - now,
             request.gap_wait(now),
             request.position,
@@ -313,26 +313,26 @@
             now,
             request.tenant,
         )
-        line = line_of_start(now, request, place, self._routes.version, self._servers.listed_at)
+        line = line_of_start(now, request, place, self._routes.version, self._engines.listed_at)
         makes_room = place.found_by is FoundBy.COORDINATOR  # the coordinator did
-        if makes_room or server.in_flight(now) <= server.slots or server.batch() == 0:
+        if makes_room or engine.in_flight(now) <= engine.slots or engine.batch() == 0:
             return [send, line]
-        return [send, line, SlotWanted(server.record.server_id, request.arrival.request_id)]
+        return [send, line, SlotWanted(engine.record.engine_id, request.arrival.request_id)]
 
-    def _size(self, request: ForwardedRequest, server: Server) -> RequestSize:
+    def _size(self, request: ForwardedRequest, engine: Engine) -> RequestSize:
         prompt = request.arrival.prompt
-        servers = self._servers.of_service(request.service) or [server]
-        prefill = expected_prefill(prompt, server, servers)
+        engines = self._engines.of_service(request.service) or [engine]
+        prefill = expected_prefill(prompt, engine, engines)
         return RequestSize(prompt.prompt_tokens + prompt.output_tokens_most, prefill)
 
     # Attempts.
 
     def on_answer_begun(self, now: float, event: AnswerBegun) -> Instructions:
-        """The server's first bytes came, a sign of life unless they are a rejection.
+        """The engine's first bytes came, a sign of life unless they are a rejection.
 
-        Guards against the next life of a server that ended: it rejects at the same address what
+        Guards against the next life of an engine that ended: it rejects at the same address what
         was meant for the ended one, whose crash was taken back for that. On days with requests
-        that end servers, the cause was free again within 3.6 s and reached servers 6 to 10 times
+        that end engines, the cause was free again within 3.6 s and reached engines 6 to 10 times
         past the bound (plays with logs of all daemons).
         """
         request = self.requests.get(event.token)
@@ -341,20 +341,20 @@
         if event.not_run:
             return []
         request.began_at = now
-        self._servers.on_begun(request.server_id, request.size)
-        self._suspects.on_answered(now, request.server_id, request.sent_at)
+        self._engines.on_begun(request.engine_id, request.size)
+        self._suspects.on_answered(now, request.engine_id, request.sent_at)
         if event.load is not None:
-            self._servers.on_load(now, request.server_id, event.load)
+            self._engines.on_load(now, request.engine_id, event.load)
         return []
 
     def on_attempt_ended(self, now: float, event: RequestAttemptEnded) -> Instructions:
-        """Forgets the request, or tries another server where that is allowed."""
+        """Forgets the request, or tries another engine where that is allowed."""
         request = self.requests.get(event.token)
         if request is None or request.is_placing or request.attempt != event.attempt:
             return []  # the end of an attempt that was given up
         self._account(now, request, event)
         if event.kind is AttemptKind.CUT and not event.has_answer:
-            self._suspects.on_lost(now, request.arrival.content, request.server_id)
+            self._suspects.on_lost(now, request.arrival.content, request.engine_id)
         request.kinds.append(event.kind)
         request.position = event.position or request.position
         request.delivered = event.delivered
@@ -377,21 +377,21 @@
 
     def _account(self, now: float, request: ForwardedRequest, event: RequestAttemptEnded) -> None:
         failed = event.kind in (AttemptKind.CUT, AttemptKind.UNREACHABLE)
-        self._end_at_server(now, request, failed)
+        self._end_at_engine(now, request, failed)
         if event.load is not None:
-            self._servers.on_load(now, request.server_id, event.load)
+            self._engines.on_load(now, request.engine_id, event.load)
         if event.wrong_instance:
-            self._servers.mark_draining(request.server_id)
-        server = self._servers.servers.get(request.server_id)
-        if event.kind is AttemptKind.REFUSED and server is not None:
-            server.full_until = now + FULL_SECONDS
+            self._engines.mark_draining(request.engine_id)
+        engine = self._engines.engines.get(request.engine_id)
+        if event.kind is AttemptKind.REFUSED and engine is not None:
+            engine.full_until = now + FULL_SECONDS
         if event.kind is AttemptKind.REFUSED:
-            request.rejected_by.add(request.server_id)
+            request.rejected_by.add(request.engine_id)
 
-    def _end_at_server(self, now: float, request: ForwardedRequest, failed: bool) -> None:
+    def _end_at_engine(self, now: float, request: ForwardedRequest, failed: bool) -> None:
         begun = request.began_at <= now
-        self._servers.on_ended(
-            now, request.server_id, False, request.size, begun=begun, failed=failed
+        self._engines.on_ended(
+            now, request.engine_id, False, request.size, begun=begun, failed=failed
         )
 
     def _after_failure(
@@ -400,7 +400,7 @@
         line = line_of_end(now, request, event)
         if event.has_answer and not self._may_repeat_answered(request):
             del self.requests[request.arrival.token]
-            passed = MayHaveRun(event.reason, Step.RELAY, request.server_id)
+            passed = MayHaveRun(event.reason, Step.RELAY, request.engine_id)
             return [line, FinishRequest(request.arrival.token, passed, passes_on=True)]
         may_go_on = request.route.is_resumable or not request.delivered
         if request.runs and not (request.route.is_repeatable and may_go_on):
@@ -412,12 +412,12 @@
         if may_have_run and self._suspects.waits_for_word(request.arrival.content):
             reason = "servers ended under this request"
             return [line, *self._wait_or_give_up(now, request, reason, Step.DISPATCH)]
-        if len(request.kinds) >= request.route.attempts_most + SERVER_REJECTIONS_MOST:
+        if len(request.kinds) >= request.route.attempts_most + ENGINE_REJECTIONS_MOST:
             return [line, *self._wait_or_give_up(now, request, event.reason, Step.DISPATCH)]
         return [line, *self._try_again(now, request, event.reason)]
 
     def _try_again(self, now: float, request: ForwardedRequest, reason: str) -> Instructions:
-        """Offers a request whose attempt failed to another server.
+        """Offers a request whose attempt failed to another engine.
 
         Only attempts that follow one that may have run are taken from the retry budget: the
         budget bounds work done twice, and an offer that was rejected was none.
@@ -437,7 +437,7 @@
     def _wait_or_give_up(
         self, now: float, request: ForwardedRequest, reason: str, step: Step
     ) -> Instructions:
-        """No server can take the request now: it waits if it can't be refused."""
+        """No engine can take the request now: it waits if it can't be refused."""
         if not request.may_wait_for_room or request.ends_at - now < TIME_LEFT_LEAST_SECONDS:
             return self._give_up(now, request, reason, step)
         request.is_placing = True
@@ -446,7 +446,7 @@
         return [line_of_wait(now, request, reason)] if request.waits == 1 else []
 
     def _offer_again(self, now: float, request: ForwardedRequest) -> Instructions:
-        """Offers a request that waited for room to the servers that rejected it.
+        """Offers a request that waited for room to the engines that rejected it.
 
         Where there are none left, also to those that broke off or fell silent.
         """
@@ -464,15 +464,15 @@
     ) -> Instructions:
         del self.requests[request.arrival.token]
         wait = RETRY_AFTER_FIRST_SECONDS + self._rng.random() * RETRY_AFTER_SPREAD_SECONDS
-        peer = request.server_id
+        peer = request.engine_id
         outcome = conclude(request.kinds, request.delivered, reason, step, peer, wait)
-        servers = self._servers
-        list_age = now - servers.listed_at
-        line = line_of_give_up(now, request, outcome, step, len(servers.servers), list_age)
+        engines = self._engines
+        list_age = now - engines.listed_at
+        line = line_of_give_up(now, request, outcome, step, len(engines.engines), list_age)
         return [FinishRequest(request.arrival.token, outcome), line]
 
     def on_caller_gone(self, now: float, event: CallerGone) -> Instructions:
-        """The caller went away: its work at the server is stopped."""
+        """The caller went away: its work at the engine is stopped."""
         request = self.requests.get(event.token)
         if request is None:
             return self._leave_counting(event)
@@ -499,13 +499,13 @@
             self.placer.withdraw(now, request.arrival.token)
             return []
         request.kinds.append(kind)
-        self._end_at_server(now, request, False)
+        self._end_at_engine(now, request, False)
         return [AbortAttempt(request.arrival.token, request.attempt, is_silent)]
 
     def end_refused(self, now: float) -> Instructions:
         """Ends the requests that are refused from now on, wherever they are.
 
-        Guards against one that waits, is on its way or queued at a server when the third crash
+        Guards against one that waits, is on its way or queued at an engine when the third crash
         becomes known: it would end one more.
         """
         instructions: Instructions = []
@@ -527,7 +527,7 @@
         return min(self._look_at, min(r.due_at for r in self.requests.values()))
 
     def on_timer(self, now: float) -> Instructions:
-        """Ends what has run out of time, and leaves servers that fell silent."""
+        """Ends what has run out of time, and leaves engines that fell silent."""
         instructions: Instructions = []
         for request in [r for r in self.requests.values() if r.ends_at <= now]:
             instructions += self._time_out(now, request)
@@ -536,7 +536,7 @@
         if now >= self._look_at:
             self._look_at = now + LOOK_SECONDS
             for request in [r for r in self.requests.values() if self._is_stuck(now, r)]:
-                instructions += self._leave_server(now, request)
+                instructions += self._leave_engine(now, request)
         return instructions
 
     def _time_out(self, now: float, request: ForwardedRequest) -> Instructions:
@@ -548,17 +548,17 @@
     def _is_stuck(self, now: float, request: ForwardedRequest) -> bool:
         if request.is_placing:
             return False
-        return request.is_stuck(now, self._servers.servers.get(request.server_id))
+        return request.is_stuck(now, self._engines.engines.get(request.engine_id))
 
-    def _leave_server(self, now: float, request: ForwardedRequest) -> Instructions:
+    def _leave_engine(self, now: float, request: ForwardedRequest) -> Instructions:
         request.kinds.append(AttemptKind.CUT)
         content = request.arrival.content
-        self._suspects.on_lost(now, content, request.server_id, is_silent=True)
-        self._end_at_server(now, request, True)
+        self._suspects.on_lost(now, content, request.engine_id, is_silent=True)
+        self._end_at_engine(now, request, True)
         left = AbortAttempt(request.arrival.token, request.attempt, is_silent=True)
         line = line_of_silence(now, request)
         request.owes_retry = True
-        return [left, line, *self._try_again(now, request, "server fell silent")]
+        return [left, line, *self._try_again(now, request, "engine fell silent")]
 
     def validate(self) -> None:
         """Asserts what must hold between events."""
@@ -567,4 +567,4 @@
             attempts = len(request.kinds) + (0 if request.is_placing else 1)
             ensure(request.attempt == attempts, "a held request has no attempt")
             is_waiting = request.waits_until < float("inf")
-            ensure(request.is_placing or not is_waiting, "a request waits and is at a server")
+            ensure(request.is_placing or not is_waiting, "a request waits and is at an engine")
--- a/src/troutswitch/decisions/forwarding/types.py
+++ b/src/troutswitch/decisions/forwarding/types.py
@@ -1,4 +1,4 @@
-"""Types of the fleet's configuration and of its servers, in the product's own terms."""
+"""Types of the fleet's configuration and of its engines, in the product's own terms."""
 
 from dataclasses import dataclass
 from enum import Enum
@@ -59,7 +59,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Service:
-    """A service's limits: connections from all callers, slots and cache tokens a server."""
+    """A service's limits: connections from all callers, slots and cache tokens an engine."""
 
     name: str
     connections_most: int
@@ -91,10 +91,10 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ServerRecord:
-    """A server as the list names it; each incarnation has an id of its own."""
+class EngineRecord:
+    """An engine as the list names it; each incarnation has an id of its own."""
 
-    server_id: str
+    engine_id: str
     service: str
     address: Address
     zone: str
@@ -103,8 +103,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ServerLoad:
-    """Load that a server told with an answer."""
+class EngineLoad:
+    """Load that an engine told with an answer."""
 
     running: int
     waiting: int
--- a/src/troutswitch/decisions/gateway.py
+++ b/src/troutswitch/decisions/gateway.py
@@ -1,6 +1,6 @@
 """The gateway daemon's decisions in one place: events in, instructions out.
 
-It owns the parts (configuration, servers, forwarded requests, batch jobs) and passes
+It owns the parts (configuration, engines, forwarded requests, batch jobs) and passes
 each event to the part that it concerns. It holds no clock, socket or thread.
 """
 
@@ -9,42 +9,42 @@
 
 from troutswitch.daemons.messages import (
     CrashNews,
+    EnginesLeaving,
     Hello,
     PlaceAnswer,
     QuotaAnswer,
     QuotaAsk,
-    ServersLeaving,
 )
 from troutswitch.daemons.peer_state import PeerState, StoredRecord
-from troutswitch.decisions.crashes.messages import ServerChecked
+from troutswitch.decisions.crashes.messages import EngineChecked
 from troutswitch.decisions.crashes.suspects import CrashSuspects
-from troutswitch.decisions.forwarding.engine_list import ServerListReader
-from troutswitch.decisions.forwarding.engines import ServerRegistry
+from troutswitch.decisions.forwarding.engine_list import EngineListReader
+from troutswitch.decisions.forwarding.engines import EngineRegistry
 from troutswitch.decisions.forwarding.log_events import line_of_unserved, milliseconds
 from troutswitch.decisions.forwarding.messages import (
     AnswerBegun,
     CallerGone,
+    EngineHeard,
     LogLine,
     RequestArrived,
     RequestAttemptEnded,
     RequestUnserved,
-    ServerHeard,
     SlotWanted,
 )
 from troutswitch.decisions.forwarding.placement import home_policy
 from troutswitch.decisions.forwarding.requests import ForwardedRequests
 from troutswitch.decisions.forwarding.routes import RouteTable
 from troutswitch.decisions.forwarding.types import (
-    ServerRecord,
+    EngineRecord,
 )
 from troutswitch.decisions.gateway_messages import (
     BoundsChanged,
     ClockCompared,
     DrainAsked,
+    EnginesLeft,
     Formats,
     GatewayIdentity,
     LimitsChanged,
-    ServersLeft,
     StoodStill,
     TimerFired,
 )
@@ -76,11 +76,11 @@
 CONFIGURATION_PAUSE_SECONDS = 0.1
 BEHIND_SECONDS = 0.4
 """Time for which readings of the configuration must have failed before an unknown key may be one
-that was added meanwhile: as long as `peers/catchup.py` waits before it asks a peer."""
+that was added meanwhile: as long as `peers/catch_up.py` waits before it asks a peer."""
 READS_SHARE = 0.25
 """Share of the store's reads that all daemons' readings of one thing may take."""
-SERVER_LIST_SHARE = 0.3
-"""Interval of readings of the server list, in bounds for draining."""
+ENGINE_LIST_SHARE = 0.3
+"""Interval of readings of the engine list, in bounds for draining."""
 
 
 Instruction = object
@@ -100,11 +100,11 @@
         self.identity = identity
         self.is_draining = False
         self.routes = RouteTable()
-        self.servers = ServerRegistry()
+        self.engines = EngineRegistry()
         self.numbers = CallNumbers()
         self.suspects = CrashSuspects(
             identity.name,
-            self.servers,
+            self.engines,
             self.numbers,
             lambda: self.contacts.addresses(),
             self._emit,
@@ -115,7 +115,7 @@
         self.requests = ForwardedRequests(
             identity.zone,
             self.routes,
-            self.servers,
+            self.engines,
             rng,
             policies.placement,
             policies.admission,
@@ -124,7 +124,7 @@
         self._formats = formats
         self._rng = rng
         self._instructions: list[Instruction] = []
-        self.server_list = ServerListReader(self.numbers, rng, SERVER_LIST_SHARE * identity.drain)
+        self.engine_list = EngineListReader(self.numbers, rng, ENGINE_LIST_SHARE * identity.drain)
         self.configuration = PartitionFollower(
             Partition(CONFIGURATION_TOPIC),
             self.numbers,
@@ -144,7 +144,7 @@
             identity.zone,
             identity.peer_address,
             life,
-            self.servers,
+            self.engines,
             self.requests.times,
             home_policy(policies.placement),
             ROOM_POLICIES[policies.batch.room](),
@@ -174,7 +174,7 @@
             identity.member_ttl_least,
             identity.job_kept,
             self.routes,
-            self.servers,
+            self.engines,
             self.numbers,
             identity.store_room,
             rng,
@@ -196,7 +196,7 @@
         self.leaving = LeavingNews(
             identity.name,
             self.contacts.addresses,
-            lambda: self.server_list.pace > self.server_list.interval,
+            lambda: self.engine_list.pace > self.engine_list.interval,
             rng,
         )
         self.directory = PeerDirectory(
@@ -212,13 +212,13 @@
 
     @property
     def is_ready(self) -> bool:
-        """Whether new connections may come: there is a configuration and a server."""
-        known = self.routes.configuration is not None and bool(self.servers.servers)
+        """Whether new connections may come: there is a configuration and an engine."""
+        known = self.routes.configuration is not None and bool(self.engines.engines)
         return known and not self.is_draining
 
-    def server_list_age(self) -> float:
-        """Returns the age of the newest list of servers at the last step, in seconds."""
-        return self._now - self.servers.listed_at
+    def engine_list_age(self) -> float:
+        """Returns the age of the newest list of engines at the last step, in seconds."""
+        return self._now - self.engines.listed_at
 
     def step(self, now: float, event: object) -> list[Instruction]:
         """Takes one event and returns what is to be done."""
@@ -237,10 +237,10 @@
                 self._emit(line_of_unserved(event))
             case _ if isinstance(event, JobEvent):
                 self.jobs.on_event(now, event)
-            case ServerChecked():
+            case EngineChecked():
                 self.suspects.on_checked(now, event)
-            case ServerHeard():
-                self.servers.on_heard(now, event.server_id)
+            case EngineHeard():
+                self.engines.on_heard(now, event.engine_id)
             case PeerMessageReceived():
                 self._on_peer_message(now, event)
             case PeerStateTold():
@@ -282,11 +282,11 @@
                 return [instruction]
 
     def _on_slot_wanted(self, now: float, wanted: SlotWanted) -> list[Instruction]:
-        """Stops an item here for a request that was placed without the server's coordinator."""
-        stop = self.jobs.owner.give_slot(now, wanted.server_id)
+        """Stops an item here for a request that was placed without the engine's coordinator."""
+        stop = self.jobs.owner.give_slot(now, wanted.engine_id)
         fields: dict[str, object] = {
             "request_id": wanted.request_id,
-            "server": wanted.server_id,
+            "engine": wanted.engine_id,
             "stopped_run": stop.run if stop is not None else 0,
         }
         line = LogLine("slot wanted", fields)
@@ -302,8 +302,8 @@
         if isinstance(message, CrashNews):
             self.suspects.on_news(now, message)
             return
-        if isinstance(message, ServersLeaving):
-            self._on_servers_leaving(now, message)
+        if isinstance(message, EnginesLeaving):
+            self._on_engines_leaving(now, message)
             return
         if isinstance(message, QuotaAsk):
             self.quota.on_ask(now, message)
@@ -319,13 +319,13 @@
         if claim is not None and known:
             self.slots.reports.assume_known(claim)
 
-    def _on_servers_leaving(self, now: float, news: ServersLeaving) -> None:
+    def _on_engines_leaving(self, now: float, news: EnginesLeaving) -> None:
         draining, left = self.leaving.on_news(now, news)
-        for server_id in draining:
-            self.servers.mark_draining(server_id)
-        self.servers.on_told_left(now, left)
+        for engine_id in draining:
+            self.engines.mark_draining(engine_id)
+        self.engines.on_told_left(now, left)
         if draining or left:
-            self._log("servers leave", peer=news.sender, draining=draining, left=left)
+            self._log("engines leave", peer=news.sender, draining=draining, left=left)
 
     def _counted(self, now: float, ended: list[QuotaEnd]) -> None:
         for end in ended:
@@ -344,15 +344,15 @@
             "stood still",
             seconds=round(event.seconds, 3),
             in_flight=len(self.requests.requests),
-            list_age_ms=milliseconds(now - self.servers.listed_at),
+            list_age_ms=milliseconds(now - self.engines.listed_at),
         )
         self.configuration.read_again(now)
-        self.server_list.read_again(now)
+        self.engine_list.read_again(now)
         self.slots.claims.read_again(now)
         self.suspects.read_again(now)
 
     def _on_bounds(self, event: BoundsChanged) -> None:
-        self.server_list.interval = SERVER_LIST_SHARE * event.drain
+        self.engine_list.interval = ENGINE_LIST_SHARE * event.drain
         self.configuration.wait = CONFIGURATION_WAIT_SHARE * event.configuration_apply
         self.jobs.retention.job_kept = event.job_kept
         self._log(
@@ -366,7 +366,7 @@
         """Returns when the next timer fires."""
         return min(
             self.requests.next_due(),
-            self.server_list.next_due(),
+            self.engine_list.next_due(),
             self.configuration.next_due(),
             self.jobs.next_due(),
             self.slots.next_due(),
@@ -379,7 +379,7 @@
         )
 
     def _on_timer(self, now: float) -> None:
-        self.servers.on_timer(now)
+        self.engines.on_timer(now)
         self.suspects.on_timer(now)
         if self._suspects_changes != self.suspects.changes:
             self._suspects_changes = self.suspects.changes
@@ -388,7 +388,7 @@
         self._look_whether_behind(now)
         self._counted(now, self.quota.on_timer(now))
         self._instructions += self.requests.on_timer(now)
-        self._instructions += self._read_server_list(now)
+        self._instructions += self._read_engine_list(now)
         self._instructions += self.configuration.on_timer(now)
         self.jobs.on_timer(now)
         found, calls = self.slots.on_timer(now)
@@ -408,20 +408,20 @@
         is_behind = is_older or now - behind_since >= BEHIND_SECONDS
         self.requests.arrivals.callers.is_behind = is_behind
 
-    def _read_server_list(self, now: float) -> list[StoreCall]:
+    def _read_engine_list(self, now: float) -> list[StoreCall]:
         """Reads the list if it is due; a reading that ended without an outcome has failed too."""
-        failures = self.server_list.failures
-        calls = self.server_list.on_timer(now)
-        if self.server_list.failures > failures:
-            self.servers.on_list_failed(now)
+        failures = self.engine_list.failures
+        calls = self.engine_list.on_timer(now)
+        if self.engine_list.failures > failures:
+            self.engines.on_list_failed(now)
         return calls
 
     def _pace_readings(self) -> None:
         """Reads less often in a large fleet, so that all readings together stay bounded."""
         rate = READS_SHARE * self.identity.store_reads_per_second
         pace = (1 + len(self.contacts.contacts)) / rate if rate > 0 else 0.0
-        self.server_list.pace = pace * self.server_list.pages
-        self.servers.lapsed.interval = max(self.server_list.pace, self.server_list.interval)
+        self.engine_list.pace = pace * self.engine_list.pages
+        self.engines.lapsed.interval = max(self.engine_list.pace, self.engine_list.interval)
         self.slots.claims.set_pace(pace)
         self.jobs.replicas.index_follower.pace = pace
         self.suspects.set_pace(pace)
@@ -433,7 +433,7 @@
             self.routes.version,
             self.contacts.newest_version(),
             self.configuration.failing_since,
-            self.server_list.failing_since,
+            self.engine_list.failing_since,
         )
 
     def share_state(self, now: float, version: int) -> PeerState:
@@ -463,10 +463,10 @@
         held = event.state.configuration
         if held is not None:
             self._take_configuration(KeyedRecord(held.key, held.value))
-        age = event.state.servers_age
-        if age is not None and now - age > self.servers.listed_at:
-            rows = [KeyedRecord(row.key, row.value) for row in event.state.servers]
-            self._take_server_list(now - age, rows, event.host)
+        age = event.state.engines_age
+        if age is not None and now - age > self.engines.listed_at:
+            rows = [KeyedRecord(row.key, row.value) for row in event.state.engines]
+            self._take_engine_list(now - age, rows, event.host)
 
     def _on_peer_version(self, now: float, hello: Hello) -> None:
         """A peer that acts on a newer configuration shows that a read here was lost."""
@@ -479,8 +479,8 @@
     # The store.
 
     def _on_store(self, now: float, call: int, outcome: StoreOutcome) -> None:
-        if self.server_list.owns(call):
-            self._on_server_list(now, outcome)
+        if self.engine_list.owns(call):
+            self._on_engine_list(now, outcome)
         elif self.configuration.owns(call):
             self.configuration.on_answer(now, outcome)
         elif self.suspects.owns(call):
@@ -492,48 +492,48 @@
         else:
             self.jobs.on_store(now, call, outcome)
 
-    def _on_server_list(self, now: float, outcome: StoreOutcome) -> None:
-        rows = self.server_list.on_answer(now, outcome)
-        if self.server_list.failures:
-            self.servers.on_list_failed(now)
-            if self.server_list.failures == 1:
-                self._log("server list lost", outcome=str(outcome)[:200])
+    def _on_engine_list(self, now: float, outcome: StoreOutcome) -> None:
+        rows = self.engine_list.on_answer(now, outcome)
+        if self.engine_list.failures:
+            self.engines.on_list_failed(now)
+            if self.engine_list.failures == 1:
+                self._log("engine list lost", outcome=str(outcome)[:200])
         if rows is not None:
-            self._take_server_list(now, rows)
+            self._take_engine_list(now, rows)
 
-    def _take_server_list(self, read_at: float, rows: list[KeyedRecord], peer: str = "") -> None:
-        """Takes a list of servers that was read here, or by a peer."""
+    def _take_engine_list(self, read_at: float, rows: list[KeyedRecord], peer: str = "") -> None:
+        """Takes a list of engines that was read here, or by a peer."""
         self._listing = (tuple(StoredRecord(row.key, row.value) for row in rows), read_at)
-        records = [record for row in rows if (record := self._server(row)) is not None]
-        kept_before = self.servers.kept_missing
-        came, left = self.servers.on_list(read_at, records)
+        records = [record for row in rows if (record := self._engine(row)) is not None]
+        kept_before = self.engines.kept_missing
+        came, left = self.engines.on_list(read_at, records)
         self.suspects.on_list(self._now)
         self.leaving.on_back(came)
-        self.leaving.on_read(self._now, [r.server_id for r in records if r.is_draining], left)
-        if self.servers.kept_missing != kept_before:
+        self.leaving.on_read(self._now, [r.engine_id for r in records if r.is_draining], left)
+        if self.engines.kept_missing != kept_before:
             self._log(
-                "missing servers kept",
-                servers=sorted(self.servers.kept_missing),
-                reading_failed_ms=milliseconds(read_at - self.servers.lapsed.failed_at),
+                "missing engines kept",
+                engines=sorted(self.engines.kept_missing),
+                reading_failed_ms=milliseconds(read_at - self.engines.lapsed.failed_at),
                 peer=peer,
             )
         if came or left:
             self._log(
-                "servers changed",
+                "engines changed",
                 came=came,
                 left=left,
                 listed=len(records),
-                slots=self.servers.slots_in_use(),
+                slots=self.engines.slots_in_use(),
                 peer=peer,
             )
         if left:
-            self._instructions.append(ServersLeft(tuple(left)))
+            self._instructions.append(EnginesLeft(tuple(left)))
 
-    def _server(self, row: KeyedRecord) -> ServerRecord | None:
+    def _engine(self, row: KeyedRecord) -> EngineRecord | None:
         try:
-            return self._formats.server(row.key, row.value)
+            return self._formats.engine(row.key, row.value)
         except ValueError as error:
-            self._log("server record malformed", server=row.key, reason=str(error))
+            self._log("engine record malformed", engine=row.key, reason=str(error))
             return None
 
     def _take_configuration(self, record: KeyedRecord) -> None:
--- a/src/troutswitch/decisions/gateway_messages.py
+++ b/src/troutswitch/decisions/gateway_messages.py
@@ -5,23 +5,23 @@
 
 from troutswitch.common import Address
 from troutswitch.decisions.forwarding.types import (
+    EngineRecord,
     FleetConfiguration,
     RequestLimits,
-    ServerRecord,
 )
 from troutswitch.decisions.jobs.records import StoreRoom
 from troutswitch.decisions.tenants.types import QuotaBounds
 
 
 class Formats(Protocol):
-    """Decodes what operators and servers write; each raises `ValueError` on bad data."""
+    """Decodes what operators and engines write; each raises `ValueError` on bad data."""
 
     def configuration(self, key: str, data: bytes) -> FleetConfiguration | None:
         """Decodes a record of the configuration's topic; None if it is another one."""
         ...
 
-    def server(self, server_id: str, data: bytes) -> ServerRecord:
-        """Decodes a server's record."""
+    def engine(self, engine_id: str, data: bytes) -> EngineRecord:
+        """Decodes an engine's record."""
         ...
 
 
@@ -85,7 +85,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ServersLeft:
-    """Instruction: drop what is kept for servers that left."""
+class EnginesLeft:
+    """Instruction: drop what is kept for engines that left."""
 
-    server_ids: tuple[str, ...]
+    engine_ids: tuple[str, ...]
--- a/src/troutswitch/decisions/jobs/batch_capacity.py
+++ b/src/troutswitch/decisions/jobs/batch_capacity.py
@@ -1,6 +1,6 @@
-"""How much of a server batch items may take, so that online requests find room.
+"""How much of an engine batch items may take, so that online requests find room.
 
-Servers know no priorities and admit in the order of arrival. An item gives its slot back
+Engines know no priorities and admit in the order of arrival. An item gives its slot back
 only by being stopped, which takes a few milliseconds once somebody asks for the slot.
 """
 
@@ -9,26 +9,26 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from troutswitch.decisions.forwarding.engines import Server
+from troutswitch.decisions.forwarding.engines import Engine
 
 MEMORY_SHARE = 0.85
-"""Share of a server's memory that this daemon's own requests may fill with a batch item."""
+"""Share of an engine's memory that this daemon's own requests may fill with a batch item."""
 
 
 class RoomPolicy(Protocol):
-    """Tells how many items may start at a server, and how many must stop."""
+    """Tells how many items may start at an engine, and how many must stop."""
 
-    def free(self, now: float, server: Server, age_share: float) -> int:
-        """Returns how many more items the server may take from all daemons together.
+    def free(self, now: float, engine: Engine, age_share: float) -> int:
+        """Returns how many more items the engine may take from all daemons together.
 
         Args:
             now: this process's clock, in seconds.
-            server: the server.
+            engine: the engine.
             age_share: age of the item's job, in its objectives.
         """
         ...
 
-    def surplus(self, now: float, server: Server) -> int:
+    def surplus(self, now: float, engine: Engine) -> int:
         """Returns how many items all daemons together should stop for online requests."""
         ...
 
@@ -47,15 +47,15 @@
     pressing_age: float = 0.35
     yield_share: float = 0.95
 
-    def free(self, now: float, server: Server, age_share: float) -> int:
+    def free(self, now: float, engine: Engine, age_share: float) -> int:
         """Returns how many more items fit the share of a job of that age."""
         is_pressing = self.pressing_age <= age_share <= 1.0
         share = self.pressing if is_pressing else self.relaxed
-        return max(0, max(1, int(server.slots * share)) - server.in_flight(now))
+        return max(0, max(1, int(engine.slots * share)) - engine.in_flight(now))
 
-    def surplus(self, now: float, server: Server) -> int:
+    def surplus(self, now: float, engine: Engine) -> int:
         """Returns how many items stand above the share from which they yield."""
-        return _surplus(now, server, int(server.slots * self.yield_share))
+        return _surplus(now, engine, int(engine.slots * self.yield_share))
 
 
 @dataclass(frozen=True, slots=True)
@@ -64,31 +64,31 @@
 
     reserve: int = 0
 
-    def free(self, now: float, server: Server, age_share: float) -> int:
+    def free(self, now: float, engine: Engine, age_share: float) -> int:
         """Returns the slots that are free beyond the reserve."""
-        most = max(1, server.slots - self.reserve)
-        return max(0, most - server.in_flight(now))
+        most = max(1, engine.slots - self.reserve)
+        return max(0, most - engine.in_flight(now))
 
-    def surplus(self, now: float, server: Server) -> int:
+    def surplus(self, now: float, engine: Engine) -> int:
         """Returns how many items hold slots for which online requests wait."""
-        return _surplus(now, server, server.slots)
+        return _surplus(now, engine, engine.slots)
 
 
-def _surplus(now: float, server: Server, most: int) -> int:
-    if server.online() == 0:
+def _surplus(now: float, engine: Engine, most: int) -> int:
+    if engine.online() == 0:
         return 0
-    return max(0, min(server.in_flight(now) - most, server.batch()))
+    return max(0, min(engine.in_flight(now) - most, engine.batch()))
 
 
 ROOM_POLICIES: dict[str, Callable[[], RoomPolicy]] = {"shares": ShareRoom, "slots": SlotRoom}
 """Room policies by name."""
 
 
-def has_memory(server: Server, tokens: int, cache_tokens: int) -> bool:
-    """Returns whether an item of some tokens fits the server's memory, as far as known."""
+def has_memory(engine: Engine, tokens: int, cache_tokens: int) -> bool:
+    """Returns whether an item of some tokens fits the engine's memory, as far as known."""
     if cache_tokens <= 0:
         return True
-    return server.tokens_in_flight + tokens <= cache_tokens * MEMORY_SHARE
+    return engine.tokens_in_flight + tokens <= cache_tokens * MEMORY_SHARE
 
 
 def own_part(count: int, part: float, rng: random.Random) -> int:
--- a/src/troutswitch/decisions/jobs/coordinator.py
+++ b/src/troutswitch/decisions/jobs/coordinator.py
@@ -5,7 +5,7 @@
 from dataclasses import replace
 
 from troutswitch.decisions.crashes.interface import Suspects
-from troutswitch.decisions.forwarding.engines import ServerRegistry
+from troutswitch.decisions.forwarding.engines import EngineRegistry
 from troutswitch.decisions.forwarding.messages import LogLine
 from troutswitch.decisions.forwarding.routes import RouteTable
 from troutswitch.decisions.jobs.intake import JobIntake
@@ -57,7 +57,7 @@
         ttl_least: float,
         job_kept: float,
         routes: RouteTable,
-        servers: ServerRegistry,
+        engines: EngineRegistry,
         numbers: CallNumbers,
         room: StoreRoom,
         rng: random.Random,
@@ -76,7 +76,7 @@
         self.ownership = ShardOwnership(member, ttl_least, self.replicas, numbers, rng, self._log)
         self.owner = JobOwner(
             routes,
-            servers,
+            engines,
             self.replicas,
             self.ownership,
             numbers,
--- a/src/troutswitch/decisions/jobs/item_contents.py
+++ b/src/troutswitch/decisions/jobs/item_contents.py
@@ -1,7 +1,7 @@
-"""Names items by what servers read of them, so that their crashes are counted over all owners.
+"""Names items by what engines read of them, so that their crashes are counted over all owners.
 
 Items of one job that share a path are named together until one of them was done: what ends
-servers is then likely what they have in common, and counted apart each of them would end three.
+engines is then likely what they have in common, and counted apart each of them would end three.
 """
 
 from collections import Counter
@@ -21,7 +21,7 @@
 class ItemContents:
     """The content keys of the items that this daemon owns.
 
-    On a day with such a job of eight items, 35 servers ended under it where the items were
+    On a day with such a job of eight items, 35 engines ended under it where the items were
     counted apart (a play with the logs of all daemons).
     """
 
--- a/src/troutswitch/decisions/jobs/item_refusals.py
+++ b/src/troutswitch/decisions/jobs/item_refusals.py
@@ -1,9 +1,9 @@
-"""Which items may not run, as servers ended under them, and when one of them is tried again.
+"""Which items may not run, as engines ended under them, and when one of them is tried again.
 
-FREE     -> REFUSED   three servers ended under the item, or under those named with it
-REFUSED  -> ON_TRIAL  no server has ended under it for `TRIAL_SECONDS`
-ON_TRIAL -> REFUSED   one more server ended: the next trial comes as long after that
-ON_TRIAL -> FREE      a server ran it to its end
+FREE     -> REFUSED   three engines ended under the item, or under those named with it
+REFUSED  -> ON_TRIAL  no engine has ended under it for `TRIAL_SECONDS`
+ON_TRIAL -> REFUSED   one more engine ended: the next trial comes as long after that
+ON_TRIAL -> FREE      an engine ran it to its end
 """
 
 from troutswitch.decisions.crashes.interface import Suspects
@@ -13,9 +13,9 @@
 
 TRIAL_SECONDS = 16.0
 """Time without a crash after which a refused item is tried once more: users count an item as left
-lying that no server has had for 20 s, of which some go by until it has a place."""
+lying that no engine has had for 20 s, of which some go by until it has a place."""
 TRIALS_MOST = 2
-"""Servers that trials of an item may end: users allow three more after the first three, and one may
+"""Engines that trials of an item may end: users allow three more after the first three, and one may
 be in flight when the third becomes known. With these an item is never left lying for 50 s, by
 when its retention (60 s) allows to give it up."""
 
@@ -51,13 +51,13 @@
             for content in self._contents.both(progress):
                 self._tried_at.pop(content, None)
 
-    def on_lost(self, now: float, progress: ItemProgress, server_id: str) -> None:
+    def on_lost(self, now: float, progress: ItemProgress, engine_id: str) -> None:
         """A run's answer was lost."""
         progress.is_on_trial = False
-        self._suspects.on_lost(now, self._contents.of(progress), server_id)
+        self._suspects.on_lost(now, self._contents.of(progress), engine_id)
 
     def on_done(self, now: float, progress: ItemProgress) -> None:
-        """A server ran an item to its end."""
+        """An engine ran an item to its end."""
         progress.is_on_trial = False
         for content in self._contents.both(progress):
             self._suspects.on_served(now, content)
--- a/src/troutswitch/decisions/jobs/items.py
+++ b/src/troutswitch/decisions/jobs/items.py
@@ -14,7 +14,7 @@
     `number` is the item's place in its job. `texts` is the output so far, of which the
     events in `unsaved` are not in the store yet; `parts` counts the records that are. `content`
     is the item's content key once it was needed.
-    `is_on_trial` tells that it runs although servers ended under it (`itemrefusals`).
+    `is_on_trial` tells that it runs although engines ended under it (`itemrefusals`).
     `failures` counts the runs that failed, here and at earlier owners, of which the store has
     `failures_saved`. `started_at` is the first start on this daemon, `ran_seconds` the time in
     runs here.
--- a/src/troutswitch/decisions/jobs/messages.py
+++ b/src/troutswitch/decisions/jobs/messages.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass
 
 from troutswitch.common import Address
-from troutswitch.decisions.forwarding.types import ServerLoad
+from troutswitch.decisions.forwarding.types import EngineLoad
 from troutswitch.decisions.jobs.records import ItemResult, JobItem
 from troutswitch.decisions.tenants.types import NO_KEY, NO_TENANT
 from troutswitch.outcomes import AttemptKind
@@ -75,7 +75,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ItemBegun:
-    """A server made the first token of a run."""
+    """An engine made the first token of a run."""
 
     run: int
 
@@ -97,7 +97,7 @@
     status: int
     reason: str
     events: tuple[OutputEvent, ...]
-    load: ServerLoad | None = None
+    load: EngineLoad | None = None
     wrong_instance: bool = False
 
 
@@ -106,10 +106,10 @@
 
 @dataclass(frozen=True, slots=True)
 class RunItem:
-    """Run an item at a server, from the event after `resume_after`. Times are seconds."""
+    """Run an item at an engine, from the event after `resume_after`. Times are seconds."""
 
     run: int
-    server_id: str
+    engine_id: str
     address: Address
     host: str
     item: JobItem
--- a/src/troutswitch/decisions/jobs/owner.py
+++ b/src/troutswitch/decisions/jobs/owner.py
@@ -2,7 +2,7 @@
 
 An item's states:
 
-    PENDING  -> RUNNING   a server has room, and its run started
+    PENDING  -> RUNNING   an engine has room, and its run started
     RUNNING  -> PENDING   the run ended early; the next goes on after its last whole event
     RUNNING  -> FINISHED  the output is whole, or the item can never be done
     FINISHED -> listed    its result was appended at a position under the shard's epoch
@@ -16,7 +16,7 @@
 from typing import Protocol
 
 from troutswitch.decisions.crashes.interface import Suspects
-from troutswitch.decisions.forwarding.engines import Server, ServerRegistry
+from troutswitch.decisions.forwarding.engines import Engine, EngineRegistry
 from troutswitch.decisions.forwarding.messages import LogLine
 from troutswitch.decisions.forwarding.routes import RouteTable
 from troutswitch.decisions.forwarding.types import Route
@@ -52,24 +52,24 @@
 """Items that run at once from this daemon."""
 SETTLE_SECONDS = 0.5
 """Time after its start for which a daemon starts no items: it does not know yet what others
-have at servers. After all were killed at once, all would fill the same slots."""
+have at engines. After all were killed at once, all would fill the same slots."""
 STARTS_A_TICK = 8
 """Items that start in one look, so that peers hear of them before many follow."""
 RETRY_SECONDS = 0.2
 FAILED_RETRY_SECONDS = 0.4
 REFUSED_RETRY_SECONDS = 1.0
 """Time after which an item that is refused is looked at again. It may not be listed as given up:
-only a server's word or the end of its retention allows that."""
+only an engine's word or the end of its retention allows that."""
 CROWDED_SHARE = 0.3
 """Share of the tokens that may wait on a route from which daemons tell how far jobs are."""
 ROUTE_GONE_SECONDS = 6.0
 """Time without a route after which an item is given up."""
 FAILED_STATUS = 500
-"""Status with which a server says that an item's run failed; others say nothing of it."""
+"""Status with which an engine says that an item's run failed; others say nothing of it."""
 LOST_STATUSES = (0, 200)
 """Statuses of a run whose answer did not come whole: none was read, or a stream broke off."""
 NEVER_STATUS = 422
-"""Status with which a server says that an item can never be done."""
+"""Status with which an engine says that an item can never be done."""
 
 Instruction = StoreCall | RunItem | StopItem | LogLine
 
@@ -81,8 +81,8 @@
         """Returns what all daemons' items may count on together."""
         ...
 
-    def is_coordinated(self, now: float, server_id: str) -> bool:
-        """Returns whether places at a server are granted, and must not be taken without."""
+    def is_coordinated(self, now: float, engine_id: str) -> bool:
+        """Returns whether places at an engine are granted, and must not be taken without."""
         ...
 
 
@@ -92,7 +92,7 @@
     def __init__(
         self,
         routes: RouteTable,
-        servers: ServerRegistry,
+        engines: EngineRegistry,
         replicas: JobReplicas,
         ownership: ShardOwnership,
         numbers: CallNumbers,
@@ -104,11 +104,11 @@
         policies: BatchPolicies,
         suspects: Suspects,
     ) -> None:
-        self._runs = ItemRuns(servers, log)
+        self._runs = ItemRuns(engines, log)
         self._items = OpenItems(replicas)
         self._refusals = ItemRefusals(suspects, replicas)
         self._routes = routes
-        self._servers = servers
+        self._engines = engines
         self._replicas = replicas
         self._ownership = ownership
         self.is_draining = False
@@ -121,7 +121,7 @@
         self._room = ROOM_POLICIES[policies.room]()
         self._selection = ItemSelection(
             routes,
-            servers,
+            engines,
             replicas.index,
             rng,
             zone,
@@ -229,24 +229,24 @@
     def _yield_slots(self, now: float) -> list[Instruction]:
         """Stops this daemon's part of the items that stand in the way of online requests."""
         instructions: list[Instruction] = []
-        for server_id in {run.server_id for run in self.runs.values() if not run.is_stopped}:
-            server = self._servers.servers.get(server_id)
-            if server is None or self._slots.is_coordinated(now, server_id):
+        for engine_id in {run.engine_id for run in self.runs.values() if not run.is_stopped}:
+            engine = self._engines.engines.get(engine_id)
+            if engine is None or self._slots.is_coordinated(now, engine_id):
                 continue
-            surplus = self._room.surplus(now, server)
-            instructions += self._stop_least_urgent(now, server_id, surplus)
+            surplus = self._room.surplus(now, engine)
+            instructions += self._stop_least_urgent(now, engine_id, surplus)
         return instructions
 
-    def give_slot(self, now: float, server_id: str) -> StopItem | None:
-        """Stops the least urgent item at a server; None if this daemon has none there."""
-        stopped = self._stop_least_urgent(now, server_id, 1)
+    def give_slot(self, now: float, engine_id: str) -> StopItem | None:
+        """Stops the least urgent item at an engine; None if this daemon has none there."""
+        stopped = self._stop_least_urgent(now, engine_id, 1)
         return stopped[0] if stopped else None
 
-    def _stop_least_urgent(self, now: float, server_id: str, count: int) -> list[StopItem]:
+    def _stop_least_urgent(self, now: float, engine_id: str, count: int) -> list[StopItem]:
         running = [
             run.progress
             for run in self.runs.values()
-            if run.server_id == server_id and not run.is_stopped
+            if run.engine_id == engine_id and not run.is_stopped
         ]
         if count <= 0 or not running:
             return []
@@ -268,7 +268,7 @@
         in_time = ordered[: len(ordered) - len(late)]
         room = max(0, RUNS_MOST - len(self.runs))
         self.waiting = WaitingItems(min(room, len(in_time)), min(room, len(late)))
-        if all(self._slots.is_coordinated(now, name) for name in self._servers.servers):
+        if all(self._slots.is_coordinated(now, name) for name in self._engines.engines):
             return []  # places are granted
         self._selection.share_room(self._own_part(share))
         instructions += self._start_some(now, in_time)
@@ -283,7 +283,7 @@
         return not any(not progress.run for progress in in_time)
 
     def _start_some(self, now: float, ordered: list[ItemProgress]) -> list[Instruction]:
-        """Starts items at servers where nobody grants places, by what is known here."""
+        """Starts items at engines where nobody grants places, by what is known here."""
         instructions: list[Instruction] = []
         for progress in ordered:
             if len(self.runs) >= RUNS_MOST or len(instructions) >= STARTS_A_TICK:
@@ -305,7 +305,7 @@
 
     def _candidates(self, now: float) -> list[ItemProgress]:
         """Returns the items that may start."""
-        claims = self._ownership.workable(self._servers.listed_at)
+        claims = self._ownership.workable(self._engines.listed_at)
         shards = [claim.shard for claim in claims]
         jobs = [entry for shard in shards for entry in self._replicas.index.open_in_shard(shard)]
         return self._items.startable(now, jobs)
@@ -325,20 +325,20 @@
         return len(self._items.unfinished())
 
     def on_places(self, now: float, places: StartItems) -> list[Instruction]:
-        """Uses places that were granted at a server, or stops items there.
+        """Uses places that were granted at an engine, or stops items there.
 
         A place for which there is no item is told as not used by the next report.
         """
         if places.count < 0:
-            return list(self._stop_least_urgent(now, places.server_id, -places.count))
-        server = self._servers.servers.get(places.server_id)
-        if self.is_draining or server is None or not self._takes_items(now, server):
+            return list(self._stop_least_urgent(now, places.engine_id, -places.count))
+        engine = self._engines.engines.get(places.engine_id)
+        if self.is_draining or engine is None or not self._takes_items(now, engine):
             return []
         instructions: list[Instruction] = []
         for progress in self._with_late_turn(now):
             if len(self.runs) >= RUNS_MOST or len(instructions) >= places.count:
                 break
-            instructions += self._start_at(now, progress, server)
+            instructions += self._start_at(now, progress, engine)
         self._count_waiting(len(instructions))
         return instructions
 
@@ -352,18 +352,18 @@
         return ordered
 
     @staticmethod
-    def _takes_items(now: float, server: Server) -> bool:
-        return not server.is_leaving and now >= max(server.full_until, server.ejected_until)
+    def _takes_items(now: float, engine: Engine) -> bool:
+        return not engine.is_leaving and now >= max(engine.full_until, engine.ejected_until)
 
-    def _start_at(self, now: float, progress: ItemProgress, server: Server) -> list[Instruction]:
-        """Starts an item at a server, if its route and the server's memory allow."""
+    def _start_at(self, now: float, progress: ItemProgress, engine: Engine) -> list[Instruction]:
+        """Starts an item at an engine, if its route and the engine's memory allow."""
         entry = self._replicas.index.jobs[progress.job_id]
         route = self._route_of(now, progress, entry)
-        if route is None or not self._selection.may_run_at(route, progress, server):
+        if route is None or not self._selection.may_run_at(route, progress, engine):
             return []
         self._count_start(now, progress)
         self._refusals.on_started(now, progress)
-        return [self._runs.start(now, progress, entry.manifest, server)]
+        return [self._runs.start(now, progress, entry.manifest, engine)]
 
     def _count_waiting(self, started: int) -> None:
         """Takes items that started off those that wait, until the next look counts them."""
@@ -376,15 +376,15 @@
         route = self._route_of(now, progress, entry)
         if route is None:
             return []
-        server = self._selection.choose(now, route, progress, entry, self._is_uncoordinated)
-        if server is None:
+        engine = self._selection.choose(now, route, progress, entry, self._is_uncoordinated)
+        if engine is None:
             return []
-        self._selection.on_started(server.record.server_id)
+        self._selection.on_started(engine.record.engine_id)
         self._refusals.on_started(now, progress)
-        return [self._runs.start(now, progress, entry.manifest, server)]
+        return [self._runs.start(now, progress, entry.manifest, engine)]
 
-    def _is_uncoordinated(self, now: float, server: Server) -> bool:
-        return not self._slots.is_coordinated(now, server.record.server_id)
+    def _is_uncoordinated(self, now: float, engine: Engine) -> bool:
+        return not self._slots.is_coordinated(now, engine.record.engine_id)
 
     def _is_routed(self, now: float, progress: ItemProgress) -> bool:
         entry = self._replicas.index.jobs[progress.job_id]
@@ -434,7 +434,7 @@
         if run.is_stopped:
             self._refusals.on_stopped(progress)
         if event.kind is AttemptKind.CUT and not run.is_stopped and event.status in LOST_STATUSES:
-            self._refusals.on_lost(now, progress, run.server_id)
+            self._refusals.on_lost(now, progress, run.engine_id)
         if event.kind is AttemptKind.COMPLETED:
             self._refusals.on_done(now, progress)
             events = progress.events_done - run.events_before
--- a/src/troutswitch/decisions/jobs/records.py
+++ b/src/troutswitch/decisions/jobs/records.py
@@ -82,7 +82,7 @@
 
 @dataclass(frozen=True, slots=True)
 class JobItem:
-    """One item of a job, as it is sent to a server."""
+    """One item of a job, as it is sent to an engine."""
 
     item_id: str
     path: str
--- a/src/troutswitch/decisions/jobs/runs.py
+++ b/src/troutswitch/decisions/jobs/runs.py
@@ -1,10 +1,10 @@
-"""The runs of batch items that this daemon has at servers, and what servers owe to them."""
+"""The runs of batch items that this daemon has at engines, and what engines owe to them."""
 
 import itertools
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from troutswitch.decisions.forwarding.engines import RequestSize, Server, ServerRegistry
+from troutswitch.decisions.forwarding.engines import Engine, EngineRegistry, RequestSize
 from troutswitch.decisions.invariants import ensure
 from troutswitch.decisions.jobs.items import ItemProgress
 from troutswitch.decisions.jobs.messages import (
@@ -22,15 +22,15 @@
 GAP_WAIT_SECONDS = 1.5
 """Longest wait for each further event."""
 FULL_SECONDS = 0.2
-"""Time for which a server that rejected an item as full is left out."""
+"""Time for which an engine that rejected an item as full is left out."""
 
 
 @dataclass(slots=True)
 class ItemRun:
-    """One run of an item at a server."""
+    """One run of an item at an engine."""
 
     progress: ItemProgress
-    server_id: str
+    engine_id: str
     started_at: float
     size: RequestSize
     events_before: int
@@ -41,15 +41,15 @@
 class ItemRuns:
     """All runs in flight, by number."""
 
-    def __init__(self, servers: ServerRegistry, log: Callable[..., None]) -> None:
+    def __init__(self, engines: EngineRegistry, log: Callable[..., None]) -> None:
         self.by_number: dict[int, ItemRun] = {}
         self.started = 0
-        self._servers = servers
+        self._engines = engines
         self._log = log
         self._numbers = itertools.count(1)
 
     def start(
-        self, now: float, progress: ItemProgress, manifest: Manifest, server: Server
+        self, now: float, progress: ItemProgress, manifest: Manifest, engine: Engine
     ) -> RunItem:
         """Starts a run of an item that has none."""
         ensure(not progress.run, "an item runs twice at once")
@@ -59,22 +59,22 @@
         progress.runs += 1
         self.started += 1
         size = RequestSize(progress.item.tokens, progress.item.tokens // 2)
-        server_id = server.record.server_id
-        self.by_number[number] = ItemRun(progress, server_id, now, size, progress.events_done)
-        self._servers.on_sent(now, server_id, True, size)
+        engine_id = engine.record.engine_id
+        self.by_number[number] = ItemRun(progress, engine_id, now, size, progress.events_done)
+        self._engines.on_sent(now, engine_id, True, size)
         self._log(
             "item sent",
             job_id=progress.job_id,
             item_id=progress.item.item_id,
             run=progress.runs,
-            server=server_id,
-            load=server.in_flight(now),
+            engine=engine_id,
+            load=engine.in_flight(now),
             resume_after=progress.position,
         )
         return RunItem(
             number,
-            server_id,
-            server.record.address,
+            engine_id,
+            engine.record.address,
             manifest.host,
             progress.item,
             progress.position,
@@ -88,7 +88,7 @@
         run = self.by_number.get(event.run)
         if run is not None and not run.is_begun and not run.is_stopped:
             run.is_begun = True
-            self._servers.on_begun(run.server_id, run.size)
+            self._engines.on_begun(run.engine_id, run.size)
 
     def on_progressed(self, event: ItemProgressed) -> None:
         """Takes what a run made so far."""
@@ -97,11 +97,11 @@
             run.progress.add(event.events)
 
     def stop(self, now: float, number: int) -> StopItem:
-        """Stops a run. From now on it counts as gone from its server."""
+        """Stops a run. From now on it counts as gone from its engine."""
         run = self.by_number[number]
         ensure(not run.is_stopped, "a run is stopped twice")
         run.is_stopped = True
-        self._servers.on_stopped(now, run.server_id, run.size, begun=run.is_begun)
+        self._engines.on_stopped(now, run.engine_id, run.size, begun=run.is_begun)
         return StopItem(number)
 
     def end(self, now: float, event: ItemRunEnded) -> ItemRun | None:
@@ -117,7 +117,7 @@
             "item run ended",
             job_id=run.progress.job_id,
             item_id=run.progress.item.item_id,
-            server=run.server_id,
+            engine=run.engine_id,
             kind=event.kind,
             status=event.status,
             reason=event.reason,
@@ -130,13 +130,13 @@
         sound = run.is_stopped or event.status != 0
         failed = not sound and event.kind in (AttemptKind.CUT, AttemptKind.UNREACHABLE)
         if not run.is_stopped:
-            self._servers.on_ended(
-                now, run.server_id, True, run.size, begun=run.is_begun, failed=failed
+            self._engines.on_ended(
+                now, run.engine_id, True, run.size, begun=run.is_begun, failed=failed
             )
         if event.load is not None:
-            self._servers.on_load(now, run.server_id, event.load)
+            self._engines.on_load(now, run.engine_id, event.load)
         if event.wrong_instance:
-            self._servers.mark_draining(run.server_id)
-        server = self._servers.servers.get(run.server_id)
-        if event.kind is AttemptKind.REFUSED and server is not None:
-            server.full_until = now + FULL_SECONDS
+            self._engines.mark_draining(run.engine_id)
+        engine = self._engines.engines.get(run.engine_id)
+        if event.kind is AttemptKind.REFUSED and engine is not None:
+            engine.full_until = now + FULL_SECONDS
--- a/src/troutswitch/decisions/jobs/selection.py
+++ b/src/troutswitch/decisions/jobs/selection.py
@@ -1,9 +1,9 @@
-"""Chooses which items start next, at which server, and which ones yield first."""
+"""Chooses which items start next, at which engine, and which ones yield first."""
 
 import random
 from collections.abc import Callable, Iterable
 
-from troutswitch.decisions.forwarding.engines import Server, ServerRegistry
+from troutswitch.decisions.forwarding.engines import Engine, EngineRegistry
 from troutswitch.decisions.forwarding.placement import batch_cost
 from troutswitch.decisions.forwarding.routes import RouteTable, choose_service
 from troutswitch.decisions.forwarding.types import Route
@@ -22,18 +22,18 @@
 TICK_SECONDS = 0.05
 """Interval between looks for work."""
 CHOICE_NOISE = 0.1
-"""Random part of a server's cost, so that daemons do not all choose the same one."""
+"""Random part of an engine's cost, so that daemons do not all choose the same one."""
 UNRANKED = ItemRank(True, float("inf"))
 """Rank of an item that came after the last look."""
 
 
 class ItemSelection:
-    """Ranks items and finds servers with room for them."""
+    """Ranks items and finds engines with room for them."""
 
     def __init__(
         self,
         routes: RouteTable,
-        servers: ServerRegistry,
+        engines: EngineRegistry,
         index: JobIndex,
         rng: random.Random,
         zone: str,
@@ -44,7 +44,7 @@
         self._room = room
         self._order = order
         self._routes = routes
-        self._servers = servers
+        self._engines = engines
         self._index = index
         self._rng = rng
         self._own_share = 1.0
@@ -102,14 +102,14 @@
         route = self._routes.named(entry.manifest.route)
         return route.completion_target if route is not None else 0.0
 
-    # Servers.
+    # Engines.
 
-    def may_run_at(self, route: Route, progress: ItemProgress, server: Server) -> bool:
-        """Returns whether a server is of the item's route, and has memory for it."""
-        service = server.record.service
+    def may_run_at(self, route: Route, progress: ItemProgress, engine: Engine) -> bool:
+        """Returns whether an engine is of the item's route, and has memory for it."""
+        service = engine.record.service
         if all(backend.service != service for backend in route.backends):
             return False
-        return has_memory(server, progress.item.tokens, self._memory(service))
+        return has_memory(engine, progress.item.tokens, self._memory(service))
 
     def choose(
         self,
@@ -117,25 +117,25 @@
         route: Route,
         progress: ItemProgress,
         entry: JobEntry,
-        is_open: Callable[[float, Server], bool],
-    ) -> Server | None:
-        """Chooses the open server with most room, any of those that are alike."""
+        is_open: Callable[[float, Engine], bool],
+    ) -> Engine | None:
+        """Chooses the open engine with most room, any of those that are alike."""
         service = choose_service(route, self._rng)
         objective = self._objective(entry)
         age_share = entry.age(now) / objective if objective > 0 else 0.0
         memory = self._memory(service)
-        open_servers = [
-            server
-            for server in self._servers.usable(now, service)
-            if is_open(now, server)
-            and now >= max(server.full_until, server.ejected_until)
-            and has_memory(server, progress.item.tokens, memory)
-            and self._may_start(now, server, age_share)
+        open_engines = [
+            engine
+            for engine in self._engines.usable(now, service)
+            if is_open(now, engine)
+            and now >= max(engine.full_until, engine.ejected_until)
+            and has_memory(engine, progress.item.tokens, memory)
+            and self._may_start(now, engine, age_share)
         ]
-        if not open_servers:
+        if not open_engines:
             return None
         return min(
-            open_servers,
+            open_engines,
             key=lambda s: batch_cost(now, s, self._zone) + CHOICE_NOISE * self._rng.random(),
         )
 
@@ -144,16 +144,16 @@
         known = configuration.services.get(service) if configuration is not None else None
         return known.cache_tokens if known is not None else 0
 
-    def _may_start(self, now: float, server: Server, age_share: float) -> bool:
-        """Returns whether this daemon's part of a server's room takes one more in this look."""
-        server_id = server.record.server_id
-        started = self._started.get(server_id, 0)
-        free = self._room.free(now, server, age_share)
-        key = (server_id, free + started)
+    def _may_start(self, now: float, engine: Engine, age_share: float) -> bool:
+        """Returns whether this daemon's part of an engine's room takes one more in this look."""
+        engine_id = engine.record.engine_id
+        started = self._started.get(engine_id, 0)
+        free = self._room.free(now, engine, age_share)
+        key = (engine_id, free + started)
         if key not in self._allowed:
             self._allowed[key] = own_part(free + started, self._own_share, self._rng)
         return free > 0 and started < self._allowed[key]
 
-    def on_started(self, server_id: str) -> None:
+    def on_started(self, engine_id: str) -> None:
         """Takes a start off what this look may still start there."""
-        self._started[server_id] = self._started.get(server_id, 0) + 1
+        self._started[engine_id] = self._started.get(engine_id, 0) + 1
--- a/src/troutswitch/decisions/peers/catch_up.py
+++ b/src/troutswitch/decisions/peers/catch_up.py
@@ -1,13 +1,13 @@
 """Catches up from peers while this daemon cannot read the store.
 
-    CURRENT -> BEHIND   a reading of the configuration or of the servers has failed for a
+    CURRENT -> BEHIND   a reading of the configuration or of the engines has failed for a
                         while, or a peer acts on a newer configuration
     BEHIND  -> ASKING   a peer that was heard lately is asked for what it knows
     ASKING  -> BEHIND   its answer came, or did not; another peer is asked after a pause
     BEHIND  -> CURRENT  this daemon's own readings succeed again
 
 What a peer tells is never taken back behind what is known here: a configuration counts
-only if its version is newer, a list of servers only if it was read later than the own.
+only if its version is newer, a list of engines only if it was read later than the own.
 """
 
 import random
@@ -53,7 +53,7 @@
     version: int
     peer_version: int
     configuration_failing_since: float
-    servers_failing_since: float
+    engines_failing_since: float
 
 
 class PeerCatchUp:
@@ -96,7 +96,7 @@
         return min(
             self._older_since,
             reading.configuration_failing_since,
-            reading.servers_failing_since,
+            reading.engines_failing_since,
         )
 
     def on_told(self) -> None:
--- a/src/troutswitch/decisions/peers/drain_notices.py
+++ b/src/troutswitch/decisions/peers/drain_notices.py
@@ -1,7 +1,7 @@
-"""Tells peers which servers leave, where each daemon reads the list of servers seldom.
+"""Tells peers which engines leave, where each daemon reads the list of engines seldom.
 
 In a large fleet the store's reads allow each daemon a whole reading in some seconds only; but
-all readings together come every few milliseconds. So whoever reads first that a server leaves
+all readings together come every few milliseconds. So whoever reads first that an engine leaves
 tells some peers, and each that hears it for the first time tells as many once.
 """
 
@@ -10,23 +10,23 @@
 from collections.abc import Callable, Iterable
 
 from troutswitch.common import Address
-from troutswitch.daemons.messages import ServersLeaving
+from troutswitch.daemons.messages import EnginesLeaving
 from troutswitch.decisions.slots.messages import SendToPeers
 
 PEERS_TOLD = 8
 """Daemons that are told at once. Where each that hears of news tells eight others once, 3 in 10,000
 miss it; they read it in the list some seconds later."""
 TELL_SECONDS = 0.02
-"""Time in which news is gathered for one message: servers of one release leave together."""
+"""Time in which news is gathered for one message: engines of one release leave together."""
 TOLD_A_MESSAGE = 40
-"""Servers in one message, which then fits into one packet (some 20 bytes each)."""
+"""Engines in one message, which then fits into one packet (some 20 bytes each)."""
 WAITING_MOST = 2048
 REMEMBERED_MOST = 8192
-"""Servers of which it is remembered that they were told: more than leave in an hour."""
+"""Engines of which it is remembered that they were told: more than leave in an hour."""
 
 
 class LeavingNews:
-    """Passes on that servers drain, or left the list.
+    """Passes on that engines drain, or left the list.
 
     Args:
         peers: returns the addresses of other daemons.
@@ -50,19 +50,19 @@
 
     def on_read(self, now: float, draining: Iterable[str], left: Iterable[str]) -> None:
         """Takes what this daemon's own list has shown."""
-        for server_id in draining:
-            self._note(now, server_id, is_draining=True)
-        for server_id in left:
-            self._note(now, server_id, is_draining=False)
+        for engine_id in draining:
+            self._note(now, engine_id, is_draining=True)
+        for engine_id in left:
+            self._note(now, engine_id, is_draining=False)
 
-    def on_news(self, now: float, news: ServersLeaving) -> tuple[list[str], list[str]]:
-        """Takes what a peer tells; returns what is new: servers that drain, and that left."""
+    def on_news(self, now: float, news: EnginesLeaving) -> tuple[list[str], list[str]]:
+        """Takes what a peer tells; returns what is new: engines that drain, and that left."""
         draining = [name for name in news.draining if self._note(now, name, is_draining=True)]
         left = [name for name in news.left if self._note(now, name, is_draining=False)]
         return draining, left
 
-    def _note(self, now: float, server_id: str, *, is_draining: bool) -> bool:
-        key = (server_id, is_draining)
+    def _note(self, now: float, engine_id: str, *, is_draining: bool) -> bool:
+        key = (engine_id, is_draining)
         if key in self._told:
             return False
         self._told[key] = None
@@ -75,10 +75,10 @@
                 self._waiting.popleft()
         return True
 
-    def on_back(self, server_ids: Iterable[str]) -> None:
-        """Servers are listed again: that they leave would be news."""
-        for server_id in server_ids:
-            self._told.pop((server_id, False), None)
+    def on_back(self, engine_ids: Iterable[str]) -> None:
+        """Engines are listed again: that they leave would be news."""
+        for engine_id in engine_ids:
+            self._told.pop((engine_id, False), None)
 
     def next_due(self) -> float:
         """Returns when `on_timer` has something to do."""
@@ -97,4 +97,4 @@
             return []
         draining = tuple(name for name, is_draining in told if is_draining)
         left = tuple(name for name, is_draining in told if not is_draining)
-        return [SendToPeers(tuple(chosen), ServersLeaving(self._name, draining, left))]
+        return [SendToPeers(tuple(chosen), EnginesLeaving(self._name, draining, left))]
--- a/src/troutswitch/decisions/peers/heartbeats.py
+++ b/src/troutswitch/decisions/peers/heartbeats.py
@@ -2,7 +2,7 @@
 
 Each daemon greets `HELLOS_AT_ONCE` others drawn at random, so what one sends and takes does
 not grow with the fleet. A daemon that starts while it cannot read the store learns from a
-greeting whom to ask for the configuration and the servers, and who coordinates what.
+greeting whom to ask for the configuration and the engines, and who coordinates what.
 """
 
 import random
@@ -23,7 +23,7 @@
 """Time for which a daemon counts as live after it was heard."""
 CLAIMS_TOLD_MOST = 16
 """Claims in one greeting, drawn at random: some 70 bytes each, so that it fits into one packet. All
-96 of a fleet of 3,000 servers took 7 KB, near what a datagram may have here."""
+96 of a fleet of 3,000 engines took 7 KB, near what a datagram may have here."""
 FORGET_SECONDS = 60.0
 """Silence after which a daemon that was heard is greeted no more."""
 ANY_ASKED_MOST = 3
--- a/src/troutswitch/decisions/slots/__init__.py
+++ b/src/troutswitch/decisions/slots/__init__.py
@@ -1,1 +1,1 @@
-"""Who has which slots of the servers: one coordinator counts them for each group of servers."""
+"""Who has which slots of the engines: one coordinator counts them for each group of engines."""
--- a/src/troutswitch/decisions/slots/claims.py
+++ b/src/troutswitch/decisions/slots/claims.py
@@ -18,7 +18,7 @@
 
 from troutswitch.common import Address, stable_hash
 from troutswitch.daemons.messages import ClaimTold
-from troutswitch.decisions.slots.groups import Group, ServerGroups
+from troutswitch.decisions.slots.groups import EngineGroups, Group
 from troutswitch.decisions.storage.follower import CallNumbers, PartitionFollower
 from troutswitch.decisions.storage.messages import (
     Appended,
@@ -81,7 +81,7 @@
         name: str,
         zone: str,
         address: Address,
-        groups: ServerGroups,
+        groups: EngineGroups,
         numbers: CallNumbers,
         rng: random.Random,
         log: Callable[..., None],
--- a/src/troutswitch/decisions/slots/coordinator.py
+++ b/src/troutswitch/decisions/slots/coordinator.py
@@ -1,6 +1,6 @@
-"""Decides for a group of servers who gets which slot: the coordinator's part.
+"""Decides for a group of engines who gets which slot: the coordinator's part.
 
-An online request gets the server with the fewest online requests, a free slot before one that
+An online request gets the engine with the fewest online requests, a free slot before one that
 a batch item has. Where a batch item has the slot, one holder is told in the same step to stop
 one. Slots that are free are granted to daemons with batch items that wait.
 """
@@ -11,15 +11,15 @@
 
 from troutswitch.common import Address
 from troutswitch.daemons.messages import (
-    NO_SERVER,
+    NO_ENGINE,
     BatchPlaces,
+    EngineShare,
     GroupDigest,
     PlaceAnswer,
     PlaceAsk,
-    ServerShare,
-    server_key,
+    engine_key,
 )
-from troutswitch.decisions.forwarding.engines import Server, ServerRegistry
+from troutswitch.decisions.forwarding.engines import Engine, EngineRegistry
 from troutswitch.decisions.forwarding.messages import LogLine
 from troutswitch.decisions.forwarding.placement import queue_cost
 from troutswitch.decisions.forwarding.run_times import RunTimes
@@ -27,13 +27,13 @@
 from troutswitch.decisions.invariants import ensure
 from troutswitch.decisions.jobs.batch_capacity import RoomPolicy
 from troutswitch.decisions.slots.batch_slots import SELF, BatchDealer, BatchGrant
-from troutswitch.decisions.slots.groups import Group, ServerGroups
+from troutswitch.decisions.slots.groups import EngineGroups, Group
 from troutswitch.decisions.slots.ledger import SlotLedger
 from troutswitch.decisions.slots.messages import SendToPeers, StartItems, WaitingItems
 
 NO_FREE_SLOT_COST = 1.0
-"""Cost, in shares of a server's slots, of a server where no slot is free: one online request
-more at a server with a free slot is always better than stopping a batch item elsewhere."""
+"""Cost, in shares of an engine's slots, of an engine where no slot is free: one online request
+more at an engine with a free slot is always better than stopping a batch item elsewhere."""
 GRACE_SECONDS = 0.6
 """Time after which a new coordinator grants places for batch items: by then each holder has
 reported to it (they refresh each 0.5 s)."""
@@ -46,7 +46,7 @@
 class PlaceRequest:
     """An online request for which a place is asked, by this daemon or a peer.
 
-    `longest_wait` is in seconds; `avoid` holds keys of servers that it will not go to.
+    `longest_wait` is in seconds; `avoid` holds keys of engines that it will not go to.
     """
 
     group: Group
@@ -58,21 +58,21 @@
 
 @dataclass(frozen=True, slots=True)
 class Decision:
-    """A server for a request, or none; the wait expected there, or at best."""
+    """An engine for a request, or none; the wait expected there, or at best."""
 
-    server: Server | None
+    engine: Engine | None
     estimate: Estimate
 
 
 class SlotCoordinator:
-    """Grants places at the servers of the groups that this daemon coordinates."""
+    """Grants places at the engines of the groups that this daemon coordinates."""
 
     def __init__(
         self,
         name: str,
         zone: str,
-        servers: ServerRegistry,
-        groups: ServerGroups,
+        engines: EngineRegistry,
+        groups: EngineGroups,
         ledger: SlotLedger,
         times: RunTimes,
         own_waiting: Callable[[], WaitingItems],
@@ -84,7 +84,7 @@
         """Groups that this daemon coordinates, with since when."""
         self._name = name
         self._zone = zone
-        self._servers = servers
+        self._engines = engines
         self._groups = groups
         self._ledger = ledger
         self._times = times
@@ -100,7 +100,7 @@
     def begin(self, now: float, group: str) -> None:
         """Takes a group over; its counts fill as holders report."""
         self.coordinated[group] = now
-        self._ledger.recount(now, self.servers_of(group))
+        self._ledger.recount(now, self.engines_of(group))
 
     def end(self, group: str) -> None:
         """Gives a group up."""
@@ -111,14 +111,14 @@
         return group in self.coordinated
 
     def on_list_changed(self, now: float) -> None:
-        """Counts anew, as servers came or moved between groups."""
+        """Counts anew, as engines came or moved between groups."""
         for group in self.coordinated:
-            self._ledger.recount(now, self.servers_of(group))
+            self._ledger.recount(now, self.engines_of(group))
 
-    def servers_of(self, group: str) -> list[Server]:
-        """Returns a group's servers that have not begun to leave."""
-        held = (self._servers.servers.get(name) for name in self._groups.members(group))
-        return [server for server in held if server is not None and not server.is_leaving]
+    def engines_of(self, group: str) -> list[Engine]:
+        """Returns a group's engines that have not begun to leave."""
+        held = (self._engines.engines.get(name) for name in self._groups.members(group))
+        return [engine for engine in held if engine is not None and not engine.is_leaving]
 
     # Online requests.
 
@@ -136,18 +136,18 @@
         decision = self.decide(now, request)
         word = 0
         made: list[Instruction] = []
-        if decision.server is not None:
-            key = server_key(decision.server.record.server_id)
-            share = ServerShare(key, 1, 0, ask.prefill_units)
+        if decision.engine is not None:
+            key = engine_key(decision.engine.record.engine_id)
+            share = EngineShare(key, 1, 0, ask.prefill_units)
             word = self._ledger.tell(now, ask.report.sender, share)
-            made = self._make_room(now, decision.server)
-        answer = self._answer(ask, decision.server, decision.estimate, word)
+            made = self._make_room(now, decision.engine)
+        answer = self._answer(ask, decision.engine, decision.estimate, word)
         return [SendToPeers((holder.address,), answer), *made]
 
     def _answer(
         self,
         ask: PlaceAsk,
-        server: Server | None,
+        engine: Engine | None,
         estimate: Estimate,
         word: int,
         *,
@@ -159,7 +159,7 @@
             ask.number,
             ask.group,
             word,
-            server_key(server.record.server_id) if server is not None else NO_SERVER,
+            engine_key(engine.record.engine_id) if engine is not None else NO_ENGINE,
             round(estimate.wait * 1000),
             estimate.queued,
             estimate.slots,
@@ -167,72 +167,72 @@
         )
 
     def decide(self, now: float, request: PlaceRequest) -> Decision:
-        """Chooses a server, unless the wait is longer than the request takes."""
+        """Chooses an engine, unless the wait is longer than the request takes."""
         candidates = self._candidates(now, request)
         if not candidates:
             return Decision(None, NO_WAIT)
-        costs = {s.record.server_id: self._cost(now, s, request.zone) for s in candidates}
-        server = min(candidates, key=lambda s: (costs[s.record.server_id], self._rng.random()))
-        estimate = slot_wait(now, server, self._times.of(request.group.service))
+        costs = {s.record.engine_id: self._cost(now, s, request.zone) for s in candidates}
+        engine = min(candidates, key=lambda s: (costs[s.record.engine_id], self._rng.random()))
+        estimate = slot_wait(now, engine, self._times.of(request.group.service))
         if estimate.wait > request.longest_wait:
             return Decision(None, estimate)
-        return Decision(server, estimate)
+        return Decision(engine, estimate)
 
-    def _candidates(self, now: float, request: PlaceRequest) -> list[Server]:
+    def _candidates(self, now: float, request: PlaceRequest) -> list[Engine]:
         present = [
-            server
-            for server in self.servers_of(request.group.name)
-            if server_key(server.record.server_id) not in request.avoid
+            engine
+            for engine in self.engines_of(request.group.name)
+            if engine_key(engine.record.engine_id) not in request.avoid
         ]
-        sound = [server for server in present if self._is_sound(now, server)]
+        sound = [engine for engine in present if self._is_sound(now, engine)]
         return sound or present
 
-    def _is_sound(self, now: float, server: Server) -> bool:
-        if now < max(server.ejected_until, server.full_until):
+    def _is_sound(self, now: float, engine: Engine) -> bool:
+        if now < max(engine.ejected_until, engine.full_until):
             return False
-        return not self._ledger.is_avoided(server_key(server.record.server_id))
+        return not self._ledger.is_avoided(engine_key(engine.record.engine_id))
 
     @staticmethod
-    def _cost(now: float, server: Server, zone: str) -> float:
-        is_full = server.in_flight(now) >= server.slots
-        return queue_cost(now, server, zone) + (NO_FREE_SLOT_COST if is_full else 0.0)
+    def _cost(now: float, engine: Engine, zone: str) -> float:
+        is_full = engine.in_flight(now) >= engine.slots
+        return queue_cost(now, engine, zone) + (NO_FREE_SLOT_COST if is_full else 0.0)
 
-    def make_room_for_own(self, now: float, server: Server) -> list[Instruction]:
+    def make_room_for_own(self, now: float, engine: Engine) -> list[Instruction]:
         """Has a batch item stopped for an online request that this daemon sends now."""
-        return self._make_room(now, server, about_to_send=1)
+        return self._make_room(now, engine, about_to_send=1)
 
-    def _make_room(self, now: float, server: Server, about_to_send: int = 0) -> list[Instruction]:
-        """Has as many batch items stopped as requests and items exceed the server's slots."""
+    def _make_room(self, now: float, engine: Engine, about_to_send: int = 0) -> list[Instruction]:
+        """Has as many batch items stopped as requests and items exceed the engine's slots."""
         instructions: list[Instruction] = []
-        surplus = server.online() + server.batch() + about_to_send - server.slots
-        for _ in range(min(surplus, server.batch())):
-            instructions += self._take_one_back(now, server)
+        surplus = engine.online() + engine.batch() + about_to_send - engine.slots
+        for _ in range(min(surplus, engine.batch())):
+            instructions += self._take_one_back(now, engine)
         return instructions
 
-    def _take_one_back(self, now: float, server: Server) -> list[Instruction]:
+    def _take_one_back(self, now: float, engine: Engine) -> list[Instruction]:
         """Has one holder stop an item, drawn by how many it has there."""
-        server_id = server.record.server_id
-        own = server.batch_in_flight - self._own_stops.get(server_id, 0)
+        engine_id = engine.record.engine_id
+        own = engine.batch_in_flight - self._own_stops.get(engine_id, 0)
         holders = [(SELF, own)] if own > 0 else []
-        holders += self._ledger.batch_holders(server_key(server_id))
+        holders += self._ledger.batch_holders(engine_key(engine_id))
         if not holders:
             return []
         names = [name for name, _ in holders]
         name = self._rng.choices(names, [count for _, count in holders])[0]
-        line = LogLine("item to yield", {"server": server_id, "peer": name or self._name})
+        line = LogLine("item to yield", {"engine": engine_id, "peer": name or self._name})
         if name == SELF:
-            self._own_stops[server_id] = self._own_stops.get(server_id, 0) + 1
-            return [StartItems(server_id, -1), line]
+            self._own_stops[engine_id] = self._own_stops.get(engine_id, 0) + 1
+            return [StartItems(engine_id, -1), line]
         holder = self._ledger.holders[name]
-        return [self._tell_batch(now, name, holder.address, server, -1), line]
+        return [self._tell_batch(now, name, holder.address, engine, -1), line]
 
     def _tell_batch(
-        self, now: float, name: str, address: Address, server: Server, count: int
+        self, now: float, name: str, address: Address, engine: Engine, count: int
     ) -> SendToPeers:
-        key = server_key(server.record.server_id)
-        word = self._ledger.tell(now, name, ServerShare(key, 0, count, 0))
-        group = self._groups.of_server(server.record.server_id)
-        ensure(group is not None, "a place is granted at a server of no group")
+        key = engine_key(engine.record.engine_id)
+        word = self._ledger.tell(now, name, EngineShare(key, 0, count, 0))
+        group = self._groups.of_engine(engine.record.engine_id)
+        ensure(group is not None, "a place is granted at an engine of no group")
         assert group is not None
         message = BatchPlaces(self._name, self._ledger.life, group.name, word, key, count)
         return SendToPeers((address,), message)
@@ -253,8 +253,8 @@
         instructions: list[Instruction] = []
         if self._dealer.is_due(now):
             for group in self.coordinated:
-                for server in self.servers_of(group):
-                    instructions += self._make_room(now, server)
+                for engine in self.engines_of(group):
+                    instructions += self._make_room(now, engine)
             instructions += self._deal(now)
         if now >= self._digest_at + DIGEST_SECONDS:
             self._digest_at = now
@@ -265,7 +265,7 @@
     def _deal(self, now: float) -> list[Instruction]:
         """Grants the slots that are free in each group that is old enough here."""
         settled = {
-            group: [s for s in self.servers_of(group) if self._is_sound(now, s)]
+            group: [s for s in self.engines_of(group) if self._is_sound(now, s)]
             for group, since in self.coordinated.items()
             if now - since >= GRACE_SECONDS
         }
@@ -274,9 +274,9 @@
 
     def _grant(self, now: float, grant: BatchGrant) -> Instruction:
         if grant.daemon == SELF:
-            return StartItems(grant.server.record.server_id, grant.count)
+            return StartItems(grant.engine.record.engine_id, grant.count)
         holder = self._ledger.holders[grant.daemon]
-        return self._tell_batch(now, grant.daemon, holder.address, grant.server, grant.count)
+        return self._tell_batch(now, grant.daemon, holder.address, grant.engine, grant.count)
 
     # Digests.
 
@@ -292,17 +292,17 @@
 
     def digest(self, now: float, group: str) -> GroupDigest:
         """Returns what is known of a group."""
-        servers = self.servers_of(group)
+        engines = self.engines_of(group)
         free = self.usual_free_slots(now, group)
         return GroupDigest(
             self._name,
             self._ledger.life,
             group,
-            self._servers.counts_of(servers),
+            self._engines.counts_of(engines),
             round(max(0.0, free) * 100),
             self._own_open() + self._ledger.open_items(),
         )
 
     def usual_free_slots(self, now: float, group: str) -> float:
         """Returns the mean number of slots that online requests leave in a group."""
-        return self._servers.usual_free_slots(now, self.servers_of(group))
+        return self._engines.usual_free_slots(now, self.engines_of(group))
--- a/src/troutswitch/decisions/slots/fleet.py
+++ b/src/troutswitch/decisions/slots/fleet.py
@@ -1,4 +1,4 @@
-"""The slots of all servers as one daemon deals with them: its part as coordinator, and as one
+"""The slots of all engines as one daemon deals with them: its part as coordinator, and as one
 that asks and reports."""
 
 import random
@@ -14,14 +14,14 @@
     PlaceAsk,
     SlotMessage,
 )
-from troutswitch.decisions.forwarding.engines import Server, ServerRegistry
+from troutswitch.decisions.forwarding.engines import Engine, EngineRegistry
 from troutswitch.decisions.forwarding.messages import LogLine
 from troutswitch.decisions.forwarding.placement import HomePolicy
 from troutswitch.decisions.forwarding.run_times import RunTimes
 from troutswitch.decisions.jobs.batch_capacity import RoomPolicy
 from troutswitch.decisions.slots.claims import Claim, CoordinatorClaims
 from troutswitch.decisions.slots.coordinator import SlotCoordinator
-from troutswitch.decisions.slots.groups import ServerGroups
+from troutswitch.decisions.slots.groups import EngineGroups
 from troutswitch.decisions.slots.ledger import SlotLedger
 from troutswitch.decisions.slots.messages import (
     FleetShare,
@@ -60,19 +60,19 @@
         zone: str,
         address: Address,
         life: int,
-        servers: ServerRegistry,
+        engines: EngineRegistry,
         times: RunTimes,
         homes: HomePolicy,
         room: RoomPolicy,
         numbers: CallNumbers,
         own_waiting: Callable[[], WaitingItems],
         own_open: Callable[[], int],
-        candidates: Callable[[float, int], list[Server]],
+        candidates: Callable[[float, int], list[Engine]],
         emit: Callable[[Instruction], None],
         log: Callable[..., None],
         rng: random.Random,
     ) -> None:
-        self._servers = servers
+        self._engines = engines
         self._emit = emit
         self._log = log
         self._own_open = own_open
@@ -81,18 +81,18 @@
         self._word_at: dict[str, float] = {}
         """When each group's coordinator was last heard, or had last nothing to tell."""
         self._looked_at: dict[str, float] = {}
-        self.groups = ServerGroups()
+        self.groups = EngineGroups()
         self.claims = CoordinatorClaims(name, zone, address, self.groups, numbers, rng, log)
-        self.ledger = SlotLedger(servers, life)
+        self.ledger = SlotLedger(engines, life)
         self.coordinator = SlotCoordinator(
-            name, zone, servers, self.groups, self.ledger, times, own_waiting, own_open, room, rng
+            name, zone, engines, self.groups, self.ledger, times, own_waiting, own_open, room, rng
         )
         self.reports = HoldingsReports(
-            name, zone, address, life, servers, self.groups, self.claims, own_waiting, own_open
+            name, zone, address, life, engines, self.groups, self.claims, own_waiting, own_open
         )
         self.asks = PlaceAsks(
             zone,
-            servers,
+            engines,
             self.groups,
             self.claims,
             self.coordinator,
@@ -137,15 +137,15 @@
 
     def _on_places(self, now: float, places: BatchPlaces) -> None:
         claim = self.claims.claim_of(places.group)
-        server = self._servers.by_key(places.server_key)
+        engine = self._engines.by_key(places.engine_key)
         if claim is None or claim.daemon != places.sender:
             self._log("places of another coordinator", group=places.group, peer=places.sender)
             return
-        if not self.reports.take_word(claim, places.life, places.word) or server is None:
+        if not self.reports.take_word(claim, places.life, places.word) or engine is None:
             return
         self._word_at[places.group] = now
         self.claims.on_heard(places.group, places.sender)
-        self._emit(StartItems(server.record.server_id, places.count))
+        self._emit(StartItems(engine.record.engine_id, places.count))
 
     def _on_digest(self, now: float, digest: GroupDigest) -> None:
         claim = self.claims.claim_of(digest.group)
@@ -155,7 +155,7 @@
         self._heard[digest.group] = _Heard(now, digest)
         self.claims.on_heard(digest.group, digest.sender)
         if not self.coordinator.coordinates(digest.group):
-            self._servers.take_counts(now, digest.counts)
+            self._engines.take_counts(now, digest.counts)
 
     def claim_by(self, group: str, sender: str) -> Claim | None:
         """Returns the claim of a group if it is a given daemon's."""
@@ -184,9 +184,9 @@
             return None
         return heard.digest if now - heard.at <= DIGEST_FRESH_SECONDS else None
 
-    def is_coordinated(self, now: float, server_id: str) -> bool:
-        """Returns whether places at a server are granted, and must not be taken without."""
-        group = self.groups.of_server(server_id)
+    def is_coordinated(self, now: float, engine_id: str) -> bool:
+        """Returns whether places at an engine are granted, and must not be taken without."""
+        group = self.groups.of_engine(engine_id)
         if group is None:
             return False
         if self.coordinator.coordinates(group.name):
@@ -222,10 +222,10 @@
         return found, calls
 
     def _follow_list(self, now: float) -> None:
-        if self._servers.list_changes == self._list_changes:
+        if self._engines.list_changes == self._list_changes:
             return
-        self._list_changes = self._servers.list_changes
-        present = [s.record for s in self._servers.servers.values() if not s.is_leaving]
+        self._list_changes = self._engines.list_changes
+        present = [s.record for s in self._engines.engines.values() if not s.is_leaving]
         self.groups.update(present)
         self.coordinator.on_list_changed(now)
 
--- a/src/troutswitch/decisions/slots/groups.py
+++ b/src/troutswitch/decisions/slots/groups.py
@@ -1,27 +1,27 @@
-"""Deals servers into groups, each of which has one coordinator that counts its slots.
+"""Deals engines into groups, each of which has one coordinator that counts its slots.
 
 A group is as large as one daemon can count: the larger it is, the more seldom a slot is free
-in one group while requests wait in another. The deal follows from the list of servers alone,
+in one group while requests wait in another. The deal follows from the list of engines alone,
 so daemons with the same list agree without a word; with different lists they disagree on a
-few servers, whose counts are then short until the next report.
+few engines, whose counts are then short until the next report.
 """
 
 from collections.abc import Iterable
 from dataclasses import dataclass
 
 from troutswitch.common import stable_hash
-from troutswitch.decisions.forwarding.types import ServerRecord
+from troutswitch.decisions.forwarding.types import EngineRecord
 
 WHOLE_SERVICE_MOST = 16
-"""Servers of a service up to which they form one group, wherever they are: at 2 to 3 requests
+"""Engines of a service up to which they form one group, wherever they are: at 2 to 3 requests
 a second and slot, some 300 asks a second, a few hundredths of a core."""
-GROUP_SERVERS_MOST = 32
-"""Servers of a service and zone up to which they form one group."""
+GROUP_ENGINES_MOST = 32
+"""Engines of a service and zone up to which they form one group."""
 
 
 @dataclass(frozen=True, slots=True, order=True)
 class Group:
-    """A group of servers of one service. `zone` is empty if it spans zones."""
+    """A group of engines of one service. `zone` is empty if it spans zones."""
 
     service: str
     zone: str
@@ -33,9 +33,9 @@
         return f"{self.service}|{self.zone}|{self.number}"
 
 
-def deal_groups(records: Iterable[ServerRecord]) -> dict[str, Group]:
-    """Returns the group of each server, by the server's id."""
-    by_service: dict[str, list[ServerRecord]] = {}
+def deal_groups(records: Iterable[EngineRecord]) -> dict[str, Group]:
+    """Returns the group of each engine, by the engine's id."""
+    by_service: dict[str, list[EngineRecord]] = {}
     for record in records:
         by_service.setdefault(record.service, []).append(record)
     groups: dict[str, Group] = {}
@@ -44,23 +44,23 @@
     return groups
 
 
-def _deal_service(service: str, records: list[ServerRecord]) -> dict[str, Group]:
+def _deal_service(service: str, records: list[EngineRecord]) -> dict[str, Group]:
     if len(records) <= WHOLE_SERVICE_MOST:
-        return {record.server_id: Group(service, "", 0) for record in records}
-    by_zone: dict[str, list[ServerRecord]] = {}
+        return {record.engine_id: Group(service, "", 0) for record in records}
+    by_zone: dict[str, list[EngineRecord]] = {}
     for record in records:
         by_zone.setdefault(record.zone, []).append(record)
     groups: dict[str, Group] = {}
     for zone, held in by_zone.items():
-        parts = -(-len(held) // GROUP_SERVERS_MOST)
+        parts = -(-len(held) // GROUP_ENGINES_MOST)
         for record in held:
-            number = stable_hash("group", record.server_id) % parts
-            groups[record.server_id] = Group(service, zone, number)
+            number = stable_hash("group", record.engine_id) % parts
+            groups[record.engine_id] = Group(service, zone, number)
     return groups
 
 
-class ServerGroups:
-    """The groups of all servers that have not begun to leave, as this daemon's list has them."""
+class EngineGroups:
+    """The groups of all engines that have not begun to leave, as this daemon's list has them."""
 
     def __init__(self) -> None:
         self.changes = 0
@@ -69,26 +69,26 @@
         self._members: dict[str, list[str]] = {}
         self._by_name: dict[str, Group] = {}
 
-    def update(self, records: Iterable[ServerRecord]) -> None:
+    def update(self, records: Iterable[EngineRecord]) -> None:
         """Deals the groups anew."""
         self.changes += 1
         self._groups = deal_groups(records)
         self._members = {}
         self._by_name = {}
-        for server_id, group in self._groups.items():
-            self._members.setdefault(group.name, []).append(server_id)
+        for engine_id, group in self._groups.items():
+            self._members.setdefault(group.name, []).append(engine_id)
             self._by_name[group.name] = group
 
-    def of_server(self, server_id: str) -> Group | None:
-        """Returns the group of a server, or None if it is in none."""
-        return self._groups.get(server_id)
+    def of_engine(self, engine_id: str) -> Group | None:
+        """Returns the group of an engine, or None if it is in none."""
+        return self._groups.get(engine_id)
 
     def named(self, name: str) -> Group | None:
         """Returns a group by its name."""
         return self._by_name.get(name)
 
     def members(self, name: str) -> list[str]:
-        """Returns the ids of a group's servers."""
+        """Returns the ids of a group's engines."""
         return self._members.get(name, [])
 
     def all(self) -> list[Group]:
--- a/src/troutswitch/decisions/slots/ledger.py
+++ b/src/troutswitch/decisions/slots/ledger.py
@@ -1,6 +1,6 @@
-"""What other daemons hold at servers, as the coordinator of these servers knows it.
+"""What other daemons hold at engines, as the coordinator of these engines knows it.
 
-A peer's share of a server is what its newest report tells, and what this daemon granted or
+A peer's share of an engine is what its newest report tells, and what this daemon granted or
 took back since that report was made. Words to a peer carry numbers, and a report carries the
 number of the newest word that it includes, so a count is exact but for words and reports that
 are lost; a word that no report includes lapses after `WORD_LAPSE_SECONDS`, and a peer that is
@@ -14,11 +14,11 @@
 from troutswitch.common import Address
 from troutswitch.daemons.messages import (
     PREFILL_UNIT_TOKENS,
+    EngineShare,
     HoldingsReport,
-    ServerShare,
-    server_key,
+    engine_key,
 )
-from troutswitch.decisions.forwarding.engines import Server, ServerRegistry
+from troutswitch.decisions.forwarding.engines import Engine, EngineRegistry
 from troutswitch.decisions.invariants import ensure
 
 WORD_LAPSE_SECONDS = 0.5
@@ -31,7 +31,7 @@
 LOOK_SECONDS = 0.1
 """Interval between looks for words that lapsed and peers that fell silent."""
 EJECTIONS_TO_AVOID = 2
-"""Daemons that must find a server unusable before no daemon is sent there."""
+"""Daemons that must find an engine unusable before no daemon is sent there."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -40,29 +40,29 @@
 
     number: int
     told_at: float
-    share: ServerShare
+    share: EngineShare
 
 
 @dataclass(slots=True)
 class Holder:
-    """A peer with work at servers that this daemon counts."""
+    """A peer with work at engines that this daemon counts."""
 
     address: Address
     zone: str
     life: int
     sequence: int
     heard_at: float
-    reported: dict[int, ServerShare] = field(default_factory=dict)
+    reported: dict[int, EngineShare] = field(default_factory=dict)
     words: deque[Word] = field(default_factory=deque)
     last_word: int = 0
-    shares: dict[int, ServerShare] = field(default_factory=dict)
+    shares: dict[int, EngineShare] = field(default_factory=dict)
     waiting_items: int = 0
     late_items: int = 0
     open_items: int = 0
     unusable: frozenset[int] = frozenset()
 
     def batch_at(self, key: int) -> int:
-        """Returns the batch items that it has at a server."""
+        """Returns the batch items that it has at an engine."""
         share = self.shares.get(key)
         return share.batch if share is not None else 0
 
@@ -73,12 +73,12 @@
 
 
 class SlotLedger:
-    """All holders, and the counts of servers that follow from them."""
+    """All holders, and the counts of engines that follow from them."""
 
-    def __init__(self, servers: ServerRegistry, life: int) -> None:
+    def __init__(self, engines: EngineRegistry, life: int) -> None:
         self.holders: dict[str, Holder] = {}
         self.life = life
-        self._servers = servers
+        self._engines = engines
         self._looked_at = float("-inf")
 
     def on_report(self, now: float, report: HoldingsReport) -> bool:
@@ -98,14 +98,14 @@
         holder.late_items = report.late_items
         holder.open_items = report.open_items
         holder.unusable = frozenset(report.unusable)
-        holder.reported = {share.server_key: share for share in report.shares}
+        holder.reported = {share.engine_key: share for share in report.shares}
         if report.word_life == self.life:
             while holder.words and holder.words[0].number <= report.word_seen:
                 holder.words.popleft()
         self._apply(now, holder)
         return True
 
-    def tell(self, now: float, name: str, share: ServerShare) -> int:
+    def tell(self, now: float, name: str, share: EngineShare) -> int:
         """Notes a word to a peer, which changes its share; returns the word's number."""
         holder = self.holders[name]
         holder.last_word += 1
@@ -114,26 +114,26 @@
         return holder.last_word
 
     def _apply(self, now: float, holder: Holder) -> None:
-        """Brings the counts of servers in line with what a holder has now."""
+        """Brings the counts of engines in line with what a holder has now."""
         shares = dict(holder.reported)
         for word in holder.words:
-            key = word.share.server_key
-            shares[key] = _sum(shares.get(key, ServerShare(key, 0, 0, 0)), word.share)
+            key = word.share.engine_key
+            shares[key] = _sum(shares.get(key, EngineShare(key, 0, 0, 0)), word.share)
         if shares == holder.shares:
             return
         for key in holder.shares.keys() | shares.keys():
-            nothing = ServerShare(key, 0, 0, 0)
+            nothing = EngineShare(key, 0, 0, 0)
             self._change(now, holder.shares.get(key, nothing), shares.get(key, nothing))
         holder.shares = shares
 
-    def _change(self, now: float, old: ServerShare, new: ServerShare) -> None:
-        server = self._servers.by_key(new.server_key)
-        if server is None or old == new:
+    def _change(self, now: float, old: EngineShare, new: EngineShare) -> None:
+        engine = self._engines.by_key(new.engine_key)
+        if engine is None or old == new:
             return
         tokens = (new.prefill_units - old.prefill_units) * PREFILL_UNIT_TOKENS
-        server.change_peers_online(now, new.online - old.online)
-        server.peers_batch = max(0, server.peers_batch + new.batch - old.batch)
-        server.peers_prefill_tokens = max(0, server.peers_prefill_tokens + tokens)
+        engine.change_peers_online(now, new.online - old.online)
+        engine.peers_batch = max(0, engine.peers_batch + new.batch - old.batch)
+        engine.peers_prefill_tokens = max(0, engine.peers_prefill_tokens + tokens)
 
     def next_due(self) -> float:
         """Returns when `on_timer` has something to do."""
@@ -162,25 +162,25 @@
         holder.open_items = 0
         holder.unusable = frozenset()
 
-    def recount(self, now: float, servers: Iterable[Server]) -> None:
-        """Makes the counts of some servers anew from the holders, after the list changed."""
-        for server in servers:
-            server.change_peers_online(now, -server.peers_online)
-            server.peers_batch = 0
-            server.peers_prefill_tokens = 0
-            key = server_key(server.record.server_id)
+    def recount(self, now: float, engines: Iterable[Engine]) -> None:
+        """Makes the counts of some engines anew from the holders, after the list changed."""
+        for engine in engines:
+            engine.change_peers_online(now, -engine.peers_online)
+            engine.peers_batch = 0
+            engine.peers_prefill_tokens = 0
+            key = engine_key(engine.record.engine_id)
             for holder in self.holders.values():
                 share = holder.shares.get(key)
                 if share is not None:
-                    self._change(now, ServerShare(key, 0, 0, 0), share)
+                    self._change(now, EngineShare(key, 0, 0, 0), share)
 
     def batch_holders(self, key: int) -> list[tuple[str, int]]:
-        """Returns the peers that have batch items at a server, with how many."""
+        """Returns the peers that have batch items at an engine, with how many."""
         held = ((name, holder.batch_at(key)) for name, holder in self.holders.items())
         return [(name, count) for name, count in held if count > 0]
 
     def is_avoided(self, key: int) -> bool:
-        """Returns whether several daemons find a server unusable."""
+        """Returns whether several daemons find an engine unusable."""
         found = sum(key in holder.unusable for holder in self.holders.values())
         return found >= EJECTIONS_TO_AVOID
 
@@ -196,9 +196,9 @@
             ensure(not numbers or numbers[-1] <= holder.last_word, "a word has no number")
 
 
-def _sum(share: ServerShare, change: ServerShare) -> ServerShare:
-    return ServerShare(
-        share.server_key,
+def _sum(share: EngineShare, change: EngineShare) -> EngineShare:
+    return EngineShare(
+        share.engine_key,
         max(0, share.online + change.online),
         max(0, share.batch + change.batch),
         max(0, share.prefill_units + change.prefill_units),
--- a/src/troutswitch/decisions/slots/messages.py
+++ b/src/troutswitch/decisions/slots/messages.py
@@ -31,9 +31,9 @@
 
 @dataclass(frozen=True, slots=True)
 class StartItems:
-    """This daemon may start so many batch items at a server, or is to stop some if negative."""
+    """This daemon may start so many batch items at an engine, or is to stop some if negative."""
 
-    server_id: str
+    engine_id: str
     count: int
 
 
--- a/src/troutswitch/decisions/slots/reports.py
+++ b/src/troutswitch/decisions/slots/reports.py
@@ -1,4 +1,4 @@
-"""Tells coordinators what this daemon has in flight at their servers.
+"""Tells coordinators what this daemon has in flight at their engines.
 
 A report goes some milliseconds after a change that the coordinator does not know, and now and
 then while anything is held or waits. A daemon that holds nothing and wants nothing tells
@@ -10,14 +10,14 @@
 
 from troutswitch.common import Address
 from troutswitch.daemons.messages import (
+    EngineShare,
     HoldingsReport,
-    ServerShare,
+    engine_key,
     prefill_units,
-    server_key,
 )
-from troutswitch.decisions.forwarding.engines import Server, ServerRegistry
+from troutswitch.decisions.forwarding.engines import Engine, EngineRegistry
 from troutswitch.decisions.slots.claims import Claim, CoordinatorClaims
-from troutswitch.decisions.slots.groups import ServerGroups
+from troutswitch.decisions.slots.groups import EngineGroups
 from troutswitch.decisions.slots.messages import SendToPeers, WaitingItems
 
 REPORT_SECONDS = 0.01
@@ -33,7 +33,7 @@
 class _Told:
     """What a coordinator is told, but for what changes with each report."""
 
-    shares: tuple[ServerShare, ...] = ()
+    shares: tuple[EngineShare, ...] = ()
     waiting: WaitingItems = field(default_factory=WaitingItems)
     open_items: int = 0
 
@@ -66,8 +66,8 @@
         zone: str,
         address: Address,
         life: int,
-        servers: ServerRegistry,
-        groups: ServerGroups,
+        engines: EngineRegistry,
+        groups: EngineGroups,
         claims: CoordinatorClaims,
         waiting: Callable[[], WaitingItems],
         open_items: Callable[[], int],
@@ -76,7 +76,7 @@
         self._zone = zone
         self._address = address
         self._life = life
-        self._servers = servers
+        self._engines = engines
         self._groups = groups
         self._claims = claims
         self._waiting = waiting
@@ -129,18 +129,18 @@
 
     def _update(self) -> None:
         """Works out anew what each coordinator is to know, if anything changed."""
-        changes = (self._servers.changes, self._claims.changes, self._groups.changes)
+        changes = (self._engines.changes, self._claims.changes, self._groups.changes)
         waiting, open_items = self._waiting(), self._open_items()
         state = (changes, waiting, open_items)
         if state == self._seen_state:
             return
         self._seen_state = state
-        shares: dict[str, list[ServerShare]] = {}
-        for server_id, server in self._servers.servers.items():
-            if server.online_in_flight or server.batch_in_flight:
-                claim = self._claim_for(server_id)
+        shares: dict[str, list[EngineShare]] = {}
+        for engine_id, engine in self._engines.engines.items():
+            if engine.online_in_flight or engine.batch_in_flight:
+                claim = self._claim_for(engine_id)
                 if claim is not None:
-                    shares.setdefault(claim.daemon, []).append(_share(server_id, server))
+                    shares.setdefault(claim.daemon, []).append(_share(engine_id, engine))
         wanted: dict[str, _Told] = {}
         for group in self._groups.all():
             claim = self._claims.claim_of(group.name)
@@ -150,8 +150,8 @@
                 wanted[claim.daemon] = _Told(held, waiting, open_items)
         self._wanted = wanted
 
-    def _claim_for(self, server_id: str) -> Claim | None:
-        group = self._groups.of_server(server_id)
+    def _claim_for(self, engine_id: str) -> Claim | None:
+        group = self._groups.of_engine(engine_id)
         return self._claims.claim_of(group.name) if group is not None else None
 
     # Reports.
@@ -184,9 +184,9 @@
 
     def _unusable(self, now: float) -> tuple[int, ...]:
         return tuple(
-            server_key(name)
-            for name, server in self._servers.servers.items()
-            if server.is_leaving or now < max(server.ejected_until, server.full_until)
+            engine_key(name)
+            for name, engine in self._engines.engines.items()
+            if engine.is_leaving or now < max(engine.ejected_until, engine.full_until)
         )
 
     def next_due(self) -> float:
@@ -214,10 +214,10 @@
         return instructions
 
 
-def _share(server_id: str, server: Server) -> ServerShare:
-    return ServerShare(
-        server_key(server_id),
-        server.online_in_flight,
-        server.batch_in_flight,
-        prefill_units(server.prefill_tokens),
+def _share(engine_id: str, engine: Engine) -> EngineShare:
+    return EngineShare(
+        engine_key(engine_id),
+        engine.online_in_flight,
+        engine.batch_in_flight,
+        prefill_units(engine.prefill_tokens),
     )
--- a/src/troutswitch/decisions/slots/slot_requests.py
+++ b/src/troutswitch/decisions/slots/slot_requests.py
@@ -13,20 +13,20 @@
 from dataclasses import dataclass
 
 from troutswitch.daemons.messages import (
-    NO_SERVER,
+    NO_ENGINE,
     HoldingsReport,
     PlaceAnswer,
     PlaceAsk,
+    engine_key,
     prefill_units,
-    server_key,
 )
-from troutswitch.decisions.forwarding.engines import Server, ServerRegistry
+from troutswitch.decisions.forwarding.engines import Engine, EngineRegistry
 from troutswitch.decisions.forwarding.messages import LogLine
 from troutswitch.decisions.forwarding.placement import HomePolicy, PlacementPolicy, TwoChoices
 from troutswitch.decisions.forwarding.placer import (
     FoundBy,
+    NoEngine,
     NoPlaceInTime,
-    NoServer,
     Place,
     PlaceWish,
     Placing,
@@ -34,7 +34,7 @@
 from troutswitch.decisions.forwarding.wait_estimate import Estimate
 from troutswitch.decisions.slots.claims import Claim, CoordinatorClaims
 from troutswitch.decisions.slots.coordinator import PlaceRequest, SlotCoordinator
-from troutswitch.decisions.slots.groups import Group, ServerGroups
+from troutswitch.decisions.slots.groups import EngineGroups, Group
 from troutswitch.decisions.slots.messages import SendToPeers, StartItems
 
 ANSWER_SECONDS = 0.03
@@ -78,18 +78,18 @@
     def __init__(
         self,
         zone: str,
-        servers: ServerRegistry,
-        groups: ServerGroups,
+        engines: EngineRegistry,
+        groups: EngineGroups,
         claims: CoordinatorClaims,
         coordinator: SlotCoordinator,
         homes: HomePolicy,
         report: Callable[[float, Claim], HoldingsReport],
-        candidates: Callable[[float, int], list[Server]],
+        candidates: Callable[[float, int], list[Engine]],
         emit: Callable[[Instruction], None],
         rng: random.Random,
     ) -> None:
         self._zone = zone
-        self._servers = servers
+        self._engines = engines
         self._groups = groups
         self._claims = claims
         self._coordinator = coordinator
@@ -105,7 +105,7 @@
 
     # Placer.
 
-    def place(self, now: float, wish: PlaceWish, candidates: list[Server]) -> Placing | None:
+    def place(self, now: float, wish: PlaceWish, candidates: list[Engine]) -> Placing | None:
         """Begins a search; one that this daemon can end itself ends at once."""
         home = self._homes.home(candidates, wish.prompt)
         if home is not None:
@@ -169,10 +169,10 @@
         return min(NEAR_WAIT_SECONDS, search.wish.longest_wait)
 
     def _avoided(self, now: float, search: _Search, group: Group) -> frozenset[int]:
-        allowed = {s.record.server_id for s in self._candidates(now, search.wish.token)}
-        held = self._coordinator.servers_of(group.name)
+        allowed = {s.record.engine_id for s in self._candidates(now, search.wish.token)}
+        held = self._coordinator.engines_of(group.name)
         return frozenset(
-            server_key(s.record.server_id) for s in held if s.record.server_id not in allowed
+            engine_key(s.record.engine_id) for s in held if s.record.engine_id not in allowed
         )
 
     def _decide_here(self, now: float, search: _Search, group: Group) -> Placing | None:
@@ -184,17 +184,17 @@
             self._avoided(now, search, group),
         )
         decision = self._coordinator.decide(now, request)
-        if decision.server is None:
+        if decision.engine is None:
             self._note_wait(search, group, decision.estimate)
             return None
-        for made in self._coordinator.make_room_for_own(now, decision.server):
+        for made in self._coordinator.make_room_for_own(now, decision.engine):
             self._emit(made)
-        return Place(decision.server, FoundBy.COORDINATOR, decision.estimate.wait > 0)
+        return Place(decision.engine, FoundBy.COORDINATOR, decision.estimate.wait > 0)
 
     @staticmethod
     def _note_wait(search: _Search, group: Group, estimate: Estimate) -> None:
         if estimate.slots == 0:
-            return  # the group has no server for the request
+            return  # the group has no engine for the request
         if search.best is None or estimate.wait < search.best.wait:
             search.best, search.best_group = estimate, group
 
@@ -216,12 +216,12 @@
         """Places by what is known here."""
         candidates = self._candidates(now, search.wish.token)
         if not candidates:
-            candidates = self._servers.usable(now, search.wish.service)
+            candidates = self._engines.usable(now, search.wish.service)
         if not candidates:
-            return NoServer()
+            return NoEngine()
         prompt = search.wish.prompt
-        server = self._fallback.choose(now, candidates, prompt, self._zone, self._rng)
-        return Place(server, FoundBy.FALLBACK, server.in_flight(now) >= server.slots)
+        engine = self._fallback.choose(now, candidates, prompt, self._zone, self._rng)
+        return Place(engine, FoundBy.FALLBACK, engine.in_flight(now) >= engine.slots)
 
     # Answers.
 
@@ -239,16 +239,16 @@
             self._claims.on_denied(now, answer.group)
             return self._finish(now, search, self._go_on(now, search))
         self._claims.on_heard(answer.group, answer.sender)
-        if answer.server_key == NO_SERVER:
+        if answer.engine_key == NO_ENGINE:
             held = answer.wait_ms / 1000
             estimate = Estimate(held, answer.queued, answer.slots, 0.0)
             self._note_wait(search, search.asked, estimate)
             return self._finish(now, search, self._go_on(now, search))
-        server = self._servers.by_key(answer.server_key)
+        engine = self._engines.by_key(answer.engine_key)
         allowed = self._candidates(now, search.wish.token)
-        if server is None or server not in allowed:
+        if engine is None or engine not in allowed:
             return self._finish(now, search, self._fall_back(now, search))
-        place = Place(server, FoundBy.COORDINATOR, answer.wait_ms > 0)
+        place = Place(engine, FoundBy.COORDINATOR, answer.wait_ms > 0)
         return self._finish(now, search, place)
 
     def _finish(self, now: float, search: _Search, placing: Placing | None) -> Found | None:
--- a/src/troutswitch/decisions/tenants/coordinated_quota.py
+++ b/src/troutswitch/decisions/tenants/coordinated_quota.py
@@ -1,6 +1,6 @@
 """Quotas counted by one daemon a tenant, which is asked before a request is sent.
 
-That daemon is the coordinator of one of the groups of servers (`slots/claims.py`), drawn by the
+That daemon is the coordinator of one of the groups of engines (`slots/claims.py`), drawn by the
 tenant's name: all daemons agree on who it is, and another takes over when it is silent.
 """
 
@@ -14,7 +14,7 @@
 from troutswitch.daemons.messages import QuotaAnswer, QuotaAsk
 from troutswitch.decisions.forwarding.messages import LogLine
 from troutswitch.decisions.slots.claims import CoordinatorClaims
-from troutswitch.decisions.slots.groups import Group, ServerGroups
+from troutswitch.decisions.slots.groups import EngineGroups, Group
 from troutswitch.decisions.slots.messages import SendToPeers
 from troutswitch.decisions.tenants.ledger import QuotaLedger, QuotaLimit
 from troutswitch.decisions.tenants.quota import UNLIMITED, QuotaEnd, QuotaWord
@@ -68,7 +68,7 @@
         name: str,
         address: Address,
         bounds: QuotaBounds,
-        groups: ServerGroups,
+        groups: EngineGroups,
         claims: CoordinatorClaims,
         coordinated: dict[str, float],
         version: Callable[[], int],
--- a/src/troutswitch/gateway/callers/application.py
+++ b/src/troutswitch/gateway/callers/application.py
@@ -7,7 +7,7 @@
 from troutswitch.gateway.callers.relay import Relay, WholeAnswer
 from troutswitch.gateway.callers.relay_registry import Relays
 from troutswitch.gateway.engines.engine_activity import Pulse
-from troutswitch.gateway.engines.exchange import ServerConnections
+from troutswitch.gateway.engines.exchange import EngineConnections
 from troutswitch.outcomes import Cut, MayHaveRun, NotRun
 from troutswitch.platform import names
 from troutswitch.platform.requests import Environ, IncomingRequest, read_request
@@ -28,16 +28,16 @@
 
     Args:
         relays: the requests in progress.
-        connections: connections to servers.
+        connections: connections to engines.
         post: hands an event to the loop.
-        pulse: notes signs of life of servers.
+        pulse: notes signs of life of engines.
         handle_job: answers calls about batch jobs, or returns None for other requests.
     """
 
     def __init__(
         self,
         relays: Relays,
-        connections: ServerConnections,
+        connections: EngineConnections,
         post: Callable[[object], None],
         pulse: Pulse,
         handle_job: JobHandler,
--- a/src/troutswitch/gateway/callers/caller_watch.py
+++ b/src/troutswitch/gateway/callers/caller_watch.py
@@ -5,9 +5,9 @@
 requests are queued on it), and while the loop is busy. With the watch taken out those states
 are seen by nobody: tests/gateway/callers/test_caller_gone.py holds one test for each.
 
-Gained: from a caller's close until its server saw the end, 98 ms for the 99th part in 100
+Gained: from a caller's close until its engine saw the end, 98 ms for the 99th part in 100
 (median 3.8 ms, most 179 ms) against 1,723 ms (median 85.9 ms, most 1,837 ms) with looks of
-the loop each 100 ms. Measured on one daemon before one server by 48 callers at once who left
+the loop each 100 ms. Measured on one daemon before one engine by 48 callers at once who left
 559 and 506 requests, half of them streams, at random times; the machine's load was 40 on 16
 processors in both runs.
 """
--- a/src/troutswitch/gateway/callers/listener.py
+++ b/src/troutswitch/gateway/callers/listener.py
@@ -69,7 +69,7 @@
         super().service()
 
 
-class FrontServer:
+class HttpListener:
     """A waitress server with its own threads."""
 
     def __init__(
