--- a/src/troutswitch/gateway/callers/relay.py
+++ b/src/troutswitch/gateway/callers/relay.py
@@ -1,4 +1,4 @@
-"""Relays one forwarded request: the caller's thread, the loop's decisions, a server's bytes."""
+"""Relays one forwarded request: the caller's thread, the loop's decisions, an engine's bytes."""
 
 from collections.abc import Callable, Iterator
 from dataclasses import dataclass, field, replace
@@ -18,14 +18,14 @@
 from troutswitch.gateway.engines.event_stream import BrokenEvents, EventSplitter
 from troutswitch.gateway.engines.exchange import (
     AnswerLost,
+    EngineConnections,
     Exchange,
     NotConnected,
     OutgoingRequest,
-    ServerConnections,
 )
 from troutswitch.outcomes import AttemptKind
 from troutswitch.platform import names
-from troutswitch.platform.requests import AnswerHead, IncomingRequest, read_head, server_headers
+from troutswitch.platform.requests import AnswerHead, IncomingRequest, engine_headers, read_head
 
 DIRECTIVE_SECONDS = 60.0
 """Longest wait for the loop's next directive; beyond it the loop is taken for dead."""
@@ -36,7 +36,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WholeAnswer:
-    """A whole answer of a server, to be passed on as it is."""
+    """A whole answer of an engine, to be passed on as it is."""
 
     head: AnswerHead
     body: bytes
@@ -54,7 +54,7 @@
     request: IncomingRequest
     body: bytes
     relays: Relays
-    connections: ServerConnections
+    connections: EngineConnections
     post: Post
     pulse: Pulse
     head: AnswerHead | None = None
@@ -102,7 +102,7 @@
     def _attempt(self, decided: SendRequest) -> Iterator[bytes]:
         """Makes one attempt, with what is left of its time.
 
-        Guards against a machine that stood still between decision and sending: the server was
+        Guards against a machine that stood still between decision and sending: the engine was
         given seconds more than the caller waits.
         """
         stood_still = max(0.0, steady_seconds() - decided.decided_at)
@@ -113,7 +113,7 @@
             return
         exchange = Exchange(
             self.connections,
-            directive.server_id,
+            directive.engine_id,
             directive.address,
             self._outgoing(directive),
             names.REQUEST_ID,
@@ -129,15 +129,15 @@
         """Returns the event after which an attempt goes on.
 
         What this thread gave to the caller counts, not what the loop has heard of: it may
-        have left a server before it took the word that events had come.
+        have left an engine before it took the word that events had come.
         """
         return self._splitter.last_id if self._delivered else directive.resume_after
 
     def _outgoing(self, directive: SendRequest) -> OutgoingRequest:
         request = self.request
-        headers = server_headers(
+        headers = engine_headers(
             request,
-            directive.server_id,
+            directive.engine_id,
             directive.time_left,
             self._resume_after(directive),
             directive.tenant,
@@ -168,7 +168,7 @@
         self._splitter = splitter
         event_at = steady_seconds()
         for data in exchange.chunks():
-            self.pulse.beat(directive.server_id)
+            self.pulse.beat(directive.engine_id)
             events = splitter.feed(data)
             if not events:
                 continue
--- a/src/troutswitch/gateway/callers/relay_registry.py
+++ b/src/troutswitch/gateway/callers/relay_registry.py
@@ -80,9 +80,9 @@
             return entry is not None and entry.is_gone
 
     def _on_gone(self, token: int, age: float) -> None:
-        """Leaves the request's server at once, without waiting for the loop, and tells it.
+        """Leaves the request's engine at once, without waiting for the loop, and tells it.
 
-        Guards against a loop that is busy or late: the server was freed only after it.
+        Guards against a loop that is busy or late: the engine was freed only after it.
         """
         closed_at = steady_seconds() - age
         with self._lock:
--- a/src/troutswitch/gateway/engines/engine_activity.py
+++ b/src/troutswitch/gateway/engines/engine_activity.py
@@ -1,23 +1,23 @@
-"""Tells the loop, a few times a second, which servers send bytes."""
+"""Tells the loop, a few times a second, which engines send bytes."""
 
 from collections.abc import Callable
 
 from troutswitch.clock import steady_seconds
-from troutswitch.decisions.forwarding.messages import ServerHeard
+from troutswitch.decisions.forwarding.messages import EngineHeard
 
 PULSE_SECONDS = 0.2
 
 
 class Pulse:
-    """Signs of life of servers, from the threads that read their answers."""
+    """Signs of life of engines, from the threads that read their answers."""
 
     def __init__(self, post: Callable[[object], None]) -> None:
         self._post = post
         self._told_at: dict[str, float] = {}
 
-    def beat(self, server_id: str) -> None:
+    def beat(self, engine_id: str) -> None:
         """Notes that bytes came; two threads at once may tell it twice, which does no harm."""
         now = steady_seconds()
-        if now - self._told_at.get(server_id, float("-inf")) >= PULSE_SECONDS:
-            self._told_at[server_id] = now
-            self._post(ServerHeard(server_id))
+        if now - self._told_at.get(engine_id, float("-inf")) >= PULSE_SECONDS:
+            self._told_at[engine_id] = now
+            self._post(EngineHeard(engine_id))
--- a/src/troutswitch/gateway/engines/engine_check.py
+++ b/src/troutswitch/gateway/engines/engine_check.py
@@ -1,24 +1,24 @@
-"""Finds out whether a server still takes connections, after one to it was lost."""
+"""Finds out whether an engine still takes connections, after one to it was lost."""
 
 import socket
 
 from troutswitch.common import Address
-from troutswitch.decisions.crashes.messages import CheckServer, ServerChecked, ServerFound
+from troutswitch.decisions.crashes.messages import CheckEngine, EngineChecked, EngineFound
 
 CHECK_SECONDS = 0.5
 """Longest wait for a connection: as long as requests wait for one."""
 
 
-def check_server(check: CheckServer) -> ServerChecked:
+def check_engine(check: CheckEngine) -> EngineChecked:
     """Connects and closes; nothing is sent."""
-    return ServerChecked(check.server_id, _find(check.address))
+    return EngineChecked(check.engine_id, _find(check.address))
 
 
-def _find(address: Address) -> ServerFound:
+def _find(address: Address) -> EngineFound:
     try:
         socket.create_connection(address, CHECK_SECONDS).close()
     except ConnectionRefusedError:
-        return ServerFound.ENDED
+        return EngineFound.ENDED
     except OSError:
-        return ServerFound.UNKNOWN
-    return ServerFound.LISTENS
+        return EngineFound.UNKNOWN
+    return EngineFound.LISTENS
--- a/src/troutswitch/gateway/engines/exchange.py
+++ b/src/troutswitch/gateway/engines/exchange.py
@@ -1,10 +1,10 @@
-"""One HTTP exchange with a server over a connection that may be kept.
+"""One HTTP exchange with an engine over a connection that may be kept.
 
 Answers are matched by the request's id. A surplus answer that arrives in the place of
 the next one is read and dropped, and a connection on which bytes wait that no request
 asked for is not used again.
 
-A connection that fell silent is closed, and with it the idle ones of the same server that
+A connection that fell silent is closed, and with it the idle ones of the same engine that
 brought nothing since: they are doubted before they are used, not after each ran into a
 time-out of its own.
 """
@@ -33,11 +33,11 @@
 SURPLUS_ANSWERS_MOST = 3
 RESET_AT_CLOSE = struct.pack("ii", 1, 0)
 """`SO_LINGER` of zero seconds."""
-IDLE_CONNECTIONS_A_SERVER = 6
+IDLE_CONNECTIONS_PER_ENGINE = 6
 IDLE_SECONDS_DEFAULT = 4.0
-"""Time for which an idle connection is kept where the server tells none."""
+"""Time for which an idle connection is kept where the engine tells none."""
 IDLE_SHARE = 0.6
-"""Share of the idle time told by a server for which a connection is used again."""
+"""Share of the idle time told by an engine for which a connection is used again."""
 
 Headers = list[tuple[str, str]]
 
@@ -52,7 +52,7 @@
 
 @dataclass(frozen=True, slots=True)
 class OutgoingRequest:
-    """A request as it goes to a server."""
+    """A request as it goes to an engine."""
 
     request_id: str
     method: str
@@ -141,15 +141,15 @@
 OnDoubt = Callable[[str, int], None]
 
 
-def _ignore_doubt(server_id: str, closed: int) -> None:
+def _ignore_doubt(engine_id: str, closed: int) -> None:
     """Takes no note of closed connections."""
 
 
-class ServerConnections:
-    """Idle connections by server id, for reuse.
+class EngineConnections:
+    """Idle connections by engine id, for reuse.
 
     Args:
-        on_doubt: called with a server's id and how many of its connections were closed
+        on_doubt: called with an engine's id and how many of its connections were closed
             because another one had fallen silent.
     """
 
@@ -158,7 +158,7 @@
         self._idle: dict[str, deque[_Connection]] = {}
         self._lock = threading.Lock()
 
-    def take(self, server_id: str, address: Address, request_id: str) -> _Connection:
+    def take(self, engine_id: str, address: Address, request_id: str) -> _Connection:
         """Returns an idle connection that is sound, or a new one not yet connected.
 
         One whose last request had the same id is closed: a late surplus answer to that
@@ -166,7 +166,7 @@
         """
         while True:
             with self._lock:
-                held = self._idle.get(server_id)
+                held = self._idle.get(engine_id)
                 connection = held.pop() if held else None
             if connection is None:
                 return _Connection(address)
@@ -176,34 +176,34 @@
                 return connection
             connection.close()
 
-    def keep(self, server_id: str, connection: _Connection) -> None:
+    def keep(self, engine_id: str, connection: _Connection) -> None:
         """Keeps a connection whose answer was read whole."""
         connection.idle_since = steady_seconds()
         with self._lock:
-            held = self._idle.setdefault(server_id, deque())
-            if len(held) < IDLE_CONNECTIONS_A_SERVER:
+            held = self._idle.setdefault(engine_id, deque())
+            if len(held) < IDLE_CONNECTIONS_PER_ENGINE:
                 held.append(connection)
                 return
         connection.close()
 
-    def doubt(self, server_id: str, silent_since: float) -> None:
-        """Closes a server's idle connections that brought nothing since another fell silent.
+    def doubt(self, engine_id: str, silent_since: float) -> None:
+        """Closes an engine's idle connections that brought nothing since another fell silent.
 
         Without it each of them cost one request its whole time-out.
         """
         with self._lock:
-            held = self._idle.pop(server_id, deque())
+            held = self._idle.pop(engine_id, deque())
             doubted = [c for c in held if c.idle_since <= silent_since]
-            self._idle[server_id] = deque(c for c in held if c.idle_since > silent_since)
+            self._idle[engine_id] = deque(c for c in held if c.idle_since > silent_since)
         for connection in doubted:
             connection.close()
         if doubted:
-            self._on_doubt(server_id, len(doubted))
+            self._on_doubt(engine_id, len(doubted))
 
-    def drop_servers(self, gone: list[str]) -> None:
-        """Closes the idle connections of servers that left."""
+    def drop_engines(self, gone: list[str]) -> None:
+        """Closes the idle connections of engines that left."""
         with self._lock:
-            held = [self._idle.pop(server_id, deque()) for server_id in gone]
+            held = [self._idle.pop(engine_id, deque()) for engine_id in gone]
         for connections in held:
             for connection in connections:
                 connection.close()
@@ -213,8 +213,8 @@
 class Exchange:
     """One exchange; `abort` may be called from any thread."""
 
-    connections: ServerConnections
-    server_id: str
+    connections: EngineConnections
+    engine_id: str
     address: Address
     request: OutgoingRequest
     id_header: str
@@ -233,7 +233,7 @@
             AnswerLost: the request was sent and no head of its answer came.
         """
         request_id = self.request.request_id
-        connection = self.connections.take(self.server_id, self.address, request_id)
+        connection = self.connections.take(self.engine_id, self.address, request_id)
         connection.last_request_id = request_id
         with self._lock:
             self._connection = connection
@@ -260,7 +260,7 @@
 
     def _doubt_others(self) -> None:
         if steady_seconds() - self.heard_at >= DOUBT_LEAST_SECONDS:
-            self.connections.doubt(self.server_id, self.heard_at)
+            self.connections.doubt(self.engine_id, self.heard_at)
 
     def _connect(self, connection: _Connection) -> None:
         if connection.sock is not None:
@@ -272,7 +272,7 @@
             raise NotConnected(f"{type(error).__name__}: {error}") from error
 
     def _send(self, connection: _Connection) -> None:
-        """Sends head and body; a server may answer and close before it read all."""
+        """Sends head and body; an engine may answer and close before it read all."""
         request = self.request
         connection.putrequest(
             request.method, request.url, skip_host=True, skip_accept_encoding=True
@@ -344,14 +344,14 @@
         if reusable and connection.idle_most > 0:
             with self._lock:
                 self._connection = None
-            self.connections.keep(self.server_id, connection)
+            self.connections.keep(self.engine_id, connection)
         else:
             self._close()
 
     def abort(self, is_silent: bool = False) -> None:
         """Ends the exchange from another thread: its reader sees the connection's end.
 
-        One that is left since its server seems silent lets other connections be doubted, and
+        One that is left since its engine seems silent lets other connections be doubted, and
         at once: the next attempt may come before the reader of this one wakes.
         """
         if is_silent:
@@ -378,7 +378,7 @@
     """Ends a connection with a reset at its close.
 
     Guards against a request that was sent in part: without the reset the kernel goes on to
-    send what it holds of it, and a server that reads late runs it.
+    send what it holds of it, and an engine that reads late runs it.
     """
     try:
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_AT_CLOSE)
--- a/src/troutswitch/gateway/engines/item_runs.py
+++ b/src/troutswitch/gateway/engines/item_runs.py
@@ -1,4 +1,4 @@
-"""Runs batch items at servers, one blocking call a thread."""
+"""Runs batch items at engines, one blocking call a thread."""
 
 import threading
 from collections.abc import Callable
@@ -19,10 +19,10 @@
 from troutswitch.gateway.engines.event_stream import BrokenEvents, EventSplitter
 from troutswitch.gateway.engines.exchange import (
     AnswerLost,
+    EngineConnections,
     Exchange,
     NotConnected,
     OutgoingRequest,
-    ServerConnections,
 )
 from troutswitch.outcomes import AttemptKind
 from troutswitch.platform import names
@@ -39,7 +39,7 @@
 
     def __init__(
         self,
-        connections: ServerConnections,
+        connections: EngineConnections,
         post: Callable[[object], None],
         pulse: Pulse,
         logger: structlog.typing.FilteringBoundLogger,
@@ -119,14 +119,14 @@
             instruction.host,
             item.item_id,
             dict(item.headers),
-            instruction.server_id,
+            instruction.engine_id,
             instruction.resume_after,
             instruction.tenant,
         )
         request = OutgoingRequest(item.item_id, "POST", item.path, headers, item.body)
         exchange = Exchange(
             self._connections,
-            instruction.server_id,
+            instruction.engine_id,
             instruction.address,
             request,
             names.REQUEST_ID,
@@ -147,7 +147,7 @@
         """Reads the stream, and tells what came from time to time."""
         told_at = steady_seconds()
         for data in exchange.chunks():
-            self._pulse.beat(instruction.server_id)
+            self._pulse.beat(instruction.engine_id)
             came = splitter.feed(data)
             if came:
                 exchange.set_wait(instruction.gap_wait)
--- a/src/troutswitch/gateway/instruction_executor.py
+++ b/src/troutswitch/gateway/instruction_executor.py
@@ -5,14 +5,14 @@
 
 import structlog
 
-from troutswitch.decisions.crashes.messages import CheckServer
+from troutswitch.decisions.crashes.messages import CheckEngine
 from troutswitch.decisions.forwarding.messages import (
     AbortAttempt,
     FinishRequest,
     LogLine,
     SendRequest,
 )
-from troutswitch.decisions.gateway_messages import LimitsChanged, ServersLeft
+from troutswitch.decisions.gateway_messages import EnginesLeft, LimitsChanged
 from troutswitch.decisions.jobs.messages import AnswerJobCall, RunItem, StopItem
 from troutswitch.decisions.peers.catch_up import AskPeerState, PeerStateTold
 from troutswitch.decisions.slots.messages import SendToPeers
@@ -28,8 +28,8 @@
     StoreOutcome,
 )
 from troutswitch.gateway.callers.relay_registry import Relays
-from troutswitch.gateway.engines.engine_check import check_server
-from troutswitch.gateway.engines.exchange import ServerConnections
+from troutswitch.gateway.engines.engine_check import check_engine
+from troutswitch.gateway.engines.exchange import EngineConnections
 from troutswitch.gateway.engines.item_runs import ItemRuns
 
 STORE_THREADS = 48
@@ -41,7 +41,7 @@
     def __init__(
         self,
         relays: Relays,
-        connections: ServerConnections,
+        connections: EngineConnections,
         call_store: Callable[[StoreCall], StoreOutcome],
         items: ItemRuns,
         answer_job: Callable[[AnswerJobCall], None],
@@ -84,14 +84,14 @@
                 self._send_to_peers(instruction)
             case AskPeerState():
                 self._submit(lambda: self._ask_peer(instruction))
-            case CheckServer():
-                self._submit(lambda: check_server(instruction))
+            case CheckEngine():
+                self._submit(lambda: check_engine(instruction))
             case AnswerJobCall():
                 self._answer_job(instruction)
             case LimitsChanged():
                 self.set_limits(instruction)
-            case ServersLeft():
-                self._connections.drop_servers(list(instruction.server_ids))
+            case EnginesLeft():
+                self._connections.drop_engines(list(instruction.engine_ids))
             case ReadNewest() | ReadRecords() | AppendRecords() | JoinGroup() | LeaveGroup():
                 self._submit(lambda: self._run(instruction))
             case _:
--- a/src/troutswitch/gateway/metrics.py
+++ b/src/troutswitch/gateway/metrics.py
@@ -23,7 +23,7 @@
         self.registry = CollectorRegistry()
         self._attempts = Counter(
             "troutswitch_attempts",
-            "Attempts at servers by how they ended",
+            "Attempts at engines by how they ended",
             ["kind"],
             registry=self.registry,
         )
@@ -35,7 +35,7 @@
         )
         self._close_to_abort = Histogram(
             "troutswitch_caller_close_to_abort_seconds",
-            "Time from a caller's close to the end of its work at a server",
+            "Time from a caller's close to the end of its work at an engine",
             buckets=SECONDS_BUCKETS,
             registry=self.registry,
         )
@@ -57,25 +57,25 @@
         self._gauge("requests_in_flight", "Requests", lambda: len(core.requests.requests))
         self._gauge("item_runs_in_flight", "Runs of items", lambda: len(core.jobs.owner.runs))
         self._gauge("shards_owned", "Shards owned", lambda: len(core.jobs.ownership.owned()))
-        self._gauge("servers_known", "Servers known", lambda: len(core.servers.servers))
+        self._gauge("servers_known", "Engines known", lambda: len(core.engines.engines))
         self._gauge(
             "servers_missing_kept",
-            "Servers in use although the last list lacks them",
-            lambda: len(core.servers.kept_missing),
+            "Engines in use although the last list lacks them",
+            lambda: len(core.engines.kept_missing),
         )
-        self._gauge("server_list_age_seconds", "Age of the list of servers", core.server_list_age)
+        self._gauge("server_list_age_seconds", "Age of the list of engines", core.engine_list_age)
         self._gauge("peers_known", "Peers known", lambda: len(core.contacts.contacts))
         self._gauge(
             "groups_coordinated",
-            "Groups of servers whose slots this daemon counts",
+            "Groups of engines whose slots this daemon counts",
             lambda: len(core.slots.coordinator.coordinated),
         )
         self._gauge(
-            "crash_suspects", "Requests under which servers ended", lambda: core.suspects.count
+            "crash_suspects", "Requests under which engines ended", lambda: core.suspects.count
         )
         self._gauge(
             "requests_refused_for_crashes",
-            "Requests that are refused as servers ended under them",
+            "Requests that are refused as engines ended under them",
             lambda: len(core.suspects.refused),
         )
         self._gauge("configuration_version", "Version in force", lambda: core.routes.version)
--- a/src/troutswitch/gateway/process.py
+++ b/src/troutswitch/gateway/process.py
@@ -23,13 +23,13 @@
 from troutswitch.decisions.policies import Policies
 from troutswitch.gateway.callers.application import CallerApplication
 from troutswitch.gateway.callers.job_calls import JobCalls
-from troutswitch.gateway.callers.listener import FrontServer
+from troutswitch.gateway.callers.listener import HttpListener
 from troutswitch.gateway.callers.relay_registry import Relays
 from troutswitch.gateway.callers.stop_gate import StopGate
 from troutswitch.gateway.daemons.peer_socket import PeerSocket
 from troutswitch.gateway.daemons.peer_state import PEER_STATE_PATH, answer_peer, ask_peer
 from troutswitch.gateway.engines.engine_activity import Pulse
-from troutswitch.gateway.engines.exchange import ServerConnections
+from troutswitch.gateway.engines.exchange import EngineConnections
 from troutswitch.gateway.engines.item_runs import ItemRuns
 from troutswitch.gateway.instruction_executor import InstructionRunner
 from troutswitch.gateway.loop import GatewayLoop
@@ -53,7 +53,7 @@
 """Part of the grace time that is left at the end."""
 LOOK_SECONDS = 0.05
 FLUSH_SECONDS = 0.1
-"""Time for the last answers, which the server holds already, to reach their sockets."""
+"""Time for the last answers, which the engine holds already, to reach their sockets."""
 
 
 class GatewayProcess:
@@ -69,7 +69,7 @@
         self.failure: BaseException | None = None
         self._logger = logger
         self._relays = Relays(self._post)
-        self._connections = ServerConnections(self._on_doubt)
+        self._connections = EngineConnections(self._on_doubt)
         store = StoreClient(settings.store.address)
         store.connections.on_doubt = lambda closed: self._on_doubt("store", closed)
         peer_address = Address(settings.peer_host, settings.peer_ports[0])
@@ -113,14 +113,14 @@
         self._callers = self._make_callers()
         self._readiness = self._make_readiness()
 
-    def _make_callers(self) -> FrontServer | None:
+    def _make_callers(self) -> HttpListener | None:
         if self.settings.callers is None:
             return None
         application = CallerApplication(
             self._relays, self._connections, self._post, self._pulse, self._jobs.handle
         )
         self._gate = StopGate(application)
-        return FrontServer(
+        return HttpListener(
             self._gate,
             self.settings.callers,
             CALLER_THREADS,
@@ -130,10 +130,10 @@
             application.on_unserved,
         )
 
-    def _make_readiness(self) -> FrontServer | None:
+    def _make_readiness(self) -> HttpListener | None:
         if self.settings.readiness is None:
             return None
-        return FrontServer(
+        return HttpListener(
             self._answer_readiness,
             self.settings.readiness,
             READINESS_THREADS,
@@ -141,13 +141,13 @@
             CONNECTIONS_MOST,
         )
 
-    def _make_internal(self) -> FrontServer | None:
+    def _make_internal(self) -> HttpListener | None:
         """Makes the listener for metrics and peers, at the last of the daemons' ports."""
         first, last = self.settings.peer_ports
         if last <= first:
             return None
         address = Address(self.settings.peer_host, last)
-        return FrontServer(
+        return HttpListener(
             self._answer_internal, address, INTERNAL_THREADS, "internal", CONNECTIONS_MOST
         )
 
--- a/src/troutswitch/hindsight/bound.py
+++ b/src/troutswitch/hindsight/bound.py
@@ -1,7 +1,7 @@
 """An upper bound on what any decision could have had in time, with hindsight.
 
 Assumptions, all of which make the bound larger than what can be reached: the slots of all
-listed servers are one pool (a crashed one counts until its entry is gone); nothing is lost
+listed engines are one pool (a crashed one counts until its entry is gone); nothing is lost
 or cut; online requests come first and those that cannot be in aim take no room; batch items
 use every slot that online requests leave, are stopped and resumed for nothing, and may run
 on many slots at once. Requests that were asked to come back count where they came back.
@@ -44,7 +44,7 @@
 
 @dataclass
 class _Pool:
-    """The slots of all servers; `runs` holds begin and end of each request that was let in."""
+    """The slots of all engines; `runs` holds begin and end of each request that was let in."""
 
     day: Day
     free_first: float
--- a/src/troutswitch/hindsight/day.py
+++ b/src/troutswitch/hindsight/day.py
@@ -16,7 +16,7 @@
 
 @dataclass(slots=True)
 class OnlineRequest:
-    """An online request that was sent to a server. Times are seconds.
+    """An online request that was sent to an engine. Times are seconds.
 
     `first` is the wait for the first event as it was, infinite if none came; `held` the
     time for which the request had its slot, 0 if it is not known. Answers without events
@@ -60,7 +60,7 @@
     deferred: int = 0
 
     def slots_at(self, at: float) -> int:
-        """Returns the slots of all listed servers at a time; the first word holds before it."""
+        """Returns the slots of all listed engines at a time; the first word holds before it."""
         if not self.slots:
             return 0
         place = bisect.bisect_right(self.slots, (at, 1 << 31)) - 1
@@ -94,7 +94,7 @@
                 self._on_ended(line)
             case "request deferred":
                 self.day.deferred += 1
-            case "servers changed" if "slots" in line.fields:
+            case "engines changed" if "slots" in line.fields:
                 self.day.slots.append((line.seconds, int(line.fields["slots"])))
             case "job hand-in ended" if line.fields.get("status") == 202:
                 due = line.seconds + float(line.fields.get("due_ms", 0)) / 1000
--- a/src/troutswitch/platform/configuration.py
+++ b/src/troutswitch/platform/configuration.py
@@ -1,15 +1,15 @@
-"""Decodes the operator's configuration and the servers' records."""
+"""Decodes the operator's configuration and the engines' records."""
 
 import msgspec
 
 from troutswitch.common import Address
 from troutswitch.decisions.forwarding.types import (
     Backend,
+    EngineRecord,
     FleetConfiguration,
     RequestLimits,
     Route,
     RouteKind,
-    ServerRecord,
     Service,
 )
 from troutswitch.decisions.tenants.types import Tenant, key_digest
@@ -163,8 +163,8 @@
     return Service(held.name, held.maxConnections, engine.slots, engine.kvCacheTokens)
 
 
-def decode_server(server_id: str, data: bytes) -> ServerRecord:
-    """Decodes a server's record.
+def decode_engine(engine_id: str, data: bytes) -> EngineRecord:
+    """Decodes an engine's record.
 
     Raises:
         FormatError: the record is malformed.
@@ -173,9 +173,9 @@
         held = _SERVER.decode(data)
         address = Address.parse(held.address)
     except (msgspec.DecodeError, ValueError) as error:
-        raise FormatError(f"server {server_id}: {error}") from error
-    return ServerRecord(
-        server_id,
+        raise FormatError(f"engine {engine_id}: {error}") from error
+    return EngineRecord(
+        engine_id,
         held.service,
         address,
         held.zone,
@@ -191,6 +191,6 @@
         """Decodes a record of the operators' topic; None if it is not the configuration."""
         return decode_configuration(data) if key == CONFIGURATION_KEY and data else None
 
-    def server(self, server_id: str, data: bytes) -> ServerRecord:
-        """Decodes a server's record."""
-        return decode_server(server_id, data)
+    def engine(self, engine_id: str, data: bytes) -> EngineRecord:
+        """Decodes an engine's record."""
+        return decode_engine(engine_id, data)
--- a/src/troutswitch/platform/names.py
+++ b/src/troutswitch/platform/names.py
@@ -53,5 +53,5 @@
         "host",
     }
 )
-"""Headers that the adapter sets itself on a forwarded request, or keeps from servers, in lower
+"""Headers that the adapter sets itself on a forwarded request, or keeps from engines, in lower
 case."""
--- a/src/troutswitch/platform/requests.py
+++ b/src/troutswitch/platform/requests.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from troutswitch.decisions.forwarding.types import PromptPart, PromptShape, ServerLoad
+from troutswitch.decisions.forwarding.types import EngineLoad, PromptPart, PromptShape
 from troutswitch.decisions.tenants.types import NO_KEY, NO_TENANT, key_digest
 from troutswitch.platform import names
 
@@ -37,11 +37,11 @@
 
 @dataclass(frozen=True, slots=True)
 class AnswerHead:
-    """What the head of a server's answer tells."""
+    """What the head of an engine's answer tells."""
 
     status: int
     not_run: bool
-    load: ServerLoad | None
+    load: EngineLoad | None
     retry_after: float | None
     is_event_stream: bool
     headers: Headers
@@ -103,18 +103,18 @@
     return PromptShape(counts[0], counts[1] if len(counts) > 1 else 0, shape)
 
 
-def server_headers(
+def engine_headers(
     request: IncomingRequest,
-    server_id: str,
+    engine_id: str,
     time_left: float | None,
     resume_after: str,
     tenant: str = NO_TENANT,
 ) -> Headers:
-    """Returns the headers of a request to a server."""
+    """Returns the headers of a request to an engine."""
     headers: Headers = [("Host", request.host), *request.headers]
     if tenant:
         headers.append((names.TENANT, tenant))
-    headers.append((names.EXPECT_INSTANCE, server_id))
+    headers.append((names.EXPECT_INSTANCE, engine_id))
     if time_left is not None:
         headers.append((names.DEADLINE_MS, str(max(1, int(time_left * 1000)))))
     if resume_after:
@@ -123,7 +123,7 @@
 
 
 def read_head(response: http.client.HTTPResponse) -> AnswerHead:
-    """Reads the head of a server's answer."""
+    """Reads the head of an engine's answer."""
     content_type = response.getheader("Content-Type", "")
     return AnswerHead(
         status=response.status,
@@ -139,12 +139,12 @@
     )
 
 
-def _load(header: str | None) -> ServerLoad | None:
+def _load(header: str | None) -> EngineLoad | None:
     try:
         running, waiting, slots = (int(part) for part in (header or "").split(","))
     except ValueError:
         return None
-    return ServerLoad(running, waiting, slots)
+    return EngineLoad(running, waiting, slots)
 
 
 def _retry_after(header: str | None) -> float | None:
@@ -158,11 +158,11 @@
     host: str,
     item_id: str,
     headers: dict[str, str],
-    server_id: str,
+    engine_id: str,
     resume_after: str,
     tenant: str = NO_TENANT,
 ) -> Headers:
-    """Returns the headers of a batch item's request to a server."""
+    """Returns the headers of a batch item's request to an engine."""
     rows: Headers = [("Host", host), (names.REQUEST_ID, item_id)]
     rows += [
         (name, value)
@@ -172,7 +172,7 @@
     ]
     if tenant:
         rows.append((names.TENANT, tenant))
-    rows.append((names.EXPECT_INSTANCE, server_id))
+    rows.append((names.EXPECT_INSTANCE, engine_id))
     if resume_after:
         rows.append((names.LAST_EVENT_ID, resume_after))
     return rows
--- a/src/troutswitch/platform/stand_in_forms.py
+++ b/src/troutswitch/platform/stand_in_forms.py
@@ -1,4 +1,4 @@
-"""Records that servers and operators of the platform write, as a soak's stand-ins write them."""
+"""Records that engines and operators of the platform write, as a soak's stand-ins write them."""
 
 import json
 from collections.abc import Sequence
@@ -45,8 +45,8 @@
     return f"{JOB_PATH}{job_id}?afterRevision={position}"
 
 
-def server_record(service: str, address: Address, slots: int, is_draining: bool) -> bytes:
-    """Writes a server's record."""
+def engine_record(service: str, address: Address, slots: int, is_draining: bool) -> bytes:
+    """Writes an engine's record."""
     row = {
         "service": service,
         "address": str(address),
--- a/src/troutswitch/soak/callers.py
+++ b/src/troutswitch/soak/callers.py
@@ -15,7 +15,7 @@
 
 HOST = "soak.example"
 DEADLINE_SECONDS = 6.0
-"""What callers wait: above a stream's second and a silent server's 4 s."""
+"""What callers wait: above a stream's second and a silent engine's 4 s."""
 ANSWER_SECONDS = 20.0
 """Bound on the wait for an answer; callers outlast their deadline to see what comes late."""
 REST_SECONDS = 0.04
@@ -27,7 +27,7 @@
 BODY_BYTES_MOST = 3000
 """Largest body; above one segment on the wire."""
 FORGED_TENANT = "forged"
-"""What callers write for their tenant's name; no server may see it."""
+"""What callers write for their tenant's name; no engine may see it."""
 KINDS = (Kind.READ, Kind.ONCE, Kind.STREAM, Kind.STREAM_ONCE)
 
 
--- a/src/troutswitch/soak/calm_end.py
+++ b/src/troutswitch/soak/calm_end.py
@@ -32,14 +32,14 @@
         ]
 
     def play(self) -> None:
-        """Checks recovery, a leaving server, configuration, a planned stop and all jobs."""
+        """Checks recovery, a leaving engine, configuration, a planned stop and all jobs."""
         self.conductor.heal()
         for daemon in self.fleet.daemons:
             what = f"{daemon.child.name} is not ready"
             self._expect("RECOVER", what, daemon.is_ready)
         self._wait_for_calm()
         self._expect_refused()
-        self.fleet.drain_server(self.fleet.servers[0])
+        self.fleet.drain_engine(self.fleet.engines[0])
         left_at = time.monotonic()
         self.fleet.operator.configure()
         self._expect_newest()
@@ -75,7 +75,7 @@
             self._expect("CONFIG", what, lambda held=prober: denies(held.ask(newest - 1)))  # type: ignore[misc]
 
     def _expect_refused(self) -> None:
-        """A request under which three servers ended is refused by each daemon, also by new ones."""
+        """A request under which three engines ended is refused by each daemon, also by new ones."""
         for number in range(REQUESTS):
             if len(self._lives_ended(number)) < CRASHES_TO_REFUSE:
                 continue
@@ -89,9 +89,9 @@
 
     def _lives_ended(self, number: int) -> set[str]:
         return {
-            run.server
-            for server in self.fleet.servers
-            for run in read_journal(server.journal)
+            run.engine
+            for engine in self.fleet.engines
+            for run in read_journal(engine.journal)
             if run.kind == "ended under" and run.path == ending_path(number)
         }
 
--- a/src/troutswitch/soak/checks.py
+++ b/src/troutswitch/soak/checks.py
@@ -36,11 +36,11 @@
 SETTLE_SECONDS = 5.0
 """Bound on a daemon's hearing of a job: five times `settleTimeoutMs` of the settings."""
 CRASHES_TO_REFUSE = 3
-"""Servers that may end under a request before it is refused."""
+"""Engines that may end under a request before it is refused."""
 KNOWN_SECONDS = 6.0
-"""Time by which all daemons know of a server's end: twice `contactMs` of the daemons' settings."""
+"""Time by which all daemons know of an engine's end: twice `contactMs` of the daemons' settings."""
 SENT_ON_MOST = 3
-"""Times that such a request may reach servers after that."""
+"""Times that such a request may reach engines after that."""
 ATTEMPTS_MOST = 3
 """`maxAttempts` of all routes."""
 MEMORY_MB_MOST = 600.0
@@ -131,7 +131,7 @@
 
 
 def failures_as_given(evidence: Evidence) -> list[Violation]:
-    """MIXED: a failure that a server signed has the status that the server gave."""
+    """MIXED: a failure that an engine signed has the status that the engine gave."""
     failed = {run.request_id for run in evidence.runs if run.kind == "failed"}
     return [
         Violation("MIXED", held.request_id, f"status {held.status} under a server's signature")
@@ -144,13 +144,13 @@
 
 
 def only_what_was_asked(evidence: Evidence) -> list[Violation]:
-    """UNASKED: servers run what callers sent, unchanged."""
+    """UNASKED: engines run what callers sent, unchanged."""
     asked = {held.request_id: (held.path, digest(held.body)) for held in evidence.exchanges}
     for job in evidence.jobs:
         for number, (item, body) in enumerate(job.items.items()):
             asked[item] = (item_path(job.job_id, number), digest(body))
     return [
-        Violation("UNASKED", run.request_id, f"{run.server} ran {run.path}, not what was sent")
+        Violation("UNASKED", run.request_id, f"{run.engine} ran {run.path}, not what was sent")
         for run in evidence.runs
         if run.kind == "begun"
         and (asked.get(run.request_id) != (run.path, run.body) or run.model != "m")
@@ -215,16 +215,16 @@
     return was_sent_on or held.status == 200 or held.ended_at - held.sent_at > LOSS_SLACK_SECONDS
 
 
-def no_work_to_a_leaving_server(evidence: Evidence) -> list[Violation]:
-    """DRAIN: after its bound nothing more begins at a server that said that it leaves."""
+def no_work_to_a_leaving_engine(evidence: Evidence) -> list[Violation]:
+    """DRAIN: after its bound nothing more begins at an engine that said that it leaves."""
     found: list[Violation] = []
     for left in evidence.left:
         late = left.at + DRAIN_SECONDS + DRAIN_SLACK_SECONDS
         found += [
-            Violation("DRAIN", run.request_id, f"{run.at - left.at:.1f} s after {run.server} left")
+            Violation("DRAIN", run.request_id, f"{run.at - left.at:.1f} s after {run.engine} left")
             for run in evidence.runs
             if run.kind in ("begun", "rejected")
-            and run.server == left.server
+            and run.engine == left.engine
             and run.at > late
             and evidence.is_calm(left.at - CONTACT_SECONDS, run.at)
         ]
@@ -319,7 +319,7 @@
 
 
 def ending_requests_stop(evidence: Evidence) -> list[Violation]:
-    """BUDGET: a request under which three servers ended reaches few more once all can know."""
+    """BUDGET: a request under which three engines ended reaches few more once all can know."""
     found: list[Violation] = []
     ended: dict[str, list[float]] = defaultdict(list)
     for run in evidence.runs:
@@ -365,7 +365,7 @@
     only_what_was_asked,
     no_regress,
     planned_stops_cut_nothing,
-    no_work_to_a_leaving_server,
+    no_work_to_a_leaving_engine,
     no_own_ends,
     bounded_use,
     results_keep,
--- a/src/troutswitch/soak/conductor.py
+++ b/src/troutswitch/soak/conductor.py
@@ -10,7 +10,7 @@
 
 from troutswitch.soak.crashing_requests import EndingCaller, ending_path
 from troutswitch.soak.evidence import StruckSpan
-from troutswitch.soak.fleet import Daemon, Fleet, Server
+from troutswitch.soak.fleet import Daemon, Engine, Fleet
 from troutswitch.soak.processes import Child, ProcessEnd
 from troutswitch.soak.proxy import Link
 from troutswitch.soak.schedule import Action, LinkFault, Schedule, Strike
@@ -38,12 +38,12 @@
 """Delay of each call to a slow store, some fifty times its usual time."""
 
 BEHAVIOURS = {
-    Action.SERVER_REJECTS: "reject",
-    Action.SERVER_FAILS: "fail",
-    Action.SERVER_BREAKS_OFF: "break_off",
-    Action.SERVER_GARBAGE: "garbage",
-    Action.SERVER_SILENT: "silent",
-    Action.SERVER_SURPLUS: "surplus",
+    Action.ENGINE_REJECTS: "reject",
+    Action.ENGINE_FAILS: "fail",
+    Action.ENGINE_BREAKS_OFF: "break_off",
+    Action.ENGINE_GARBAGE: "garbage",
+    Action.ENGINE_SILENT: "silent",
+    Action.ENGINE_SURPLUS: "surplus",
 }
 
 
@@ -95,8 +95,8 @@
             self._set_clock(daemon, 0.0)
         self._store_faults.clear()
         self.fleet.set_store_faults()
-        for server in self.fleet.servers:
-            server.behave(Behaviour())
+        for engine in self.fleet.engines:
+            engine.behave(Behaviour())
 
     def stop_daemon(self, daemon: Daemon) -> None:
         """Asks a daemon to stop as planned."""
@@ -119,17 +119,17 @@
             child.signal(signal.SIGKILL)
 
     def _note_crash(self, end: ProcessEnd) -> None:
-        """Notes the time around a server's end under a request, in which answers break off."""
+        """Notes the time around an engine's end under a request, in which answers break off."""
         strike = Strike(0.0, Action.ENDING_REQUEST, 0, 0.0, 1.0, LinkFault.DELAY, False)
         begin = end.at - SEEN_SECONDS
         span = StruckSpan(strike, end.name, begin, end.at + START_SECONDS)
         self.fleet.evidence.strikes.append(span)
 
     def _start_again(self, child: Child) -> None:
-        for server in self.fleet.servers:
-            if server.child is child:
-                self.fleet.unlist_soon(server.server_id)
-                self.fleet.start_server(server)
+        for engine in self.fleet.engines:
+            if engine.child is child:
+                self.fleet.unlist_soon(engine.engine_id)
+                self.fleet.start_engine(engine)
                 return
         child.start()
 
@@ -147,7 +147,7 @@
     def _act(self, strike: Strike, until: float) -> tuple[float, str]:
         fleet = self.fleet
         daemon = fleet.daemons[strike.target % len(fleet.daemons)]
-        server = fleet.servers[strike.target % len(fleet.servers)]
+        engine = fleet.engines[strike.target % len(fleet.engines)]
         match strike.action:
             case Action.STOP_DAEMON:
                 self.stop_daemon(daemon)
@@ -192,24 +192,24 @@
             case Action.STORE_LINK:
                 self._strike_link(daemon.store_link, strike, until)
                 return strike.seconds, f"{daemon.child.name} to the store"
-            case Action.SERVER_LINK:
-                self._strike_link(server.link, strike, until)
-                return strike.seconds, f"daemons to {server.child.name}"
+            case Action.ENGINE_LINK:
+                self._strike_link(engine.link, strike, until)
+                return strike.seconds, f"daemons to {engine.child.name}"
             case _:
-                return self._act_on_platform(strike, server, until)
+                return self._act_on_platform(strike, engine, until)
 
-    def _act_on_platform(self, strike: Strike, server: Server, until: float) -> tuple[float, str]:
+    def _act_on_platform(self, strike: Strike, engine: Engine, until: float) -> tuple[float, str]:
         fleet = self.fleet
         match strike.action:
-            case Action.KILL_SERVER:
-                server.child.signal(signal.SIGKILL)
-                return START_SECONDS, server.server_id
-            case Action.PAUSE_SERVER:
-                self._pause([server.child], until)
-            case Action.SERVER_DRAINS:
-                fleet.drain_server(server)
-            case Action.SERVER_VANISHES:
-                fleet.vanish_server(server)
+            case Action.KILL_ENGINE:
+                engine.child.signal(signal.SIGKILL)
+                return START_SECONDS, engine.engine_id
+            case Action.PAUSE_ENGINE:
+                self._pause([engine.child], until)
+            case Action.ENGINE_DRAINS:
+                fleet.drain_engine(engine)
+            case Action.ENGINE_VANISHES:
+                fleet.vanish_engine(engine)
             case Action.STORE_DOWN:
                 self._strike_store(until, is_down=True)
                 return strike.seconds, "store"
@@ -234,9 +234,9 @@
             case _:
                 behaviour = Behaviour()
                 setattr(behaviour, BEHAVIOURS[strike.action], strike.share)
-                server.behave(behaviour)
-                self._at(until, lambda: server.behave(Behaviour()))
-        return strike.seconds, server.server_id
+                engine.behave(behaviour)
+                self._at(until, lambda: engine.behave(Behaviour()))
+        return strike.seconds, engine.engine_id
 
     def _pause(self, children: list[Child], until: float) -> None:
         for child in children:
--- a/src/troutswitch/soak/crashing_requests.py
+++ b/src/troutswitch/soak/crashing_requests.py
@@ -1,4 +1,4 @@
-"""Callers whose request ends each server that runs it, and who come again all the same."""
+"""Callers whose request ends each engine that runs it, and who come again all the same."""
 
 import threading
 import time
@@ -10,7 +10,7 @@
 REQUESTS = 2
 """Different ending requests of a soak: few, so that each comes back in later strikes."""
 KINDS = (Kind.READ, Kind.STREAM)
-"""Kinds that a caller may repeat: one ends its server before its answer, the other midway."""
+"""Kinds that a caller may repeat: one ends its engine before its answer, the other midway."""
 AGAIN_SECONDS = 0.15
 """Rest between two tries."""
 STOP_STATUS = 400
--- a/src/troutswitch/soak/evidence.py
+++ b/src/troutswitch/soak/evidence.py
@@ -1,4 +1,4 @@
-"""What callers, servers and the operator saw: the only ground on which promises are judged."""
+"""What callers, engines and the operator saw: the only ground on which promises are judged."""
 
 import json
 import threading
@@ -57,12 +57,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Run:
-    """A line of a server's journal."""
+    """A line of an engine's journal."""
 
     kind: str
     request_id: str
     at: float
-    server: str
+    engine: str
     path: str = ""
     body: str = ""
     model: str = ""
@@ -83,10 +83,10 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ServerLeft:
-    """A server whose leaving the store has acknowledged."""
+class EngineLeft:
+    """An engine whose leaving the store has acknowledged."""
 
-    server: str
+    engine: str
     at: float
 
 
@@ -136,7 +136,7 @@
     exchanges: list[Exchange] = field(default_factory=list)
     runs: list[Run] = field(default_factory=list)
     strikes: list[StruckSpan] = field(default_factory=list)
-    left: list[ServerLeft] = field(default_factory=list)
+    left: list[EngineLeft] = field(default_factory=list)
     jobs: list[JobSeen] = field(default_factory=list)
     ends: list[ProcessEnd] = field(default_factory=list)
     samples: list[Sample] = field(default_factory=list)
@@ -155,7 +155,7 @@
 
 
 def read_journal(path: Path) -> list[Run]:
-    """Reads a server's journal; a last line that is being written is left out."""
+    """Reads an engine's journal; a last line that is being written is left out."""
     runs: list[Run] = []
     for line in path.read_text().splitlines():
         try:
@@ -167,7 +167,7 @@
                 row["kind"],
                 row["id"],
                 row["at"],
-                row["server"],
+                row["engine"],
                 row.get("path", ""),
                 row.get("body", ""),
                 row.get("model", ""),
--- a/src/troutswitch/soak/fleet.py
+++ b/src/troutswitch/soak/fleet.py
@@ -15,7 +15,7 @@
 from troutswitch.platform.settings import write_settings
 from troutswitch.soak.callers import Front
 from troutswitch.soak.clocked_daemon import CLOCK_VARIABLE
-from troutswitch.soak.evidence import Evidence, ServerLeft
+from troutswitch.soak.evidence import EngineLeft, Evidence
 from troutswitch.soak.operator import Operator
 from troutswitch.soak.processes import Child, ProcessGroup
 from troutswitch.soak.proxy import Link
@@ -28,7 +28,7 @@
 """Bound on any wait for a process to answer, far above what a start takes."""
 POLL_SECONDS = 0.05
 LEAVE_SECONDS = 10.0
-"""A leaving server serves on for this long, beyond all bounds, so that late work would show."""
+"""A leaving engine serves on for this long, beyond all bounds, so that late work would show."""
 
 
 class NotStarted(RuntimeError):
@@ -67,8 +67,8 @@
 
 
 @dataclass(slots=True)
-class Server:
-    """One place of a server: each start there is a new server with a new id."""
+class Engine:
+    """One place of an engine: each start there is a new engine with a new id."""
 
     child: Child
     address: Address
@@ -80,7 +80,7 @@
     is_leaving: bool = False
 
     @property
-    def server_id(self) -> str:
+    def engine_id(self) -> str:
         """The id of the newest start."""
         return f"{self.child.name}-{self.starts}"
 
@@ -92,18 +92,18 @@
 
 
 class Fleet:
-    """Store, servers and daemons as processes, with a faulty link before each."""
+    """Store, engines and daemons as processes, with a faulty link before each."""
 
-    def __init__(self, folder: Path, seed: int, daemons: int, servers: int) -> None:
+    def __init__(self, folder: Path, seed: int, daemons: int, engines: int) -> None:
         self.folder = folder
         self.seed = seed
         self.evidence = Evidence(time.monotonic())
         self.group = ProcessGroup()
         self.ports = Ports()
         self.links: list[Link] = []
-        self.servers: list[Server] = []
+        self.engines: list[Engine] = []
         self.daemons: list[Daemon] = []
-        self._counts = (daemons, servers)
+        self._counts = (daemons, engines)
         self.store_address = Address(HOST, self.ports.take())
         self.operator = Operator(self.store_address)
 
@@ -113,13 +113,13 @@
         Raises:
             NotStarted: it took longer than the bound.
         """
-        daemons, servers = self._counts
+        daemons, engines = self._counts
         arguments = ["standin", "store", "--address", str(self.store_address)]
         self.store = self.group.add(self._child("store", *arguments))
         self._wait(lambda: http_call(self.store_address, "POST", "/faults", b"{}") == 200)
         self.operator.configure()
-        for number in range(servers):
-            self._add_server(number)
+        for number in range(engines):
+            self._add_engine(number)
         for number in range(daemons):
             self._add_daemon(number)
         for daemon in self.daemons:
@@ -149,80 +149,80 @@
         """Has the operator write the next configuration, for as long as the store needs."""
         threading.Thread(target=self.operator.configure, daemon=True).start()
 
-    # Servers.
+    # Engines.
 
-    def start_server(self, server: Server) -> None:
-        """Starts a new server at a place, and has it listed."""
-        server.starts += 1
-        server.is_leaving = False
-        server.behaviour = Behaviour()
-        server.child.arguments = self._server_arguments(server)
-        server.child.start()
-        self._list_soon(server, server.server_id)
+    def start_engine(self, engine: Engine) -> None:
+        """Starts a new engine at a place, and has it listed."""
+        engine.starts += 1
+        engine.is_leaving = False
+        engine.behaviour = Behaviour()
+        engine.child.arguments = self._engine_arguments(engine)
+        engine.child.start()
+        self._list_soon(engine, engine.engine_id)
 
-    def drain_server(self, server: Server) -> None:
-        """Has a server say that it leaves, serve on for a while, and end."""
-        self._leave_soon(server, is_told=True)
+    def drain_engine(self, engine: Engine) -> None:
+        """Has an engine say that it leaves, serve on for a while, and end."""
+        self._leave_soon(engine, is_told=True)
 
-    def vanish_server(self, server: Server) -> None:
-        """Has a server leave without a word: its entry goes, and it serves on for a while."""
-        self._leave_soon(server, is_told=False)
+    def vanish_engine(self, engine: Engine) -> None:
+        """Has an engine leave without a word: its entry goes, and it serves on for a while."""
+        self._leave_soon(engine, is_told=False)
 
-    def _leave_soon(self, server: Server, is_told: bool) -> None:
-        if server.is_leaving:
+    def _leave_soon(self, engine: Engine, is_told: bool) -> None:
+        if engine.is_leaving:
             return
-        server.is_leaving = True
-        arguments = (server, server.server_id, is_told)
+        engine.is_leaving = True
+        arguments = (engine, engine.engine_id, is_told)
         threading.Thread(target=self._leave, args=arguments, daemon=True).start()
 
-    def _leave(self, server: Server, server_id: str, is_told: bool) -> None:
+    def _leave(self, engine: Engine, engine_id: str, is_told: bool) -> None:
         if is_told:
-            is_done = self.operator.list_server(server_id, server.link.address, is_draining=True)
+            is_done = self.operator.list_engine(engine_id, engine.link.address, is_draining=True)
         else:
-            is_done = self.operator.unlist_server(server_id)
+            is_done = self.operator.unlist_engine(engine_id)
         if not is_done:
             return
-        self.evidence.left.append(ServerLeft(server_id, time.monotonic()))
+        self.evidence.left.append(EngineLeft(engine_id, time.monotonic()))
         time.sleep(LEAVE_SECONDS)
-        if server.server_id == server_id:
-            server.child.signal(signal.SIGKILL)
+        if engine.engine_id == engine_id:
+            engine.child.signal(signal.SIGKILL)
 
-    def unlist_soon(self, server_id: str) -> None:
-        """Removes the entry of a server that is gone."""
-        arguments = (server_id,)
-        threading.Thread(target=self.operator.unlist_server, args=arguments, daemon=True).start()
+    def unlist_soon(self, engine_id: str) -> None:
+        """Removes the entry of an engine that is gone."""
+        arguments = (engine_id,)
+        threading.Thread(target=self.operator.unlist_engine, args=arguments, daemon=True).start()
 
-    def _list_soon(self, server: Server, server_id: str) -> None:
+    def _list_soon(self, engine: Engine, engine_id: str) -> None:
         def list_it() -> None:
             try:
-                self._wait(lambda: http_call(server.address, "POST", BEHAVIOUR_PATH, b"{}") == 200)
+                self._wait(lambda: http_call(engine.address, "POST", BEHAVIOUR_PATH, b"{}") == 200)
             except NotStarted:
                 if not self.operator.asked_to_stop.is_set():
                     raise
-                return  # the soak ended while the server started
-            self.operator.list_server(server_id, server.link.address)
+                return  # the soak ended while the engine started
+            self.operator.list_engine(engine_id, engine.link.address)
 
         threading.Thread(target=list_it, daemon=True).start()
 
-    def _add_server(self, number: int) -> None:
+    def _add_engine(self, number: int) -> None:
         name = f"server-{number}"
         address = Address(HOST, self.ports.take())
         link = self._link(address, refuses=True)
         journal = self.folder / f"{name}.journal"
         journal.touch()
-        server = Server(self._child(name), address, link, journal, self.seed + number)
-        server.starts = 1
-        server.child.arguments = self._server_arguments(server)
-        self.servers.append(server)
-        self.group.add(server.child)
+        engine = Engine(self._child(name), address, link, journal, self.seed + number)
+        engine.starts = 1
+        engine.child.arguments = self._engine_arguments(engine)
+        self.engines.append(engine)
+        self.group.add(engine.child)
         self._wait(lambda: http_call(address, "POST", BEHAVIOUR_PATH, b"{}") == 200)
-        self.operator.list_server(server.server_id, link.address)
+        self.operator.list_engine(engine.engine_id, link.address)
 
-    def _server_arguments(self, server: Server) -> list[str]:
+    def _engine_arguments(self, engine: Engine) -> list[str]:
         return [
             *(sys.executable, "-m", "troutswitch.cli", "standin", "server"),
-            *("--address", str(server.address), "--id", server.server_id),
-            *("--journal", str(server.journal), "--seed", str(server.seed + server.starts)),
+            *("--address", str(engine.address), "--id", engine.engine_id),
+            *("--journal", str(engine.journal), "--seed", str(engine.seed + engine.starts)),
         ]
 
     # Daemons.
--- a/src/troutswitch/soak/operator.py
+++ b/src/troutswitch/soak/operator.py
@@ -1,4 +1,4 @@
-"""The operator and the servers' own words, written to the store until it acknowledges them."""
+"""The operator and the engines' own words, written to the store until it acknowledges them."""
 
 import threading
 import time
@@ -11,7 +11,7 @@
     RouteForm,
     RouteLimitsForm,
     configuration_record,
-    server_record,
+    engine_record,
 )
 from troutswitch.platform.store import StoreClient
 from troutswitch.soak.callers import HOST
@@ -23,7 +23,7 @@
 RETRY_SECONDS = 0.1
 """Rest before a write that was not acknowledged is repeated; its content is the same."""
 CONFIGURATION = Partition("configuration")
-SERVERS = Partition("servers")
+ENGINES = Partition("servers")
 
 LIMITS = RouteLimitsForm(
     time_limit=5.0,
@@ -58,7 +58,7 @@
 
 
 class Operator:
-    """Writes configurations and servers' records to the store, one at a time."""
+    """Writes configurations and engines' records to the store, one at a time."""
 
     def __init__(self, store: Address) -> None:
         self._client = StoreClient(store)
@@ -80,14 +80,14 @@
             if self._write(CONFIGURATION, CONFIGURATION_KEY, record):
                 self.acknowledged.append(Acknowledged(version, time.monotonic()))
 
-    def list_server(self, server_id: str, address: Address, is_draining: bool = False) -> bool:
-        """Writes a server's record."""
-        record = server_record(SERVICE, address, SLOTS, is_draining)
-        return self._write(SERVERS, server_id, record)
+    def list_engine(self, engine_id: str, address: Address, is_draining: bool = False) -> bool:
+        """Writes an engine's record."""
+        record = engine_record(SERVICE, address, SLOTS, is_draining)
+        return self._write(ENGINES, engine_id, record)
 
-    def unlist_server(self, server_id: str) -> bool:
-        """Removes a server's record."""
-        return self._write(SERVERS, server_id, b"")
+    def unlist_engine(self, engine_id: str) -> bool:
+        """Removes an engine's record."""
+        return self._write(ENGINES, engine_id, b"")
 
     def _write(self, partition: Partition, key: str, value: bytes) -> bool:
         call = AppendRecords(0, partition, (KeyedRecord(key, value),))
--- a/src/troutswitch/soak/processes.py
+++ b/src/troutswitch/soak/processes.py
@@ -34,7 +34,7 @@
 
     @property
     def ended_under_request(self) -> bool:
-        """Whether it is a server that ended under a request."""
+        """Whether it is an engine that ended under a request."""
         return self.code == ENDED_CODE
 
     @property
--- a/src/troutswitch/soak/run.py
+++ b/src/troutswitch/soak/run.py
@@ -33,7 +33,7 @@
     """How much of everything a soak has."""
 
     daemons: int = 3
-    servers: int = 4
+    engines: int = 4
     callers: int = 12
     job_clients: int = 2
 
@@ -56,7 +56,7 @@
         self.schedule = schedule
         self.tell = tell
         self.stop_asked = stop_asked
-        self.fleet = Fleet(folder, schedule.seed, size.daemons, size.servers)
+        self.fleet = Fleet(folder, schedule.seed, size.daemons, size.engines)
         self._size = size
         self._workers: list[_Worker] = []
         self._threads: list[threading.Thread] = []
@@ -86,7 +86,7 @@
     def look(self) -> list[Violation]:
         """Checks all promises on what was seen so far."""
         evidence = self.fleet.evidence
-        runs = [run for server in self.fleet.servers for run in read_journal(server.journal)]
+        runs = [run for engine in self.fleet.engines for run in read_journal(engine.journal)]
         with evidence.lock:
             seen = Evidence(
                 evidence.began_at,
--- a/src/troutswitch/soak/schedule.py
+++ b/src/troutswitch/soak/schedule.py
@@ -29,16 +29,16 @@
     KILL_ALL_DAEMONS = "kill_all_daemons"
     PAUSE_DAEMON = "pause_daemon"
     PAUSE_ALL_DAEMONS = "pause_all_daemons"
-    KILL_SERVER = "kill_server"
-    PAUSE_SERVER = "pause_server"
-    SERVER_REJECTS = "server_rejects"
-    SERVER_FAILS = "server_fails"
-    SERVER_BREAKS_OFF = "server_breaks_off"
-    SERVER_GARBAGE = "server_garbage"
-    SERVER_SILENT = "server_silent"
-    SERVER_SURPLUS = "server_surplus"
-    SERVER_DRAINS = "server_drains"
-    SERVER_VANISHES = "server_vanishes"
+    KILL_ENGINE = "kill_server"
+    PAUSE_ENGINE = "pause_server"
+    ENGINE_REJECTS = "server_rejects"
+    ENGINE_FAILS = "server_fails"
+    ENGINE_BREAKS_OFF = "server_breaks_off"
+    ENGINE_GARBAGE = "server_garbage"
+    ENGINE_SILENT = "server_silent"
+    ENGINE_SURPLUS = "server_surplus"
+    ENGINE_DRAINS = "server_drains"
+    ENGINE_VANISHES = "server_vanishes"
     STORE_DOWN = "store_down"
     STORE_SLOW = "store_slow"
     STORE_LOSES_ANSWERS = "store_loses_answers"
@@ -50,7 +50,7 @@
     CONFIGURE = "configure"
     FRONT_LINK = "front_link"
     STORE_LINK = "store_link"
-    SERVER_LINK = "server_link"
+    ENGINE_LINK = "server_link"
     ENDING_REQUEST = "ending_request"
     CLOCK_JUMPS = "clock_jumps"
     STORE_REFUSES_ONE = "store_refuses_one"
@@ -69,7 +69,7 @@
     BUSY = "busy"
 
 
-PLANNED_ACTIONS = (Action.STOP_DAEMON, Action.RELOAD_DAEMON, Action.CONFIGURE, Action.SERVER_DRAINS)
+PLANNED_ACTIONS = (Action.STOP_DAEMON, Action.RELOAD_DAEMON, Action.CONFIGURE, Action.ENGINE_DRAINS)
 """Work that must cut no request."""
 DRAWN_APART = (Action.ENDING_REQUEST, Action.CLOCK_JUMPS, Action.STORE_REFUSES_ONE)
 """Actions with a source of chance of their own each, so that what a seed draws of the others
@@ -79,10 +79,10 @@
 APART_SHARE = 0.7
 """Share of the episodes of harm in which an action that is drawn apart comes, each for itself."""
 APART_SECONDS = (2.0, 5.0)
-"""Length of such an action: longer than a server's restart, and than the store's time-outs."""
+"""Length of such an action: longer than an engine's restart, and than the store's time-outs."""
 LINK_FAULTS = tuple(fault for fault in LinkFault if fault is not LinkFault.BUSY)
 """What a strike on a link draws from; the store alone says that it is busy."""
-LINK_ACTIONS = frozenset({Action.FRONT_LINK, Action.STORE_LINK, Action.SERVER_LINK})
+LINK_ACTIONS = frozenset({Action.FRONT_LINK, Action.STORE_LINK, Action.ENGINE_LINK})
 
 
 @dataclass(frozen=True, slots=True)
--- a/src/troutswitch/soak/tenant_checks.py
+++ b/src/troutswitch/soak/tenant_checks.py
@@ -1,4 +1,4 @@
-"""Promises about tenants: whose requests run, for whom, and that no server sees a key."""
+"""Promises about tenants: whose requests run, for whom, and that no engine sees a key."""
 
 from troutswitch.soak.evidence import Evidence, Run
 from troutswitch.soak.tenants import tenant_of
@@ -10,7 +10,7 @@
 
 
 def only_for_its_tenant(evidence: Evidence) -> list[Violation]:
-    """UNASKED: a server is told the tenant that holds the key, and never the key."""
+    """UNASKED: an engine is told the tenant that holds the key, and never the key."""
     owners = {held.request_id: held.request_id for held in evidence.exchanges}
     owners |= {item: job.job_id for job in evidence.jobs for item in job.items}
     found: list[Violation] = []
--- a/src/troutswitch/standins/content.py
+++ b/src/troutswitch/standins/content.py
@@ -1,4 +1,4 @@
-"""What a model-server stand-in answers to a request: a function of its id and body alone.
+"""What a model-engine stand-in answers to a request: a function of its id and body alone.
 
 An observer computes the same, so it can tell a whole answer to the right request from any
 other bytes.
--- a/src/troutswitch/standins/model_engine.py
+++ b/src/troutswitch/standins/model_engine.py
@@ -1,4 +1,4 @@
-"""A server of the users' protocol as a process: streams and plain answers, faults, a journal.
+"""An engine of the users' protocol as a process: streams and plain answers, faults, a journal.
 
 The journal is a file of JSON lines, one for each request that began or was rejected. A line is
 written before the work it tells of, so that it outlasts a kill of the process.
@@ -26,7 +26,7 @@
 PLAIN_SECONDS = 0.02
 """Time of a plain answer: short beside the callers' deadlines, long enough to be struck."""
 SILENT_SECONDS = 4.0
-"""Time for which a silent server holds its answer: less than the callers' deadline."""
+"""Time for which a silent engine holds its answer: less than the callers' deadline."""
 EVENT_SECONDS = 0.03
 """Pause before each event: a stream takes 0.1 to 0.4 s, so that faults fall inside."""
 
@@ -44,11 +44,11 @@
     is_draining: bool = False
 
 
-class ModelServer:
+class ModelEngine:
     """Answers requests over HTTP and writes what it runs to its journal."""
 
-    def __init__(self, address: Address, server_id: str, journal: Path, seed: int) -> None:
-        self.server_id = server_id
+    def __init__(self, address: Address, engine_id: str, journal: Path, seed: int) -> None:
+        self.engine_id = engine_id
         self.behaviour = Behaviour()
         self.random = random.Random(seed)
         self._journal: IO[str] = journal.open("a", buffering=1)
@@ -60,12 +60,12 @@
 
     def note(self, kind: str, request_id: str, **fields: Any) -> None:
         """Writes a line of the journal."""
-        row = {"kind": kind, "id": request_id, "at": time.monotonic(), "server": self.server_id}
+        row = {"kind": kind, "id": request_id, "at": time.monotonic(), "engine": self.engine_id}
         with self._lock:
             self._journal.write(json.dumps(row | fields) + "\n")
 
     def end_under(self, request_id: str, path: str) -> None:
-        """Ends this process at once, as a request does that no server can run."""
+        """Ends this process at once, as a request does that no engine can run."""
         self.note("ended under", request_id, path=path)
         os._exit(ENDED_CODE)
 
@@ -76,7 +76,7 @@
 
 
 class _Handler(LoopbackHandler):
-    standin: ModelServer
+    standin: ModelEngine
 
     def do_GET(self) -> None:
         """Answers like any request."""
@@ -95,7 +95,7 @@
         request_id = self.headers.get(names.REQUEST_ID, "")
         common = {names.REQUEST_ID: request_id}
         not_run = common | {names.NOT_EXECUTED: "1"}
-        if self.headers.get(names.EXPECT_INSTANCE) != self.standin.server_id:
+        if self.headers.get(names.EXPECT_INSTANCE) != self.standin.engine_id:
             self.reply(421, b"", not_run)
             return
         behaviour = self.standin.behaviour
@@ -143,7 +143,7 @@
         self.standin.note("ended", request_id)
 
     def _stamp(self, request_id: str) -> str:
-        return f"{self.standin.server_id}.{request_id}"
+        return f"{self.standin.engine_id}.{request_id}"
 
     def _plain(self, request_id: str, body: bytes, signed: dict[str, str], is_broken: bool) -> None:
         time.sleep(PLAIN_SECONDS)
--- a/tests/cli/test_explain.py
+++ b/tests/cli/test_explain.py
@@ -13,7 +13,7 @@
 
 STORY = [
     line("T2", "b", "attempt ended", request_id="x", kind="cut", first_ms=9, total_ms=30),
-    line("T1", "a", "request sent", request_id="x", server="s1"),
+    line("T1", "a", "request sent", request_id="x", engine="s1"),
     "not a line of ours",
     '{"timestamp": "T3", "cut',
     line("T3", "a", "request sent", request_id="other"),
--- a/tests/daemons/test_datagram.py
+++ b/tests/daemons/test_datagram.py
@@ -12,16 +12,16 @@
     PREFILL_UNIT_TOKENS,
     BatchPlaces,
     ClaimTold,
+    EngineCounts,
+    EngineShare,
     GroupDigest,
     Hello,
     HoldingsReport,
     PlaceAnswer,
     PlaceAsk,
-    ServerCounts,
-    ServerShare,
     SlotMessage,
+    engine_key,
     prefill_units,
-    server_key,
 )
 
 DETERMINISTIC = settings(derandomize=True, deadline=None, max_examples=150)
@@ -30,7 +30,7 @@
 COUNT = st.integers(0, 2**31)
 KEY = st.integers(0, 2**32 - 1)
 ADDRESS = st.builds(Address, TEXT, st.integers(0, 65535))
-SHARES = st.lists(st.builds(ServerShare, KEY, COUNT, COUNT, COUNT), max_size=5).map(tuple)
+SHARES = st.lists(st.builds(EngineShare, KEY, COUNT, COUNT, COUNT), max_size=5).map(tuple)
 KEYS = st.lists(KEY, max_size=5).map(tuple)
 REPORT = st.builds(
     HoldingsReport,
@@ -47,7 +47,7 @@
     COUNT,
     KEYS,
 )
-COUNTS = st.lists(st.builds(ServerCounts, KEY, COUNT, COUNT), max_size=5).map(tuple)
+COUNTS = st.lists(st.builds(EngineCounts, KEY, COUNT, COUNT), max_size=5).map(tuple)
 CLAIMS = st.lists(st.builds(ClaimTold, TEXT, TEXT, ADDRESS, COUNT), max_size=4).map(tuple)
 MESSAGES = st.one_of(
     REPORT,
@@ -92,7 +92,7 @@
 
 def test_an_ask_of_a_busy_daemon_fits_one_packet() -> None:
     address = Address("10.255.255.255", 65535)
-    shares = tuple(ServerShare(2**32 - n, 99, 99, 999) for n in range(1, 33))
+    shares = tuple(EngineShare(2**32 - n, 99, 99, 999) for n in range(1, 33))
     report = HoldingsReport("edge-guediawaye-31", "guediawaye", address, 2**31, 9999, shares)
     ask = PlaceAsk(report, 2**20, "ordonnance-llm|guediawaye|0", 36, 180)
     assert len(encode(ask)) < ETHERNET_PAYLOAD
@@ -103,5 +103,5 @@
     assert prefill_units(9 * PREFILL_UNIT_TOKENS + 1) == 10
 
 
-def test_no_server_has_the_key_that_stands_for_none() -> None:
-    assert all(server_key(f"s{number}") > 0 for number in range(2000))
+def test_no_engine_has_the_key_that_stands_for_none() -> None:
+    assert all(engine_key(f"s{number}") > 0 for number in range(2000))
--- a/tests/decisions/crashes/test_content.py
+++ b/tests/decisions/crashes/test_content.py
@@ -5,7 +5,7 @@
 from troutswitch.decisions.crashes.content import content_key
 
 
-def test_what_a_server_reads_makes_the_name() -> None:
+def test_what_an_engine_reads_makes_the_name() -> None:
     asked = [
         ("h", "POST", "/a/x", b"body"),
         ("g", "POST", "/a/x", b"body"),
--- a/tests/decisions/crashes/test_engine_crashes.py
+++ b/tests/decisions/crashes/test_engine_crashes.py
@@ -1,40 +1,40 @@
-"""A server that ended is told from an answer that broke off, from silence and from a leave."""
+"""An engine that ended is told from an answer that broke off, from silence and from a leave."""
 
-from tests.decisions.forwarding.worlds import server
+from tests.decisions.forwarding.worlds import engine
 from troutswitch.decisions.crashes.engine_crashes import (
     CHECK_SECONDS,
     PENDING_SECONDS,
-    ServerEndings,
+    EngineEndings,
 )
-from troutswitch.decisions.crashes.messages import CheckServer, Crash, ServerChecked, ServerFound
-from troutswitch.decisions.forwarding.engines import ServerRegistry
+from troutswitch.decisions.crashes.messages import CheckEngine, Crash, EngineChecked, EngineFound
+from troutswitch.decisions.forwarding.engines import EngineRegistry
 
 
 class World:
     def __init__(self) -> None:
-        self.servers = ServerRegistry()
-        self.servers.on_list(0.0, [server("a"), server("b")])
-        self.checks: list[CheckServer] = []
-        self.endings = ServerEndings(self.servers, self.checks.append)
+        self.engines = EngineRegistry()
+        self.engines.on_list(0.0, [engine("a"), engine("b")])
+        self.checks: list[CheckEngine] = []
+        self.endings = EngineEndings(self.engines, self.checks.append)
 
-    def found(self, found: ServerFound) -> list[Crash]:
-        return self.endings.on_checked(ServerChecked("a", found))
+    def found(self, found: EngineFound) -> list[Crash]:
+        return self.endings.on_checked(EngineChecked("a", found))
 
 
-def test_a_server_whose_port_refuses_has_ended_under_all_that_were_on_it() -> None:
+def test_an_engine_whose_port_refuses_has_ended_under_all_that_were_on_it() -> None:
     world = World()
     world.endings.on_lost(1.0, "x", "a", False)
     world.endings.on_lost(1.0, "y", "a", False)
-    assert [check.server_id for check in world.checks] == ["a"]
-    assert world.found(ServerFound.ENDED) == [Crash("x", "a"), Crash("y", "a")]
+    assert [check.engine_id for check in world.checks] == ["a"]
+    assert world.found(EngineFound.ENDED) == [Crash("x", "a"), Crash("y", "a")]
 
 
-def test_a_server_that_answers_a_later_attempt_only_broke_an_answer_off() -> None:
+def test_an_engine_that_answers_a_later_attempt_only_broke_an_answer_off() -> None:
     world = World()
     world.endings.on_lost(1.0, "x", "a", False)
-    assert world.found(ServerFound.LISTENS) == []
+    assert world.found(EngineFound.LISTENS) == []
     world.endings.on_answered("a", sent_at=1.1)
-    world.servers.on_list(5.0, [server("b")])
+    world.engines.on_list(5.0, [engine("b")])
     assert world.endings.on_list() == []
 
 
@@ -42,20 +42,20 @@
     world = World()
     world.endings.on_lost(1.0, "x", "a", False)
     world.endings.on_answered("a", sent_at=0.9)
-    assert world.found(ServerFound.ENDED) == [Crash("x", "a")]
+    assert world.found(EngineFound.ENDED) == [Crash("x", "a")]
 
 
-def test_a_proxy_that_takes_connections_for_an_ended_server_hides_nothing() -> None:
+def test_a_proxy_that_takes_connections_for_an_ended_engine_hides_nothing() -> None:
     """A check was believed that found a listening port: behind proxies a request went on ending
-    servers, eight times past the bound in a soak, as each check found the proxy."""
+    engines, eight times past the bound in a soak, as each check found the proxy."""
     world = World()
     world.endings.on_lost(1.0, "x", "a", False)
-    assert world.found(ServerFound.LISTENS) == []
-    world.servers.on_list(3.0, [server("b")])
+    assert world.found(EngineFound.LISTENS) == []
+    world.engines.on_list(3.0, [engine("b")])
     assert world.endings.on_list() == [Crash("x", "a")]
 
 
-def test_a_server_that_breaks_many_answers_off_is_checked_now_and_then() -> None:
+def test_an_engine_that_breaks_many_answers_off_is_checked_now_and_then() -> None:
     world = World()
     for number in range(100):
         world.endings.on_lost(1.0 + number / 100, f"x{number}", "a", False)
@@ -73,40 +73,40 @@
     assert len(world.checks) == 2
 
 
-def test_a_silent_server_is_not_asked_and_counts_once_its_entry_went() -> None:
+def test_a_silent_engine_is_not_asked_and_counts_once_its_entry_went() -> None:
     world = World()
     world.endings.on_lost(1.0, "x", "a", True)
     assert not world.checks
     assert world.endings.on_list() == []
-    world.servers.on_list(5.0, [server("b")])
+    world.engines.on_list(5.0, [engine("b")])
     assert world.endings.on_list() == [Crash("x", "a")]
 
 
-def test_a_silent_server_that_stays_listed_is_forgotten() -> None:
+def test_a_silent_engine_that_stays_listed_is_forgotten() -> None:
     world = World()
     world.endings.on_lost(1.0, "x", "a", True)
     world.endings.on_timer(1.0 + PENDING_SECONDS)
-    world.servers.on_list(20.0, [server("b")])
+    world.engines.on_list(20.0, [engine("b")])
     assert world.endings.on_list() == []
 
 
 def test_a_cut_machine_that_gets_no_word_waits_for_the_list() -> None:
     world = World()
     world.endings.on_lost(1.0, "x", "a", False)
-    assert world.found(ServerFound.UNKNOWN) == []
-    world.servers.on_list(5.0, [server("b")])
+    assert world.found(EngineFound.UNKNOWN) == []
+    world.engines.on_list(5.0, [engine("b")])
     assert world.endings.on_list() == [Crash("x", "a")]
 
 
 def test_a_planned_end_has_no_cause_among_the_requests() -> None:
     world = World()
-    world.servers.on_list(0.5, [server("a", draining=True), server("b")])
+    world.engines.on_list(0.5, [engine("a", draining=True), engine("b")])
     world.endings.on_lost(1.0, "x", "a", False)
     assert not world.checks
 
 
-def test_a_silent_server_that_then_drains_left_as_planned() -> None:
+def test_a_silent_engine_that_then_drains_left_as_planned() -> None:
     world = World()
     world.endings.on_lost(1.0, "x", "a", True)
-    world.servers.on_list(2.0, [server("a", draining=True), server("b")])
+    world.engines.on_list(2.0, [engine("a", draining=True), engine("b")])
     assert world.endings.on_list() == []
--- a/tests/decisions/crashes/test_record.py
+++ b/tests/decisions/crashes/test_record.py
@@ -17,10 +17,10 @@
 NOW = 1.7e9
 
 
-def record_of(**servers: str) -> CrashRecord:
-    """Returns a record; each request's servers are letters."""
+def record_of(**engines: str) -> CrashRecord:
+    """Returns a record; each request's engines are letters."""
     record = CrashRecord(HELD_SECONDS)
-    for content, letters in servers.items():
+    for content, letters in engines.items():
         for letter in letters:
             record.add(NOW, Crash(content, letter), NOW)
     return record
@@ -50,7 +50,7 @@
 
 
 def test_a_request_that_met_two_causes_is_not_refused() -> None:
-    """With longer records counting first, this one was: two of its servers ended by one cause and
+    """With longer records counting first, this one was: two of its engines ended by one cause and
     one by the other, in four of eight worlds with two marked requests at the same moment."""
     assert record_of(one="abc", two="def", beside="bce").refused == {"one", "two"}
 
@@ -125,7 +125,7 @@
     assert record.crashes("twice") == 2
 
 
-def test_what_is_noted_by_server_follows_what_is_noted_by_request() -> None:
+def test_what_is_noted_by_engine_follows_what_is_noted_by_request() -> None:
     """Random additions and removals, checked against a plain set."""
     drawn = random.Random(7)
     record, held = CrashRecord(HELD_SECONDS), set[Crash]()
@@ -137,7 +137,7 @@
         else:
             assert record.remove(NOW, crash) == (crash in held)
             held.discard(crash)
-        assert record.of_server(crash.server_id) == sorted(
-            each for each in held if each.server_id == crash.server_id
+        assert record.of_engine(crash.engine_id) == sorted(
+            each for each in held if each.engine_id == crash.engine_id
         )
         assert record.crashes(crash.content) == sum(e.content == crash.content for e in held)
--- a/tests/decisions/crashes/test_shared.py
+++ b/tests/decisions/crashes/test_shared.py
@@ -65,7 +65,7 @@
         return [i for i in self.shared.on_timer(now, True) if isinstance(i, SendToPeers)]
 
     def news(self, stands: bool = True) -> CrashNews:
-        return CrashNews("p", (CrashTold(CRASH.content, CRASH.server_id, int(AT), stands),))
+        return CrashNews("p", (CrashTold(CRASH.content, CRASH.engine_id, int(AT), stands),))
 
 
 def test_crashes_of_one_moment_go_in_one_write() -> None:
@@ -123,7 +123,7 @@
     world.shared.on_news(1.0, world.news())
     world.shared.on_news(1.0, world.news(stands=False))
     read = next(i for i in world.shared.on_timer(1.0, False) if isinstance(i, ReadNewest))
-    record = KeyedRecord(f"{CRASH.content}/{CRASH.server_id}", cbor2.dumps([int(AT)]), 0)
+    record = KeyedRecord(f"{CRASH.content}/{CRASH.engine_id}", cbor2.dumps([int(AT)]), 0)
     world.shared.on_store(1.1, read.call, NewestPage((record,), False, 1))
     assert world.known == {CRASH}
 
@@ -152,7 +152,7 @@
 
 
 def test_a_full_message_fits_into_a_packet() -> None:
-    told = CrashTold(CRASH.content, CRASH.server_id, int(AT), True)
+    told = CrashTold(CRASH.content, CRASH.engine_id, int(AT), True)
     news = CrashNews("edge-guediawaye-3", (told,) * TOLD_A_MESSAGE)
     data = encode(news)
     assert len(data) < 1400 < DATAGRAM_BYTES_MOST
--- a/tests/decisions/crashes/test_suspects.py
+++ b/tests/decisions/crashes/test_suspects.py
@@ -1,10 +1,10 @@
-"""What a daemon answers to requests under which servers ended, and what clears them."""
+"""What a daemon answers to requests under which engines ended, and what clears them."""
 
 import random
 
-from tests.decisions.forwarding.worlds import server
+from tests.decisions.forwarding.worlds import engine
 from troutswitch.daemons.messages import CrashNews, CrashTold
-from troutswitch.decisions.crashes.messages import ServerChecked, ServerFound
+from troutswitch.decisions.crashes.messages import EngineChecked, EngineFound
 from troutswitch.decisions.crashes.record import HELD_SECONDS
 from troutswitch.decisions.crashes.suspects import (
     HELD_LEAST,
@@ -12,7 +12,7 @@
     SETTLED_SECONDS,
     CrashSuspects,
 )
-from troutswitch.decisions.forwarding.engines import ServerRegistry
+from troutswitch.decisions.forwarding.engines import EngineRegistry
 from troutswitch.decisions.storage.follower import CallNumbers
 
 OFFSET = 1.7e9
@@ -20,12 +20,12 @@
 
 class World:
     def __init__(self, name: str = "d") -> None:
-        self.servers = ServerRegistry()
-        self.servers.on_list(0.0, [server(f"s{n}") for n in range(6)])
+        self.engines = EngineRegistry()
+        self.engines.on_list(0.0, [engine(f"s{n}") for n in range(6)])
         self.logged: list[str] = []
         self.suspects = CrashSuspects(
             name,
-            self.servers,
+            self.engines,
             CallNumbers(),
             lambda: [],
             lambda instruction: None,
@@ -34,13 +34,13 @@
         )
         self.suspects.clock_offset = OFFSET
 
-    def crash(self, now: float, content: str, *server_ids: str) -> None:
-        for server_id in server_ids:
-            self.suspects.on_lost(now, content, server_id)
-            self.suspects.on_checked(now, ServerChecked(server_id, ServerFound.ENDED))
+    def crash(self, now: float, content: str, *engine_ids: str) -> None:
+        for engine_id in engine_ids:
+            self.suspects.on_lost(now, content, engine_id)
+            self.suspects.on_checked(now, EngineChecked(engine_id, EngineFound.ENDED))
 
-    def told(self, now: float, content: str, *server_ids: str) -> None:
-        told = tuple(CrashTold(content, name, int(now + OFFSET), True) for name in server_ids)
+    def told(self, now: float, content: str, *engine_ids: str) -> None:
+        told = tuple(CrashTold(content, name, int(now + OFFSET), True) for name in engine_ids)
         self.suspects.on_news(now, CrashNews("p", told))
 
 
@@ -71,8 +71,8 @@
     assert world.suspects.count == 0
 
 
-def test_a_server_that_answers_a_later_attempt_has_not_ended() -> None:
-    """A daemon cut off with resets takes all its servers for ended, under all its requests."""
+def test_an_engine_that_answers_a_later_attempt_has_not_ended() -> None:
+    """A daemon cut off with resets takes all its engines for ended, under all its requests."""
     world = World()
     world.told(1.0, "x", "s0", "s1", "s2")
     world.told(1.0, "y", "s0", "s1", "s2")
@@ -102,7 +102,7 @@
 def test_daemons_free_what_they_hold_back_one_after_the_other() -> None:
     """What was seen: a cause that was held back was free at all daemons in the same millisecond.
 
-    Order: its callers, who had come all the while, sent it to two servers 80 ms later, before the
+    Order: its callers, who had come all the while, sent it to two engines 80 ms later, before the
     first of these ended. Cause: all daemons counted ten seconds from the same crash. Evidence: the
     lines of one play, in which eleven daemons free it between 23.7519 and 23.7535 s.
     """
--- a/tests/decisions/forwarding/test_admission.py
+++ b/tests/decisions/forwarding/test_admission.py
@@ -7,7 +7,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from tests.decisions.forwarding.worlds import World, arrival, server
+from tests.decisions.forwarding.worlds import World, arrival, engine
 from troutswitch.decisions.forwarding.admission import (
     RETURN_LEAST,
     RETURN_SHARE,
@@ -19,7 +19,7 @@
     Deferral,
     HoldLate,
 )
-from troutswitch.decisions.forwarding.engines import Server
+from troutswitch.decisions.forwarding.engines import Engine
 from troutswitch.decisions.forwarding.messages import AnswerBegun, FinishRequest, SendRequest
 from troutswitch.decisions.forwarding.requests import ForwardedRequests
 from troutswitch.decisions.forwarding.run_times import RunTimes, ServiceTimes
@@ -32,12 +32,12 @@
 DETERMINISTIC = settings(derandomize=True, deadline=None, max_examples=150)
 
 
-def held_servers(*online: int) -> list[Server]:
-    """Returns servers of eight slots with some online requests each, sent just now."""
-    servers = [Server(server(f"s{n}")) for n in range(len(online))]
-    for held, count in zip(servers, online, strict=True):
+def held_engines(*online: int) -> list[Engine]:
+    """Returns engines of eight slots with some online requests each, sent just now."""
+    engines = [Engine(engine(f"s{n}")) for n in range(len(online))]
+    for held, count in zip(engines, online, strict=True):
         held.change_peers_online(0.0, count)
-    return servers
+    return engines
 
 
 def asked(time_left: float = TIME_LEFT_SECONDS, is_resumed: bool = False) -> AdmissionRequest:
@@ -47,23 +47,23 @@
 def decide(
     policy: AdmissionPolicy,
     request: AdmissionRequest,
-    servers: list[Server],
+    engines: list[Engine],
     times: ServiceTimes = TIMES,
 ) -> Deferral | None:
     longest_wait = policy.longest_wait(request, times)
-    best = least_wait(0.0, servers, times)
+    best = least_wait(0.0, engines, times)
     if best is None or best.wait <= longest_wait:
         return None
     come_back = policy.come_back(0.0, request.time_left, best, random.Random(1))
     return Deferral(come_back, best)
 
 
-def test_while_any_server_has_a_slot_all_are_sent() -> None:
-    assert decide(DeferLate(), asked(), held_servers(30, 7)) is None
+def test_while_any_engine_has_a_slot_all_are_sent() -> None:
+    assert decide(DeferLate(), asked(), held_engines(30, 7)) is None
 
 
-def test_what_would_be_late_at_every_server_is_deferred_with_its_figures() -> None:
-    deferral = decide(DeferLate(), asked(), held_servers(16, 14))
+def test_what_would_be_late_at_every_engine_is_deferred_with_its_figures() -> None:
+    deferral = decide(DeferLate(), asked(), held_engines(16, 14))
     assert deferral is not None
     assert deferral.estimate.slots == 8
     assert deferral.estimate.queued == 7
@@ -72,22 +72,22 @@
     assert longest * RETURN_LEAST <= deferral.come_back <= longest
 
 
-def test_a_free_slot_is_used_however_slow_the_servers_are() -> None:
+def test_a_free_slot_is_used_however_slow_the_engines_are() -> None:
     slow = ServiceTimes(first=4.0, held=9.0)
     policy = DeferLate()
-    assert decide(policy, asked(), held_servers(7), slow) is None
-    assert decide(policy, asked(), held_servers(8), slow) is not None
+    assert decide(policy, asked(), held_engines(7), slow) is None
+    assert decide(policy, asked(), held_engines(8), slow) is not None
 
 
 def test_batch_items_do_not_count_as_they_yield() -> None:
-    servers = held_servers(0)
-    servers[0].batch_in_flight = 20
-    assert decide(DeferLate(), asked(), servers) is None
+    engines = held_engines(0)
+    engines[0].batch_in_flight = 20
+    assert decide(DeferLate(), asked(), engines) is None
 
 
 def test_one_that_came_back_or_goes_on_is_sent_whatever_the_wait() -> None:
     policy = DeferLate()
-    full = held_servers(20, 20)
+    full = held_engines(20, 20)
     assert decide(policy, asked(), full) is not None
     assert decide(policy, asked(time_left=3.6), full) is None
     assert decide(policy, asked(is_resumed=True), full) is None
@@ -97,7 +97,7 @@
 def test_those_refused_together_come_back_in_order_as_room_is_expected() -> None:
     policy = HoldLate()
     unservable = asked(time_left=0.7)
-    refused = [decide(policy, unservable, held_servers(16, 14)) for _ in range(5)]
+    refused = [decide(policy, unservable, held_engines(16, 14)) for _ in range(5)]
     turns = [deferral.come_back for deferral in refused if deferral is not None]
     assert len(turns) == 5
     assert refused[0] is not None
@@ -109,8 +109,8 @@
 def test_the_patience_of_few_routes_is_remembered() -> None:
     policy = DeferLate()
     for number in range(2 * ROUTES_REMEMBERED):
-        decide(policy, replace(asked(), route=f"r{number}"), held_servers(0))
-        decide(policy, asked(), held_servers(0))
+        decide(policy, replace(asked(), route=f"r{number}"), held_engines(0))
+        decide(policy, asked(), held_engines(0))
     assert len(policy.patience) == ROUTES_REMEMBERED
     assert "r" in policy.patience
 
@@ -118,8 +118,8 @@
 def test_before_anything_is_learnt_all_are_sent() -> None:
     policy = DeferLate()
     unknown = ServiceTimes()
-    assert decide(policy, asked(), held_servers(30), unknown) is None
-    assert decide(AdmitAll(), asked(), held_servers(30)) is None
+    assert decide(policy, asked(), held_engines(30), unknown) is None
+    assert decide(AdmitAll(), asked(), held_engines(30)) is None
 
 
 def test_the_times_of_those_that_waited_do_not_count_as_first_times() -> None:
@@ -148,7 +148,7 @@
 
 
 def test_a_deferred_request_is_told_that_it_was_not_run_and_when_to_come_back() -> None:
-    world = World(servers=1)
+    world = World(engines=1)
     sent = fill(world, 40)
     assert 8 <= len(sent) < 40
     refused = world.arrive(1.0, arrival(900, time_left=TIME_LEFT_SECONDS))
@@ -163,7 +163,7 @@
 
 
 def test_nothing_is_learnt_of_answers_without_events() -> None:
-    world = World(servers=1)
+    world = World(engines=1)
     sent = world.arrive(0.0, arrival(1))
     assert isinstance(sent, SendRequest)
     world.requests.on_answer_begun(0.003, AnswerBegun(1, sent.attempt, None))
@@ -172,9 +172,9 @@
 
 
 def test_without_the_policy_all_join_the_queue() -> None:
-    world = World(servers=1)
+    world = World(engines=1)
     world.requests = ForwardedRequests(
-        "z", world.routes, world.servers, random.Random(1), "prefix_aware", "admit_all"
+        "z", world.routes, world.engines, random.Random(1), "prefix_aware", "admit_all"
     )
     assert len(fill(world, 40)) == 40
 
@@ -182,7 +182,7 @@
 @DETERMINISTIC
 @given(st.lists(st.tuples(st.integers(0, 3), st.floats(0.2, 5.0)), max_size=60))
 def test_every_request_is_sent_or_answered_and_ends(steps: list[tuple[int, float]]) -> None:
-    world = World(servers=2)
+    world = World(engines=2)
     running = fill(world, 0)
     now = 1.0
     for token, (kind, time_left) in enumerate(steps, start=100):
@@ -198,4 +198,4 @@
     for sent in running:
         world.end(now + 0.1, sent, AttemptKind.COMPLETED, delivered=31)
     assert not world.requests.requests
-    assert all(s.online_in_flight == 0 for s in world.servers.servers.values())
+    assert all(s.online_in_flight == 0 for s in world.engines.engines.values())
--- a/tests/decisions/forwarding/test_arrivals.py
+++ b/tests/decisions/forwarding/test_arrivals.py
@@ -6,7 +6,7 @@
 import pytest
 
 from tests.decisions.forwarding.worlds import World, arrival, route
-from troutswitch.decisions.forwarding.engines import Server
+from troutswitch.decisions.forwarding.engines import Engine
 from troutswitch.decisions.forwarding.messages import FinishRequest, SendRequest
 from troutswitch.decisions.forwarding.placer import FoundBy, Place, PlaceWish, Placing
 from troutswitch.decisions.forwarding.types import Route
@@ -36,14 +36,14 @@
     return directive.outcome.status
 
 
-def test_a_known_key_s_tenant_is_told_to_the_server() -> None:
+def test_a_known_key_s_tenant_is_told_to_the_engine() -> None:
     sent = tenant_world().arrive(0.0, replace(arrival(1), caller_key=KEY))
     assert isinstance(sent, SendRequest)
     assert sent.tenant == "ours"
 
 
 @pytest.mark.parametrize("key", ["", OTHER, key_digest("first "), key_digest("first, first")])
-def test_a_missing_or_unknown_key_gets_401_and_no_server_hears_of_it(key: str) -> None:
+def test_a_missing_or_unknown_key_gets_401_and_no_engine_hears_of_it(key: str) -> None:
     world = tenant_world()
     assert status(world.arrive(0.0, replace(arrival(1), caller_key=key))) == 401
     assert not world.requests.requests
@@ -139,10 +139,10 @@
     """A placer whose places come when the test gives them."""
 
     def __init__(self) -> None:
-        self.server: Server | None = None
+        self.engine: Engine | None = None
 
-    def place(self, now: float, wish: PlaceWish, candidates: list[Server]) -> Placing | None:
-        self.server = candidates[0]
+    def place(self, now: float, wish: PlaceWish, candidates: list[Engine]) -> Placing | None:
+        self.engine = candidates[0]
         return None
 
     def withdraw(self, now: float, token: int) -> None:
@@ -150,14 +150,14 @@
 
 
 def test_a_key_taken_away_while_its_request_waits_for_a_place_gets_401() -> None:
-    """Nothing was sent, so the refusal is true, and no server sees the old tenant."""
+    """Nothing was sent, so the refusal is true, and no engine sees the old tenant."""
     world = tenant_world()
     placer = LatePlacer()
     world.requests.placer = placer
     assert not sends(world.requests.on_arrived(0.0, replace(arrival(1), caller_key=KEY)))
     put(world, 3, Tenant("ours", frozenset({OTHER})))
-    assert placer.server is not None
-    made = world.requests.on_placed(0.01, 1, Place(placer.server, FoundBy.COORDINATOR, False))
+    assert placer.engine is not None
+    made = world.requests.on_placed(0.01, 1, Place(placer.engine, FoundBy.COORDINATOR, False))
     assert status(made[0]) == 401
     assert not world.requests.requests
 
--- a/tests/decisions/forwarding/test_engine_list.py
+++ b/tests/decisions/forwarding/test_engine_list.py
@@ -1,9 +1,9 @@
-"""Readings of the list of servers, by one daemon and by all of a large fleet."""
+"""Readings of the list of engines, by one daemon and by all of a large fleet."""
 
 import heapq
 import random
 
-from troutswitch.decisions.forwarding.engine_list import READING_SECONDS_MOST, ServerListReader
+from troutswitch.decisions.forwarding.engine_list import READING_SECONDS_MOST, EngineListReader
 from troutswitch.decisions.storage.follower import CallNumbers
 from troutswitch.decisions.storage.messages import CallFailed, KeyedRecord, NewestPage, ReadNewest
 
@@ -11,19 +11,19 @@
 INTERVAL = 0.6
 
 
-def reader(seed: int = 1) -> ServerListReader:
-    return ServerListReader(CallNumbers(), random.Random(seed), INTERVAL)
+def reader(seed: int = 1) -> EngineListReader:
+    return EngineListReader(CallNumbers(), random.Random(seed), INTERVAL)
 
 
-def page_of(servers: int, after_key: str) -> NewestPage:
+def page_of(engines: int, after_key: str) -> NewestPage:
     first = int(after_key) + 1 if after_key else 0
     rows = tuple(
-        KeyedRecord(f"{number:05d}", b"") for number in range(first, min(first + PAGE, servers))
+        KeyedRecord(f"{number:05d}", b"") for number in range(first, min(first + PAGE, engines))
     )
-    return NewestPage(rows, first + PAGE < servers, 0)
+    return NewestPage(rows, first + PAGE < engines, 0)
 
 
-def ask(held: ServerListReader, now: float) -> ReadNewest:
+def ask(held: EngineListReader, now: float) -> ReadNewest:
     (call,) = held.on_timer(now)
     assert isinstance(call, ReadNewest)
     return call
@@ -53,14 +53,14 @@
     assert ask(held, READING_SECONDS_MOST + 2).after_key == ""
 
 
-def play_fleet(daemons: int, servers: int, calls_a_second: float, paced: bool) -> list[float]:
+def play_fleet(daemons: int, engines: int, calls_a_second: float, paced: bool) -> list[float]:
     """Has all daemons read the list at one store that takes so many calls a second.
 
     Returns for each daemon when it had its newest whole list, after 20 seconds.
     """
     held = [reader(seed) for seed in range(daemons)]
     listed = [float("-inf")] * daemons
-    pages = -(-servers // PAGE)
+    pages = -(-engines // PAGE)
     rng = random.Random(1)
     due = [(rng.random() * 0.3, number) for number in range(daemons)]
     heapq.heapify(due)
@@ -74,7 +74,7 @@
             assert isinstance(call, ReadNewest)
             tokens = min(calls_a_second / 10, tokens + (now - filled_at) * calls_a_second)
             filled_at = now
-            outcome = page_of(servers, call.after_key) if tokens >= 1 else CallFailed("429", False)
+            outcome = page_of(engines, call.after_key) if tokens >= 1 else CallFailed("429", False)
             tokens -= tokens >= 1
             if one.on_answer(now + 0.01, outcome) is not None:
                 listed[number] = now
@@ -84,10 +84,10 @@
 
 
 def test_all_daemons_of_a_large_fleet_have_a_list_that_is_some_seconds_old() -> None:
-    """What users saw: a day at 300 machines and 3,000 servers served 0.41 of its requests.
+    """What users saw: a day at 300 machines and 3,000 engines served 0.41 of its requests.
 
     Cause: each of 300 daemons read six pages each 0.6 s, 3,000 calls a second where the store takes
-    2,000, and began anew at each failed page; so few ever knew the servers. The pace was worked out
+    2,000, and began anew at each failed page; so few ever knew the engines. The pace was worked out
     for one page. Evidence: this model, in which at most one daemon in ten is without a list of the
     last 8 s now, and more than that were when readers were not paced by pages.
     """
--- a/tests/decisions/forwarding/test_expired_entries.py
+++ b/tests/decisions/forwarding/test_expired_entries.py
@@ -1,21 +1,21 @@
 """What counts as an outage of the store, in which entries lapse, and for how long they stay.
 
-What users would see: requests at a server later than the bound after it left, or too few
-servers just after an outage.
-Order of events: a server leaves, and one reading of the list is not answered; or all readings
+What users would see: requests at an engine later than the bound after it left, or too few
+engines just after an outage.
+Order of events: an engine leaves, and one reading of the list is not answered; or all readings
 are lost for seconds, and entries lapse.
 Cause: the time that one unanswered reading takes was not reckoned with; a reading that ended
 without any outcome did not count as failed.
-Evidence: below; with the reader's own timing the server was in use for up to 3.99 s.
+Evidence: below; with the reader's own timing the engine was in use for up to 3.99 s.
 """
 
 import pytest
 
-from tests.decisions.forwarding.worlds import server
+from tests.decisions.forwarding.worlds import engine
 from tests.worlds.gateway_world import GatewayWorld
 from tests.worlds.plain_formats import SERVICE
-from troutswitch.decisions.forwarding.engine_list import TIMEOUT_FIRST_SECONDS, ServerListReader
-from troutswitch.decisions.forwarding.engines import ServerRegistry
+from troutswitch.decisions.forwarding.engine_list import TIMEOUT_FIRST_SECONDS, EngineListReader
+from troutswitch.decisions.forwarding.engines import EngineRegistry
 from troutswitch.decisions.storage.follower import CallNumbers
 from troutswitch.decisions.storage.messages import CallFailed, NewestPage, ReadNewest
 
@@ -32,16 +32,16 @@
         return high if self._is_high else low
 
 
-def in_use(registry: ServerRegistry, service: str = "s") -> set[str]:
-    return {held.record.server_id for held in registry.of_service(service)}
+def in_use(registry: EngineRegistry, service: str = "s") -> set[str]:
+    return {held.record.engine_id for held in registry.of_service(service)}
 
 
 @pytest.mark.parametrize("is_high", [False, True])
-def test_one_unanswered_reading_keeps_no_server_beyond_the_bound(is_high: bool) -> None:
+def test_one_unanswered_reading_keeps_no_engine_beyond_the_bound(is_high: bool) -> None:
     """The reader's own timing: one reading times out, every other one is answered."""
     jitter = HalfRandom(is_high)
-    reader = ServerListReader(CallNumbers(), jitter, 0.3 * DRAIN_SECONDS)  # type: ignore[arg-type]
-    registry = ServerRegistry()
+    reader = EngineListReader(CallNumbers(), jitter, 0.3 * DRAIN_SECONDS)  # type: ignore[arg-type]
+    registry = EngineRegistry()
     now, readings, left_at = 0.0, 0, float("inf")
     while now < 8.0:
         now = max(now, reader.next_due())
@@ -55,20 +55,20 @@
                 continue
             reader.on_answer(now, NewestPage((), False, 0))
             has_left = now > left_at
-            registry.on_list(now, [server("b")] if has_left else [server("a"), server("b")])
+            registry.on_list(now, [engine("b")] if has_left else [engine("a"), engine("b")])
             if readings == 3:
                 left_at = now + 0.02
         if now > left_at + DRAIN_SECONDS:
             assert in_use(registry) == {"b"}, f"in use {now - left_at:.2f} s after it left"
 
 
-def test_servers_that_lapsed_in_an_outage_stay_for_all_of_its_time_with_short_intervals() -> None:
+def test_engines_that_lapsed_in_an_outage_stay_for_all_of_its_time_with_short_intervals() -> None:
     """A bound for draining of 1 s has the list read each 0.3 s."""
-    registry = ServerRegistry()
-    registry.on_list(0.0, [server("a"), server("b")])
+    registry = EngineRegistry()
+    registry.on_list(0.0, [engine("a"), engine("b")])
     registry.on_list_failed(9.9)
     for number in range(6):
-        registry.on_list(10.0 + 0.3 * number, [server("b")])
+        registry.on_list(10.0 + 0.3 * number, [engine("b")])
     assert in_use(registry) == {"a", "b"}
 
 
@@ -79,11 +79,11 @@
     call_store = world._call_store
     world._call_store = lambda daemon, call: None  # type: ignore[method-assign]
     world.run(8.0)
-    assert world.daemons["daemon-0"].core.server_list.failures
-    world.remove_server("server-0")
+    assert world.daemons["daemon-0"].core.engine_list.failures
+    world.remove_engine("server-0")
     world._call_store = call_store  # type: ignore[method-assign]
     returned_at = world.now
-    while any(d.core.servers.listed_at < returned_at for d in world.daemons.values()):
+    while any(d.core.engines.listed_at < returned_at for d in world.daemons.values()):
         world.run(0.05)
     for name, daemon in world.daemons.items():
-        assert "server-0" in in_use(daemon.core.servers, SERVICE), name
+        assert "server-0" in in_use(daemon.core.engines, SERVICE), name
--- a/tests/decisions/forwarding/test_gone_engines.py
+++ b/tests/decisions/forwarding/test_gone_engines.py
@@ -1,37 +1,37 @@
-"""A server that has left the list takes no new work, whoever cannot read the list.
+"""An engine that has left the list takes no new work, whoever cannot read the list.
 
-What users saw: one daemon sent requests to a server twelve seconds after it had left. All other
+What users saw: one daemon sent requests to an engine twelve seconds after it had left. All other
 daemons had stopped within a second.
-Order of events: a server leaves without saying that it drains, so that its entry just
+Order of events: an engine leaves without saying that it drains, so that its entry just
 goes. One daemon's readings of the list fail, now and then or always, while the store serves
 everybody else; what it does read, or hears from peers, lacks the entry.
 Cause: each failed reading kept missing entries in use for two more seconds, as entries also
 lapse while the store is away for all. A daemon's own failed call was taken for that.
-Evidence: below, both worlds kept the server in use for as long as the readings went on failing.
+Evidence: below, both worlds kept the engine in use for as long as the readings went on failing.
 """
 
-from tests.decisions.forwarding.worlds import server
+from tests.decisions.forwarding.worlds import engine
 from tests.worlds.gateway_world import GatewayWorld
 from tests.worlds.plain_formats import SERVICE
-from troutswitch.decisions.forwarding.engines import ServerRegistry
+from troutswitch.decisions.forwarding.engines import EngineRegistry
 
 DRAIN_SECONDS = 2.0
 READ_SECONDS = 0.5
 """Interval of whole lists in these tests: a little less than a daemon's own."""
 
 
-def in_use(registry: ServerRegistry, service: str = "s") -> set[str]:
-    return {held.record.server_id for held in registry.of_service(service)}
+def in_use(registry: EngineRegistry, service: str = "s") -> set[str]:
+    return {held.record.engine_id for held in registry.of_service(service)}
 
 
-def test_readings_that_fail_now_and_then_do_not_keep_a_gone_server() -> None:
-    registry = ServerRegistry()
-    registry.on_list(0.0, [server("a"), server("b")])
+def test_readings_that_fail_now_and_then_do_not_keep_a_gone_engine() -> None:
+    registry = EngineRegistry()
+    registry.on_list(0.0, [engine("a"), engine("b")])
     for number in range(1, 41):
         if number % 3 == 1:
             registry.on_list_failed((number - 0.5) * READ_SECONDS)
         now = number * READ_SECONDS
-        registry.on_list(now, [server("b")])
+        registry.on_list(now, [engine("b")])
         if now > DRAIN_SECONDS:
             assert in_use(registry) == {"b"}, f"the gone server is in use after {now} s"
 
@@ -42,37 +42,37 @@
     turned_away = world.daemons["daemon-0"]
     turned_away.is_cut_from_store = True
     world.run(2.0)
-    world.remove_server("server-0")
+    world.remove_engine("server-0")
     world.run(DRAIN_SECONDS)
     for name, daemon in world.daemons.items():
-        assert "server-0" not in in_use(daemon.core.servers, SERVICE), name
-    assert in_use(turned_away.core.servers, SERVICE) == {"server-1", "server-2"}
+        assert "server-0" not in in_use(daemon.core.engines, SERVICE), name
+    assert in_use(turned_away.core.engines, SERVICE) == {"server-1", "server-2"}
 
 
-def test_lists_that_come_seldom_with_failures_between_do_not_keep_a_gone_server() -> None:
-    registry = ServerRegistry()
-    registry.on_list(0.0, [server("a"), server("b")])
+def test_lists_that_come_seldom_with_failures_between_do_not_keep_a_gone_engine() -> None:
+    registry = EngineRegistry()
+    registry.on_list(0.0, [engine("a"), engine("b")])
     for now in (2.5, 5.0):
         registry.on_list_failed(now - 0.1)
-        registry.on_list(now, [server("b")])
+        registry.on_list(now, [engine("b")])
         assert in_use(registry) == ({"a", "b"} if now < 5.0 else {"b"})
 
 
 def test_one_failed_reading_keeps_nothing() -> None:
-    registry = ServerRegistry()
-    registry.on_list(0.0, [server("a"), server("b")])
+    registry = EngineRegistry()
+    registry.on_list(0.0, [engine("a"), engine("b")])
     registry.on_list_failed(0.6)
-    registry.on_list(1.0, [server("b")])
+    registry.on_list(1.0, [engine("b")])
     assert in_use(registry) == {"b"}
 
 
 def test_entries_may_lapse_some_lists_after_the_store_is_back() -> None:
-    registry = ServerRegistry()
-    registry.on_list(0.0, [server("a"), server("b")])
+    registry = EngineRegistry()
+    registry.on_list(0.0, [engine("a"), engine("b")])
     registry.on_list_failed(9.8)
-    registry.on_list(10.0, [server("a"), server("b")])
-    registry.on_list(10.6, [server("b")])
+    registry.on_list(10.0, [engine("a"), engine("b")])
+    registry.on_list(10.6, [engine("b")])
     assert in_use(registry) == {"a", "b"}
-    registry.on_list(11.2, [server("a"), server("b")])
-    registry.on_list(12.0, [server("a")])
+    registry.on_list(11.2, [engine("a"), engine("b")])
+    registry.on_list(12.0, [engine("a")])
     assert in_use(registry) == {"a"}
--- a/tests/decisions/forwarding/test_hold_late.py
+++ b/tests/decisions/forwarding/test_hold_late.py
@@ -25,10 +25,10 @@
 
 
 def full_world() -> tuple[World, list[SendRequest]]:
-    """Returns a world of one server whose queue is too long for a new request."""
-    world = World(servers=1)
+    """Returns a world of one engine whose queue is too long for a new request."""
+    world = World(engines=1)
     world.requests = ForwardedRequests(
-        "z", world.routes, world.servers, random.Random(1), "prefix_aware", "hold_late"
+        "z", world.routes, world.engines, random.Random(1), "prefix_aware", "hold_late"
     )
     running = fill(world, 0)
     for token in range(10, 60):
--- a/tests/decisions/forwarding/test_kept_missing.py
+++ b/tests/decisions/forwarding/test_kept_missing.py
@@ -1,35 +1,35 @@
-"""A server that stays in use although the list lacks it can be seen from outside."""
+"""An engine that stays in use although the list lacks it can be seen from outside."""
 
-from tests.decisions.forwarding.worlds import World, arrival, server
+from tests.decisions.forwarding.worlds import World, arrival, engine
 from tests.worlds.gateway_world import GatewayWorld
-from troutswitch.decisions.forwarding.engines import ServerRegistry
+from troutswitch.decisions.forwarding.engines import EngineRegistry
 from troutswitch.decisions.forwarding.messages import CallerGone, LogLine
 
 
-def test_the_registry_tells_which_missing_servers_it_keeps() -> None:
-    registry = ServerRegistry()
-    registry.on_list(0.0, [server("a"), server("b")])
+def test_the_registry_tells_which_missing_engines_it_keeps() -> None:
+    registry = EngineRegistry()
+    registry.on_list(0.0, [engine("a"), engine("b")])
     assert registry.kept_missing == set()
     registry.on_list_failed(2.0)
-    registry.on_list(3.0, [server("b")])
+    registry.on_list(3.0, [engine("b")])
     assert registry.kept_missing == {"a"}
-    registry.on_list(6.0, [server("b")])
+    registry.on_list(6.0, [engine("b")])
     assert registry.kept_missing == set()
 
 
-def test_a_kept_server_is_logged_once_with_the_age_of_the_failed_reading() -> None:
+def test_a_kept_engine_is_logged_once_with_the_age_of_the_failed_reading() -> None:
     world = GatewayWorld(1)
     world.run(3.0)
     core = world.daemons["daemon-0"].core
-    core.servers.on_list_failed(world.now + 4.0)
+    core.engines.on_list_failed(world.now + 4.0)
     core._instructions = []
-    core._take_server_list(world.now + 5.0, [], "")
-    core._take_server_list(world.now + 5.5, [], "")
+    core._take_engine_list(world.now + 5.0, [], "")
+    core._take_engine_list(world.now + 5.5, [], "")
     lines = [i for i in core._instructions if isinstance(i, LogLine)]
-    told = [line.fields for line in lines if line.event == "missing servers kept"]
+    told = [line.fields for line in lines if line.event == "missing engines kept"]
     assert len(told) == 1
     assert told[0]["reading_failed_ms"] == 1000
-    assert told[0]["servers"] == ["server-0", "server-1", "server-2"]
+    assert told[0]["engines"] == ["server-0", "server-1", "server-2"]
 
 
 def test_the_end_of_a_request_tells_the_time_left() -> None:
--- a/tests/decisions/forwarding/test_policy_properties.py
+++ b/tests/decisions/forwarding/test_policy_properties.py
@@ -6,19 +6,19 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from tests.decisions.forwarding.worlds import World, arrival, server
+from tests.decisions.forwarding.worlds import World, arrival, engine
 from troutswitch.decisions.forwarding.admission import ADMISSION_POLICIES
 from troutswitch.decisions.forwarding.messages import AnswerBegun, FinishRequest, SendRequest
 from troutswitch.decisions.forwarding.placement import POLICIES
 from troutswitch.decisions.forwarding.requests import ForwardedRequests
 from troutswitch.outcomes import AttemptKind
 
-SERVERS = 4
+ENGINES = 4
 DETERMINISTIC = settings(derandomize=True, deadline=None, max_examples=40)
 STEPS = st.lists(
     st.tuples(
         st.sampled_from(["arrive", "arrive", "arrive", "end", "refuse", "cut", "drain", "list"]),
-        st.integers(0, SERVERS - 1),
+        st.integers(0, ENGINES - 1),
     ),
     max_size=80,
 )
@@ -30,9 +30,9 @@
     """Plays steps on one daemon's forwarding and checks each instruction."""
 
     def __init__(self, placement: str, admission: str) -> None:
-        self.world = World(servers=SERVERS)
+        self.world = World(engines=ENGINES)
         self.world.requests = ForwardedRequests(
-            "z", self.world.routes, self.world.servers, random.Random(1), placement, admission
+            "z", self.world.routes, self.world.engines, random.Random(1), placement, admission
         )
         self.running: dict[int, SendRequest] = {}
         self.leaving: set[str] = set()
@@ -43,7 +43,7 @@
     def take(self, given_out: SendRequest | FinishRequest | None) -> None:
         match given_out:
             case SendRequest():
-                assert given_out.server_id not in self.leaving
+                assert given_out.engine_id not in self.leaving
                 self.running[given_out.token] = given_out
                 begun = AnswerBegun(given_out.token, given_out.attempt, None)
                 self.world.requests.on_answer_begun(self.now, begun)
@@ -58,7 +58,7 @@
                 self.take(instruction)
 
     def end_all(self) -> None:
-        """Lets servers end what runs there, and offers what waits until nothing is left."""
+        """Lets engines end what runs there, and offers what waits until nothing is left."""
         while self.world.requests.requests:
             if not self.running:
                 self.now = max(self.now + 0.001, self.world.requests.next_due())
@@ -75,10 +75,10 @@
                 self.take(self.world.arrive(self.now, arrival(self.arrived)))
             case "drain":
                 self.leaving.add(f"s{place}")
-                self.world.servers.mark_draining(f"s{place}")
+                self.world.engines.mark_draining(f"s{place}")
             case "list":
-                listed = [server(f"s{n}", f"s{n}" in self.leaving) for n in range(SERVERS)]
-                self.world.servers.on_list(self.now, listed)
+                listed = [engine(f"s{n}", f"s{n}" in self.leaving) for n in range(ENGINES)]
+                self.world.engines.on_list(self.now, listed)
             case _ if self.running:
                 self.end(step, place)
 
@@ -98,7 +98,7 @@
 @every_admission
 @DETERMINISTIC
 @given(steps=STEPS)
-def test_no_request_goes_to_a_leaving_server_and_every_request_ends(
+def test_no_request_goes_to_a_leaving_engine_and_every_request_ends(
     placement: str, admission: str, steps: list[tuple[str, int]]
 ) -> None:
     driver = Driver(placement, admission)
@@ -107,5 +107,5 @@
     driver.end_all()
     assert driver.finished == driver.arrived
     assert not driver.world.requests.requests
-    held = driver.world.servers.servers.values()
+    held = driver.world.engines.engines.values()
     assert all(s.online_in_flight == 0 and not s.online_sent_at for s in held)
--- a/tests/decisions/forwarding/test_requests.py
+++ b/tests/decisions/forwarding/test_requests.py
@@ -3,16 +3,16 @@
 
 import pytest
 
-from tests.decisions.forwarding.worlds import World, arrival, route, server
+from tests.decisions.forwarding.worlds import World, arrival, engine, route
 from troutswitch.decisions.crashes.interface import NO_SUSPECTS, NoSuspects
 from troutswitch.decisions.forwarding.arrivals import Arrivals
 from troutswitch.decisions.forwarding.messages import (
     AbortAttempt,
     AnswerBegun,
     CallerGone,
+    EngineHeard,
     FinishRequest,
     SendRequest,
-    ServerHeard,
 )
 from troutswitch.decisions.forwarding.requests import (
     ROOM_WAIT_SECONDS,
@@ -49,11 +49,11 @@
     assert outcome.status == 404
 
 
-def test_what_a_server_did_not_run_is_offered_to_another() -> None:
+def test_what_an_engine_did_not_run_is_offered_to_another() -> None:
     world = World(route(resumable=False, attempts=1))
     first = sent(world.arrive(0.0, arrival(1)))
     second = sent(world.end(0.1, first, AttemptKind.REFUSED))
-    assert second.server_id != first.server_id
+    assert second.engine_id != first.engine_id
 
 
 def test_a_request_that_may_have_run_is_not_repeated_unless_allowed() -> None:
@@ -64,7 +64,7 @@
 
 
 def test_a_refusal_is_only_given_if_nothing_ran() -> None:
-    world = World(route(attempts=2), servers=2)
+    world = World(route(attempts=2), engines=2)
     first = sent(world.arrive(0.0, arrival(1)))
     second = sent(world.end(0.1, first, AttemptKind.CUT))
     directive = world.end(0.2, second, AttemptKind.REFUSED)
@@ -85,11 +85,11 @@
     first = sent(world.arrive(0.0, arrival(1)))
     second = sent(world.end(0.1, first, AttemptKind.CUT, position="7", delivered=7))
     assert second.resume_after == "7"
-    assert second.server_id != first.server_id
+    assert second.engine_id != first.engine_id
 
 
 def test_attempts_that_may_have_run_are_bounded() -> None:
-    world = World(route(attempts=2), servers=4)
+    world = World(route(attempts=2), engines=4)
     first = sent(world.arrive(0.0, arrival(1)))
     second = sent(world.end(0.1, first, AttemptKind.CUT))
     assert finished(world.end(0.2, second, AttemptKind.CUT))
@@ -114,36 +114,36 @@
     assert world.requests.requests == {}
 
 
-def test_a_caller_that_left_stops_the_server() -> None:
+def test_a_caller_that_left_stops_the_engine() -> None:
     world = World()
     first = sent(world.arrive(0.0, arrival(1)))
     instructions = world.requests.on_caller_gone(0.1, CallerGone(1, 0.1))
     assert AbortAttempt(1, first.attempt) in instructions
-    assert world.servers.servers[first.server_id].online_in_flight == 0
+    assert world.engines.engines[first.engine_id].online_in_flight == 0
 
 
-def test_a_silent_server_is_left_for_another() -> None:
+def test_a_silent_engine_is_left_for_another() -> None:
     world = World()
     first = sent(world.arrive(0.0, arrival(1)))
     instructions = world.requests.on_timer(0.5)
     again = sent(World.directive(instructions))
-    assert again.server_id != first.server_id
+    assert again.engine_id != first.engine_id
     assert AbortAttempt(1, first.attempt, is_silent=True) in instructions
 
 
-def test_a_loaded_server_that_answers_others_is_not_left() -> None:
-    """A trial lost half of a day's requests: each loaded server was left for the next."""
+def test_a_loaded_engine_that_answers_others_is_not_left() -> None:
+    """A trial lost half of a day's requests: each loaded engine was left for the next."""
     world = World()
     first = sent(world.arrive(0.0, arrival(1)))
-    world.servers.on_heard(0.45, ServerHeard(first.server_id).server_id)
+    world.engines.on_heard(0.45, EngineHeard(first.engine_id).engine_id)
     assert world.requests.on_timer(0.5) == []
 
 
-def test_a_hung_request_is_left_although_the_server_answers_others() -> None:
+def test_a_hung_request_is_left_although_the_engine_answers_others() -> None:
     world = World()
     first = sent(world.arrive(0.0, arrival(1)))
-    world.servers.on_heard(2.4, first.server_id)
-    assert sent(World.directive(world.requests.on_timer(2.5))).server_id != first.server_id
+    world.engines.on_heard(2.4, first.engine_id)
+    assert sent(World.directive(world.requests.on_timer(2.5))).engine_id != first.engine_id
 
 
 def test_a_begun_stream_is_not_left_for_silence_by_the_loop() -> None:
@@ -162,11 +162,11 @@
 
 
 def test_another_instance_at_the_address_is_never_asked_again() -> None:
-    world = World(servers=1)
+    world = World(engines=1)
     first = sent(world.arrive(0.0, arrival(1)))
     world.end(0.1, first, AttemptKind.REFUSED, wrong_instance=True)
-    world.servers.on_list(0.2, [server("s0")])
-    assert world.servers.of_service("s") == []
+    world.engines.on_list(0.2, [engine("s0")])
+    assert world.engines.of_service("s") == []
 
 
 def test_a_failure_is_passed_on_where_it_may_not_be_repeated() -> None:
@@ -190,7 +190,7 @@
 
 
 def test_time_between_reading_and_deciding_is_the_caller_s() -> None:
-    """A machine that was suspended in between gave the server time that its caller had lost."""
+    """A machine that was suspended in between gave the engine time that its caller had lost."""
     world = World(route())
     sent = world.arrive(103.0, replace(arrival(1, time_left=4.0), read_at=100.0))
     assert isinstance(sent, SendRequest)
@@ -208,15 +208,15 @@
     def waits_for_word(self, content: str) -> bool:
         return self.waits
 
-    def on_lost(self, now: float, content: str, server_id: str, *, is_silent: bool = False) -> None:
-        self.lost.append((server_id, is_silent))
+    def on_lost(self, now: float, content: str, engine_id: str, *, is_silent: bool = False) -> None:
+        self.lost.append((engine_id, is_silent))
 
 
 def crash_world() -> tuple[World, Refusing]:
     world = World(route(attempts=3))
     suspects = Refusing()
     world.requests = ForwardedRequests(
-        "z", world.routes, world.servers, random.Random(1), "prefix_aware", "defer_late", suspects
+        "z", world.routes, world.engines, random.Random(1), "prefix_aware", "defer_late", suspects
     )
     return world, suspects
 
@@ -231,7 +231,7 @@
 
 
 def test_a_request_in_flight_is_ended_when_it_is_refused() -> None:
-    """It is at a server, queued there perhaps, and would end this one too."""
+    """It is at an engine, queued there perhaps, and would end this one too."""
     world, suspects = crash_world()
     world.arrive(0.0, replace(arrival(1), content="x"))
     world.arrive(0.0, replace(arrival(2), content="y"))
@@ -250,13 +250,13 @@
     sent = world.arrive(0.0, replace(arrival(1), content="x"))
     assert isinstance(sent, SendRequest)
     assert world.end(0.1, sent, AttemptKind.CUT) is None
-    assert suspects.lost == [(sent.server_id, False)]
+    assert suspects.lost == [(sent.engine_id, False)]
     again = world.directive(world.requests.on_timer(0.1 + ROOM_WAIT_SECONDS))
     assert isinstance(again, SendRequest)
-    assert again.server_id != sent.server_id
+    assert again.engine_id != sent.engine_id
 
 
-def test_a_suspect_goes_on_at_once_after_a_server_that_ran_nothing() -> None:
+def test_a_suspect_goes_on_at_once_after_an_engine_that_ran_nothing() -> None:
     world, suspects = crash_world()
     suspects.waits = True
     sent = world.arrive(0.0, replace(arrival(1), content="x"))
--- a/tests/decisions/forwarding/test_wait_estimate.py
+++ b/tests/decisions/forwarding/test_wait_estimate.py
@@ -1,10 +1,10 @@
-"""The wait for a slot at a server."""
+"""The wait for a slot at an engine."""
 
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from tests.decisions.forwarding.worlds import server
-from troutswitch.decisions.forwarding.engines import Server
+from tests.decisions.forwarding.worlds import engine
+from troutswitch.decisions.forwarding.engines import Engine
 from troutswitch.decisions.forwarding.run_times import ServiceTimes
 from troutswitch.decisions.forwarding.wait_estimate import slot_wait
 
@@ -12,8 +12,8 @@
 DETERMINISTIC = settings(derandomize=True, deadline=None, max_examples=150)
 
 
-def loaded(sent_at: list[float], slots: int = 2) -> Server:
-    held = Server(server("a", slots=slots))
+def loaded(sent_at: list[float], slots: int = 2) -> Engine:
+    held = Engine(engine("a", slots=slots))
     for at in sent_at:
         held.change_own_online(at, 1)
     return held
--- a/tests/decisions/forwarding/worlds.py
+++ b/tests/decisions/forwarding/worlds.py
@@ -4,7 +4,7 @@
 from collections.abc import Sequence
 
 from troutswitch.common import Address
-from troutswitch.decisions.forwarding.engines import ServerRegistry
+from troutswitch.decisions.forwarding.engines import EngineRegistry
 from troutswitch.decisions.forwarding.messages import (
     FinishRequest,
     RequestArrived,
@@ -15,12 +15,12 @@
 from troutswitch.decisions.forwarding.routes import RouteTable
 from troutswitch.decisions.forwarding.types import (
     Backend,
+    EngineRecord,
     FleetConfiguration,
     PromptShape,
     RequestLimits,
     Route,
     RouteKind,
-    ServerRecord,
     Service,
 )
 from troutswitch.outcomes import AttemptKind
@@ -56,8 +56,8 @@
     return FleetConfiguration(version, held, {"s": Service("s", 100, 8, 0)}, RequestLimits())
 
 
-def server(name: str, draining: bool = False, service: str = "s", slots: int = 8) -> ServerRecord:
-    return ServerRecord(name, service, Address("127.0.0.1", 1), "z", slots, draining)
+def engine(name: str, draining: bool = False, service: str = "s", slots: int = 8) -> EngineRecord:
+    return EngineRecord(name, service, Address("127.0.0.1", 1), "z", slots, draining)
 
 
 def arrival(token: int, path: str = "/a/x", time_left: float = 4.0) -> RequestArrived:
@@ -65,15 +65,15 @@
 
 
 class World:
-    """Routes, servers and requests of one daemon."""
+    """Routes, engines and requests of one daemon."""
 
-    def __init__(self, *routes: Route, servers: int = 3) -> None:
+    def __init__(self, *routes: Route, engines: int = 3) -> None:
         self.routes = RouteTable()
         self.routes.replace(0.0, configuration(1, *routes))
-        self.servers = ServerRegistry()
-        self.servers.on_list(0.0, [server(f"s{n}") for n in range(servers)])
+        self.engines = EngineRegistry()
+        self.engines.on_list(0.0, [engine(f"s{n}") for n in range(engines)])
         self.requests = ForwardedRequests(
-            "z", self.routes, self.servers, random.Random(1), "prefix_aware", "defer_late"
+            "z", self.routes, self.engines, random.Random(1), "prefix_aware", "defer_late"
         )
 
     def arrive(self, now: float, event: RequestArrived) -> SendRequest | FinishRequest:
--- a/tests/decisions/jobs/test_batch_capacity.py
+++ b/tests/decisions/jobs/test_batch_capacity.py
@@ -6,8 +6,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from tests.decisions.forwarding.worlds import server
-from troutswitch.decisions.forwarding.engines import Server
+from tests.decisions.forwarding.worlds import engine
+from troutswitch.decisions.forwarding.engines import Engine
 from troutswitch.decisions.jobs.batch_capacity import (
     ROOM_POLICIES,
     RoomPolicy,
@@ -24,8 +24,8 @@
 every_policy = pytest.mark.parametrize("policy", [make() for make in ROOM_POLICIES.values()])
 
 
-def held_server(online: int = 0, batch: int = 0, slots: int = 12) -> Server:
-    held = Server(server("a", slots=slots))
+def held_engine(online: int = 0, batch: int = 0, slots: int = 12) -> Engine:
+    held = Engine(engine("a", slots=slots))
     held.online_in_flight = online
     held.batch_in_flight = batch
     return held
@@ -33,7 +33,7 @@
 
 def test_room_for_items_grows_as_their_job_must_hurry() -> None:
     policy = ShareRoom()
-    held = held_server()
+    held = held_engine()
     assert policy.free(0.0, held, 1 / 20) < policy.free(0.0, held, 10 / 20)
     assert policy.free(0.0, held, 25 / 20) == policy.free(0.0, held, 1 / 20)
 
@@ -41,27 +41,27 @@
 @every_policy
 def test_items_never_take_the_slots_that_online_uses(policy: RoomPolicy) -> None:
     if isinstance(policy, ShareRoom):
-        assert policy.free(0.0, held_server(online=11), PRESSING) == 0
-    assert policy.free(0.0, held_server(online=12), PRESSING) == 0
+        assert policy.free(0.0, held_engine(online=11), PRESSING) == 0
+    assert policy.free(0.0, held_engine(online=12), PRESSING) == 0
 
 
 @every_policy
 def test_only_online_requests_make_items_yield(policy: RoomPolicy) -> None:
-    assert policy.surplus(0.0, held_server(batch=14)) == 0
+    assert policy.surplus(0.0, held_engine(batch=14)) == 0
     expected = 5 if isinstance(policy, ShareRoom) else 4
-    assert policy.surplus(0.0, held_server(online=2, batch=14)) == expected
+    assert policy.surplus(0.0, held_engine(online=2, batch=14)) == expected
 
 
 def test_by_shares_items_yield_before_the_last_slot_is_taken() -> None:
-    assert ShareRoom().surplus(0.0, held_server(online=4, batch=8)) == 1
+    assert ShareRoom().surplus(0.0, held_engine(online=4, batch=8)) == 1
 
 
 def test_by_slots_items_use_the_last_slot_and_yield_when_one_is_missing() -> None:
     policy = SlotRoom()
-    assert policy.free(0.0, held_server(online=4, batch=7), RELAXED) == 1
-    assert policy.surplus(0.0, held_server(online=4, batch=8)) == 0
-    assert policy.surplus(0.0, held_server(online=5, batch=8)) == 1
-    assert SlotRoom(reserve=2).free(0.0, held_server(online=4, batch=7), RELAXED) == 0
+    assert policy.free(0.0, held_engine(online=4, batch=7), RELAXED) == 1
+    assert policy.surplus(0.0, held_engine(online=4, batch=8)) == 0
+    assert policy.surplus(0.0, held_engine(online=5, batch=8)) == 1
+    assert SlotRoom(reserve=2).free(0.0, held_engine(online=4, batch=7), RELAXED) == 0
 
 
 @every_policy
@@ -75,7 +75,7 @@
 def test_room_and_surplus_stay_within_the_slots(
     policy: RoomPolicy, slots: int, online: int, batch: int, age_share: float
 ) -> None:
-    held = held_server(online, batch, slots)
+    held = held_engine(online, batch, slots)
     free = policy.free(0.0, held, age_share)
     surplus = policy.surplus(0.0, held)
     assert 0 <= free <= max(0, slots - online - batch)
@@ -88,18 +88,18 @@
 @every_policy
 def test_what_may_start_does_not_yield_at_once(policy: RoomPolicy) -> None:
     for slots in range(4, 40):
-        held = held_server(online=1, slots=slots)
+        held = held_engine(online=1, slots=slots)
         while policy.free(0.0, held, PRESSING):
             held.batch_in_flight += 1
         assert policy.surplus(0.0, held) == 0
 
 
-def test_an_item_must_fit_the_server_s_memory() -> None:
-    held = held_server()
+def test_an_item_must_fit_the_engine_s_memory() -> None:
+    held = held_engine()
     held.tokens_in_flight = 80_000
     assert has_memory(held, 5_000, 100_000)
     assert not has_memory(held, 6_000, 100_000)
-    assert has_memory(held, 6_000, 0)  # the server's memory is not known
+    assert has_memory(held, 6_000, 0)  # the engine's memory is not known
 
 
 def test_parts_of_daemons_add_up() -> None:
--- a/tests/decisions/jobs/test_claims.py
+++ b/tests/decisions/jobs/test_claims.py
@@ -10,7 +10,7 @@
 
 def starts_while_the_store_is_away() -> int:
     """Returns the runs that start after the one owner's writes were lost in an outage."""
-    world = GatewayWorld(1, daemons=1, servers=1)
+    world = GatewayWorld(1, daemons=1, engines=1)
     world.run(3.0)
     owner = next(iter(world.daemons.values())).core.jobs.owner
     ownership = next(iter(world.daemons.values())).core.jobs.ownership
@@ -37,7 +37,7 @@
 
 
 def test_a_shard_that_was_never_read_starts_nothing() -> None:
-    world = GatewayWorld(1, daemons=1, servers=1)
+    world = GatewayWorld(1, daemons=1, engines=1)
     world.faults.is_down = True
     world.run(5.0)
     daemon = next(iter(world.daemons.values()))
--- a/tests/decisions/jobs/test_failures.py
+++ b/tests/decisions/jobs/test_failures.py
@@ -1,4 +1,4 @@
-"""Which answers of servers end an item, and which only end its run."""
+"""Which answers of engines end an item, and which only end its run."""
 
 from collections.abc import Callable
 
@@ -13,7 +13,7 @@
 
 
 class FailingWorld(GatewayWorld):
-    """Servers answer each run with the next of some statuses, then run items as they should."""
+    """Engines answer each run with the next of some statuses, then run items as they should."""
 
     statuses: list[int]
     runs = 0
@@ -57,7 +57,7 @@
 
 
 class AlwaysFailingWorld(GatewayWorld):
-    """Servers answer 500 to each run of one item."""
+    """Engines answer 500 to each run of one item."""
 
     failing = ""
     runs = 0
--- a/tests/decisions/jobs/test_selection.py
+++ b/tests/decisions/jobs/test_selection.py
@@ -1,7 +1,7 @@
 import random
 
-from tests.decisions.forwarding.worlds import server
-from troutswitch.decisions.forwarding.engines import NO_SIZE, Server, ServerRegistry
+from tests.decisions.forwarding.worlds import engine
+from troutswitch.decisions.forwarding.engines import NO_SIZE, Engine, EngineRegistry
 from troutswitch.decisions.forwarding.routes import RouteTable
 from troutswitch.decisions.forwarding.types import (
     Backend,
@@ -51,8 +51,8 @@
     index = JobIndex()
     for job_id, at in seen.items():
         index.take(at, manifest_record(Manifest(job_id, "route", "host", 2, 200, "d", 0)))
-    registry = ServerRegistry()
-    registry.on_list(0.0, [server("a", service="service", slots=12)])
+    registry = EngineRegistry()
+    registry.on_list(0.0, [engine("a", service="service", slots=12)])
     return ItemSelection(
         routes,
         registry,
@@ -149,22 +149,22 @@
     assert len(least_urgent(chosen, 1.0, items, 9)) == 3
 
 
-def any_server(now: float, held: Server) -> bool:
+def any_engine(now: float, held: Engine) -> bool:
     return True
 
 
-def test_an_item_goes_only_to_a_server_that_is_open() -> None:
+def test_an_item_goes_only_to_an_engine_that_is_open() -> None:
     chosen = selection({"job": 0.0})
     chosen.begin_look(1.0, [], BatchCapacity(1.0, 1.0))
     entry = chosen._index.jobs["job"]
-    assert chosen.choose(1.0, ROUTE, item("job"), entry, any_server) is not None
+    assert chosen.choose(1.0, ROUTE, item("job"), entry, any_engine) is not None
     assert chosen.choose(1.0, ROUTE, item("job"), entry, lambda now, held: False) is None
 
 
-def test_a_place_is_used_only_at_a_server_of_the_item_s_route() -> None:
+def test_a_place_is_used_only_at_an_engine_of_the_item_s_route() -> None:
     chosen = selection({"job": 0.0})
-    assert chosen.may_run_at(ROUTE, item("job"), Server(server("b", service="service")))
-    assert not chosen.may_run_at(ROUTE, item("job"), Server(server("b", service="other")))
+    assert chosen.may_run_at(ROUTE, item("job"), Engine(engine("b", service="service")))
+    assert not chosen.may_run_at(ROUTE, item("job"), Engine(engine("b", service="other")))
 
 
 def test_a_look_starts_only_this_daemon_s_part_of_the_room() -> None:
@@ -175,11 +175,11 @@
         chosen.begin_look(1.0, [], BatchCapacity(1.0, 1.0))
         chosen.share_room(1 / 4)
         sent = 0
-        while chosen.choose(1.0, ROUTE, item("job"), entry, any_server) is not None:
+        while chosen.choose(1.0, ROUTE, item("job"), entry, any_engine) is not None:
             chosen.on_started("a")
-            chosen._servers.on_sent(1.0, "a", True, NO_SIZE)
+            chosen._engines.on_sent(1.0, "a", True, NO_SIZE)
             sent += 1
         for _ in range(sent):
-            chosen._servers.on_stopped(1.0, "a", NO_SIZE, begun=True)
+            chosen._engines.on_stopped(1.0, "a", NO_SIZE, begun=True)
         started += sent
     assert 2.3 < started / 400 < 2.7  # 10 free slots, shared by 4 daemons
--- a/tests/decisions/jobs/test_turned_away.py
+++ b/tests/decisions/jobs/test_turned_away.py
@@ -15,7 +15,7 @@
 
 @pytest.mark.parametrize("seed", [2, 4, 5])
 def test_items_of_an_ended_job_are_not_started_by_a_daemon_without_the_store(seed: int) -> None:
-    world = GatewayWorld(seed, daemons=2, servers=1)
+    world = GatewayWorld(seed, daemons=2, engines=1)
     world.run(4.0)
     jobs = [world.hand_in(f"job-{number}", 200) for number in range(8)]
     world.run(2.0)
--- a/tests/decisions/peers/test_catch_up.py
+++ b/tests/decisions/peers/test_catch_up.py
@@ -64,11 +64,11 @@
     assert cut.core.routes.version == 2
 
 
-def test_a_daemon_cut_from_the_store_learns_from_peers_that_a_server_drains() -> None:
+def test_a_daemon_cut_from_the_store_learns_from_peers_that_an_engine_drains() -> None:
     world, cut = cut_world()
-    world.list_server("server-1", 8, is_draining=True)
+    world.list_engine("server-1", 8, is_draining=True)
     world.run(3.0)
-    assert cut.core.servers.servers["server-1"].is_draining
+    assert cut.core.engines.engines["server-1"].is_draining
 
 
 def test_a_daemon_that_starts_cut_from_the_store_becomes_ready_through_peers() -> None:
@@ -98,10 +98,10 @@
     monkeypatch.setattr(PeerCatchUp, "on_timer", lambda *_: [])
     world, cut = cut_world()
     world.publish(2)
-    world.list_server("server-1", 8, is_draining=True)
+    world.list_engine("server-1", 8, is_draining=True)
     world.run(3.0)
     assert cut.core.routes.version == 1
-    assert not cut.core.servers.servers["server-1"].is_draining
+    assert not cut.core.engines.engines["server-1"].is_draining
     world.kill(CUT, down=0.5)
     world.run(4.0)
     assert not world.daemons[CUT].core.is_ready
--- a/tests/decisions/peers/test_drain_notices.py
+++ b/tests/decisions/peers/test_drain_notices.py
@@ -1,12 +1,12 @@
-"""News of servers that leave, from whoever reads it first to all daemons."""
+"""News of engines that leave, from whoever reads it first to all daemons."""
 
 import random
 
-from tests.decisions.forwarding.worlds import server
+from tests.decisions.forwarding.worlds import engine
 from troutswitch.common import Address
 from troutswitch.daemons import datagram
-from troutswitch.daemons.messages import ServersLeaving
-from troutswitch.decisions.forwarding.engines import TOLD_SECONDS, ServerRegistry
+from troutswitch.daemons.messages import EnginesLeaving
+from troutswitch.decisions.forwarding.engines import TOLD_SECONDS, EngineRegistry
 from troutswitch.decisions.peers.drain_notices import TELL_SECONDS, TOLD_A_MESSAGE, LeavingNews
 from troutswitch.decisions.slots.messages import SendToPeers
 
@@ -19,14 +19,14 @@
     return LeavingNews(f"d{number}", lambda: peers, lambda: is_needed, random.Random(number))
 
 
-def told(sent: list[SendToPeers]) -> ServersLeaving:
+def told(sent: list[SendToPeers]) -> EnginesLeaving:
     message = datagram.decode(datagram.encode(sent[0].message))
-    assert isinstance(message, ServersLeaving)
+    assert isinstance(message, EnginesLeaving)
     return message
 
 
 def test_what_one_daemon_reads_reaches_all_in_a_few_steps() -> None:
-    """What users saw: a request reached a server 3,377 ms after it was leaving, at 300 machines."""
+    """Seen at 300 daemons: a request reached an engine 3,377 ms after it began to drain."""
     fleet = [news(number) for number in range(FLEET)]
     fleet[0].on_read(0.0, ["s1"], ["s2"])
     heard = {0}
@@ -46,17 +46,17 @@
     held = news()
     held.on_read(0.0, ["s1"], [])
     assert told(held.on_timer(TELL_SECONDS)).draining == ("s1",)
-    assert held.on_news(0.1, ServersLeaving("other", ("s1",), ())) == ([], [])
+    assert held.on_news(0.1, EnginesLeaving("other", ("s1",), ())) == ([], [])
     held.on_read(0.2, ["s1"], [])
     assert held.on_timer(1.0) == []
 
 
-def test_a_server_that_is_listed_again_may_leave_again() -> None:
+def test_an_engine_that_is_listed_again_may_leave_again() -> None:
     held = news()
     held.on_read(0.0, [], ["s1"])
     held.on_timer(TELL_SECONDS)
     held.on_back(["s1"])
-    assert held.on_news(1.0, ServersLeaving("other", (), ("s1",))) == ([], ["s1"])
+    assert held.on_news(1.0, EnginesLeaving("other", (), ("s1",))) == ([], ["s1"])
 
 
 def test_where_all_read_often_nobody_is_told() -> None:
@@ -74,13 +74,13 @@
     assert held.next_due() < float("inf")
 
 
-def test_a_server_that_peers_say_left_gets_no_work_until_a_later_list_has_it() -> None:
-    registry = ServerRegistry()
-    records = [server("s0"), server("s1")]
+def test_an_engine_that_peers_say_left_gets_no_work_until_a_later_list_has_it() -> None:
+    registry = EngineRegistry()
+    records = [engine("s0"), engine("s1")]
     registry.on_list(0.0, records)
     registry.on_told_left(1.0, ["s1", "unknown"])
-    assert [held.record.server_id for held in registry.of_service("s")] == ["s0"]
+    assert [held.record.engine_id for held in registry.of_service("s")] == ["s0"]
     registry.on_list(1.0 + TOLD_SECONDS / 2, records)  # began before it left
-    assert [held.record.server_id for held in registry.of_service("s")] == ["s0"]
+    assert [held.record.engine_id for held in registry.of_service("s")] == ["s0"]
     registry.on_list(1.1 + TOLD_SECONDS, records)
     assert len(registry.of_service("s")) == 2
--- a/tests/decisions/peers/test_peer_registry.py
+++ b/tests/decisions/peers/test_peer_registry.py
@@ -130,10 +130,10 @@
 
 
 def busy_world(experience: Experience | None) -> World:
-    """Returns a world whose one server was sent 40 requests since the daemon started."""
-    world = World(servers=1)
+    """Returns a world whose one engine was sent 40 requests since the daemon started."""
+    world = World(engines=1)
     world.requests = ForwardedRequests(
-        "z", world.routes, world.servers, random.Random(1), "prefix_aware", "defer_late"
+        "z", world.routes, world.engines, random.Random(1), "prefix_aware", "defer_late"
     )
     if experience is not None:
         world.requests.begin_with(experience)
@@ -154,7 +154,7 @@
 
 
 def test_what_is_learnt_here_counts_more_than_what_others_knew() -> None:
-    world = World(servers=1)
+    world = World(engines=1)
     sent = world.arrive(0.0, arrival(1, time_left=5.0))
     assert isinstance(sent, SendRequest)
     world.requests.on_answer_begun(0.1, AnswerBegun(1, sent.attempt, None))
--- a/tests/decisions/slots/test_claims.py
+++ b/tests/decisions/slots/test_claims.py
@@ -13,7 +13,7 @@
     SUSPECT_SECONDS,
     CoordinatorClaims,
 )
-from troutswitch.decisions.slots.groups import ServerGroups
+from troutswitch.decisions.slots.groups import EngineGroups
 from troutswitch.decisions.storage.follower import CallNumbers
 from troutswitch.decisions.storage.messages import (
     Appended,
@@ -30,10 +30,10 @@
 class Store:
     """One daemon's claims, with the store's answers."""
 
-    def __init__(self, name: str = "me", servers: int = 2, zone: str = ZONE) -> None:
-        groups = ServerGroups()
+    def __init__(self, name: str = "me", engines: int = 2, zone: str = ZONE) -> None:
+        groups = EngineGroups()
         groups.update(
-            [record(f"s{n}", zone="there" if servers > 16 else ZONE) for n in range(servers)]
+            [record(f"s{n}", zone="there" if engines > 16 else ZONE) for n in range(engines)]
         )
         self.lines: list[str] = []
         self.claims = CoordinatorClaims(
@@ -94,7 +94,7 @@
         store.appends(0.0)
         due.add(round(store.claims.next_due(), 4))
     assert len(due) > 10
-    far = Store("far", servers=17)
+    far = Store("far", engines=17)
     far.appends(0.0)
     assert far.appends(CLAIM_SPREAD_SECONDS + 0.01) == []
     assert len(far.appends(FAR_SECONDS + CLAIM_SPREAD_SECONDS + 0.01)) == 1
--- a/tests/decisions/slots/test_coordinator.py
+++ b/tests/decisions/slots/test_coordinator.py
@@ -7,12 +7,12 @@
 from tests.decisions.slots.worlds import GROUP, SlotsOf, address_of, deliver, record, report
 from troutswitch.daemons.messages import (
     BatchPlaces,
+    EngineShare,
     GroupDigest,
     HoldingsReport,
     PlaceAnswer,
     PlaceAsk,
-    ServerShare,
-    server_key,
+    engine_key,
 )
 from troutswitch.decisions.slots.batch_slots import DEAL_SECONDS, LATE_TURN
 from troutswitch.decisions.slots.coordinator import GRACE_SECONDS
@@ -22,9 +22,9 @@
 SETTLED = NOW + GRACE_SECONDS + 0.1
 
 
-def pair(servers: int = 2, slots: int = 2) -> tuple[SlotsOf, SlotsOf]:
+def pair(engines: int = 2, slots: int = 2) -> tuple[SlotsOf, SlotsOf]:
     """Returns a coordinator and another daemon."""
-    records = [record(f"s{n}", slots=slots) for n in range(servers)]
+    records = [record(f"s{n}", slots=slots) for n in range(engines)]
     first, second = SlotsOf("first", records), SlotsOf("second", records)
     first.coordinate(NOW, second)
     first.messages()
@@ -48,31 +48,31 @@
     first, _ = pair()
     for number in range(1, 5):
         first.take(NOW, ask(number))
-    keys = [answer.server_key for answer in answers(first)]
-    assert sorted(keys) == sorted([server_key("s0"), server_key("s1")] * 2)
+    keys = [answer.engine_key for answer in answers(first)]
+    assert sorted(keys) == sorted([engine_key("s0"), engine_key("s1")] * 2)
 
 
 def test_a_free_slot_is_taken_before_one_that_an_item_has() -> None:
-    first, _ = pair(servers=2, slots=4)
+    first, _ = pair(engines=2, slots=4)
     first.take(NOW, report("other", 1, s0=4))
     for number in range(1, 5):
         first.take(NOW, ask(number))
     granted = [made for made in first.messages()]
-    assert [a.server_key for a in granted if isinstance(a, PlaceAnswer)] == [server_key("s1")] * 4
+    assert [a.engine_key for a in granted if isinstance(a, PlaceAnswer)] == [engine_key("s1")] * 4
     assert not [made for made in granted if isinstance(made, BatchPlaces)]
 
 
 def test_an_item_is_told_to_yield_in_the_step_of_the_grant() -> None:
-    first, _ = pair(servers=1, slots=2)
+    first, _ = pair(engines=1, slots=2)
     first.take(NOW, report("other", 1, s0=2))
     first.take(NOW, ask())
     (told,) = places(first)
-    assert (told.server_key, told.count) == (server_key("s0"), -1)
-    assert first.server("s0").batch() == 1
+    assert (told.engine_key, told.count) == (engine_key("s0"), -1)
+    assert first.engine("s0").batch() == 1
 
 
 def test_own_items_yield_too() -> None:
-    first, _ = pair(servers=1, slots=2)
+    first, _ = pair(engines=1, slots=2)
     first.waiting = 2
     first.tick(SETTLED)
     assert len(first.items) == 2
@@ -81,8 +81,8 @@
 
 
 def test_items_yield_to_requests_that_were_sent_without_being_granted() -> None:
-    first, _ = pair(servers=1, slots=4)
-    share = ServerShare(server_key("s0"), 2, 4, 0)
+    first, _ = pair(engines=1, slots=4)
+    share = EngineShare(engine_key("s0"), 2, 4, 0)
     first.take(SETTLED, HoldingsReport("other", "z", address_of("other"), 1, 1, (share,)))
     first.tick(SETTLED + DEAL_SECONDS)
     assert [(made.count, made.word) for made in places(first)] == [(-1, 1), (-1, 2)]
@@ -91,14 +91,14 @@
 
 
 def test_a_request_that_takes_no_wait_gets_the_wait_told() -> None:
-    first, _ = pair(servers=1, slots=1)
+    first, _ = pair(engines=1, slots=1)
     first.times.on_completed("service", 0.06, 0.6, waited=False)
     first.take(NOW, ask(1, wait_most_ms=0))
     first.take(NOW, ask(2, wait_most_ms=0))
     granted, refused = answers(first)
     assert granted.word > 0
     assert refused.word == 0
-    assert refused.server_key == 0
+    assert refused.engine_key == 0
     assert 300 < refused.wait_ms <= 600
 
 
@@ -110,7 +110,7 @@
 
 
 def test_free_slots_go_to_those_whose_items_wait() -> None:
-    first, second = pair(servers=2, slots=4)
+    first, second = pair(engines=2, slots=4)
     second.waiting = 3
     first.waiting = 2
     second.tick(SETTLED)
@@ -122,7 +122,7 @@
 
 
 def test_no_more_is_granted_than_is_free() -> None:
-    first, second = pair(servers=2, slots=4)
+    first, second = pair(engines=2, slots=4)
     second.waiting = 30
     second.tick(SETTLED)
     deliver(SETTLED, first, second)
@@ -134,7 +134,7 @@
 
 
 def granted_before_a_report_comes() -> int:
-    first, second = pair(servers=1, slots=2)
+    first, second = pair(engines=1, slots=2)
     second.waiting = 9
     second.tick(SETTLED)
     deliver(SETTLED, first, second)
@@ -164,7 +164,7 @@
 
 
 def test_a_slot_that_an_online_request_gives_back_goes_to_an_item() -> None:
-    first, _ = pair(servers=1, slots=4)
+    first, _ = pair(engines=1, slots=4)
     first.waiting = 9
     for token in range(3):
         first.want(SETTLED, token)
@@ -177,7 +177,7 @@
 
 
 def test_a_daemon_that_has_only_late_items_has_its_turn_beside_others() -> None:
-    first, second = pair(servers=1, slots=1)
+    first, second = pair(engines=1, slots=1)
     second.late = 1
     first.waiting = 10 * LATE_TURN
     now = SETTLED
@@ -197,7 +197,7 @@
 
 
 def test_without_turns_it_would_wait_on() -> None:
-    first, second = pair(servers=1, slots=1)
+    first, second = pair(engines=1, slots=1)
     second.late = 1
     first.waiting = LATE_TURN - 2
     now = SETTLED
@@ -212,7 +212,7 @@
 
 
 def test_those_with_work_hear_how_full_the_group_is() -> None:
-    first, second = pair(servers=2, slots=4)
+    first, second = pair(engines=2, slots=4)
     second.waiting = 3
     second.tick(SETTLED)
     deliver(SETTLED, first, second)
@@ -223,10 +223,10 @@
     assert second.fleet.share(SETTLED + 0.6).free_slots > 7
 
 
-def test_servers_that_fail_are_not_granted_while_others_are_sound() -> None:
-    first, _ = pair(servers=2, slots=4)
-    first.server("s0").ejected_until = NOW + 9.0
+def test_engines_that_fail_are_not_granted_while_others_are_sound() -> None:
+    first, _ = pair(engines=2, slots=4)
+    first.engine("s0").ejected_until = NOW + 9.0
     rng = random.Random(1)
     for number in range(1, 4):
         first.take(NOW + rng.random(), ask(number))
-    assert {answer.server_key for answer in answers(first)} == {server_key("s1")}
+    assert {answer.engine_key for answer in answers(first)} == {engine_key("s1")}
--- a/tests/decisions/slots/test_fleet.py
+++ b/tests/decisions/slots/test_fleet.py
@@ -1,7 +1,7 @@
 """When batch items wait for a place to be granted, and when they start without."""
 
 from tests.decisions.slots.worlds import GROUP, SlotsOf, deliver, record
-from troutswitch.daemons.messages import BatchPlaces, server_key
+from troutswitch.daemons.messages import BatchPlaces, engine_key
 from troutswitch.decisions.slots.coordinator import DIGEST_SECONDS
 from troutswitch.decisions.slots.fleet import UNCOORDINATED_SECONDS
 
@@ -19,7 +19,7 @@
 
 
 def looks(daemon: SlotsOf, now: float, seconds: float) -> list[bool]:
-    """Looks again and again whether places at a server are granted."""
+    """Looks again and again whether places at an engine are granted."""
     return [
         daemon.fleet.is_coordinated(now + tick * TICK, "s0") for tick in range(int(seconds / TICK))
     ]
@@ -60,7 +60,7 @@
 def test_places_of_a_daemon_that_does_not_coordinate_are_not_used() -> None:
     _, second = pair()
     second.waiting = 3
-    second.take(NOW, BatchPlaces("stranger", 1, GROUP, 1, server_key("s0"), 3))
+    second.take(NOW, BatchPlaces("stranger", 1, GROUP, 1, engine_key("s0"), 3))
     assert second.items == []
     assert "places of another coordinator" in second.lines
 
@@ -68,7 +68,7 @@
 def test_a_word_that_comes_twice_is_taken_once() -> None:
     first, second = pair()
     second.waiting = 9
-    word = BatchPlaces("first", first.fleet.ledger.life, GROUP, 1, server_key("s0"), 2)
+    word = BatchPlaces("first", first.fleet.ledger.life, GROUP, 1, engine_key("s0"), 2)
     second.take(NOW, word)
     second.take(NOW, word)
     assert len(second.items) == 2
--- a/tests/decisions/slots/test_groups.py
+++ b/tests/decisions/slots/test_groups.py
@@ -1,36 +1,36 @@
-"""Servers are dealt into groups, the same on all daemons with the same list."""
+"""Engines are dealt into groups, the same on all daemons with the same list."""
 
 import random
 
 from tests.decisions.slots.worlds import record
 from troutswitch.decisions.slots.groups import (
-    GROUP_SERVERS_MOST,
+    GROUP_ENGINES_MOST,
     WHOLE_SERVICE_MOST,
-    ServerGroups,
+    EngineGroups,
     deal_groups,
 )
 
 
-def test_few_servers_are_one_group_wherever_they_are() -> None:
+def test_few_engines_are_one_group_wherever_they_are() -> None:
     records = [record(f"s{n}", zone=f"z{n % 3}") for n in range(WHOLE_SERVICE_MOST)]
     groups = set(deal_groups(records).values())
     assert [group.name for group in groups] == ["service||0"]
 
 
-def test_more_servers_are_grouped_by_zone() -> None:
+def test_more_engines_are_grouped_by_zone() -> None:
     records = [record(f"s{n}", zone=f"z{n % 3}") for n in range(WHOLE_SERVICE_MOST + 1)]
     groups = deal_groups(records)
-    assert {groups[r.server_id].zone == r.zone for r in records} == {True}
+    assert {groups[r.engine_id].zone == r.zone for r in records} == {True}
     assert len(set(groups.values())) == 3
 
 
-def test_many_servers_of_a_zone_are_several_groups_of_bounded_size() -> None:
-    records = [record(f"s{n}") for n in range(10 * GROUP_SERVERS_MOST)]
-    held = ServerGroups()
+def test_many_engines_of_a_zone_are_several_groups_of_bounded_size() -> None:
+    records = [record(f"s{n}") for n in range(10 * GROUP_ENGINES_MOST)]
+    held = EngineGroups()
     held.update(records)
     sizes = [len(held.members(group.name)) for group in held.all()]
     assert len(sizes) == 10
-    assert max(sizes) < 2 * GROUP_SERVERS_MOST
+    assert max(sizes) < 2 * GROUP_ENGINES_MOST
 
 
 def test_the_deal_does_not_depend_on_the_order_of_the_list() -> None:
--- a/tests/decisions/slots/test_ledger.py
+++ b/tests/decisions/slots/test_ledger.py
@@ -3,104 +3,104 @@
 from msgspec.structs import replace
 
 from tests.decisions.slots.worlds import record, report
-from troutswitch.daemons.messages import ServerShare, server_key
-from troutswitch.decisions.forwarding.engines import ServerRegistry
+from troutswitch.daemons.messages import EngineShare, engine_key
+from troutswitch.decisions.forwarding.engines import EngineRegistry
 from troutswitch.decisions.slots.ledger import SILENT_SECONDS, WORD_LAPSE_SECONDS, SlotLedger
 
 LIFE = 77
-A = server_key("a")
-ONE_ITEM = ServerShare(A, 0, 1, 0)
+A = engine_key("a")
+ONE_ITEM = EngineShare(A, 0, 1, 0)
 
 
-def ledger() -> tuple[SlotLedger, ServerRegistry]:
-    servers = ServerRegistry()
-    servers.on_list(0.0, [record("a"), record("b")])
-    return SlotLedger(servers, LIFE), servers
+def ledger() -> tuple[SlotLedger, EngineRegistry]:
+    engines = EngineRegistry()
+    engines.on_list(0.0, [record("a"), record("b")])
+    return SlotLedger(engines, LIFE), engines
 
 
-def batch(servers: ServerRegistry, name: str = "a") -> int:
-    return servers.servers[name].peers_batch
+def batch(engines: EngineRegistry, name: str = "a") -> int:
+    return engines.engines[name].peers_batch
 
 
 def test_a_newer_report_takes_the_place_of_the_older() -> None:
-    held, servers = ledger()
+    held, engines = ledger()
     assert held.on_report(0.0, report(sequence=1, a=3))
     assert held.on_report(0.1, report(sequence=2, b=2))
-    assert (batch(servers), batch(servers, "b")) == (0, 2)
+    assert (batch(engines), batch(engines, "b")) == (0, 2)
 
 
 def test_a_late_report_changes_nothing() -> None:
-    held, servers = ledger()
+    held, engines = ledger()
     held.on_report(0.0, report(sequence=2, a=3))
     assert not held.on_report(0.1, report(sequence=1, a=9))
-    assert batch(servers) == 3
+    assert batch(engines) == 3
 
 
 def test_a_new_life_begins_its_sequence_anew_and_knows_no_words() -> None:
-    held, servers = ledger()
+    held, engines = ledger()
     held.on_report(0.0, report(sequence=50, a=3))
     held.tell(0.0, "peer", ONE_ITEM)
     held.on_report(0.1, report(sequence=1, life=2, a=1))
-    assert batch(servers) == 1
+    assert batch(engines) == 1
 
 
 def test_a_word_counts_from_when_it_is_told() -> None:
-    held, servers = ledger()
+    held, engines = ledger()
     held.on_report(0.0, report(sequence=1, a=1))
     held.tell(0.0, "peer", ONE_ITEM)
-    assert batch(servers) == 2
-    held.tell(0.0, "peer", ServerShare(A, 0, -1, 0))
-    assert batch(servers) == 1
+    assert batch(engines) == 2
+    held.tell(0.0, "peer", EngineShare(A, 0, -1, 0))
+    assert batch(engines) == 1
 
 
 def test_a_report_made_before_a_word_came_does_not_undo_it() -> None:
-    held, servers = ledger()
+    held, engines = ledger()
     held.on_report(0.0, report(sequence=1, a=1))
     word = held.tell(0.0, "peer", ONE_ITEM)
     held.on_report(0.01, report(sequence=2, a=1))
-    assert batch(servers) == 2
+    assert batch(engines) == 2
     told = report(sequence=3, a=2)
     held.on_report(0.02, replace(told, word_life=LIFE, word_seen=word))
-    assert batch(servers) == 2
+    assert batch(engines) == 2
 
 
 def test_words_of_an_earlier_life_of_this_daemon_do_not_count_as_seen() -> None:
-    held, servers = ledger()
+    held, engines = ledger()
     held.on_report(0.0, report(sequence=1))
     held.tell(0.0, "peer", ONE_ITEM)
     told = report(sequence=2)
     held.on_report(0.01, replace(told, word_life=5, word_seen=99))
-    assert batch(servers) == 1
+    assert batch(engines) == 1
 
 
 def test_a_word_that_is_never_reported_lapses() -> None:
-    held, servers = ledger()
+    held, engines = ledger()
     held.on_report(0.0, report(sequence=1))
     held.tell(0.0, "peer", ONE_ITEM)
     held.on_timer(WORD_LAPSE_SECONDS - 0.01)
-    assert batch(servers) == 1
+    assert batch(engines) == 1
     held.on_timer(WORD_LAPSE_SECONDS + 0.2)
-    assert batch(servers) == 0
+    assert batch(engines) == 0
 
 
 def test_a_peer_that_falls_silent_no_longer_counts() -> None:
-    held, servers = ledger()
+    held, engines = ledger()
     held.on_report(0.0, report(sequence=1, waiting=4, a=3))
     assert held.holders["peer"].waiting_items == 4
     held.on_timer(SILENT_SECONDS + 0.1)
-    assert batch(servers) == 0
+    assert batch(engines) == 0
     assert held.holders["peer"].waiting_items == 0
 
 
-def test_servers_that_come_later_are_counted_anew() -> None:
-    held, servers = ledger()
+def test_engines_that_come_later_are_counted_anew() -> None:
+    held, engines = ledger()
     held.on_report(0.0, report(sequence=1, a=2, c=3))
-    servers.on_list(1.0, [record("a"), record("b"), record("c")])
-    held.recount(1.0, servers.servers.values())
-    assert (batch(servers), batch(servers, "c")) == (2, 3)
+    engines.on_list(1.0, [record("a"), record("b"), record("c")])
+    held.recount(1.0, engines.engines.values())
+    assert (batch(engines), batch(engines, "c")) == (2, 3)
 
 
-def test_a_server_is_avoided_once_several_daemons_find_it_unusable() -> None:
+def test_an_engine_is_avoided_once_several_daemons_find_it_unusable() -> None:
     held, _ = ledger()
     for number, name in enumerate(("p", "q")):
         assert not held.is_avoided(A)
--- a/tests/decisions/slots/test_machine.py
+++ b/tests/decisions/slots/test_machine.py
@@ -1,6 +1,6 @@
 """Coordinator and holders under joins, deaths, pauses, and lost, doubled and late messages.
 
-Truth is what the holders have at servers; the coordinator counts it by their reports and its
+Truth is what the holders have at engines; the coordinator counts it by their reports and its
 own words. Its count of batch items is never below the truth while words arrive before they
 lapse, so it never grants a place that is not free; after messages were lost it is right again
 once holders have refreshed, and what a dead holder had is free after its silence.
@@ -27,7 +27,7 @@
 from troutswitch.decisions.slots.reports import REFRESH_SECONDS
 from troutswitch.decisions.slots.slot_requests import ANSWER_SECONDS, GROUPS_ASKED_MOST
 
-SERVERS = 2
+ENGINES = 2
 SLOTS = 3
 HOLDERS = ("h1", "h2", "h3")
 SETTLE_SECONDS = SILENT_SECONDS + WORD_LAPSE_SECONDS + REFRESH_SECONDS + 2 * LOOK_SECONDS
@@ -51,7 +51,7 @@
 
     @initialize()
     def begin(self) -> None:
-        records = [record(f"s{n}", slots=SLOTS) for n in range(SERVERS)]
+        records = [record(f"s{n}", slots=SLOTS) for n in range(ENGINES)]
         self.daemons = {name: SlotsOf(name, records) for name in ("c", *HOLDERS)}
         coordinator = self.daemons["c"]
         coordinator.coordinate(self.now, *(self.daemons[name] for name in HOLDERS))
@@ -136,7 +136,7 @@
     def die(self, place: int) -> None:
         """A holder ends with all that it had, and begins anew with another life."""
         name = HOLDERS[place % len(HOLDERS)]
-        records = [server.record for server in self.daemons[name].servers.servers.values()]
+        records = [engine.record for engine in self.daemons[name].engines.engines.values()]
         claim = self.daemons["c"].fleet.claims.told()
         self.lives += 1
         anew = SlotsOf(name, records)
@@ -153,21 +153,21 @@
 
     # What holds.
 
-    def batch_truth(self, server_id: str) -> int:
-        return sum(daemon.items.count(server_id) for daemon in self.daemons.values())
+    def batch_truth(self, engine_id: str) -> int:
+        return sum(daemon.items.count(engine_id) for daemon in self.daemons.values())
 
     @invariant()
     def a_place_is_granted_only_where_one_is_free(self) -> None:
-        """Without words later than their lapse, items never exceed what a server has."""
+        """Without words later than their lapse, items never exceed what an engine has."""
         if self.has_lost:
             return
-        for number in range(SERVERS):
+        for number in range(ENGINES):
             assert self.batch_truth(f"s{number}") <= SLOTS
 
     @invariant()
     def a_bound_holds_also_when_reports_are_lost(self) -> None:
         """What a holder has that is not heard is granted once more, for each such holder."""
-        for number in range(SERVERS):
+        for number in range(ENGINES):
             assert self.batch_truth(f"s{number}") <= SLOTS * (1 + len(HOLDERS))
 
     @invariant()
@@ -188,11 +188,11 @@
             self.deliver(0)
         self.has_lost = False  # what was granted too much was taken back
         coordinator = self.daemons["c"]
-        for number in range(SERVERS):
-            server = coordinator.server(f"s{number}")
+        for number in range(ENGINES):
+            engine = coordinator.engine(f"s{number}")
             online = sum(list(d.online.values()).count(f"s{number}") for d in self.daemons.values())
-            assert server.batch() == self.batch_truth(f"s{number}")
-            assert server.online() == online
+            assert engine.batch() == self.batch_truth(f"s{number}")
+            assert engine.online() == online
 
 
 SETTINGS = settings(
--- a/tests/decisions/slots/test_reports.py
+++ b/tests/decisions/slots/test_reports.py
@@ -29,12 +29,12 @@
 
 def test_a_change_is_told_at_once_and_refreshed_while_something_is_held() -> None:
     _, second = fleet()
-    second.servers.on_sent(NOW, "s0", True, NO_SIZE)
+    second.engines.on_sent(NOW, "s0", True, NO_SIZE)
     (told,) = reports(second, NOW)
     assert [share.batch for share in told.shares] == [1]
     assert reports(second, NOW + REFRESH_SECONDS / 2) == []
     assert len(reports(second, NOW + REFRESH_SECONDS)) == 1
-    second.servers.on_stopped(NOW, "s0", NO_SIZE, begun=True)
+    second.engines.on_stopped(NOW, "s0", NO_SIZE, begun=True)
     (last,) = reports(second, NOW + REFRESH_SECONDS + REPORT_SECONDS)
     assert last.shares == ()
     assert reports(second, NOW + 9.0) == []
@@ -42,10 +42,10 @@
 
 def test_changes_that_come_together_are_told_together() -> None:
     _, second = fleet()
-    second.servers.on_sent(NOW, "s0", True, NO_SIZE)
+    second.engines.on_sent(NOW, "s0", True, NO_SIZE)
     assert len(reports(second, NOW)) == 1
     for _ in range(5):
-        second.servers.on_sent(NOW, "s1", True, NO_SIZE)
+        second.engines.on_sent(NOW, "s1", True, NO_SIZE)
         assert reports(second, NOW + REPORT_SECONDS / 2) == []
     (told,) = reports(second, NOW + REPORT_SECONDS)
     assert sorted(share.batch for share in told.shares) == [1, 5]
@@ -87,9 +87,9 @@
     assert [report.waiting_items for report in told] == [3, 3]
 
 
-def test_servers_that_cannot_be_used_are_told() -> None:
+def test_engines_that_cannot_be_used_are_told() -> None:
     _, second = fleet()
-    second.server("s0").ejected_until = NOW + 1.0
-    second.servers.on_sent(NOW, "s1", True, NO_SIZE)
+    second.engine("s0").ejected_until = NOW + 1.0
+    second.engines.on_sent(NOW, "s1", True, NO_SIZE)
     (told,) = reports(second, NOW)
     assert len(told.unusable) == 1
--- a/tests/decisions/slots/test_slot_requests.py
+++ b/tests/decisions/slots/test_slot_requests.py
@@ -4,15 +4,15 @@
 
 from tests.decisions.slots.worlds import GROUP, SlotsOf, deliver, record
 from troutswitch.daemons.messages import PlaceAsk
-from troutswitch.decisions.forwarding.placer import FoundBy, NoPlaceInTime, NoServer, Place
+from troutswitch.decisions.forwarding.placer import FoundBy, NoEngine, NoPlaceInTime, Place
 from troutswitch.decisions.slots.claims import SUSPECT_SECONDS
 from troutswitch.decisions.slots.slot_requests import ANSWER_SECONDS
 
 NOW = 5.0
 
 
-def fleet(servers: int = 2, slots: int = 2) -> tuple[SlotsOf, SlotsOf]:
-    records = [record(f"s{n}", slots=slots) for n in range(servers)]
+def fleet(engines: int = 2, slots: int = 2) -> tuple[SlotsOf, SlotsOf]:
+    records = [record(f"s{n}", slots=slots) for n in range(engines)]
     first, second = SlotsOf("first", records), SlotsOf("second", records)
     first.coordinate(NOW, second)
     return first, second
@@ -34,7 +34,7 @@
     assert second.ended == []
     deliver(NOW, first, second)
     assert found_by(second) == [FoundBy.COORDINATOR]
-    assert first.server(second.online[1]).online() == 1
+    assert first.engine(second.online[1]).online() == 1
 
 
 def test_no_request_waits_longer_than_stated_on_a_silent_coordinator() -> None:
@@ -78,7 +78,7 @@
 
 
 def test_when_all_are_full_a_request_is_deferred_or_joins_the_queue() -> None:
-    first, second = fleet(servers=1, slots=1)
+    first, second = fleet(engines=1, slots=1)
     first.times.on_completed("service", 0.06, 0.6, waited=False)
     first.want(NOW, 1)
     second.want(NOW, 2, longest_wait=0.1)
@@ -92,21 +92,21 @@
     assert placed.waits
 
 
-def test_without_a_server_there_is_no_place() -> None:
-    _, second = fleet(servers=1)
+def test_without_an_engine_there_is_no_place() -> None:
+    _, second = fleet(engines=1)
     second.want(NOW, 1)
-    second.servers.mark_draining("s0")
+    second.engines.mark_draining("s0")
     second.tick(NOW + ANSWER_SECONDS)
-    assert isinstance(second.ended[0][1], NoServer)
+    assert isinstance(second.ended[0][1], NoEngine)
 
 
-def test_a_server_that_leaves_here_is_not_used_though_it_is_granted() -> None:
-    first, second = fleet(servers=2)
+def test_an_engine_that_leaves_here_is_not_used_though_it_is_granted() -> None:
+    first, second = fleet(engines=2)
     second.want(NOW, 1)
-    second.servers.mark_draining("s0")
-    second.servers.mark_draining("s1")
+    second.engines.mark_draining("s0")
+    second.engines.mark_draining("s1")
     deliver(NOW, first, second)
-    assert isinstance(second.ended[0][1], NoServer)
+    assert isinstance(second.ended[0][1], NoEngine)
 
 
 def zones() -> tuple[SlotsOf, SlotsOf, SlotsOf]:
@@ -127,10 +127,10 @@
     for token in range(18):
         asker.want(NOW, token)
         deliver(NOW, here, there, asker)
-    servers = [asker.online[token] for token in range(18)]
-    assert {name[0] for name in servers[:9]} == {"a"}
-    assert {name[0] for name in servers[9:]} == {"b"}
-    assert len(set(servers)) == 18
+    engines = [asker.online[token] for token in range(18)]
+    assert {name[0] for name in engines[:9]} == {"a"}
+    assert {name[0] for name in engines[9:]} == {"b"}
+    assert len(set(engines)) == 18
     asker.want(NOW, 99)
     deliver(NOW, here, there, asker)
     assert asker.online[99]
--- a/tests/decisions/slots/worlds.py
+++ b/tests/decisions/slots/worlds.py
@@ -6,16 +6,16 @@
 from troutswitch.common import Address
 from troutswitch.daemons.messages import (
     ClaimTold,
+    EngineShare,
     HoldingsReport,
-    ServerShare,
     SlotMessage,
-    server_key,
+    engine_key,
 )
-from troutswitch.decisions.forwarding.engines import NO_SIZE, Server, ServerRegistry
+from troutswitch.decisions.forwarding.engines import NO_SIZE, Engine, EngineRegistry
 from troutswitch.decisions.forwarding.placement import NoHomes
 from troutswitch.decisions.forwarding.placer import Place, PlaceWish, Placing
 from troutswitch.decisions.forwarding.run_times import RunTimes
-from troutswitch.decisions.forwarding.types import PromptShape, ServerRecord
+from troutswitch.decisions.forwarding.types import EngineRecord, PromptShape
 from troutswitch.decisions.jobs.batch_capacity import SlotRoom
 from troutswitch.decisions.slots.fleet import FleetSlots
 from troutswitch.decisions.slots.messages import SendToPeers, StartItems, WaitingItems
@@ -26,8 +26,8 @@
 GROUP = f"{SERVICE}||0"
 
 
-def record(name: str, zone: str = ZONE, slots: int = 8) -> ServerRecord:
-    return ServerRecord(name, SERVICE, Address("10.9.0.1", 1), zone, slots, False)
+def record(name: str, zone: str = ZONE, slots: int = 8) -> EngineRecord:
+    return EngineRecord(name, SERVICE, Address("10.9.0.1", 1), zone, slots, False)
 
 
 def address_of(name: str) -> Address:
@@ -37,19 +37,19 @@
 def report(
     sender: str = "peer", sequence: int = 1, life: int = 1, waiting: int = 0, **held: int
 ) -> HoldingsReport:
-    """Returns a report of batch items at servers."""
-    shares = tuple(ServerShare(server_key(name), 0, count, 0) for name, count in held.items())
+    """Returns a report of batch items at engines."""
+    shares = tuple(EngineShare(engine_key(name), 0, count, 0) for name, count in held.items())
     return HoldingsReport(sender, ZONE, address_of(sender), life, sequence, shares, waiting)
 
 
 class SlotsOf:
     """One daemon's decisions on slots, with the requests and items that follow from them."""
 
-    def __init__(self, name: str, records: list[ServerRecord], zone: str = ZONE) -> None:
+    def __init__(self, name: str, records: list[EngineRecord], zone: str = ZONE) -> None:
         self.name = name
         self.address = address_of(name)
-        self.servers = ServerRegistry()
-        self.servers.on_list(0.0, records)
+        self.engines = EngineRegistry()
+        self.engines.on_list(0.0, records)
         self.waiting = 0
         self.late = 0
         self.out: list[SendToPeers] = []
@@ -63,14 +63,14 @@
             zone,
             self.address,
             hash_life(name),
-            self.servers,
+            self.engines,
             self.times,
             NoHomes(),
             SlotRoom(),
             CallNumbers(),
             lambda: WaitingItems(self.waiting, self.late),
             lambda: self.waiting + self.late + len(self.items),
-            lambda now, token: self.servers.usable(now, SERVICE),
+            lambda now, token: self.engines.usable(now, SERVICE),
             self._emit,
             lambda event, **fields: self.lines.append(event),
             random.Random(name),
@@ -91,15 +91,15 @@
                 self.waiting -= 1
             else:
                 self.late -= 1
-            self.items.append(places.server_id)
-            self.servers.on_sent(0.0, places.server_id, True, NO_SIZE)
+            self.items.append(places.engine_id)
+            self.engines.on_sent(0.0, places.engine_id, True, NO_SIZE)
         for _ in range(max(0, -places.count)):
-            self.end_item(0.0, places.server_id)
+            self.end_item(0.0, places.engine_id)
 
-    def end_item(self, now: float, server_id: str) -> None:
-        if server_id in self.items:
-            self.items.remove(server_id)
-            self.servers.on_stopped(now, server_id, NO_SIZE, begun=True)
+    def end_item(self, now: float, engine_id: str) -> None:
+        if engine_id in self.items:
+            self.items.remove(engine_id)
+            self.engines.on_stopped(now, engine_id, NO_SIZE, begun=True)
 
     def coordinate(
         self, now: float, *others: "SlotsOf", group: str = GROUP, offset: int = 1
@@ -118,7 +118,7 @@
     def want(self, now: float, token: int, longest_wait: float = float("inf")) -> None:
         """Seeks a place for a request."""
         wish = PlaceWish(token, SERVICE, PromptShape(), longest_wait)
-        placing = self.fleet.asks.place(now, wish, self.servers.usable(now, SERVICE))
+        placing = self.fleet.asks.place(now, wish, self.engines.usable(now, SERVICE))
         if placing is not None:
             self._take(now, token, placing)
 
@@ -130,17 +130,17 @@
     def _take(self, now: float, token: int, placing: Placing) -> None:
         self.ended.append((token, placing))
         if isinstance(placing, Place):
-            server_id = placing.server.record.server_id
-            self.online[token] = server_id
-            self.servers.on_sent(now, server_id, False, NO_SIZE)
+            engine_id = placing.engine.record.engine_id
+            self.online[token] = engine_id
+            self.engines.on_sent(now, engine_id, False, NO_SIZE)
 
     def end(self, now: float, token: int) -> None:
-        """Ends a request at its server."""
-        server_id = self.online.pop(token)
-        self.servers.on_ended(now, server_id, False, NO_SIZE, begun=True, failed=False)
+        """Ends a request at its engine."""
+        engine_id = self.online.pop(token)
+        self.engines.on_ended(now, engine_id, False, NO_SIZE, begun=True, failed=False)
 
-    def server(self, name: str) -> Server:
-        return self.servers.servers[name]
+    def engine(self, name: str) -> Engine:
+        return self.engines.engines[name]
 
     def messages(self) -> list[SlotMessage]:
         """Returns what was sent since the last look."""
--- a/tests/decisions/tenants/test_coordinated_quota.py
+++ b/tests/decisions/tenants/test_coordinated_quota.py
@@ -4,12 +4,12 @@
 
 import pytest
 
-from tests.decisions.forwarding.worlds import server
+from tests.decisions.forwarding.worlds import engine
 from troutswitch.common import Address
 from troutswitch.daemons import datagram
 from troutswitch.daemons.messages import QuotaAnswer, QuotaAsk
 from troutswitch.decisions.slots.claims import Claim, CoordinatorClaims
-from troutswitch.decisions.slots.groups import ServerGroups
+from troutswitch.decisions.slots.groups import EngineGroups
 from troutswitch.decisions.slots.messages import SendToPeers
 from troutswitch.decisions.storage.follower import CallNumbers
 from troutswitch.decisions.tenants.coordinated_quota import (
@@ -32,8 +32,8 @@
     def __init__(self, name: str, address: Address, *, leases: bool = False) -> None:
         self.sent: list[SendToPeers] = []
         self.coordinated: dict[str, float] = {}
-        groups = ServerGroups()
-        groups.update([server("s0"), server("s1")])
+        groups = EngineGroups()
+        groups.update([engine("s0"), engine("s1")])
         self.group = groups.all()[0].name
         rng = random.Random(1)
         self.claims = CoordinatorClaims(
--- a/tests/decisions/tenants/test_machine.py
+++ b/tests/decisions/tenants/test_machine.py
@@ -11,11 +11,11 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
 
-from tests.decisions.forwarding.worlds import server
+from tests.decisions.forwarding.worlds import engine
 from troutswitch.common import Address
 from troutswitch.daemons.messages import QuotaAnswer, QuotaAsk
 from troutswitch.decisions.slots.claims import Claim, CoordinatorClaims
-from troutswitch.decisions.slots.groups import ServerGroups
+from troutswitch.decisions.slots.groups import EngineGroups
 from troutswitch.decisions.slots.messages import SendToPeers
 from troutswitch.decisions.storage.follower import CallNumbers
 from troutswitch.decisions.tenants.coordinated_quota import AskedQuota
@@ -42,8 +42,8 @@
         self.on_the_way: list[tuple[int, QuotaAsk | QuotaAnswer]] = []
         self.allowed: list[float] = []
         self.begun: list[float] = []
-        groups = ServerGroups()
-        groups.update([server("s0")])
+        groups = EngineGroups()
+        groups.update([engine("s0")])
         self.group = groups.all()[0].name
         self.coordinated: list[dict[str, float]] = [{} for _ in range(DAEMONS)]
         self.claims = [
@@ -62,7 +62,7 @@
         self.waiting: list[set[int]] = [set() for _ in range(DAEMONS)]
         self.begin(0)
 
-    def quota(self, number: int, groups: ServerGroups) -> AskedQuota:
+    def quota(self, number: int, groups: EngineGroups) -> AskedQuota:
         def emit(made: object) -> None:
             if isinstance(made, SendToPeers):
                 assert isinstance(made.message, QuotaAsk | QuotaAnswer)
--- a/tests/decisions/test_gateway.py
+++ b/tests/decisions/test_gateway.py
@@ -4,7 +4,7 @@
 
 from tests.worlds.gateway_world import Daemon, GatewayWorld
 from troutswitch.common import Address
-from troutswitch.decisions.gateway import CONFIGURATION_WAIT_SHARE, READS_SHARE, SERVER_LIST_SHARE
+from troutswitch.decisions.gateway import CONFIGURATION_WAIT_SHARE, ENGINE_LIST_SHARE, READS_SHARE
 from troutswitch.decisions.gateway_messages import BoundsChanged, TimerFired
 from troutswitch.decisions.jobs.messages import ItemBegun
 from troutswitch.decisions.peers.heartbeats import Contact
@@ -14,7 +14,7 @@
 
 
 def waiting_prefill(daemon: Daemon) -> int:
-    return sum(server.prefill_tokens for server in daemon.core.servers.servers.values())
+    return sum(engine.prefill_tokens for engine in daemon.core.engines.engines.values())
 
 
 def test_a_begun_item_no_longer_waits_to_be_read() -> None:
@@ -55,7 +55,7 @@
     world = GatewayWorld(1)
     core = next(iter(world.daemons.values())).core
     core.step(0.0, BoundsChanged(drain=1.0, configuration_apply=4.0, job_kept=60.0))
-    assert core.server_list.interval == SERVER_LIST_SHARE * 1.0
+    assert core.engine_list.interval == ENGINE_LIST_SHARE * 1.0
     assert core.configuration.wait == CONFIGURATION_WAIT_SHARE * 4.0
     assert core.jobs.retention.job_kept == 60.0
 
@@ -68,8 +68,8 @@
         address = Address("10.0.9.9", 7)
         core.contacts.contacts = {f"p-{n}": Contact(address, "z", 0.0) for n in range(peers)}
         core.step(0.0, TimerFired())
-        read_every = max(core.server_list.interval, core.server_list.pace)
+        read_every = max(core.engine_list.interval, core.engine_list.pace)
         assert peers / read_every <= READS_SHARE * 2000.0
         assert read_every < core.identity.drain / 2
-    assert core.server_list.pace > core.server_list.interval
-    assert core.jobs.replicas.index_follower.pace == core.server_list.pace
+    assert core.engine_list.pace > core.engine_list.interval
+    assert core.jobs.replicas.index_follower.pace == core.engine_list.pace
--- a/tests/forms/samples.py
+++ b/tests/forms/samples.py
@@ -30,7 +30,7 @@
 from troutswitch.decisions.forwarding.experience import BatchPace, Experience
 from troutswitch.decisions.forwarding.long_prompts import homes_of
 from troutswitch.decisions.forwarding.messages import LogLine
-from troutswitch.decisions.forwarding.types import ServerRecord
+from troutswitch.decisions.forwarding.types import EngineRecord
 from troutswitch.decisions.jobs import records
 from troutswitch.decisions.jobs.index import JobIndex
 from troutswitch.decisions.jobs.messages import (
@@ -48,7 +48,7 @@
 from troutswitch.decisions.peers.peer_registry import DirectoryEntry, decode_entry, encode_entry
 from troutswitch.decisions.slots import claims as claims_module
 from troutswitch.decisions.slots.claims import CoordinatorClaims
-from troutswitch.decisions.slots.groups import ServerGroups, deal_groups
+from troutswitch.decisions.slots.groups import EngineGroups, deal_groups
 from troutswitch.decisions.storage.follower import CallNumbers
 from troutswitch.decisions.storage.messages import (
     AppendRecords,
@@ -72,7 +72,7 @@
 from troutswitch.gateway.process import METRICS_PATH
 from troutswitch.outcomes import AttemptKind, Cut, MayHaveRun, NotRun, Step
 from troutswitch.platform import names
-from troutswitch.platform.configuration import decode_configuration, decode_server
+from troutswitch.platform.configuration import decode_configuration, decode_engine
 from troutswitch.platform.jobs import read_submission, write_answer
 from troutswitch.platform.requests import IncomingRequest, read_prompt
 from troutswitch.platform.settings import load_gateway_settings
@@ -97,8 +97,8 @@
     life=LARGE,
     sequence=5,
     shares=(
-        peer_messages.ServerShare(server_key=11, online=1, batch=2, prefill_units=3),
-        peer_messages.ServerShare(4294967295, 4, 5, 6),
+        peer_messages.EngineShare(engine_key=11, online=1, batch=2, prefill_units=3),
+        peer_messages.EngineShare(4294967295, 4, 5, 6),
     ),
     waiting_items=7,
     late_items=8,
@@ -141,7 +141,7 @@
             number=31,
             group="s|z|0",
             word=0,
-            server_key=0,
+            engine_key=0,
             wait_ms=0,
             queued=0,
             slots=0,
@@ -153,7 +153,7 @@
     ),
     "places for batch items, taken back": _peer_message(
         peer_messages.BatchPlaces(
-            sender="d-2", life=6, group="s|z|0", word=61, server_key=62, count=-3
+            sender="d-2", life=6, group="s|z|0", word=61, engine_key=62, count=-3
         )
     ),
     "digest of a group, empty": _peer_message(
@@ -165,8 +165,8 @@
             life=6,
             group="s|z|0",
             counts=(
-                peer_messages.ServerCounts(server_key=71, online=72, batch=73),
-                peer_messages.ServerCounts(74, 75, 76),
+                peer_messages.EngineCounts(engine_key=71, online=72, batch=73),
+                peer_messages.EngineCounts(74, 75, 76),
             ),
             free_slots_hundredths=777,
             open_items=78,
@@ -193,14 +193,14 @@
             crashes=(
                 peer_messages.CrashTold("0123456789abcdef", "i-1", 1_700_000_000, True),
                 peer_messages.CrashTold(
-                    content="fedcba9876543210", server_id="i-2", at=1_700_000_001, stands=False
+                    content="fedcba9876543210", engine_id="i-2", at=1_700_000_001, stands=False
                 ),
             ),
         )
     ),
-    "servers that leave, empty": _peer_message(peer_messages.ServersLeaving("d-1", (), ())),
+    "servers that leave, empty": _peer_message(peer_messages.EnginesLeaving("d-1", (), ())),
     "servers that leave, filled": _peer_message(
-        peer_messages.ServersLeaving(
+        peer_messages.EnginesLeaving(
             sender="d-1", draining=("i-1", "i-2"), left=("i-3", "i-4", "i-5")
         )
     ),
@@ -420,11 +420,11 @@
 
 
 def crashes_taken(held: Iterable[KeyedRecord]) -> Iterator[tuple[str, str, float, bool]]:
-    """Yields content, server, time and whether it stands, of crashes that are read."""
+    """Yields content, engine, time and whether it stands, of crashes that are read."""
     told: list[tuple[str, str, float, bool]] = []
 
     def take(now: float, crash: Crash, at: float, stands: bool) -> bool:
-        told.append((crash.content, crash.server_id, at, stands))
+        told.append((crash.content, crash.engine_id, at, stands))
         return False
 
     shared = SharedCrashes("d-2", CallNumbers(), random.Random(1), list, take, _no_log)
@@ -434,19 +434,19 @@
 
 
 def _crash_again(held: KeyedRecord) -> Iterator[KeyedRecord]:
-    for content, server_id, at, stands in crashes_taken([held]):
+    for content, engine_id, at, stands in crashes_taken([held]):
         shared = SharedCrashes(
             "d-1", CallNumbers(), random.Random(1), list, lambda *told: False, _no_log
         )
-        shared.publish(1.0, Crash(content, server_id), at, stands)
+        shared.publish(1.0, Crash(content, engine_id), at, stands)
         for call in shared.on_timer(60.0, True):
             if isinstance(call, AppendRecords):
                 yield from call.records
 
 
 def _claims(daemon: str, address: Address, service: str) -> CoordinatorClaims:
-    groups = ServerGroups()
-    groups.update([ServerRecord("i-1", service, HOST, "z1", 4, False)])
+    groups = EngineGroups()
+    groups.update([EngineRecord("i-1", service, HOST, "z1", 4, False)])
     return CoordinatorClaims(
         daemon, "z1", address, groups, CallNumbers(), random.Random(1), _no_log
     )
@@ -791,7 +791,7 @@
     ("request given up", {}),
 ]
 
-# Settings, configuration and records of servers: text that operators and the platform write.
+# Settings, configuration and records of engines: text that operators and the platform write.
 
 
 def read_settings(text: str) -> Any:
@@ -805,7 +805,7 @@
 SETTINGS: dict[str, Callable[[str], Any]] = {
     "settings file": read_settings,
     "configuration": lambda text: plain(decode_configuration(text.encode())),
-    "server": lambda text: plain(decode_server("i-1", text.encode())),
+    "server": lambda text: plain(decode_engine("i-1", text.encode())),
     "policies": lambda text: plain(read_policies(text)),
     "hand-in of a job": lambda text: plain(
         read_submission(
@@ -818,8 +818,8 @@
 
 # Names on the wire, and hashes on which all daemons must agree.
 
-_SERVERS = [
-    ServerRecord(f"i-{number}", service, HOST, f"z{number % 2}", 4, False)
+_ENGINES = [
+    EngineRecord(f"i-{number}", service, HOST, f"z{number % 2}", 4, False)
     for service, count in (("small", 16), ("large", 80))
     for number in range(count)
 ]
@@ -831,19 +831,19 @@
 
 def names_told() -> dict[str, Any]:
     """Returns names and hashes, as plain values."""
-    groups = deal_groups(_SERVERS[:16]) | deal_groups(_SERVERS[16:])
+    groups = deal_groups(_ENGINES[:16]) | deal_groups(_ENGINES[16:])
     prompt = read_prompt("9000,10", "a:4000,session:4000,own:1000")
-    held = [SimpleNamespace(record=record) for record in _SERVERS[16:]]
+    held = [SimpleNamespace(record=record) for record in _ENGINES[16:]]
     constants = (value for name, value in vars(names).items() if name.isupper())
     return {
         "hash of parts": [stable_hash("a"), stable_hash("a", "é", ""), stable_hash()],
         "order of candidates": rendezvous_order("key", [f"c-{n}" for n in range(9)]),
         "shards of jobs": [records.shard_of(f"job-{n}", 64) for n in range(20)],
-        "keys of servers": [peer_messages.server_key(f"i-{n}") for n in range(9)],
+        "keys of servers": [peer_messages.engine_key(f"i-{n}") for n in range(9)],
         "units of prompts": [peer_messages.prefill_units(n) for n in (0, 1023, 1024, 1025, 9999)],
-        "groups of servers": {server: group.name for server, group in groups.items()},
+        "groups of servers": {engine: group.name for engine, group in groups.items()},
         "servers for a long prompt": [
-            home.record.server_id for home in homes_of(prompt, cast(Any, held))
+            home.record.engine_id for home in homes_of(prompt, cast(Any, held))
         ],
         "content of requests": [
             content_key("h.example", "POST", "/p?q=1", b"\x00body"),
--- a/tests/forms/test_names.py
+++ b/tests/forms/test_names.py
@@ -1,7 +1,7 @@
 """Names on the wire, and hashes on which all daemons must agree, are as before.
 
-Guards against daemons of two versions that look for a job in different shards, deal servers into
-different groups, call a server or a request by different keys, or read different topics.
+Guards against daemons of two versions that look for a job in different shards, deal engines into
+different groups, call an engine or a request by different keys, or read different topics.
 """
 
 import json
--- a/tests/forms/test_settings.py
+++ b/tests/forms/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings, configuration, records of servers and hand-ins are read as before; defaults too.
+"""Settings, configuration, records of engines and hand-ins are read as before; defaults too.
 
 Guards against a file or record written for the former version that is read as something else.
 Values are compared by the places of their fields, whatever the fields are called.
--- a/tests/gateway/callers/test_caller_gone.py
+++ b/tests/gateway/callers/test_caller_gone.py
@@ -1,12 +1,12 @@
-"""A caller that leaves frees its server whatever state its request is in.
+"""A caller that leaves frees its engine whatever state its request is in.
 
-Users saw servers at work for seconds on streams whose callers had closed their connection,
-and requests that reached a server after their caller had left. Order of events: the close
+Users saw engines at work for seconds on streams whose callers had closed their connection,
+and requests that reached an engine after their caller had left. Order of events: the close
 arrives; waitress doesn't read that connection (an answer waits for the caller's window, or
 further requests are queued on it), or the loop is busy and looks at its callers only later;
-the server goes on until its next byte can't be delivered, or until its deadline. Cause: a
+the engine goes on until its next byte can't be delivered, or until its deadline. Cause: a
 close was seen only by a read of waitress and only acted on by the loop. Evidence: in these
-tests the loop is busy for good, so that only what doesn't need it can free the server.
+tests the loop is busy for good, so that only what doesn't need it can free the engine.
 """
 
 import socket
@@ -37,14 +37,14 @@
     SendRequest,
 )
 from troutswitch.gateway.callers.application import CallerApplication
-from troutswitch.gateway.callers.listener import FrontServer
+from troutswitch.gateway.callers.listener import HttpListener
 from troutswitch.gateway.callers.relay_registry import Relays
 from troutswitch.gateway.engines.engine_activity import Pulse
-from troutswitch.gateway.engines.exchange import ServerConnections
+from troutswitch.gateway.engines.exchange import EngineConnections
 from troutswitch.outcomes import MayHaveRun, Step
 
-SERVER_SECONDS = 100 * WAIT_SECONDS
-"""Patience with a server, so long that no test mistakes its end for that of a caller."""
+ENGINE_SECONDS = 100 * WAIT_SECONDS
+"""Patience with an engine, so long that no test mistakes its end for that of a caller."""
 
 
 def wait_for(condition: Callable[[], bool], what: str) -> None:
@@ -55,10 +55,10 @@
 
 
 class BusyLoop:
-    """Sends each request to a server, and hears of nothing else: it is busy for good."""
+    """Sends each request to an engine, and hears of nothing else: it is busy for good."""
 
-    def __init__(self, servers: list[RawServer]) -> None:
-        self.servers = servers
+    def __init__(self, engines: list[RawServer]) -> None:
+        self.engines = engines
         self.gone: list[CallerGone] = []
         self.arrived: list[int] = []
         self.unserved: list[str] = []
@@ -68,12 +68,12 @@
         self.relays.caller_watch.start()
         application = CallerApplication(
             self.relays,
-            ServerConnections(),
+            EngineConnections(),
             self.post,
             Pulse(self.post),
             lambda request, body: None,
         )
-        self.front = FrontServer(
+        self.front = HttpListener(
             application,
             Address(HOST, 0),
             1,
@@ -97,8 +97,8 @@
             self.told_of_close.set()
 
     def send(self, token: int, attempt: int) -> None:
-        address = self.servers[attempt - 1].address
-        waits = SERVER_SECONDS
+        address = self.engines[attempt - 1].address
+        waits = ENGINE_SECONDS
         self.relays.direct(SendRequest(token, attempt, f"s-{attempt}", address, waits, waits, ""))
 
     def finish(self, token: int) -> None:
@@ -144,7 +144,7 @@
 
 
 def assert_left(loop: BusyLoop) -> None:
-    assert loop.servers[0].ended.wait(WAIT_SECONDS)
+    assert loop.engines[0].ended.wait(WAIT_SECONDS)
     assert loop.told_of_close.wait(WAIT_SECONDS)
     loop.finish_all()
 
@@ -153,12 +153,12 @@
     loop = start(silent)
     with loop.connect() as caller:
         caller.sendall(request("a"))
-        assert loop.servers[0].arrived.wait(WAIT_SECONDS)
+        assert loop.engines[0].arrived.wait(WAIT_SECONDS)
     assert_left(loop)
     assert loop.gone[0].aborted_at >= loop.gone[0].closed_at
 
 
-def test_in_a_stream_whose_server_stands_still(start: Start) -> None:
+def test_in_a_stream_whose_engine_stands_still(start: Start) -> None:
     loop = start(one_event)
     with loop.connect() as caller:
         caller.sendall(request("a"))
@@ -188,15 +188,15 @@
     loop = start(silent)
     with loop.connect() as caller:
         caller.sendall(request("a") + request("b") + request("c"))
-        assert loop.servers[0].arrived.wait(WAIT_SECONDS)
+        assert loop.engines[0].arrived.wait(WAIT_SECONDS)
         wait_for(lambda: any(len(c.requests) > 1 for c in loop.front.open_channels()), "a queue")
     assert_left(loop)
     wait_for(lambda: not loop.front.open_channels(), "the connection closed")
-    assert len(loop.servers[0].requests) == 1
+    assert len(loop.engines[0].requests) == 1
 
 
 def test_between_two_attempts(start: Start) -> None:
-    """The loop decided to send before it heard of the close: nothing reaches the server."""
+    """The loop decided to send before it heard of the close: nothing reaches the engine."""
     loop = start(rejecting, silent)
     with loop.connect() as caller:
         caller.sendall(request("a"))
@@ -204,49 +204,49 @@
     assert loop.told_of_close.wait(WAIT_SECONDS)
     loop.send(loop.arrived[0], 2)
     loop.finish_all()
-    assert not loop.servers[1].arrived.is_set()
+    assert not loop.engines[1].arrived.is_set()
 
 
 def test_queued_for_a_thread(start: Start) -> None:
     """The front has one thread: the second request waits for it, and its caller leaves."""
     loop = start(whole)
-    server = loop.servers[0]
+    engine = loop.engines[0]
     first, third = loop.connect(), loop.connect()
     first.sendall(request("first"))
-    assert server.arrived.wait(WAIT_SECONDS)
+    assert engine.arrived.wait(WAIT_SECONDS)
     with loop.connect() as second:
         second.sendall(request("second"))
         wait_for(lambda: sum(bool(c.requests) for c in loop.front.open_channels()) == 2, "queued")
     third.sendall(request("third"))
-    server.may_go_on.set()
+    engine.may_go_on.set()
     assert first.recv(1)
     assert third.recv(1)
-    assert all(b"second" not in head for head in server.requests)
+    assert all(b"second" not in head for head in engine.requests)
     assert loop.unserved == ["second"]
     first.close()
     third.close()
 
 
 def test_while_its_request_is_sent(start: Start) -> None:
-    """The server reads slowly, and the kernel holds the rest of the request: it is dropped."""
+    """The engine reads slowly, and the kernel holds the rest of the request: it is dropped."""
     body = b"x" * 200_000
     held: list[int] = []
 
-    def slow(server: RawServer, connection: socket.socket) -> None:
-        server.arrived.set()
-        assert server.may_go_on.wait(WAIT_SECONDS)
+    def slow(engine: RawServer, connection: socket.socket) -> None:
+        engine.arrived.set()
+        assert engine.may_go_on.wait(WAIT_SECONDS)
         try:
             while data := connection.recv(1 << 16):
                 held.append(len(data))
         finally:
-            server.ended.set()
+            engine.ended.set()
 
     loop = start(slow, receive_bytes=4096)
     with loop.connect() as caller:
         caller.sendall(request("a", body))
-        assert loop.servers[0].arrived.wait(WAIT_SECONDS)
+        assert loop.engines[0].arrived.wait(WAIT_SECONDS)
     assert loop.told_of_close.wait(WAIT_SECONDS)
     loop.finish_all()
-    loop.servers[0].may_go_on.set()
-    assert loop.servers[0].ended.wait(WAIT_SECONDS)
+    loop.engines[0].may_go_on.set()
+    assert loop.engines[0].ended.wait(WAIT_SECONDS)
     assert sum(held) < len(body)
--- a/tests/gateway/callers/test_caller_gone_process.py
+++ b/tests/gateway/callers/test_caller_gone_process.py
@@ -13,29 +13,29 @@
 from tests.ports import HOST
 
 
-def answer(server: RawServer, connection: socket.socket) -> None:
+def answer(engine: RawServer, connection: socket.socket) -> None:
     """Answers what is called `whole`, and sends one event of any other stream."""
     while True:
-        head = server.read_head(connection)
+        head = engine.read_head(connection)
         connection.sendall(stream_head(head) + event(1))
         if b"/chat/whole" in head:
             connection.sendall(b"0\r\n\r\n")
         else:
-            server.wait_for_end(connection)
+            engine.wait_for_end(connection)
             return
 
 
 @pytest.fixture
-def server() -> RawServer:
+def engine() -> RawServer:
     return RawServer(answer)
 
 
 @pytest.fixture
-def gateway(server: RawServer, tmp_path: Path) -> Iterator[Gateway]:
+def gateway(engine: RawServer, tmp_path: Path) -> Iterator[Gateway]:
     store = StoreStandin()
     record = {
         "service": "service",
-        "address": str(server.address),
+        "address": str(engine.address),
         "zone": "z",
         "slots": 8,
         "state": "ready",
@@ -76,10 +76,10 @@
 
 
 def test_a_request_whose_caller_left_while_it_was_not_read_is_not_served(
-    gateway: Gateway, server: RawServer
+    gateway: Gateway, engine: RawServer
 ) -> None:
     """The daemon stood still: request and close lay unread in its connections, and on waking
-    it sent such requests to servers, and read only then that the callers were gone."""
+    it sent such requests to engines, and read only then that the callers were gone."""
     serve_one(gateway, "before")
     gateway.process.send_signal(signal.SIGSTOP)
     for number in range(20):
@@ -89,23 +89,23 @@
     serve_one(gateway, "after")
     closed = b'troutswitch_decisions_total{event="caller gone"} 20.0'
     wait_for(lambda: closed in gateway.call("GET", "/metrics", port=gateway.metrics)[2], "lines")
-    assert not [head for head in server.requests if b"/chat/left" in head]
+    assert not [head for head in engine.requests if b"/chat/left" in head]
 
 
-def test_a_stream_is_left_while_the_daemon_drains(gateway: Gateway, server: RawServer) -> None:
+def test_a_stream_is_left_while_the_daemon_drains(gateway: Gateway, engine: RawServer) -> None:
     with connect(gateway) as caller:
         caller.sendall(request("/chat/stays", "stays"))
         assert caller.recv(1)
         gateway.process.send_signal(signal.SIGTERM)
         wait_for(lambda: not gateway.is_ready(), "not ready")
-    assert server.ended.wait(WAIT_SECONDS)
+    assert engine.ended.wait(WAIT_SECONDS)
     assert gateway.process.wait(WAIT_SECONDS) == 0
 
 
-def test_the_time_from_close_to_abort_is_counted(gateway: Gateway, server: RawServer) -> None:
+def test_the_time_from_close_to_abort_is_counted(gateway: Gateway, engine: RawServer) -> None:
     with connect(gateway) as caller:
         caller.sendall(request("/chat/stays", "stays"))
         assert caller.recv(1)
-    assert server.ended.wait(WAIT_SECONDS)
+    assert engine.ended.wait(WAIT_SECONDS)
     counted = b"troutswitch_caller_close_to_abort_seconds_count 1.0"
     wait_for(lambda: counted in gateway.call("GET", "/metrics", port=gateway.metrics)[2], "count")
