--- a/tests/decisions/slots/worlds.py
+++ b/tests/decisions/slots/worlds.py
@@ -5,18 +5,18 @@
 
 from troutswitch.common import Address
 from troutswitch.daemons.messages import (
-    ClaimTold,
     EngineShare,
     HoldingsReport,
-    SlotMessage,
+    KnownClaim,
+    PeerMessage,
     engine_key,
 )
 from troutswitch.decisions.forwarding.engines import NO_SIZE, Engine, EngineRegistry
 from troutswitch.decisions.forwarding.placement import NoHomes
-from troutswitch.decisions.forwarding.placer import Place, PlaceWish, Placing
+from troutswitch.decisions.forwarding.placer import Assignment, Placement, PlacementRequest
 from troutswitch.decisions.forwarding.run_times import RunTimes
 from troutswitch.decisions.forwarding.types import EngineRecord, PromptShape
-from troutswitch.decisions.jobs.batch_capacity import SlotRoom
+from troutswitch.decisions.jobs.batch_capacity import SlotCapacity
 from troutswitch.decisions.slots.fleet import FleetSlots
 from troutswitch.decisions.slots.messages import SendToPeers, StartItems, WaitingItems
 from troutswitch.decisions.storage.follower import CallNumbers
@@ -35,11 +35,11 @@
 
 
 def report(
-    sender: str = "peer", sequence: int = 1, life: int = 1, waiting: int = 0, **held: int
+    sender: str = "peer", sequence: int = 1, incarnation: int = 1, waiting: int = 0, **held: int
 ) -> HoldingsReport:
     """Returns a report of batch items at engines."""
     shares = tuple(EngineShare(engine_key(name), 0, count, 0) for name, count in held.items())
-    return HoldingsReport(sender, ZONE, address_of(sender), life, sequence, shares, waiting)
+    return HoldingsReport(sender, ZONE, address_of(sender), incarnation, sequence, shares, waiting)
 
 
 class SlotsOf:
@@ -55,7 +55,7 @@
         self.out: list[SendToPeers] = []
         self.online: dict[int, str] = {}
         self.items: list[str] = []
-        self.ended: list[tuple[int, Placing]] = []
+        self.ended: list[tuple[int, Placement]] = []
         self.lines: list[str] = []
         self.times = RunTimes()
         self.fleet = FleetSlots(
@@ -66,7 +66,7 @@
             self.engines,
             self.times,
             NoHomes(),
-            SlotRoom(),
+            SlotCapacity(),
             CallNumbers(),
             lambda: WaitingItems(self.waiting, self.late),
             lambda: self.waiting + self.late + len(self.items),
@@ -105,9 +105,9 @@
         self, now: float, *others: "SlotsOf", group: str = GROUP, offset: int = 1
     ) -> None:
         """Lets this daemon and others know that it coordinates a group."""
-        claim = ClaimTold(group, self.name, self.address, offset)
+        claim = KnownClaim(group, self.name, self.address, offset)
         for daemon in (self, *others):
-            daemon.fleet.claims.take_told((claim,))
+            daemon.fleet.claims.take_claims((claim,))
             daemon.tick(now)
 
     def tick(self, now: float) -> None:
@@ -117,19 +117,19 @@
 
     def want(self, now: float, token: int, longest_wait: float = float("inf")) -> None:
         """Seeks a place for a request."""
-        wish = PlaceWish(token, SERVICE, PromptShape(), longest_wait)
+        wish = PlacementRequest(token, SERVICE, PromptShape(), longest_wait)
         placing = self.fleet.asks.place(now, wish, self.engines.usable(now, SERVICE))
         if placing is not None:
             self._take(now, token, placing)
 
-    def take(self, now: float, message: SlotMessage) -> None:
+    def take(self, now: float, message: PeerMessage) -> None:
         """Takes a peer's message."""
         for one in self.fleet.on_message(now, message):
             self._take(now, one.token, one.placing)
 
-    def _take(self, now: float, token: int, placing: Placing) -> None:
+    def _take(self, now: float, token: int, placing: Placement) -> None:
         self.ended.append((token, placing))
-        if isinstance(placing, Place):
+        if isinstance(placing, Assignment):
             engine_id = placing.engine.record.engine_id
             self.online[token] = engine_id
             self.engines.on_sent(now, engine_id, False, NO_SIZE)
@@ -142,7 +142,7 @@
     def engine(self, name: str) -> Engine:
         return self.engines.engines[name]
 
-    def messages(self) -> list[SlotMessage]:
+    def messages(self) -> list[PeerMessage]:
         """Returns what was sent since the last look."""
         sent, self.out = self.out, []
         return [made.message for made in sent]
--- a/tests/decisions/tenants/test_coordinated_quota.py
+++ b/tests/decisions/tenants/test_coordinated_quota.py
@@ -7,7 +7,7 @@
 from tests.decisions.forwarding.worlds import engine
 from troutswitch.common import Address
 from troutswitch.daemons import datagram
-from troutswitch.daemons.messages import QuotaAnswer, QuotaAsk
+from troutswitch.daemons.messages import QuotaDecision, QuotaRequest
 from troutswitch.decisions.slots.claims import Claim, CoordinatorClaims
 from troutswitch.decisions.slots.groups import EngineGroups
 from troutswitch.decisions.slots.messages import SendToPeers
@@ -15,9 +15,9 @@
 from troutswitch.decisions.tenants.coordinated_quota import (
     AGAIN_SECONDS,
     ANSWER_SECONDS,
-    AskedQuota,
+    CoordinatedQuota,
 )
-from troutswitch.decisions.tenants.quota import QuotaWord
+from troutswitch.decisions.tenants.quota import QuotaMessage
 from troutswitch.decisions.tenants.types import QuotaBounds, Tenant
 
 TENANT = Tenant("t", frozenset(), rate=2.0, burst=2.0)
@@ -39,7 +39,7 @@
         self.claims = CoordinatorClaims(
             name, "z", address, groups, CallNumbers(), rng, lambda event, **fields: None
         )
-        self.quota = AskedQuota(
+        self.quota = CoordinatedQuota(
             name,
             address,
             QuotaBounds(),
@@ -61,12 +61,12 @@
         self.coordinated[self.group] = since
 
     def know_coordinator(self, name: str, address: Address) -> None:
-        self.claims.take_told([])
+        self.claims.take_claims([])
         self.claims.take(Claim(self.group, name, address, 1))
 
-    def message(self) -> QuotaAsk | QuotaAnswer:
+    def message(self) -> QuotaRequest | QuotaDecision:
         message = datagram.decode(datagram.encode(self.sent.pop().message))
-        assert isinstance(message, QuotaAsk | QuotaAnswer)
+        assert isinstance(message, QuotaRequest | QuotaDecision)
         return message
 
 
@@ -77,25 +77,25 @@
     return asking, counting
 
 
-def ask(now: float, token: int, asking: Daemon, counting: Daemon) -> QuotaWord:
-    word = asking.quota.take(now, token, TENANT)
-    if word is not None:
-        return word
+def ask(now: float, token: int, asking: Daemon, counting: Daemon) -> QuotaMessage:
+    grant = asking.quota.take(now, token, TENANT)
+    if grant is not None:
+        return grant
     question = asking.message()
-    assert isinstance(question, QuotaAsk)
+    assert isinstance(question, QuotaRequest)
     counting.quota.on_ask(now, question)
     answer = counting.message()
-    assert isinstance(answer, QuotaAnswer)
+    assert isinstance(answer, QuotaDecision)
     ended = asking.quota.on_answer(now, answer)
     assert [end.token for end in ended] == [token]
-    return ended[0].word
+    return ended[0].grant
 
 
 def test_a_tenant_without_a_limit_costs_no_message() -> None:
     asking, _ = pair()
-    word = asking.quota.take(0.0, 1, FREE)
-    assert word is not None
-    assert word.is_allowed
+    grant = asking.quota.take(0.0, 1, FREE)
+    assert grant is not None
+    assert grant.is_allowed
     assert not asking.sent
 
 
@@ -109,10 +109,10 @@
 
 def test_a_refusal_tells_when_there_is_room() -> None:
     asking, counting = pair()
-    while (word := ask(0.0, 1, asking, counting)).is_allowed:
+    while (grant := ask(0.0, 1, asking, counting)).is_allowed:
         pass
-    assert 0 < word.wait <= 1.0
-    assert word.decided_by == "counted by b"
+    assert 0 < grant.wait <= 1.0
+    assert grant.decided_by == "counted by b"
 
 
 def test_a_silent_coordinator_is_waited_for_a_moment_and_then_suspected() -> None:
@@ -124,7 +124,7 @@
     assert len(asking.sent) == 1, "an ask is sent once more"
     assert asking.quota.next_due() == ANSWER_SECONDS
     ended = asking.quota.on_timer(ANSWER_SECONDS)
-    assert [(end.token, end.word.is_allowed) for end in ended] == [(1, True)]
+    assert [(end.token, end.grant.is_allowed) for end in ended] == [(1, True)]
     asking.quota.take(0.1, 2, TENANT)
     asking.quota.on_timer(0.2)
     assert asking.claims.coordinator(0.2, asking.group) is None
@@ -135,11 +135,11 @@
     asking, counting = pair()
     asking.quota.take(0.0, 1, TENANT)
     question = asking.message()
-    assert isinstance(question, QuotaAsk)
+    assert isinstance(question, QuotaRequest)
     counting.quota.on_ask(0.0, question)
     asking.quota.on_timer(1.0)
     answer = counting.message()
-    assert isinstance(answer, QuotaAnswer)
+    assert isinstance(answer, QuotaDecision)
     assert asking.quota.on_answer(1.0, answer) == []
 
 
@@ -154,8 +154,8 @@
 def test_a_daemon_that_does_not_count_says_so_and_the_asker_decides() -> None:
     asking, counting = pair()
     counting.coordinated.clear()
-    word = ask(0.0, 1, asking, counting)
-    assert word.is_allowed
+    grant = ask(0.0, 1, asking, counting)
+    assert grant.is_allowed
     assert asking.claims.coordinator(0.0, asking.group) is None
 
 
@@ -166,14 +166,14 @@
         ask(0.0, number, asking, counting)
     asking.claims.on_denied(0.0, asking.group)
     alone = [asking.quota.take(0.01 * n, n, TENANT) for n in range(100)]
-    assert sum(word is not None and word.is_allowed for word in alone) <= 3
+    assert sum(grant is not None and grant.is_allowed for grant in alone) <= 3
 
 
 def test_with_leases_requests_go_without_a_message_while_much_is_left() -> None:
     asking, counting = pair(leases=True)
     words = [ask(0.0, number, asking, counting) for number in range(6)]
-    assert all(word.is_allowed for word in words)
-    assert [word.decided_by for word in words] == ["counted by b"] * 2 + ["lease"] * 4
+    assert all(grant.is_allowed for grant in words)
+    assert [grant.decided_by for grant in words] == ["counted by b"] * 2 + ["lease"] * 4
 
 
 def test_a_lease_lapses() -> None:
@@ -186,7 +186,7 @@
 @pytest.mark.parametrize("rate", [0.0, -1.0])
 def test_an_ask_with_a_senseless_rate_is_answered(rate: float) -> None:
     _, counting = pair()
-    counting.quota.on_ask(0.0, QuotaAsk("a", HERE, 1, counting.group, "t", rate, 1.0, 1, 1))
+    counting.quota.on_ask(0.0, QuotaRequest("a", HERE, 1, counting.group, "t", rate, 1.0, 1, 1))
     answer = counting.message()
-    assert isinstance(answer, QuotaAnswer)
+    assert isinstance(answer, QuotaDecision)
     assert answer.granted == 0
--- a/tests/decisions/tenants/test_machine.py
+++ b/tests/decisions/tenants/test_machine.py
@@ -13,12 +13,12 @@
 
 from tests.decisions.forwarding.worlds import engine
 from troutswitch.common import Address
-from troutswitch.daemons.messages import QuotaAnswer, QuotaAsk
+from troutswitch.daemons.messages import QuotaDecision, QuotaRequest
 from troutswitch.decisions.slots.claims import Claim, CoordinatorClaims
 from troutswitch.decisions.slots.groups import EngineGroups
 from troutswitch.decisions.slots.messages import SendToPeers
 from troutswitch.decisions.storage.follower import CallNumbers
-from troutswitch.decisions.tenants.coordinated_quota import AskedQuota
+from troutswitch.decisions.tenants.coordinated_quota import CoordinatedQuota
 from troutswitch.decisions.tenants.ledger import QuotaLimit
 from troutswitch.decisions.tenants.quota import QuotaEnd
 from troutswitch.decisions.tenants.shares import ALONE_FACTOR, SHARE_LEAST
@@ -39,7 +39,7 @@
         self.now = 100.0
         self.offset = 0
         self.tokens = 0
-        self.on_the_way: list[tuple[int, QuotaAsk | QuotaAnswer]] = []
+        self.on_the_way: list[tuple[int, QuotaRequest | QuotaDecision]] = []
         self.allowed: list[float] = []
         self.begun: list[float] = []
         groups = EngineGroups()
@@ -62,13 +62,13 @@
         self.waiting: list[set[int]] = [set() for _ in range(DAEMONS)]
         self.begin(0)
 
-    def quota(self, number: int, groups: EngineGroups) -> AskedQuota:
+    def quota(self, number: int, groups: EngineGroups) -> CoordinatedQuota:
         def emit(made: object) -> None:
             if isinstance(made, SendToPeers):
-                assert isinstance(made.message, QuotaAsk | QuotaAnswer)
+                assert isinstance(made.message, QuotaRequest | QuotaDecision)
                 self.on_the_way += [(address.port, made.message) for address in made.addresses]
 
-        return AskedQuota(
+        return CoordinatedQuota(
             f"d{number}",
             Address("10.0.0.1", number),
             BOUNDS,
@@ -99,10 +99,10 @@
     def send(self, number: int, count: int) -> None:
         for _ in range(count):
             self.tokens += 1
-            word = self.quotas[number].take(self.now, self.tokens, TENANT)
-            if word is None:
+            grant = self.quotas[number].take(self.now, self.tokens, TENANT)
+            if grant is None:
                 self.waiting[number].add(self.tokens)
-            elif word.is_allowed:
+            elif grant.is_allowed:
                 self.allowed.append(self.now)
 
     @rule(drawn=st.integers(0, 1000), fate=st.sampled_from(["taken", "lost", "doubled"]))
@@ -114,7 +114,7 @@
             self.on_the_way.append((number, message))
         if fate == "lost":
             return
-        if isinstance(message, QuotaAsk):
+        if isinstance(message, QuotaRequest):
             self.quotas[number].on_ask(self.now, message)
         else:
             self.end(number, self.quotas[number].on_answer(self.now, message))
@@ -129,7 +129,7 @@
         for end in ended:
             assert end.token in self.waiting[number], "a request has two words"
             self.waiting[number].discard(end.token)
-            if end.word.is_allowed:
+            if end.grant.is_allowed:
                 self.allowed.append(self.now)
 
     @invariant()
--- a/tests/decisions/test_gateway.py
+++ b/tests/decisions/test_gateway.py
@@ -7,7 +7,7 @@
 from troutswitch.decisions.gateway import CONFIGURATION_WAIT_SHARE, ENGINE_LIST_SHARE, READS_SHARE
 from troutswitch.decisions.gateway_messages import BoundsChanged, TimerFired
 from troutswitch.decisions.jobs.messages import ItemBegun
-from troutswitch.decisions.peers.heartbeats import Contact
+from troutswitch.decisions.peers.heartbeats import Peer
 
 START_SECONDS = 3.0
 AFTER_START_SECONDS = 0.3
@@ -66,7 +66,7 @@
     core.identity = replace(core.identity, store_reads_per_second=2000.0)
     for peers in (10, 300):
         address = Address("10.0.9.9", 7)
-        core.contacts.contacts = {f"p-{n}": Contact(address, "z", 0.0) for n in range(peers)}
+        core.peers.peers = {f"p-{n}": Peer(address, "z", 0.0) for n in range(peers)}
         core.step(0.0, TimerFired())
         read_every = max(core.engine_list.interval, core.engine_list.pace)
         assert peers / read_every <= READS_SHARE * 2000.0
--- a/tests/forms/samples.py
+++ b/tests/forms/samples.py
@@ -27,7 +27,7 @@
 from troutswitch.decisions.crashes.messages import Crash
 from troutswitch.decisions.crashes.shared import SharedCrashes
 from troutswitch.decisions.forwarding import engine_list as serverlist
-from troutswitch.decisions.forwarding.experience import BatchPace, Experience
+from troutswitch.decisions.forwarding.experience import BatchRunTimes, Experience
 from troutswitch.decisions.forwarding.long_prompts import homes_of
 from troutswitch.decisions.forwarding.messages import LogLine
 from troutswitch.decisions.forwarding.types import EngineRecord
@@ -44,11 +44,11 @@
 from troutswitch.decisions.jobs.replicas import JobReplicas
 from troutswitch.decisions.jobs.retention import content_keys
 from troutswitch.decisions.jobs.shard import JobContent
-from troutswitch.decisions.peers import peer_registry as directory
-from troutswitch.decisions.peers.peer_registry import DirectoryEntry, decode_entry, encode_entry
+from troutswitch.decisions.peers import peer_registry as peer_registry
+from troutswitch.decisions.peers.peer_registry import PeerRegistryEntry, decode_entry, encode_entry
 from troutswitch.decisions.slots import claims as claims_module
 from troutswitch.decisions.slots.claims import CoordinatorClaims
-from troutswitch.decisions.slots.groups import EngineGroups, deal_groups
+from troutswitch.decisions.slots.groups import EngineGroups, assign_groups
 from troutswitch.decisions.storage.follower import CallNumbers
 from troutswitch.decisions.storage.messages import (
     AppendRecords,
@@ -63,7 +63,7 @@
     StoreCall,
     WriterStamp,
 )
-from troutswitch.decisions.tenants.callers import CallerDirectory
+from troutswitch.decisions.tenants.callers import TenantKeys
 from troutswitch.decisions.tenants.types import key_digest
 from troutswitch.gateway.callers.application import CallerApplication, final_answer
 from troutswitch.gateway.daemons.peer_state import PEER_STATE_PATH
@@ -94,7 +94,7 @@
     sender="d-1",
     zone="zone é",
     address=HOST,
-    life=LARGE,
+    incarnation=LARGE,
     sequence=5,
     shares=(
         peer_messages.EngineShare(engine_key=11, online=1, batch=2, prefill_units=3),
@@ -103,13 +103,13 @@
     waiting_items=7,
     late_items=8,
     open_items=9,
-    word_life=LARGE + 1,
-    word_seen=12,
+    grant_incarnation=LARGE + 1,
+    grant_seen=12,
     unusable=(21, 22, 23),
 )
 
 
-def _peer_message(message: peer_messages.SlotMessage) -> Form:
+def _peer_message(message: peer_messages.PeerMessage) -> Form:
     return Form(
         lambda: datagram.encode(message), lambda data: datagram.encode(datagram.decode(data))
     )
@@ -119,10 +119,10 @@
     "report of holdings, defaults": _peer_message(_REPORT_SHORT),
     "report of holdings, all fields": _peer_message(_REPORT_FULL),
     "ask for a place, defaults": _peer_message(
-        peer_messages.PlaceAsk(_REPORT_SHORT, 31, "s|z|0", 4, -1)
+        peer_messages.SlotRequest(_REPORT_SHORT, 31, "s|z|0", 4, -1)
     ),
     "ask for a place, all fields": _peer_message(
-        peer_messages.PlaceAsk(
+        peer_messages.SlotRequest(
             report=_REPORT_FULL,
             number=31,
             group="s|z|0",
@@ -132,15 +132,15 @@
         )
     ),
     "answer with a place, defaults": _peer_message(
-        peer_messages.PlaceAnswer("d-2", LARGE, 31, "s|z|0", 51, 4294967295, 52, 53, 54)
+        peer_messages.SlotReply("d-2", LARGE, 31, "s|z|0", 51, 4294967295, 52, 53, 54)
     ),
     "answer of one that counts not": _peer_message(
-        peer_messages.PlaceAnswer(
+        peer_messages.SlotReply(
             sender="d-2",
-            life=6,
+            incarnation=6,
             number=31,
             group="s|z|0",
-            word=0,
+            grant=0,
             engine_key=0,
             wait_ms=0,
             queued=0,
@@ -149,11 +149,11 @@
         )
     ),
     "places for batch items, granted": _peer_message(
-        peer_messages.BatchPlaces("d-2", 6, "s|z|0", 61, 62, 63)
+        peer_messages.BatchSlotGrant("d-2", 6, "s|z|0", 61, 62, 63)
     ),
     "places for batch items, taken back": _peer_message(
-        peer_messages.BatchPlaces(
-            sender="d-2", life=6, group="s|z|0", word=61, engine_key=62, count=-3
+        peer_messages.BatchSlotGrant(
+            sender="d-2", incarnation=6, group="s|z|0", grant=61, engine_key=62, count=-3
         )
     ),
     "digest of a group, empty": _peer_message(
@@ -162,7 +162,7 @@
     "digest of a group, filled": _peer_message(
         peer_messages.GroupDigest(
             sender="d-2",
-            life=6,
+            incarnation=6,
             group="s|z|0",
             counts=(
                 peer_messages.EngineCounts(engine_key=71, online=72, batch=73),
@@ -172,43 +172,43 @@
             open_items=78,
         )
     ),
-    "sign of life, defaults": _peer_message(peer_messages.Hello("d-1", "z1", HOST, 81, -1)),
+    "sign of life, defaults": _peer_message(peer_messages.Heartbeat("d-1", "z1", HOST, 81, -1)),
     "sign of life, claims": _peer_message(
-        peer_messages.Hello(
+        peer_messages.Heartbeat(
             sender="d-1",
             zone="z1",
             address=HOST,
-            life=LARGE,
+            incarnation=LARGE,
             configuration_version=82,
             claims=(
-                peer_messages.ClaimTold("s|z|0", "d-2", Address("10.0.0.8", 1), 83),
-                peer_messages.ClaimTold(group="s|z|1", daemon="d-3", address=HOST, offset=LARGE),
+                peer_messages.KnownClaim("s|z|0", "d-2", Address("10.0.0.8", 1), 83),
+                peer_messages.KnownClaim(group="s|z|1", daemon="d-3", address=HOST, offset=LARGE),
             ),
         )
     ),
-    "news of crashes, empty": _peer_message(peer_messages.CrashNews("d-1", ())),
+    "news of crashes, empty": _peer_message(peer_messages.CrashReport("d-1", ())),
     "news of crashes, filled": _peer_message(
-        peer_messages.CrashNews(
+        peer_messages.CrashReport(
             sender="d-1",
             crashes=(
-                peer_messages.CrashTold("0123456789abcdef", "i-1", 1_700_000_000, True),
-                peer_messages.CrashTold(
+                peer_messages.ReportedCrash("0123456789abcdef", "i-1", 1_700_000_000, True),
+                peer_messages.ReportedCrash(
                     content="fedcba9876543210", engine_id="i-2", at=1_700_000_001, stands=False
                 ),
             ),
         )
     ),
-    "servers that leave, empty": _peer_message(peer_messages.EnginesLeaving("d-1", (), ())),
+    "servers that leave, empty": _peer_message(peer_messages.EngineDrainNotice("d-1", (), ())),
     "servers that leave, filled": _peer_message(
-        peer_messages.EnginesLeaving(
+        peer_messages.EngineDrainNotice(
             sender="d-1", draining=("i-1", "i-2"), left=("i-3", "i-4", "i-5")
         )
     ),
     "ask for a quota, defaults": _peer_message(
-        peer_messages.QuotaAsk("d-1", HOST, 91, "s|z|0", "tenant", 65.0, 6.5, 92, 93)
+        peer_messages.QuotaRequest("d-1", HOST, 91, "s|z|0", "tenant", 65.0, 6.5, 92, 93)
     ),
     "ask for a quota, all fields": _peer_message(
-        peer_messages.QuotaAsk(
+        peer_messages.QuotaRequest(
             sender="d-1",
             address=HOST,
             number=91,
@@ -222,10 +222,10 @@
         )
     ),
     "answer on a quota, defaults": _peer_message(
-        peer_messages.QuotaAnswer("d-2", 91, "s|z|0", 101, 102)
+        peer_messages.QuotaDecision("d-2", 91, "s|z|0", 101, 102)
     ),
     "answer on a quota of one that counts not": _peer_message(
-        peer_messages.QuotaAnswer(
+        peer_messages.QuotaDecision(
             sender="d-2", number=91, group="s|z|0", granted=0, wait_ms=102, is_coordinator=False
         )
     ),
@@ -530,12 +530,12 @@
 # What daemons have learnt, in their directory in the store.
 
 _LEARNT = Experience(
-    {"s1": (120, 900), "s2": (3, LARGE)}, {"r1": 5000, "r2": 1}, BatchPace(1, 2, 3)
+    {"s1": (120, 900), "s2": (3, LARGE)}, {"r1": 5000, "r2": 1}, BatchRunTimes(1, 2, 3)
 )
 
 
 def _directory(experience: Experience) -> Form:
-    entry = DirectoryEntry("d-1", HOST, "z1", experience)
+    entry = PeerRegistryEntry("d-1", HOST, "z1", experience)
     return Form(
         lambda: encode_entry(entry),
         lambda data: encode_entry(decode_entry(KeyedRecord("d-1", data))),
@@ -712,9 +712,9 @@
     """Returns the refusal of a caller's key."""
     routes = MagicMock()
     routes.configuration = decode_configuration(CONFIGURATION_OF_TENANTS)
-    directory = CallerDirectory(routes)
-    directory.is_behind = is_behind
-    refusal = directory.owner_of(key)
+    peer_registry = TenantKeys(routes)
+    peer_registry.is_behind = is_behind
+    refusal = peer_registry.owner_of(key)
     assert isinstance(refusal, NotRun)
     return refusal
 
@@ -831,7 +831,7 @@
 
 def names_told() -> dict[str, Any]:
     """Returns names and hashes, as plain values."""
-    groups = deal_groups(_ENGINES[:16]) | deal_groups(_ENGINES[16:])
+    groups = assign_groups(_ENGINES[:16]) | assign_groups(_ENGINES[16:])
     prompt = read_prompt("9000,10", "a:4000,session:4000,own:1000")
     held = [SimpleNamespace(record=record) for record in _ENGINES[16:]]
     constants = (value for name, value in vars(names).items() if name.isupper())
@@ -856,7 +856,7 @@
             for topic in (
                 gateway.CONFIGURATION_TOPIC,
                 serverlist.SERVERS_TOPIC,
-                directory.PEERS_TOPIC,
+                peer_registry.PEERS_TOPIC,
                 claims_module.CLAIMS_TOPIC,
                 shared_module.CRASHES_TOPIC,
                 records.INDEX_TOPIC,
--- a/tests/gateway/callers/test_caller_gone.py
+++ b/tests/gateway/callers/test_caller_gone.py
@@ -39,7 +39,7 @@
 from troutswitch.gateway.callers.application import CallerApplication
 from troutswitch.gateway.callers.listener import HttpListener
 from troutswitch.gateway.callers.relay_registry import Relays
-from troutswitch.gateway.engines.engine_activity import Pulse
+from troutswitch.gateway.engines.engine_activity import EngineActivityReporter
 from troutswitch.gateway.engines.exchange import EngineConnections
 from troutswitch.outcomes import MayHaveRun, Step
 
@@ -70,7 +70,7 @@
             self.relays,
             EngineConnections(),
             self.post,
-            Pulse(self.post),
+            EngineActivityReporter(self.post),
             lambda request, body: None,
         )
         self.front = HttpListener(
--- a/tests/gateway/callers/test_relay.py
+++ b/tests/gateway/callers/test_relay.py
@@ -9,7 +9,7 @@
 from troutswitch.decisions.forwarding.types import PromptShape
 from troutswitch.gateway.callers.relay import Relay
 from troutswitch.gateway.callers.relay_registry import Relays
-from troutswitch.gateway.engines.engine_activity import Pulse
+from troutswitch.gateway.engines.engine_activity import EngineActivityReporter
 from troutswitch.gateway.engines.exchange import EngineConnections
 from troutswitch.outcomes import AttemptKind
 from troutswitch.platform.requests import IncomingRequest
@@ -48,7 +48,15 @@
     loop = LateLoop(relays, engines)
     request = IncomingRequest("x", "POST", "/a", "h", "/a", "", [], 5.0, "", PromptShape())
     request.headers.append(("X-Troutswitch-Request-Id", "x"))
-    relay = Relay(1, request, b"body", relays, EngineConnections(), loop.post, Pulse(loop.post))
+    relay = Relay(
+        1,
+        request,
+        b"body",
+        relays,
+        EngineConnections(),
+        loop.post,
+        EngineActivityReporter(loop.post),
+    )
     chunks = relay.run()
     data = b""
     for chunk in chunks:
--- a/tests/gateway/daemons/test_peer_state.py
+++ b/tests/gateway/daemons/test_peer_state.py
@@ -4,9 +4,9 @@
 
 from troutswitch.common import Address
 from troutswitch.daemons.peer_state import PeerState, PeerStateError, StoredRecord, decode_state
-from troutswitch.decisions.peers.catch_up import AskPeerState
+from troutswitch.decisions.peers.catch_up import RequestPeerState
 from troutswitch.gateway.callers.listener import HttpListener
-from troutswitch.gateway.daemons.peer_state import answer_peer, ask_peer
+from troutswitch.gateway.daemons.peer_state import answer_peer, request_peer_state
 from troutswitch.runtime.http import Environ, StartResponse
 
 CONFIGURATION = StoredRecord("config", b"{}")
@@ -26,7 +26,7 @@
     engine = HttpListener(application, Address("127.0.0.1", 0), 1, "peers", 10)  # type: ignore[arg-type]
     engine.start()
     try:
-        told = ask_peer(engine.address.port, AskPeerState("127.0.0.1", 7, 5.0))
+        told = request_peer_state(engine.address.port, RequestPeerState("127.0.0.1", 7, 5.0))
     finally:
         engine.stop()
     assert told.state == PeerState(CONFIGURATION, ENGINES, 1.5)
@@ -37,7 +37,7 @@
     engine = HttpListener(lambda *_: [], Address("127.0.0.1", 0), 1, "gone", 10)
     port = engine.address.port
     engine.stop()
-    told = ask_peer(port, AskPeerState("127.0.0.1", -1, 0.5))
+    told = request_peer_state(port, RequestPeerState("127.0.0.1", -1, 0.5))
     assert told.state is None
 
 
--- a/tests/gateway/engines/test_silent_engines.py
+++ b/tests/gateway/engines/test_silent_engines.py
@@ -27,7 +27,7 @@
 from troutswitch.gateway.callers.relay import Relay
 from troutswitch.gateway.callers.relay_registry import Relays
 from troutswitch.gateway.engines import exchange as exchange_module
-from troutswitch.gateway.engines.engine_activity import Pulse
+from troutswitch.gateway.engines.engine_activity import EngineActivityReporter
 from troutswitch.gateway.engines.exchange import (
     AnswerLost,
     EngineConnections,
@@ -108,7 +108,7 @@
     held = world.exchange("held")
     held.open(LONG_WAIT_SECONDS)  # both connections were used, this one is silent from here
     world.works("meanwhile")
-    world.connections.doubt("one", held.heard_at)
+    world.connections.doubt("one", held.last_seen_at)
     world.works("next")
     assert world.proxy.connections == 2
     assert world.doubted == []
@@ -205,7 +205,15 @@
     loop = ScriptedLoop(relays, [("one", silent), ("two", second.address)])
     request = IncomingRequest("x", "POST", "/a", "h", "/a", "", [], 5.0, "", PromptShape())
     request.headers.append((names.REQUEST_ID, "x"))
-    relayed = Relay(1, request, b"body", relays, EngineConnections(), loop.post, Pulse(loop.post))
+    relayed = Relay(
+        1,
+        request,
+        b"body",
+        relays,
+        EngineConnections(),
+        loop.post,
+        EngineActivityReporter(loop.post),
+    )
     began = time.monotonic()
     data = b"".join(relayed.run())
     assert time.monotonic() - began < LONG_WAIT_SECONDS / 2, "waited for to its deadline"
--- a/tests/gateway/test_suspension.py
+++ b/tests/gateway/test_suspension.py
@@ -16,14 +16,14 @@
     SendRequest,
 )
 from troutswitch.decisions.forwarding.types import PromptShape
-from troutswitch.decisions.gateway_messages import StoodStill, TimerFired
+from troutswitch.decisions.gateway_messages import ProcessResumed, TimerFired
 from troutswitch.gateway import loop as loop_module
 from troutswitch.gateway.callers import relay as relay_module
 from troutswitch.gateway.callers.relay import Relay
 from troutswitch.gateway.callers.relay_registry import Relays
-from troutswitch.gateway.engines.engine_activity import Pulse
+from troutswitch.gateway.engines.engine_activity import EngineActivityReporter
 from troutswitch.gateway.engines.exchange import EngineConnections
-from troutswitch.gateway.loop import STANDSTILL_SECONDS, GatewayLoop
+from troutswitch.gateway.loop import SUSPENSION_SECONDS, GatewayLoop
 from troutswitch.outcomes import AttemptKind, MayHaveRun, Step
 from troutswitch.platform.requests import IncomingRequest
 
@@ -74,13 +74,13 @@
 
 def test_what_waited_is_taken_after_the_standstill(monkeypatch: pytest.MonkeyPatch) -> None:
     events = turned(monkeypatch, SUSPENDED_SECONDS)
-    assert events[:2] == [StoodStill(SUSPENDED_SECONDS), "waited"]
+    assert events[:2] == [ProcessResumed(SUSPENDED_SECONDS), "waited"]
 
 
 def test_a_turn_that_is_a_little_late_is_none(monkeypatch: pytest.MonkeyPatch) -> None:
-    events = turned(monkeypatch, STANDSTILL_SECONDS / 4)
+    events = turned(monkeypatch, SUSPENSION_SECONDS / 4)
     assert events[0] == "waited"
-    assert not any(isinstance(event, StoodStill | TimerFired) for event in events)
+    assert not any(isinstance(event, ProcessResumed | TimerFired) for event in events)
 
 
 class Run:
@@ -97,7 +97,13 @@
         request = IncomingRequest("x", "POST", "/a", "h", "/a", "", [], 5.0, "", PromptShape())
         request.headers.append(("X-Troutswitch-Request-Id", "x"))
         relay = Relay(
-            1, request, b"", self.relays, EngineConnections(), self.post, Pulse(self.post)
+            1,
+            request,
+            b"",
+            self.relays,
+            EngineConnections(),
+            self.post,
+            EngineActivityReporter(self.post),
         )
         list(relay.run())
 
--- a/tests/platform/test_forms.py
+++ b/tests/platform/test_forms.py
@@ -7,11 +7,11 @@
 from hypothesis import strategies as st
 
 from troutswitch.decisions.jobs.messages import (
-    BodyAsked,
-    JobEndAsked,
+    BodyRequested,
+    JobEndRequested,
     JobRefused,
     JobResults,
-    ResultsAsked,
+    ResultsRequested,
 )
 from troutswitch.decisions.jobs.records import DEAD, DONE, ItemResult
 from troutswitch.decisions.storage.messages import KeyedRecord
@@ -224,9 +224,9 @@
         assert target is not None
         return read_call(1, request, target)
 
-    assert read("GET", "/lots/j?afterRevision=12") == ResultsAsked(1, "j", 12, 4.0)
-    assert read("GET", "/items/j?id=x") == BodyAsked(1, "j", "x", 4.0)
-    assert read("DELETE", "/lots/j") == JobEndAsked(1, "j", 4.0)
+    assert read("GET", "/lots/j?afterRevision=12") == ResultsRequested(1, "j", 12, 4.0)
+    assert read("GET", "/items/j?id=x") == BodyRequested(1, "j", "x", 4.0)
+    assert read("DELETE", "/lots/j") == JobEndRequested(1, "j", 4.0)
     assert call_target(incoming("POST", "/lots/j")) is None
     with pytest.raises(JobFormatError):
         read("GET", "/lots/j?afterRevision=x")
--- a/tests/proofs/test_crashes.py
+++ b/tests/proofs/test_crashes.py
@@ -168,7 +168,11 @@
     callers: list[Caller] = []
     for _ in range(6):
         callers += send_beside(world, 2.0)
-        alive = [life.engine_id for life in world.lives.values() if life.is_alive]
+        alive = [
+            incarnation.engine_id
+            for incarnation in world.incarnations.values()
+            if incarnation.is_alive
+        ]
         for engine_id in world.rng.sample(alive, 2):
             world.crash(engine_id)
         callers += send_beside(world, BETWEEN_SECONDS)
@@ -185,7 +189,7 @@
     world.marked_items.add(marked.item_id)
     for _ in range(4):
         world.run(BETWEEN_SECONDS)
-        world.deal_anew()
+        world.reassign()
         world.kill(world.rng.choice(list(world.daemons)))
     world.run(2 * BETWEEN_SECONDS)
     content = content_key(HOST, "POST", marked.path, marked.body)
--- a/tests/proofs/test_jobs.py
+++ b/tests/proofs/test_jobs.py
@@ -181,7 +181,7 @@
         world.hand_in(f"job{number}", 4)
         world.run(1.0)
         world.compact()
-        world.deal_anew()
+        world.reassign()
     world.run(40.0)
     check(world, 5)
 
@@ -285,7 +285,7 @@
         elif fault == 2:
             world.compact()
         elif fault == 3:
-            world.deal_anew()
+            world.reassign()
         elif fault == 4:
             world.faults.answers_lost = 0.3
             world.faults.is_late = True
--- a/tests/soak/test_crashing_requests.py
+++ b/tests/soak/test_crashing_requests.py
@@ -66,15 +66,15 @@
     expect_refusals(fleet, conductor)
     ended = lives_ended(fleet)
     assert CRASHES_TO_REFUSE <= ended <= CRASHES_CERTAIN
-    lives = [daemon.child.life for daemon in fleet.daemons]
+    incarnations = [daemon.child.incarnation for daemon in fleet.daemons]
     for daemon in fleet.daemons:
         daemon.child.signal(signal.SIGKILL)
     expect(
         conductor,
         "the daemons are not back",
         lambda: all(
-            daemon.child.life > life and daemon.is_ready()
-            for daemon, life in zip(fleet.daemons, lives, strict=True)
+            daemon.child.incarnation > incarnation and daemon.is_ready()
+            for daemon, incarnation in zip(fleet.daemons, incarnations, strict=True)
         ),
     )
     expect_refusals(fleet, conductor)
--- a/tests/soak/test_processes.py
+++ b/tests/soak/test_processes.py
@@ -43,7 +43,7 @@
     assert end is not None and not end.is_own
     assert child.take_end() is None
     child.start()
-    assert child.life == 2 and child.is_running()
+    assert child.incarnation == 2 and child.is_running()
 
 
 def test_an_own_end_is_told(group: ProcessGroup, tmp_path: Path) -> None:
--- a/tests/worlds/crash_world.py
+++ b/tests/worlds/crash_world.py
@@ -24,7 +24,7 @@
     SendRequest,
 )
 from troutswitch.decisions.forwarding.types import Backend, PromptShape, Route, RouteKind
-from troutswitch.decisions.gateway_messages import StoodStill
+from troutswitch.decisions.gateway_messages import ProcessResumed
 from troutswitch.decisions.jobs.messages import ItemRunEnded, RunItem
 from troutswitch.outcomes import AttemptKind, Cut, MayHaveRun, NotRun
 
@@ -95,7 +95,7 @@
     caller: Caller
     daemon: Daemon
     attempt: int = 0
-    life: EngineLife | None = None
+    incarnation: EngineLife | None = None
     delivered: int = 0
 
 
@@ -103,7 +103,7 @@
     """Daemons, engines that end, and callers that come again."""
 
     def __init__(self, seed: int, daemons: int = 6, engines: int = 6) -> None:
-        self.lives: dict[str, EngineLife] = {}
+        self.incarnations: dict[str, EngineLife] = {}
         self.ended: dict[str, list[float]] = defaultdict(list)
         """When engines ended under each marked content."""
         self.sightings: dict[str, list[Sighting]] = defaultdict(list)
@@ -135,21 +135,21 @@
 
     def list_engine(self, name: str, slots: int, is_draining: bool = False) -> None:
         """Has an engine write its entry; a new name is a new life."""
-        if name not in self.lives:
-            self.lives[name] = EngineLife(name, name.partition(".")[0])
+        if name not in self.incarnations:
+            self.incarnations[name] = EngineLife(name, name.partition(".")[0])
         super().list_engine(name, slots, is_draining)
 
     def crash(self, engine_id: str) -> None:
         """Ends an engine's life: all on it is cut, and another life begins after some seconds."""
-        life = self.lives[engine_id]
-        if not life.is_alive:
+        incarnation = self.incarnations[engine_id]
+        if not incarnation.is_alive:
             return
-        life.is_alive = False
-        running, life.running = dict(life.running), {}
+        incarnation.is_alive = False
+        running, incarnation.running = dict(incarnation.running), {}
         for cut in running.values():
             cut()
-        number = sum(other.place == life.place for other in self.lives.values())
-        self.after(BACK_SECONDS, lambda: self.list_engine(f"{life.place}.{number}", SLOTS))
+        number = sum(other.place == incarnation.place for other in self.incarnations.values())
+        self.after(BACK_SECONDS, lambda: self.list_engine(f"{incarnation.place}.{number}", SLOTS))
         self.after(ENTRY_GONE_SECONDS, lambda: self.remove_engine(engine_id))
 
     # Daemons.
@@ -179,7 +179,7 @@
         self.note_trouble(name)
         self.pause(name, seconds)
         self.after(seconds, lambda: self.note_trouble(name))
-        self.after(seconds, lambda: self.step(daemon, StoodStill(seconds)))
+        self.after(seconds, lambda: self.step(daemon, ProcessResumed(seconds)))
 
     def send_to_peers(self, daemon: Daemon, addresses: tuple[Address, ...], event: object) -> None:
         """Carries a message, unless it is lost."""
@@ -192,8 +192,8 @@
     def step(self, daemon: Daemon, event: object) -> None:
         """Has a daemon take an event; an item that ended is no longer on its engine."""
         if isinstance(event, ItemRunEnded):
-            for life in self.lives.values():
-                life.running.pop((daemon.name, daemon.life, event.run), None)
+            for incarnation in self.incarnations.values():
+                incarnation.running.pop((daemon.name, daemon.incarnation, event.run), None)
         super().step(daemon, event)
 
     def carry_out(self, daemon: Daemon, instruction: object) -> None:
@@ -206,9 +206,11 @@
             case FinishRequest():
                 self._finish(instruction)
             case CheckEngine():
-                life = self.lives[instruction.engine_id]
-                found = EngineFound.LISTENS if life.is_alive else EngineFound.ENDED
-                self.step_later(daemon, EngineChecked(life.engine_id, found), CONNECT_SECONDS)
+                incarnation = self.incarnations[instruction.engine_id]
+                found = EngineFound.LISTENS if incarnation.is_alive else EngineFound.ENDED
+                self.step_later(
+                    daemon, EngineChecked(incarnation.engine_id, found), CONNECT_SECONDS
+                )
             case _:
                 super().carry_out(daemon, instruction)
 
@@ -249,22 +251,22 @@
         if held is None:
             return
         held.attempt = send.attempt
-        held.life = self.lives[send.engine_id]
+        held.incarnation = self.incarnations[send.engine_id]
         key = (send.token, send.attempt)
-        held.life.running[key] = lambda: self._end_attempt(send, AttemptKind.CUT)
+        held.incarnation.running[key] = lambda: self._end_attempt(send, AttemptKind.CUT)
         self.after(CONNECT_SECONDS, lambda: self._arrive(daemon, held, send))
 
     def _arrive(self, daemon: Daemon, held: _Try, send: SendRequest) -> None:
         if not self._is_running(held, send):
             return
-        assert held.life is not None
-        if not held.life.is_alive and self._has_successor(held.life):
+        assert held.incarnation is not None
+        if not held.incarnation.is_alive and self._has_successor(held.incarnation):
             self.misdirected += 1
             self.step(daemon, AnswerBegun(send.token, send.attempt, None, not_run=True))
             self._end_attempt(send, AttemptKind.REFUSED)
-        elif not held.life.is_alive:
+        elif not held.incarnation.is_alive:
             self._end_attempt(send, AttemptKind.UNREACHABLE)
-        elif len(held.life.running) > 2 * SLOTS:
+        elif len(held.incarnation.running) > 2 * SLOTS:
             self._end_attempt(send, AttemptKind.REFUSED)
         else:
             self._sight(daemon, held.caller.content)
@@ -272,7 +274,10 @@
 
     def _has_successor(self, ended: EngineLife) -> bool:
         """Returns whether a later life has the address of a life that ended."""
-        return any(life.place == ended.place and life.is_alive for life in self.lives.values())
+        return any(
+            incarnation.place == ended.place and incarnation.is_alive
+            for incarnation in self.incarnations.values()
+        )
 
     def _sight(self, daemon: Daemon, content: str) -> None:
         sighting = Sighting(self.now, daemon.name, self.is_in_touch(daemon))
@@ -280,25 +285,25 @@
 
     def _is_running(self, held: _Try, send: SendRequest) -> bool:
         is_current = held.attempt == send.attempt and send.token in self._tries
-        return is_current and held.life is not None
+        return is_current and held.incarnation is not None
 
     def _begin(self, held: _Try, send: SendRequest) -> None:
         if not self._is_running(held, send):
             return
         self.step(held.daemon, AnswerBegun(send.token, send.attempt, None))
         if held.caller.is_marked:
-            life = held.life
-            assert life is not None
-            self.after(CRASH_SECONDS, lambda: self._crash_under(held, send, life))
+            incarnation = held.incarnation
+            assert incarnation is not None
+            self.after(CRASH_SECONDS, lambda: self._crash_under(held, send, incarnation))
             return
         held.delivered = 1
         seconds = self.rng.uniform(*RUN_SECONDS)
         self.after(seconds, lambda: self._complete(held, send))
 
-    def _crash_under(self, held: _Try, send: SendRequest, life: EngineLife) -> None:
-        if self._is_running(held, send) and life.is_alive:
+    def _crash_under(self, held: _Try, send: SendRequest, incarnation: EngineLife) -> None:
+        if self._is_running(held, send) and incarnation.is_alive:
             self.ended[held.caller.content].append(self.now)
-            self.crash(life.engine_id)
+            self.crash(incarnation.engine_id)
 
     def _complete(self, held: _Try, send: SendRequest) -> None:
         if self._is_running(held, send):
@@ -318,9 +323,9 @@
         self.step(held.daemon, event)
 
     def _leave(self, held: _Try) -> None:
-        life, held.life = held.life, None
-        if life is not None:
-            life.running.pop((held.token, held.attempt), None)
+        incarnation, held.incarnation = held.incarnation, None
+        if incarnation is not None:
+            incarnation.running.pop((held.token, held.attempt), None)
 
     def _abort(self, abort: AbortAttempt) -> None:
         held = self._tries.get(abort.token)
@@ -350,8 +355,8 @@
 
     def run_item(self, daemon: Daemon, run: RunItem) -> None:
         """Has an engine run an item; a marked one ends its engine."""
-        life = self.lives[run.engine_id]
-        if not life.is_alive:
+        incarnation = self.incarnations[run.engine_id]
+        if not incarnation.is_alive:
             ended = ItemRunEnded(run.run, AttemptKind.UNREACHABLE, 0, "refused", ())
             self.step_later(daemon, ended, CONNECT_SECONDS)
             return
@@ -359,17 +364,19 @@
         content = content_key(run.host, "POST", item.path, item.body)
         self._sight(daemon, content)
         cut = ItemRunEnded(run.run, AttemptKind.CUT, 200, "connection lost", ())
-        key = (daemon.name, daemon.life, run.run)
-        life.running[key] = lambda: self._cut_item(daemon, run, cut)
+        key = (daemon.name, daemon.incarnation, run.run)
+        incarnation.running[key] = lambda: self._cut_item(daemon, run, cut)
         if item.item_id in self.marked_items:
-            self.after(BEGIN_SECONDS + CRASH_SECONDS, lambda: self._crash_item(content, life, key))
+            self.after(
+                BEGIN_SECONDS + CRASH_SECONDS, lambda: self._crash_item(content, incarnation, key)
+            )
             return
         super().run_item(daemon, run)
 
-    def _crash_item(self, content: str, life: EngineLife, key: object) -> None:
-        if life.is_alive and key in life.running:
+    def _crash_item(self, content: str, incarnation: EngineLife, key: object) -> None:
+        if incarnation.is_alive and key in incarnation.running:
             self.ended[content].append(self.now)
-            self.crash(life.engine_id)
+            self.crash(incarnation.engine_id)
 
     def _cut_item(self, daemon: Daemon, run: RunItem, cut: ItemRunEnded) -> None:
         daemon.stopped.add(run.run)  # its engine makes no more events
--- a/tests/worlds/gateway_world.py
+++ b/tests/worlds/gateway_world.py
@@ -29,7 +29,7 @@
 from troutswitch.decisions.gateway import GatewayCore
 from troutswitch.decisions.gateway_messages import (
     ClockCompared,
-    DrainAsked,
+    DrainRequested,
     GatewayIdentity,
     TimerFired,
 )
@@ -44,8 +44,8 @@
     StopItem,
 )
 from troutswitch.decisions.jobs.ownership import GROUP
-from troutswitch.decisions.jobs.records import StoreRoom
-from troutswitch.decisions.peers.catch_up import AskPeerState, PeerStateTold
+from troutswitch.decisions.jobs.records import StoreLimits
+from troutswitch.decisions.peers.catch_up import PeerStateReceived, RequestPeerState
 from troutswitch.decisions.slots.messages import PeerMessageReceived, SendToPeers
 from troutswitch.decisions.storage.messages import (
     AppendRecords,
@@ -85,11 +85,11 @@
 
 @dataclass
 class Daemon:
-    """One daemon's life. A killed one is replaced by another `life` of the same name."""
+    """One daemon's life. A killed one is replaced by another `incarnation` of the same name."""
 
     name: str
     core: GatewayCore
-    life: int
+    incarnation: int
     is_alive: bool = True
     paused_until: float = 0.0
     is_cut_from_store: bool = False
@@ -162,7 +162,7 @@
 
     # Daemons.
 
-    def start_daemon(self, name: str, life: int) -> None:
+    def start_daemon(self, name: str, incarnation: int) -> None:
         """Starts a daemon's life, with nothing that an earlier one knew."""
         number = int(name.rpartition("-")[2])
         identity = GatewayIdentity(
@@ -173,11 +173,11 @@
             configuration_apply=2.0,
             member_ttl_least=1.0,
             job_kept=JOB_KEPT_SECONDS,
-            store_room=StoreRoom(262_144, 2_097_152, 4),
+            store_limits=StoreLimits(262_144, 2_097_152, 4),
         )
         rng = random.Random(self.rng.getrandbits(64))
         earlier = self.daemons.get(name)
-        daemon = Daemon(name, GatewayCore(identity, self._formats, rng), life)
+        daemon = Daemon(name, GatewayCore(identity, self._formats, rng), incarnation)
         daemon.is_cut_from_store = earlier is not None and earlier.is_cut_from_store
         self.daemons[name] = daemon
         self.step(daemon, ClockCompared(EPOCH_SECONDS))
@@ -186,7 +186,7 @@
         """Ends a daemon's life at once; another begins after some seconds."""
         daemon = self.daemons[name]
         daemon.is_alive = False
-        self.after(down, lambda: self.start_daemon(name, daemon.life + 1))
+        self.after(down, lambda: self.start_daemon(name, daemon.incarnation + 1))
 
     def pause(self, name: str, seconds: float) -> None:
         """Freezes a daemon: what reaches it waits, and it believes what it believed."""
@@ -195,7 +195,7 @@
     def drain(self, name: str) -> None:
         """Stops a daemon as planned, and starts it anew."""
         daemon = self.daemons[name]
-        self.step(daemon, DrainAsked())
+        self.step(daemon, DrainRequested())
         self.after(2.0, lambda: self.kill(name))
 
     def after(self, seconds: float, call: Callable[[], None]) -> None:
@@ -237,7 +237,7 @@
             case SendToPeers():
                 received = PeerMessageReceived(instruction.message)
                 self.send_to_peers(daemon, instruction.addresses, received)
-            case AskPeerState():
+            case RequestPeerState():
                 self._ask_peer(daemon, instruction)
             case AnswerJobCall():
                 answer = self._calls.pop(instruction.token, None)
@@ -250,11 +250,11 @@
             if peer.core.identity.peer_address in addresses:
                 self.step_later(peer, event, 0.002)
 
-    def _ask_peer(self, daemon: Daemon, instruction: AskPeerState) -> None:
+    def _ask_peer(self, daemon: Daemon, instruction: RequestPeerState) -> None:
         for peer in self.daemons.values():
             if peer.core.identity.peer_address.host == instruction.host and peer.is_alive:
                 state = peer.core.share_state(self.env.now, instruction.version)
-                self.step_later(daemon, PeerStateTold(instruction.host, state), 0.005)
+                self.step_later(daemon, PeerStateReceived(instruction.host, state), 0.005)
 
     def step_later(self, daemon: Daemon, event: object, seconds: float) -> None:
         """Has a daemon take an event later."""
@@ -301,9 +301,9 @@
         for log in self.store.logs.values():
             log.drop_history()
 
-    def deal_anew(self) -> None:
+    def reassign(self) -> None:
         """Deals all shards anew at once."""
-        self.store.deal_anew(GROUP)
+        self.store.reassign(GROUP)
 
     # Engines.
 
--- a/tests/worlds/job_clients.py
+++ b/tests/worlds/job_clients.py
@@ -9,12 +9,12 @@
 from troutswitch.decisions.jobs.messages import (
     JobAccepted,
     JobAnswer,
-    JobEndAsked,
     JobEnded,
+    JobEndRequested,
     JobRefused,
     JobResults,
     JobSubmitted,
-    ResultsAsked,
+    ResultsRequested,
 )
 from troutswitch.decisions.jobs.records import JobItem
 
@@ -103,7 +103,7 @@
 
     def _read(self, truth: JobTruth) -> None:
         position = self._world.rng.choice([0, len(truth.results)])
-        event = ResultsAsked(self._world.next_token(), truth.job_id, position, CALL_SECONDS)
+        event = ResultsRequested(self._world.next_token(), truth.job_id, position, CALL_SECONDS)
         self._world.ask_any(event, lambda answer: self._on_read(truth, answer))
         if self._world.now < truth.accepted_at + JOB_KEPT_SECONDS:
             self._world.after(READ_INTERVAL_SECONDS, lambda: self._read(truth))
@@ -116,7 +116,7 @@
 
     def end_job(self, truth: JobTruth) -> None:
         """Ends a job."""
-        event = JobEndAsked(self._world.next_token(), truth.job_id, CALL_SECONDS)
+        event = JobEndRequested(self._world.next_token(), truth.job_id, CALL_SECONDS)
         self._world.ask_any(event, lambda answer: self._on_ended(truth, answer))
 
     def _on_ended(self, truth: JobTruth, answer: JobAnswer) -> None:
--- a/tests/worlds/quota_world.py
+++ b/tests/worlds/quota_world.py
@@ -8,15 +8,15 @@
 
 from troutswitch.common import Address
 from troutswitch.daemons.datagram import encode
-from troutswitch.daemons.messages import QuotaAnswer, QuotaAsk
+from troutswitch.daemons.messages import QuotaDecision, QuotaRequest
 from troutswitch.decisions.forwarding.types import EngineRecord
 from troutswitch.decisions.limits import TokenBucket
 from troutswitch.decisions.slots.claims import Claim, CoordinatorClaims
 from troutswitch.decisions.slots.groups import EngineGroups
 from troutswitch.decisions.slots.messages import SendToPeers
 from troutswitch.decisions.storage.follower import CallNumbers
-from troutswitch.decisions.tenants.coordinated_quota import AskedQuota
-from troutswitch.decisions.tenants.quota import Quota, QuotaEnd, QuotaWord
+from troutswitch.decisions.tenants.coordinated_quota import CoordinatedQuota
+from troutswitch.decisions.tenants.quota import Quota, QuotaEnd, QuotaMessage
 from troutswitch.decisions.tenants.shares import EqualShares
 from troutswitch.decisions.tenants.types import QuotaBounds, Tenant
 
@@ -92,7 +92,7 @@
         coordinated: dict[str, float] = {}
         if self._policy == "equal_shares":
             return _Daemon(f"d{number}", EqualShares(lambda: count), claims, coordinated)
-        quota = AskedQuota(
+        quota = CoordinatedQuota(
             f"d{number}",
             address,
             self.bounds,
@@ -145,9 +145,9 @@
         daemon = self.daemons[number]
         if self.now < daemon.silent_until:
             return
-        if isinstance(message, QuotaAsk):
+        if isinstance(message, QuotaRequest):
             daemon.quota.on_ask(self.now, message)
-        elif isinstance(message, QuotaAnswer):
+        elif isinstance(message, QuotaDecision):
             self._end(daemon.quota.on_answer(self.now, message))
 
     def run(self, seconds: float) -> None:
@@ -186,19 +186,19 @@
             self._reference.tokens -= 1.0
             self.figures.owed += 1
             self._owed.add(token)
-        word = self.daemons[number].quota.take(self.now, token, self.tenant)
-        if word is not None:
-            self._end([QuotaEnd(token, word)])
+        grant = self.daemons[number].quota.take(self.now, token, self.tenant)
+        if grant is not None:
+            self._end([QuotaEnd(token, grant)])
         else:
             for seconds in (0.0121, 0.0301):
                 self.after(seconds, _nothing)  # so that time-outs are noticed
 
     def _end(self, ended: list[QuotaEnd]) -> None:
         for end in ended:
-            self._note(end.token, end.word)
+            self._note(end.token, end.grant)
 
-    def _note(self, token: int, word: QuotaWord) -> None:
-        if word.is_allowed:
+    def _note(self, token: int, grant: QuotaMessage) -> None:
+        if grant.is_allowed:
             self.figures.allowed_at.append(self.now)
         elif token in self._owed:
             self.figures.refused_owed += 1
