--- a/src/troutswitch/decisions/crashes/interface.py
+++ b/src/troutswitch/decisions/crashes/interface.py
@@ -17,7 +17,7 @@
         """Returns the answer to a request that is refused and has not run in this try."""
         ...
 
-    def waits_for_word(self, content: str) -> bool:
+    def awaits_crash_report(self, content: str) -> bool:
         """Returns whether a request's next attempt waits for word of its last engine."""
         ...
 
@@ -51,7 +51,7 @@
         """Is not asked, as nothing is refused."""
         return NotRun("refused", Step.ADMIT)
 
-    def waits_for_word(self, content: str) -> bool:
+    def awaits_crash_report(self, content: str) -> bool:
         """Returns False."""
         return False
 
--- a/src/troutswitch/decisions/crashes/suspects.py
+++ b/src/troutswitch/decisions/crashes/suspects.py
@@ -77,7 +77,7 @@
         """The requests on record."""
         return len(self._record)
 
-    def waits_for_word(self, content: str) -> bool:
+    def awaits_crash_report(self, content: str) -> bool:
         """Returns whether a request's next attempt waits for word of its last engine."""
         return self._record.crashes(content) >= CRASHES_TO_WAIT
 
--- /dev/null
+++ b/src/troutswitch/decisions/forwarding/attempts.py
@@ -0,0 +1,164 @@
+"""Starts and ends attempts of requests on engines, and notes what they show of the engines.
+
+Owns no state: the running attempt stands in its request. Each attempt is counted in the engine
+registry from its start to its end. Its course is evidence on three things: the engine (load,
+failures, drain), the run times of the service, and crashes of engines under requests.
+"""
+
+from troutswitch.decisions.crashes.interface import Suspects
+from troutswitch.decisions.forwarding.candidates import FULL_SECONDS
+from troutswitch.decisions.forwarding.engine_silence import event_gap_timeout, first_event_timeout
+from troutswitch.decisions.forwarding.engines import Engine, EngineRegistry, RequestSize
+from troutswitch.decisions.forwarding.long_prompts import expected_prefill
+from troutswitch.decisions.forwarding.messages import (
+    AbortAttempt,
+    AnswerBegun,
+    RequestAttemptEnded,
+    SendRequest,
+    SlotWanted,
+)
+from troutswitch.decisions.forwarding.placer import AssignedBy, Assignment
+from troutswitch.decisions.forwarding.request import ForwardedRequest, RequestState
+from troutswitch.decisions.forwarding.run_times import RunTimes
+from troutswitch.decisions.invariants import ensure
+from troutswitch.outcomes import AttemptKind
+
+FAILED_STATUS_LEAST = 300
+"""Least status of a whole answer that doesn't show that an engine ran the request to its end."""
+
+
+class EngineAttempts:
+    """Attempts of requests on engines."""
+
+    def __init__(self, engines: EngineRegistry, times: RunTimes, suspects: Suspects) -> None:
+        self._engines = engines
+        self._times = times
+        self._suspects = suspects
+
+    def start(self, now: float, request: ForwardedRequest, assignment: Assignment) -> SendRequest:
+        """Starts the next attempt of a request, on the engine that it was assigned to."""
+        ensure(
+            not request.runs or request.route.is_repeatable,
+            "a request not to be repeated is sent again",
+        )
+        engine = assignment.engine
+        request.state = RequestState.RUNNING
+        request.attempt += 1
+        request.engine_id = engine.record.engine_id
+        request.tried.add(request.engine_id)
+        request.answer_began_at = float("inf")
+        request.sent_at = now
+        request.size = self._size(request, engine)
+        request.was_queued = assignment.is_queued
+        self._engines.on_sent(now, request.engine_id, False, request.size)
+        return _send_request(now, request, engine)
+
+    def _size(self, request: ForwardedRequest, engine: Engine) -> RequestSize:
+        prompt = request.arrival.prompt
+        engines = self._engines.of_service(request.service) or [engine]
+        prefill = expected_prefill(prompt, engine, engines)
+        return RequestSize(prompt.prompt_tokens + prompt.output_tokens_most, prefill)
+
+    def on_answer_begun(self, now: float, request: ForwardedRequest, event: AnswerBegun) -> None:
+        """Notes that the engine runs the request, unless the answer is a rejection.
+
+        Guards against the next incarnation of an engine that crashed: it rejects at the same
+        address what was meant for the crashed one. Were that taken for a sign of life, the crash
+        would be retracted, and the request that causes crashes would be sent again.
+        """
+        if event.not_run:
+            return
+        request.answer_began_at = now
+        self._engines.on_begun(request.engine_id, request.size)
+        self._suspects.on_answered(now, request.engine_id, request.sent_at)
+        if event.load is not None:
+            self._engines.on_load(now, request.engine_id, event.load)
+
+    def on_ended(self, now: float, request: ForwardedRequest, event: RequestAttemptEnded) -> None:
+        """Notes the end of the running attempt in its request and for its engine."""
+        failed = event.kind in (AttemptKind.CUT, AttemptKind.UNREACHABLE)
+        self._end_at_engine(now, request, failed=failed)
+        if event.load is not None:
+            self._engines.on_load(now, request.engine_id, event.load)
+        if event.wrong_instance:
+            self._engines.mark_draining(request.engine_id)
+        if event.kind is AttemptKind.REFUSED:
+            self._note_rejection(now, request)
+        if event.kind is AttemptKind.CUT and not event.has_answer:
+            self._suspects.on_lost(now, request.arrival.content, request.engine_id)
+        request.ended_attempts.append(event.kind)
+        request.position = event.position or request.position
+        request.delivered = event.delivered
+        if event.kind is AttemptKind.COMPLETED:
+            self._note_completion(now, request, event)
+
+    def _note_rejection(self, now: float, request: ForwardedRequest) -> None:
+        engine = self._engines.engines.get(request.engine_id)
+        if engine is not None:
+            engine.full_until = now + FULL_SECONDS
+        request.rejected_by.add(request.engine_id)
+
+    def _note_completion(
+        self, now: float, request: ForwardedRequest, event: RequestAttemptEnded
+    ) -> None:
+        """Learns from a whole answer; run times from streams only.
+
+        Answers without events occupy no slot for long.
+        """
+        if event.status < FAILED_STATUS_LEAST:
+            self._suspects.on_served(now, request.arrival.content)
+        if not event.delivered or request.answer_began_at > now:
+            return
+        first_event = request.answer_began_at - request.sent_at
+        total = now - request.sent_at
+        self._times.on_completed(request.service, first_event, total, was_queued=request.was_queued)
+
+    def abort(
+        self, now: float, request: ForwardedRequest, *, is_silent: bool = False
+    ) -> AbortAttempt:
+        """Ends the running attempt, as its answer is no longer wanted."""
+        request.ended_attempts.append(AttemptKind.CANCELLED)
+        self._end_at_engine(now, request, failed=False)
+        return AbortAttempt(request.arrival.token, request.attempt, is_silent)
+
+    def abandon(self, now: float, request: ForwardedRequest) -> AbortAttempt:
+        """Ends the running attempt, as its engine is silent."""
+        request.ended_attempts.append(AttemptKind.CUT)
+        content = request.arrival.content
+        self._suspects.on_lost(now, content, request.engine_id, is_silent=True)
+        self._end_at_engine(now, request, failed=True)
+        return AbortAttempt(request.arrival.token, request.attempt, is_silent=True)
+
+    def _end_at_engine(self, now: float, request: ForwardedRequest, *, failed: bool) -> None:
+        begun = request.answer_began_at <= now
+        self._engines.on_ended(
+            now, request.engine_id, False, request.size, begun=begun, failed=failed
+        )
+
+
+def _send_request(now: float, request: ForwardedRequest, engine: Engine) -> SendRequest:
+    return SendRequest(
+        request.arrival.token,
+        request.attempt,
+        engine.record.engine_id,
+        engine.record.address,
+        time_left=request.ends_at - now,
+        gap_wait=event_gap_timeout(now, request),
+        resume_after=request.position,
+        first_event_wait=first_event_timeout(now, request),
+        decided_at=now,
+        tenant=request.tenant,
+    )
+
+
+def slot_wanted(now: float, request: ForwardedRequest, assignment: Assignment) -> list[SlotWanted]:
+    """Returns the order to preempt a batch item, if a request just sent has no slot otherwise.
+
+    A coordinator that assigns the last slot has an item preempted itself.
+    """
+    engine = assignment.engine
+    if assignment.assigned_by is AssignedBy.COORDINATOR:
+        return []
+    if engine.in_flight(now) <= engine.slots or engine.batch() == 0:
+        return []
+    return [SlotWanted(engine.record.engine_id, request.arrival.request_id)]
--- /dev/null
+++ b/src/troutswitch/decisions/forwarding/candidates.py
@@ -0,0 +1,34 @@
+"""Decides which engines one request may be sent to now; `placement` chooses among them.
+
+Inputs: the engines of its service that this daemon knows and that take new work (`engines`), and
+those that the request was sent to.
+
+Rule: engines that it was not sent to, but for those that rejected some request as full less than
+`FULL_SECONDS` ago, unless no others are left. A request that waited may go again to engines that
+rejected it, and if none is left, also to those that failed.
+
+Measurements: docs/POLICY.md.
+"""
+
+from troutswitch.decisions.forwarding.engines import Engine, EngineRegistry
+from troutswitch.decisions.forwarding.request import ForwardedRequest
+
+FULL_SECONDS = 0.15
+"""Time for which an engine that rejected a request as full is left out."""
+
+
+def candidate_engines(
+    now: float, request: ForwardedRequest, engines: EngineRegistry
+) -> list[Engine]:
+    """Returns the engines that may take a request, in the order of the engine list."""
+    usable = engines.usable(now, request.service)
+    untried = [engine for engine in usable if engine.record.engine_id not in request.tried]
+    return [engine for engine in untried if now >= engine.full_until] or untried
+
+
+def forget_tried(now: float, request: ForwardedRequest, engines: EngineRegistry) -> None:
+    """Lets a request that waited go again to engines that it was sent to."""
+    request.tried -= request.rejected_by
+    request.rejected_by.clear()
+    if not candidate_engines(now, request, engines):
+        request.tried.clear()
--- a/src/troutswitch/decisions/forwarding/experience.py
+++ b/src/troutswitch/decisions/forwarding/experience.py
@@ -28,7 +28,7 @@
     """
 
     times: dict[str, tuple[int, int]] = field(default_factory=dict)
-    patience: dict[str, int] = field(default_factory=dict)
+    client_timeouts: dict[str, int] = field(default_factory=dict)
     pace: BatchRunTimes | None = None
 
     def is_like(self, other: "Experience") -> bool:
@@ -44,12 +44,12 @@
         if self.pace is not None:
             figures["event", ""] = self.pace.event_microseconds
             figures["events", ""] = self.pace.item_events
-        return figures | {("patience", name): most for name, most in self.patience.items()}
+        return figures | {("patience", name): most for name, most in self.client_timeouts.items()}
 
     def as_fields(self) -> list[Any]:
         """Returns plain maps and lists, of bounded size."""
         times = dict(list(self.times.items())[:NAMES_MOST])
-        patience = dict(list(self.patience.items())[:NAMES_MOST])
+        patience = dict(list(self.client_timeouts.items())[:NAMES_MOST])
         pace = self.pace
         held = [pace.event_microseconds, pace.item_events, pace.duty_percent] if pace else None
         return [{name: list(pair) for name, pair in times.items()}, patience, held]
--- a/src/troutswitch/decisions/forwarding/log_events.py
+++ b/src/troutswitch/decisions/forwarding/log_events.py
@@ -42,10 +42,10 @@
 
 
 def line_of_start(
-    now: float, request: ForwardedRequest, place: Assignment, version: int, listed_at: float
+    now: float, request: ForwardedRequest, assignment: Assignment, version: int, listed_at: float
 ) -> LogLine:
     """Returns the line of an attempt that begins; the list of engines was read at `listed_at`."""
-    engine = place.engine
+    engine = assignment.engine
     return LogLine(
         "request sent",
         {
@@ -56,7 +56,7 @@
             "attempt": request.attempt,
             "engine": engine.record.engine_id,
             "load": engine.in_flight(now),
-            "found_by": place.found_by.value,
+            "found_by": assignment.assigned_by.value,
             "load_age_ms": milliseconds(now - engine.load_at),
             "objective_ms": milliseconds(request.route.objective),
             "time_left_ms": milliseconds(request.ends_at - now),
@@ -81,10 +81,10 @@
             "wait_ms": milliseconds(estimate.wait),
             "queued": estimate.queued,
             "slots": estimate.slots,
-            "held_ms": milliseconds(estimate.held),
-            "first_ms": milliseconds(times.first),
+            "held_ms": milliseconds(estimate.slot_time),
+            "first_ms": milliseconds(times.first_event),
             "objective_ms": milliseconds(request.route.objective),
-            "come_back_ms": milliseconds(deferral.come_back),
+            "come_back_ms": milliseconds(deferral.retry_after),
             "given_ms": milliseconds(request.arrival.time_left),
             "here_ms": milliseconds(now - request.arrived_at),
         },
@@ -104,7 +104,7 @@
             "status": event.status,
             "reason": event.reason,
             "position": event.position,
-            "first_ms": milliseconds(request.began_at - request.sent_at),
+            "first_ms": milliseconds(request.answer_began_at - request.sent_at),
             "total_ms": milliseconds(now - request.sent_at),
             "longest_gap_ms": milliseconds(event.longest_gap),
         },
@@ -131,7 +131,7 @@
         {
             "request_id": request.arrival.request_id,
             "route": request.route.name,
-            "state": request.state(now),
+            "state": request.state_text(now),
             "engine": request.engine_id,
             "attempt": request.attempt,
             "delivered": request.delivered,
@@ -158,7 +158,7 @@
         {
             "request_id": request.arrival.request_id,
             "reason": reason,
-            "attempts": len(request.kinds),
+            "attempts": len(request.ended_attempts),
             "delivered": request.delivered,
             "time_left_ms": milliseconds(request.ends_at - now),
         },
@@ -174,7 +174,7 @@
     list_age: float,
 ) -> LogLine:
     """Returns the line of a request that gets its final answer; `list_age` is in seconds."""
-    rejections = sum(kind is AttemptKind.REFUSED for kind in request.kinds)
+    rejections = sum(kind is AttemptKind.REFUSED for kind in request.ended_attempts)
     return LogLine(
         "request given up",
         {
@@ -185,7 +185,7 @@
             "reason": outcome.reason,
             "step": step,
             "peer": request.engine_id,
-            "attempts": len(request.kinds),
+            "attempts": len(request.ended_attempts),
             "rejections": rejections,
             "waits": request.waits,
             "delivered": request.delivered,
--- a/src/troutswitch/decisions/forwarding/placer.py
+++ b/src/troutswitch/decisions/forwarding/placer.py
@@ -1,4 +1,14 @@
-"""Finds a place for a request: an interface, and the way by this daemon's own counts."""
+"""Assigns requests to engines: an interface, and the implementation by local slot counts.
+
+Question: to which engine does a request go, or is no slot free in time anywhere?
+
+`LocalPlacer` decides at once, by this daemon's own counts of requests and by those that peers
+reported (`engines`; up to a second old). It estimates the shortest wait for a slot. If that is
+longer than the request takes, there is no slot in time. Otherwise the placement policy chooses.
+`slots.slot_requests` is the other implementation: it requests slots of coordinators.
+
+Measurements: docs/POLICY.md, "Rounds with coordinators of slots".
+"""
 
 import random
 from dataclasses import dataclass
@@ -14,7 +24,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PlacementRequest:
-    """What a request wants.
+    """A request for which an engine is sought.
 
     `token` names the request within this process. `longest_wait` is the wait for a slot, in
     seconds, with which it is sent; infinite if it is sent whatever the wait.
@@ -27,7 +37,7 @@
 
 
 class AssignedBy(Enum):
-    """How a place was found."""
+    """What an assignment was decided by; the values stand in logs."""
 
     OWN_COUNTS = "own counts"
     COORDINATOR = "coordinator"
@@ -37,16 +47,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Assignment:
-    """An engine for a request; `waits` tells whether the request will wait for a slot there."""
+    """An engine for a request; `is_queued` tells that all its slots seem taken."""
 
     engine: Engine
-    found_by: AssignedBy
-    waits: bool
+    assigned_by: AssignedBy
+    is_queued: bool
 
 
 @dataclass(frozen=True, slots=True)
 class NoSlotInTime:
-    """The request would wait too long at every engine."""
+    """The request would wait too long at every engine; `estimate` is the shortest wait."""
 
     estimate: Estimate
 
@@ -60,27 +70,27 @@
 
 
 class Placer(Protocol):
-    """Finds places for requests."""
+    """Assigns requests to engines."""
 
     def place(
-        self, now: float, wish: PlacementRequest, candidates: list[Engine]
+        self, now: float, request: PlacementRequest, candidates: list[Engine], /
     ) -> Placement | None:
-        """Returns where a request goes; None if that is told later.
+        """Returns the decision on a request; None if it follows later.
 
         Args:
             now: this process's clock, in seconds.
-            wish: what the request wants.
+            request: the request for which an engine is sought.
             candidates: engines that may take it, of which there is at least one.
         """
         ...
 
     def withdraw(self, now: float, token: int) -> None:
-        """Forgets a request for which no place is wanted any more."""
+        """Forgets a request for which no engine is sought any more."""
         ...
 
 
 class LocalPlacer:
-    """Places at once, by this daemon's own counts: the baseline."""
+    """Assigns at once, by the local slot counts: the baseline."""
 
     def __init__(
         self, zone: str, policy: PlacementPolicy, times: RunTimes, rng: random.Random
@@ -91,15 +101,16 @@
         self._rng = rng
 
     def place(
-        self, now: float, wish: PlacementRequest, candidates: list[Engine]
+        self, now: float, request: PlacementRequest, candidates: list[Engine]
     ) -> Placement | None:
         """Chooses by the policy, unless the wait is too long everywhere."""
-        if wish.longest_wait < float("inf"):
-            best = least_wait(now, candidates, self._times.of(wish.service))
-            if best is not None and best.wait > wish.longest_wait:
+        if request.longest_wait < float("inf"):
+            best = least_wait(now, candidates, self._times.of(request.service))
+            if best is not None and best.wait > request.longest_wait:
                 return NoSlotInTime(best)
-        engine = self._policy.choose(now, candidates, wish.prompt, self._zone, self._rng)
-        return Assignment(engine, AssignedBy.OWN_COUNTS, engine.in_flight(now) >= engine.slots)
+        engine = self._policy.choose(now, candidates, request.prompt, self._zone, self._rng)
+        is_queued = engine.in_flight(now) >= engine.slots
+        return Assignment(engine, AssignedBy.OWN_COUNTS, is_queued)
 
     def withdraw(self, now: float, token: int) -> None:
         """Has nothing to forget."""
--- /dev/null
+++ b/src/troutswitch/decisions/forwarding/placing.py
@@ -0,0 +1,141 @@
+"""Moves a request from PLACING on: to an engine, to a wait, or to its end.
+
+Owns the placer in use; `requests` shows the states. Relies on
+`candidates`, `placer` and `admission` for the decisions, and on `attempts` to start one.
+"""
+
+from dataclasses import replace
+from typing import assert_never
+
+from troutswitch.decisions.forwarding.admission import Admission, LateAction
+from troutswitch.decisions.forwarding.arrivals import Refused
+from troutswitch.decisions.forwarding.attempts import EngineAttempts, slot_wanted
+from troutswitch.decisions.forwarding.candidates import candidate_engines
+from troutswitch.decisions.forwarding.engines import EngineRegistry
+from troutswitch.decisions.forwarding.log_events import line_of_start
+from troutswitch.decisions.forwarding.open_requests import (
+    NO_ENGINE_REASON,
+    Instructions,
+    OpenRequests,
+)
+from troutswitch.decisions.forwarding.placer import (
+    Assignment,
+    NoEngine,
+    NoSlotInTime,
+    Placement,
+    PlacementRequest,
+    Placer,
+)
+from troutswitch.decisions.forwarding.request import ForwardedRequest, RequestState
+from troutswitch.decisions.forwarding.retry import has_time_to_send
+from troutswitch.decisions.forwarding.routes import RouteTable
+from troutswitch.decisions.invariants import ensure
+from troutswitch.decisions.tenants.callers import TenantKeys
+from troutswitch.outcomes import NotRun, Step
+
+
+class RequestPlacing:
+    """Seeks engines for requests, and starts their attempts."""
+
+    def __init__(
+        self,
+        open_requests: OpenRequests,
+        routes: RouteTable,
+        engines: EngineRegistry,
+        tenant_keys: TenantKeys,
+        admission: Admission,
+        attempts: EngineAttempts,
+        placer: Placer,
+    ) -> None:
+        self.placer = placer
+        self._open = open_requests
+        self._routes = routes
+        self._engines = engines
+        self._tenant_keys = tenant_keys
+        self._admission = admission
+        self._attempts = attempts
+
+    def begin(self, now: float, request: ForwardedRequest) -> Instructions:
+        """Places a request that was admitted just now."""
+        request.longest_wait = self._admission.longest_wait(request)
+        self._open.add(request)
+        return self.place(now, request, NO_ENGINE_REASON)
+
+    def place(self, now: float, request: ForwardedRequest, reason: str) -> Instructions:
+        """Seeks an engine; `reason` tells the caller why there may be none."""
+        if not has_time_to_send(now, request):
+            return self._open.end_unserved(now, request, "time ran out", Step.DISPATCH)
+        candidates = candidate_engines(now, request, self._engines)
+        if not candidates:
+            return self._open.wait_or_end(now, request, reason, Step.ROUTE)
+        request.state = RequestState.PLACING
+        arrival = request.arrival
+        longest_wait = float("inf") if request.ended_attempts else request.longest_wait
+        placement_request = PlacementRequest(
+            arrival.token, request.service, arrival.prompt, longest_wait
+        )
+        placement = self.placer.place(now, placement_request, candidates)
+        return self.on_placement(now, request, placement) if placement is not None else []
+
+    def on_placement(
+        self, now: float, request: ForwardedRequest, placement: Placement
+    ) -> Instructions:
+        """Takes the end of the search for an engine."""
+        ensure(request.state is RequestState.PLACING, "a waiting request is assigned to an engine")
+        match placement:
+            case NoSlotInTime():
+                return self._on_late(now, request, placement)
+            case NoEngine():
+                return self._open.wait_or_end(now, request, NO_ENGINE_REASON, Step.ROUTE)
+            case Assignment():
+                return self._on_assigned(now, request, placement)
+            case _:
+                assert_never(placement)
+
+    def _on_late(
+        self, now: float, request: ForwardedRequest, placement: NoSlotInTime
+    ) -> Instructions:
+        """No slot is free in time for a request that was not sent yet."""
+        times = self._admission.times_of(request)
+        estimate = replace(placement.estimate, slot_time=times.slot_time)
+        action = self._admission.on_late(now, request, estimate)
+        match action:
+            case LateAction.DEFER:
+                deferral = self._admission.deferral(now, request, estimate)
+                return self._open.defer(now, request, deferral, times)
+            case LateAction.SEND:
+                request.longest_wait = float("inf")
+                return self.place(now, request, NO_ENGINE_REASON)
+            case LateAction.WAIT:
+                return self._open.delay(now, request)
+            case _:
+                assert_never(action)
+
+    def _on_assigned(
+        self, now: float, request: ForwardedRequest, assignment: Assignment
+    ) -> Instructions:
+        if not has_time_to_send(now, request):
+            return self._open.end_unserved(now, request, "time ran out", Step.DISPATCH)
+        refusal = self._identify_again(request)
+        if refusal is not None:
+            self._open.remove(request)
+            return self._open.refuse(Refused(request.arrival, refusal, request.tenant))
+        send = self._attempts.start(now, request, assignment)
+        line = line_of_start(
+            now, request, assignment, self._routes.version, self._engines.listed_at
+        )
+        return [send, line, *slot_wanted(now, request, assignment)]
+
+    def _identify_again(self, request: ForwardedRequest) -> NotRun | None:
+        """Checks the caller's key once more before its request is first sent.
+
+        Guards against a key that was revoked, or given to another tenant, while the request
+        waited. One that was sent already goes on: its caller had the right to it.
+        """
+        if request.ended_attempts:
+            return None
+        tenant = self._tenant_keys.identify(request.arrival.caller_key, request.route)
+        if isinstance(tenant, NotRun):
+            return tenant
+        request.tenant = tenant.name
+        return None
--- a/src/troutswitch/decisions/forwarding/request.py
+++ b/src/troutswitch/decisions/forwarding/request.py
@@ -1,136 +1,114 @@
-"""One forwarded request in flight, and how long its engine may stay silent."""
+"""One forwarded request in flight: its state, and what its attempts have come to.
+
+Owned by `requests.ForwardedRequests`, which alone changes the state; `attempts` fills in the
+running attempt. Relies on the route of the request and on its arrival event.
+"""
 
 from dataclasses import dataclass, field
+from enum import Enum
 
-from troutswitch.decisions.forwarding.engines import NO_SIZE, Engine, RequestSize
+from troutswitch.decisions.forwarding.engines import NO_SIZE, RequestSize
 from troutswitch.decisions.forwarding.messages import RequestArrived
 from troutswitch.decisions.forwarding.types import Route
 from troutswitch.decisions.tenants.types import NO_TENANT
 from troutswitch.outcomes import RAN_NOTHING, AttemptKind
 
-SUSPECT_LEAST_SECONDS = 0.4
-"""Least time without a first event, and without any byte of the engine, before another
-engine is tried."""
-SUSPECT_OBJECTIVES = 1.0
-"""The same time in objectives of the route."""
-HUNG_SUSPECTS = 5.0
-"""The time for the first event in these units after which a request is taken for hung,
-although the engine answers others."""
-GAP_WAIT_LEAST_SECONDS = 0.3
-"""Least time between events before a resumable stream goes on elsewhere."""
-GAP_WAIT_LIMITS = 2.0
-"""The same time in pauses that the route allows."""
+
+class RequestState(Enum):
+    """State of a request; `requests` shows the moves between them."""
+
+    PLACING = "placing"
+    """An engine is being chosen."""
+    WAITING = "waiting for capacity"
+    """No engine can take it now; it asks again at `asks_again_at`."""
+    RUNNING = "running"
+    """An attempt is in flight."""
 
 
 @dataclass(slots=True)
 class ForwardedRequest:
-    """One request in flight on this daemon. Times are this process's clock."""
+    """One request in flight on this daemon. Times are this process's clock, in seconds."""
 
     arrival: RequestArrived
     route: Route
     service: str
     deadline: float
+    """When the client stops to wait."""
     limit_at: float
-    attempt: int = 0
-    engine_id: str = ""
-    kinds: list[AttemptKind] = field(default_factory=list)
+    """When the route's time limit ends."""
+    state: RequestState = RequestState.PLACING
+    tenant: str = NO_TENANT
+    longest_wait: float = float("inf")
+    """Wait for a slot with which it is sent, in seconds, while it has not been sent."""
+
+    # Attempts so far.
+    ended_attempts: list[AttemptKind] = field(default_factory=list)
+    """How its attempts ended, in order."""
     tried: set[str] = field(default_factory=set)
     """Engines that it was sent to, but for those whose rejection was forgotten."""
     rejected_by: set[str] = field(default_factory=set)
     """Those of them that rejected it unrun."""
     position: str = ""
+    """Id of the last whole event delivered to the client."""
     delivered: int = 0
-    size: RequestSize = NO_SIZE
-    began_at: float = float("inf")
-    sent_at: float = 0.0
-    waited: bool = False
-    is_placing: bool = False
-    longest_wait: float = float("inf")
-    waits_until: float = float("inf")
-    """When a request that waits for room is offered again; infinite if none is awaited."""
-    waits: int = 0
-    """Times for which it waited for room."""
-    is_held: bool = False
-    """Whether the request is late anyway and waits for a slot that is free."""
-    tenant: str = NO_TENANT
+    """Events delivered to the client."""
     owes_retry: bool = False
     """Whether the next attempt must first be taken from the retry budget."""
 
-    def state(self, now: float) -> str:
-        """Returns the request's state in words, for logs."""
-        if self.is_placing:
-            return "waiting for room" if self.waits_until < float("inf") else "wanting a place"
-        return "answer begun" if self.began_at <= now else "sent"
+    # The newest attempt.
+    attempt: int = 0
+    """Its number, from 1; 0 before the first."""
+    engine_id: str = ""
+    size: RequestSize = NO_SIZE
+    sent_at: float = 0.0
+    answer_began_at: float = float("inf")
+    was_queued: bool = False
+    """Whether all slots of the engine seemed taken when it was sent."""
+
+    # Waiting for capacity.
+    asks_again_at: float = float("inf")
+    """When a waiting request asks again for an engine; infinite in other states."""
+    waits: int = 0
+    """Times for which it waited as no engine could take it."""
+    was_delayed: bool = False
+    """Whether it waited as it would be late."""
 
     @property
-    def due_at(self) -> float:
-        """When something is to be done for the request whether or not an event comes."""
-        return min(self.ends_at, self.waits_until)
+    def is_running(self) -> bool:
+        """Whether an attempt is in flight."""
+        return self.state is RequestState.RUNNING
 
     @property
     def arrived_at(self) -> float:
         """When the request reached this daemon."""
         return self.limit_at - self.route.time_limit
 
-    @property
-    def may_wait_for_room(self) -> bool:
-        """Whether the request waits where no engine can take it now.
-
-        One that has run nowhere is refused instead, with a time to come back. One that may
-        have run can't be, and would only be cut: it was, with 4.3 of 5 s left, where engines
-        that had just rejected it as full had room a tenth of a second later.
-        """
-        return self.runs > 0
-
     @property
     def ends_at(self) -> float:
         """When the request gets its final answer at the latest."""
         return min(self.deadline, self.limit_at)
 
+    @property
+    def due_at(self) -> float:
+        """When something is to be done for the request whether or not an event comes."""
+        return min(self.ends_at, self.asks_again_at)
+
     @property
     def runs(self) -> int:
-        """Attempts that may have run at an engine."""
-        return sum(kind not in RAN_NOTHING for kind in self.kinds)
+        """Ended attempts that may have run at an engine."""
+        return sum(kind not in RAN_NOTHING for kind in self.ended_attempts)
 
     @property
     def may_try_again(self) -> bool:
         """Whether another attempt is allowed if the one in flight may have run.
 
-        Rejections don't count: after one run and two rejections, of three attempts allowed, a
-        engine that fell silent was kept until the deadline (tests in test_rejections.py).
+        Rejections don't count: otherwise a request with one run and a few rejections would stay
+        with a silent engine until its deadline.
         """
         return self.route.is_repeatable and self.runs + 1 < self.route.attempts_most
 
-    def gap_wait(self, now: float) -> float:
-        """Returns the seconds that each next event may take, before the attempt is left."""
-        left = self.ends_at - now
-        if not self.may_try_again:
-            return left
-        return min(left, max(GAP_WAIT_LEAST_SECONDS, GAP_WAIT_LIMITS * self.route.gap_limit))
-
-    def first_event_wait(self, now: float) -> float:
-        """Returns the seconds that bytes may take after a head, before the attempt is left.
-
-        A head says that the engine has the request, not that its connection lives on: without
-        this bound a stream silent from there on held its thread and place to its deadline.
-        """
-        left = self.ends_at - now
-        if not self.may_try_again:
-            return left
-        return min(left, HUNG_SUSPECTS * self._patience)
-
-    @property
-    def _patience(self) -> float:
-        return max(SUSPECT_LEAST_SECONDS, SUSPECT_OBJECTIVES * self.route.objective)
-
-    def is_stuck(self, now: float, engine: Engine | None) -> bool:
-        """Returns whether the engine seems not to answer this request any more.
-
-        A loaded engine answers others meanwhile: leaving it would only add to the load.
-        """
-        if self.began_at <= now or not self.may_try_again:
-            return False
-        if now - self.sent_at > HUNG_SUSPECTS * self._patience:
-            return True
-        last_seen_at = engine.last_seen_at if engine is not None else float("-inf")
-        return now - max(last_seen_at, self.sent_at) > self._patience
+    def state_text(self, now: float) -> str:
+        """Returns the request's state for logs; a running one by whether its answer began."""
+        if not self.is_running:
+            return self.state.value
+        return "answer begun" if self.answer_began_at <= now else "sent"
--- a/src/troutswitch/decisions/forwarding/run_times.py
+++ b/src/troutswitch/decisions/forwarding/run_times.py
@@ -1,4 +1,9 @@
-"""Learns how long requests wait for their first event, and how long they hold a slot."""
+"""Learns how long requests take to their first event, and how long they occupy a slot.
+
+Owns moving averages by service, of this daemon's own answers, in seconds. They outlive the
+process as part of its `Experience`. `admission`, `wait_estimate` and the coordinators of slots
+rely on them.
+"""
 
 from dataclasses import dataclass
 
@@ -10,12 +15,12 @@
 class ServiceTimes:
     """Moving averages of one service's online requests, in seconds; 0 before the first one.
 
-    `first` is the time from sending to the first event where a slot was free, `held` the
-    time for which a request has its slot.
+    `first_event` is the time from sending to the first event where a slot was free, `slot_time`
+    the time for which a request occupies its slot.
     """
 
-    first: float = 0.0
-    held: float = 0.0
+    first_event: float = 0.0
+    slot_time: float = 0.0
 
 
 class RunTimes:
@@ -29,34 +34,38 @@
         return self._by_service.setdefault(service, ServiceTimes())
 
     def learnt(self) -> dict[str, tuple[int, int]]:
-        """Returns first-event and held times by service, in milliseconds."""
+        """Returns first-event and slot times by service, in milliseconds."""
         return {
-            name: (round(times.first * 1000), round(times.held * 1000))
+            name: (round(times.first_event * 1000), round(times.slot_time * 1000))
             for name, times in self._by_service.items()
-            if times.held > 0
+            if times.slot_time > 0
         }
 
     def begin_with(self, learnt: dict[str, tuple[int, int]]) -> None:
-        """Takes what another daemon learnt of services that are not known here."""
-        for name, (first, held) in learnt.items():
+        """Takes what another daemon learnt of services that have no times here."""
+        for name, (first_event, slot_time) in learnt.items():
             times = self.of(name)
-            if times.held == 0.0 and held > 0:
-                times.first, times.held = first / 1000, held / 1000
+            if times.slot_time == 0.0 and slot_time > 0:
+                times.first_event = first_event / 1000
+                times.slot_time = slot_time / 1000
 
-    def on_completed(self, service: str, first: float, total: float, *, waited: bool) -> None:
+    def on_completed(
+        self, service: str, first_event: float, total: float, *, was_queued: bool
+    ) -> None:
         """Takes a request that was answered whole.
 
         Args:
             service: the service that answered.
-            first: seconds from sending to the first event.
+            first_event: seconds from sending to the first event.
             total: seconds from sending to the end.
-            waited: whether all slots seemed taken when it was sent.
+            was_queued: whether all slots seemed taken when it was sent: then the time to its
+                first event contains a wait, which is not part of its slot time.
         """
         times = self.of(service)
-        if not waited:
-            times.first = _moved(times.first, first)
-        held = total - max(0.0, first - times.first)
-        times.held = _moved(times.held, held)
+        if not was_queued:
+            times.first_event = _moved(times.first_event, first_event)
+        slot_time = total - max(0.0, first_event - times.first_event)
+        times.slot_time = _moved(times.slot_time, slot_time)
 
 
 def _moved(average: float, value: float) -> float:
--- a/src/troutswitch/decisions/forwarding/wait_estimate.py
+++ b/src/troutswitch/decisions/forwarding/wait_estimate.py
@@ -1,8 +1,8 @@
-"""Works out how long a request would wait for a slot at an engine.
+"""Estimates how long a request would wait for a slot at an engine.
 
-Engines serve in the order of arrival. From when the online requests there were sent and
-from how long one holds its slot, it is told when each slot is free. Batch items do not
-count: they yield at once.
+Relies on the online requests on the engine, with their times of sending, as the local counts have
+them (`engines`), and on the time for which a request occupies its slot (`run_times`). Engines
+serve in the order of arrival. Batch items do not count: they are preempted at once.
 """
 
 import heapq
@@ -15,12 +15,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Estimate:
-    """The wait for a slot at an engine, and what it was worked out from. Times are seconds."""
+    """The wait for a slot at an engine, and what it was estimated from.
+
+    `wait` and `slot_time` are seconds; `queued` counts the requests that would be queued there,
+    the new one among them.
+    """
 
     wait: float
     queued: int
     slots: int
-    held: float
+    slot_time: float
 
 
 NO_WAIT = Estimate(0.0, 0, 0, 0.0)
@@ -29,21 +33,25 @@
 def slot_wait(now: float, engine: Engine, times: ServiceTimes) -> Estimate:
     """Returns how long one more request waits at an engine.
 
-    Two estimates, of which the larger holds: by when each request there was sent, which
-    tells that slots taken together are free together; and by how many wait, as which of the
-    requests ended is not known.
+    The larger of two estimates: by the times of sending, as slots that were taken together are
+    free together; and by the number of queued requests, as it is not known which request ended.
     """
     queued = max(0, engine.online() + 1 - engine.slots)
     if queued == 0:
-        return Estimate(0.0, 0, engine.slots, times.held)
+        return Estimate(0.0, 0, engine.slots, times.slot_time)
+    by_times = max(0.0, _next_slot_at(now, engine, times.slot_time) - now)
+    by_count = queued * times.slot_time / engine.slots
+    return Estimate(max(by_times, by_count), queued, engine.slots, times.slot_time)
+
+
+def _next_slot_at(now: float, engine: Engine, slot_time: float) -> float:
+    """Returns when the first slot is free, with the online requests run in the order of sending."""
     free_at = [now] * (engine.slots - min(engine.slots, len(engine.online_sent_at)))
     for sent_at in engine.online_sent_at:
         starts_at = sent_at if len(free_at) < engine.slots else heapq.heappop(free_at)
-        ends_at = max(starts_at, sent_at) + times.held
+        ends_at = max(starts_at, sent_at) + slot_time
         heapq.heappush(free_at, max(now, ends_at))
-    by_times = max(0.0, min(free_at) - now)
-    by_count = queued * times.held / engine.slots
-    return Estimate(max(by_times, by_count), queued, engine.slots, times.held)
+    return min(free_at)
 
 
 def least_wait(now: float, engines: Iterable[Engine], times: ServiceTimes) -> Estimate | None:
--- a/src/troutswitch/standalone/decisions/online.py
+++ b/src/troutswitch/standalone/decisions/online.py
@@ -13,7 +13,7 @@
 import random
 from collections.abc import Callable
 
-from troutswitch.decisions.forwarding.requests import ROOM_WAIT_SECONDS
+from troutswitch.decisions.forwarding.retry import CAPACITY_RETRY_SECONDS
 from troutswitch.decisions.invariants import ensure
 from troutswitch.decisions.limits import RetryBudget
 from troutswitch.outcomes import (
@@ -326,7 +326,7 @@
         request.state = RequestState.WAITING
         request.probes_sent = False
         request.refused_by.clear()
-        self._wake_up_at(request, min(request.arrival.deadline, now + ROOM_WAIT_SECONDS))
+        self._wake_up_at(request, min(request.arrival.deadline, now + CAPACITY_RETRY_SECONDS))
         return []
 
     def on_abandoned(self, now: float, event: OnlineAbandoned) -> list[Effect]:
--- a/tests/decisions/crashes/test_suspects.py
+++ b/tests/decisions/crashes/test_suspects.py
@@ -78,7 +78,7 @@
     world.told(1.0, "y", "s0", "s1", "s2")
     world.suspects.on_answered(2.0, "s0", sent_at=1.5)
     assert world.suspects.count == 2
-    assert not world.suspects.waits_for_word("z")
+    assert not world.suspects.awaits_crash_report("z")
     world.suspects.on_answered(2.0, "s1", sent_at=1.5)
     world.suspects.on_answered(2.0, "s2", sent_at=1.5)
     assert world.suspects.count == 0
@@ -94,9 +94,9 @@
 def test_a_second_crash_makes_the_next_attempt_wait() -> None:
     world = World()
     world.crash(1.0, "x", "s0")
-    assert not world.suspects.waits_for_word("x")
+    assert not world.suspects.awaits_crash_report("x")
     world.told(1.1, "x", "s1")
-    assert world.suspects.waits_for_word("x")
+    assert world.suspects.awaits_crash_report("x")
 
 
 def test_daemons_free_what_they_hold_back_one_after_the_other() -> None:
--- a/tests/decisions/forwarding/test_admission.py
+++ b/tests/decisions/forwarding/test_admission.py
@@ -9,8 +9,8 @@
 
 from tests.decisions.forwarding.worlds import World, arrival, engine
 from troutswitch.decisions.forwarding.admission import (
-    RETURN_LEAST,
-    RETURN_SHARE,
+    RETRY_AFTER_LEAST,
+    RETRY_AFTER_SHARE_MOST,
     ROUTES_REMEMBERED,
     AdmissionPolicy,
     AdmissionRequest,
@@ -26,7 +26,7 @@
 from troutswitch.decisions.forwarding.wait_estimate import least_wait
 from troutswitch.outcomes import AttemptKind, NotRun
 
-TIMES = ServiceTimes(first=0.06, held=0.64)
+TIMES = ServiceTimes(first_event=0.06, slot_time=0.64)
 OBJECTIVE_SECONDS = 0.3
 TIME_LEFT_SECONDS = 5.0
 DETERMINISTIC = settings(derandomize=True, deadline=None, max_examples=150)
@@ -54,8 +54,8 @@
     best = least_wait(0.0, engines, times)
     if best is None or best.wait <= longest_wait:
         return None
-    come_back = policy.come_back(0.0, request.time_left, best, random.Random(1))
-    return Deferral(come_back, best)
+    retry_after = policy.retry_after(0.0, request.time_left, best, random.Random(1))
+    return Deferral(retry_after, best)
 
 
 def test_while_any_engine_has_a_slot_all_are_sent() -> None:
@@ -68,12 +68,12 @@
     assert deferral.estimate.slots == 8
     assert deferral.estimate.queued == 7
     assert deferral.estimate.wait > OBJECTIVE_SECONDS
-    longest = TIME_LEFT_SECONDS * RETURN_SHARE
-    assert longest * RETURN_LEAST <= deferral.come_back <= longest
+    longest = TIME_LEFT_SECONDS * RETRY_AFTER_SHARE_MOST
+    assert longest * RETRY_AFTER_LEAST <= deferral.retry_after <= longest
 
 
 def test_a_free_slot_is_used_however_slow_the_engines_are() -> None:
-    slow = ServiceTimes(first=4.0, held=9.0)
+    slow = ServiceTimes(first_event=4.0, slot_time=9.0)
     policy = DeferLate()
     assert decide(policy, asked(), held_engines(7), slow) is None
     assert decide(policy, asked(), held_engines(8), slow) is not None
@@ -94,16 +94,16 @@
     assert decide(policy, asked(), full) is not None
 
 
-def test_those_refused_together_come_back_in_order_as_room_is_expected() -> None:
+def test_those_refused_together_retry_after_in_order_as_room_is_expected() -> None:
     policy = HoldLate()
     unservable = asked(time_left=0.7)
     refused = [decide(policy, unservable, held_engines(16, 14)) for _ in range(5)]
-    turns = [deferral.come_back for deferral in refused if deferral is not None]
+    turns = [deferral.retry_after for deferral in refused if deferral is not None]
     assert len(turns) == 5
     assert refused[0] is not None
     assert turns[0] == refused[0].estimate.wait
     steps = [late - early for early, late in itertools.pairwise(turns)]
-    assert all(abs(step - TIMES.held / 8) < 1e-9 for step in steps)
+    assert all(abs(step - TIMES.slot_time / 8) < 1e-9 for step in steps)
 
 
 def test_the_patience_of_few_routes_is_remembered() -> None:
@@ -111,8 +111,8 @@
     for number in range(2 * ROUTES_REMEMBERED):
         decide(policy, replace(asked(), route=f"r{number}"), held_engines(0))
         decide(policy, asked(), held_engines(0))
-    assert len(policy.patience) == ROUTES_REMEMBERED
-    assert "r" in policy.patience
+    assert len(policy.client_timeouts) == ROUTES_REMEMBERED
+    assert "r" in policy.client_timeouts
 
 
 def test_before_anything_is_learnt_all_are_sent() -> None:
@@ -124,10 +124,10 @@
 
 def test_the_times_of_those_that_waited_do_not_count_as_first_times() -> None:
     times = RunTimes()
-    times.on_completed("s", 0.06, 0.7, waited=False)
-    times.on_completed("s", 0.5, 1.14, waited=True)
-    assert times.of("s").first == 0.06
-    assert abs(times.of("s").held - 0.7) < 1e-9
+    times.on_completed("s", 0.06, 0.7, was_queued=False)
+    times.on_completed("s", 0.5, 1.14, was_queued=True)
+    assert times.of("s").first_event == 0.06
+    assert abs(times.of("s").slot_time - 0.7) < 1e-9
 
 
 # In the forwarding decisions.
@@ -147,7 +147,7 @@
     return [made for made in given_out if isinstance(made, SendRequest)]
 
 
-def test_a_deferred_request_is_told_that_it_was_not_run_and_when_to_come_back() -> None:
+def test_a_deferred_request_is_told_that_it_was_not_run_and_when_to_retry_after() -> None:
     world = World(engines=1)
     sent = fill(world, 40)
     assert 8 <= len(sent) < 40
@@ -156,7 +156,7 @@
     assert isinstance(refused.outcome, NotRun)
     assert refused.outcome.status == 503
     assert refused.outcome.retry_after is not None
-    assert refused.outcome.retry_after <= TIME_LEFT_SECONDS * RETURN_SHARE
+    assert refused.outcome.retry_after <= TIME_LEFT_SECONDS * RETRY_AFTER_SHARE_MOST
     assert 900 not in world.requests.requests
     back = world.arrive(2.0, arrival(901, time_left=TIME_LEFT_SECONDS - 1.0))
     assert isinstance(back, SendRequest)
--- a/tests/decisions/forwarding/test_arrivals.py
+++ b/tests/decisions/forwarding/test_arrivals.py
@@ -84,7 +84,7 @@
     assert isinstance(world.arrive(0.0, replace(arrival(2), caller_key=OTHER)), SendRequest)
 
 
-def test_a_daemon_that_knows_it_is_behind_has_an_unknown_key_come_back() -> None:
+def test_a_daemon_that_knows_it_is_behind_has_an_unknown_key_retry_after() -> None:
     """A 401 is final for a caller, and the key may have been added a second ago."""
     world = tenant_world()
     world.requests.arrivals.callers.is_behind = True
--- a/tests/decisions/forwarding/test_hold_late.py
+++ b/tests/decisions/forwarding/test_hold_late.py
@@ -4,19 +4,20 @@
 
 from tests.decisions.forwarding.test_admission import TIME_LEFT_SECONDS, fill
 from tests.decisions.forwarding.worlds import World, arrival
-from troutswitch.decisions.forwarding.admission import ADMISSION_POLICIES, AdmissionRequest
+from troutswitch.decisions.forwarding.admission import (
+    ADMISSION_POLICIES,
+    DELAY_SHARE_MOST,
+    SEND_MARGIN_SECONDS,
+    AdmissionRequest,
+)
 from troutswitch.decisions.forwarding.messages import (
     AnswerBegun,
     FinishRequest,
     LogLine,
     SendRequest,
 )
-from troutswitch.decisions.forwarding.requests import (
-    HELD_SHARE,
-    LAST_CALL_SECONDS,
-    ROOM_WAIT_SECONDS,
-    ForwardedRequests,
-)
+from troutswitch.decisions.forwarding.requests import ForwardedRequests
+from troutswitch.decisions.forwarding.retry import CAPACITY_RETRY_SECONDS
 from troutswitch.decisions.forwarding.run_times import ServiceTimes
 from troutswitch.outcomes import AttemptKind, NotRun
 
@@ -42,14 +43,14 @@
 
 
 def held(world: World) -> list[int]:
-    return [token for token, r in world.requests.requests.items() if r.waits_until < 1e9]
+    return [token for token, r in world.requests.requests.items() if r.asks_again_at < 1e9]
 
 
 def test_a_late_request_waits_here_and_gets_the_slot_that_is_free_first() -> None:
     world, running = full_world()
     (late,) = held(world)
     assert len(running) >= 8
-    assert world.requests.on_timer(1.0 + ROOM_WAIT_SECONDS) == []
+    assert world.requests.on_timer(1.0 + CAPACITY_RETRY_SECONDS) == []
     for sent in running:
         world.end(1.2, sent, AttemptKind.COMPLETED, delivered=31)
     (sent,) = [m for m in world.requests.on_timer(1.3) if isinstance(m, SendRequest)]
@@ -72,7 +73,7 @@
     assert [given.event for given in made if isinstance(given, LogLine)] == [
         "request waits for room"
     ]
-    again = world.requests.on_timer(1.0 + ROOM_WAIT_SECONDS)
+    again = world.requests.on_timer(1.0 + CAPACITY_RETRY_SECONDS)
     assert not [given for given in again if isinstance(given, LogLine)]
 
 
@@ -90,20 +91,23 @@
 def test_a_held_request_is_sent_before_its_caller_leaves() -> None:
     world, _ = full_world()
     (late,) = held(world)
-    held_most = TIME_LEFT_SECONDS * HELD_SHARE
-    assert held_most <= sent_at(world, late) - 1.0 <= held_most + 2 * ROOM_WAIT_SECONDS
+    held_most = TIME_LEFT_SECONDS * DELAY_SHARE_MOST
+    assert held_most <= sent_at(world, late) - 1.0 <= held_most + 2 * CAPACITY_RETRY_SECONDS
 
 
 def test_a_held_request_is_sent_while_it_can_still_end_before_its_deadline() -> None:
     world, _ = full_world()
     world.requests.on_arrived(1.0, arrival(900, time_left=1.9))
     assert 900 in held(world)
-    assert sent_at(world, 900) <= 1.0 + 1.9 - HELD_SECONDS - LAST_CALL_SECONDS + ROOM_WAIT_SECONDS
+    assert (
+        sent_at(world, 900)
+        <= 1.0 + 1.9 - HELD_SECONDS - SEND_MARGIN_SECONDS + CAPACITY_RETRY_SECONDS
+    )
 
 
 def test_what_is_late_only_by_the_time_to_the_first_event_is_sent() -> None:
     policy = ADMISSION_POLICIES["hold_late"]()
-    times = ServiceTimes(first=0.1, held=HELD_SECONDS)
+    times = ServiceTimes(first_event=0.1, slot_time=HELD_SECONDS)
     assert policy.longest_wait(AdmissionRequest("r", 0.3, 5.0, False), times) == 0.3
     assert policy.longest_wait(AdmissionRequest("r", 0.3, 4.9, False), times) < 0.21
     assert policy.longest_wait(AdmissionRequest("r", 0.3, 4.7, False), times) == 0.0
--- a/tests/decisions/forwarding/test_rejections.py
+++ b/tests/decisions/forwarding/test_rejections.py
@@ -9,8 +9,8 @@
 """
 
 from tests.decisions.forwarding.worlds import World, arrival, route
+from troutswitch.decisions.forwarding.candidates import FULL_SECONDS
 from troutswitch.decisions.forwarding.messages import FinishRequest, SendRequest
-from troutswitch.decisions.forwarding.requests import FULL_SECONDS
 from troutswitch.outcomes import AttemptKind
 
 
--- a/tests/decisions/forwarding/test_requests.py
+++ b/tests/decisions/forwarding/test_requests.py
@@ -14,11 +14,8 @@
     FinishRequest,
     SendRequest,
 )
-from troutswitch.decisions.forwarding.requests import (
-    ROOM_WAIT_SECONDS,
-    TIME_LEFT_LEAST_SECONDS,
-    ForwardedRequests,
-)
+from troutswitch.decisions.forwarding.requests import ForwardedRequests
+from troutswitch.decisions.forwarding.retry import CAPACITY_RETRY_SECONDS, TIME_LEFT_LEAST_SECONDS
 from troutswitch.decisions.forwarding.routes import RouteTable
 from troutswitch.decisions.forwarding.types import RouteKind
 from troutswitch.outcomes import AttemptKind, Cut, MayHaveRun, NotRun
@@ -205,7 +202,7 @@
         self.waits = False
         self.lost: list[tuple[str, bool]] = []
 
-    def waits_for_word(self, content: str) -> bool:
+    def awaits_crash_report(self, content: str) -> bool:
         return self.waits
 
     def on_lost(self, now: float, content: str, engine_id: str, *, is_silent: bool = False) -> None:
@@ -251,7 +248,7 @@
     assert isinstance(sent, SendRequest)
     assert world.end(0.1, sent, AttemptKind.CUT) is None
     assert suspects.lost == [(sent.engine_id, False)]
-    again = world.directive(world.requests.on_timer(0.1 + ROOM_WAIT_SECONDS))
+    again = world.directive(world.requests.on_timer(0.1 + CAPACITY_RETRY_SECONDS))
     assert isinstance(again, SendRequest)
     assert again.engine_id != sent.engine_id
 
--- a/tests/decisions/forwarding/test_room_later.py
+++ b/tests/decisions/forwarding/test_room_later.py
@@ -122,7 +122,7 @@
     world, now = cut_after_events(world, 0)
     made = world.requests.on_caller_gone(now, CallerGone(1, now))
     (line,) = [i for i in made if isinstance(i, LogLine) and i.event == "caller gone"]
-    assert line.fields["state"] == "waiting for room"
+    assert line.fields["state"] == "waiting for capacity"
     world.requests._budget._credit["s"] = 1.0
     assert offered_again(world, now + SOON_SECONDS) is None
     assert world.requests.requests == {}
--- a/tests/decisions/forwarding/test_wait_estimate.py
+++ b/tests/decisions/forwarding/test_wait_estimate.py
@@ -8,7 +8,7 @@
 from troutswitch.decisions.forwarding.run_times import ServiceTimes
 from troutswitch.decisions.forwarding.wait_estimate import slot_wait
 
-TIMES = ServiceTimes(first=0.1, held=1.0)
+TIMES = ServiceTimes(first_event=0.1, slot_time=1.0)
 DETERMINISTIC = settings(derandomize=True, deadline=None, max_examples=150)
 
 
@@ -60,6 +60,6 @@
     for at in times:
         held.change_own_online(at, 1)
         wait = slot_wait(3.0, held, TIMES).wait
-        assert before <= wait <= TIMES.held * (1 + len(times) / slots)
+        assert before <= wait <= TIMES.slot_time * (1 + len(times) / slots)
         assert (wait == 0.0) or held.online() >= slots
         before = wait
--- a/tests/decisions/slots/test_coordinator.py
+++ b/tests/decisions/slots/test_coordinator.py
@@ -92,7 +92,7 @@
 
 def test_a_request_that_takes_no_wait_gets_the_wait_told() -> None:
     first, _ = pair(engines=1, slots=1)
-    first.times.on_completed("service", 0.06, 0.6, waited=False)
+    first.times.on_completed("service", 0.06, 0.6, was_queued=False)
     first.take(NOW, ask(1, wait_most_ms=0))
     first.take(NOW, ask(2, wait_most_ms=0))
     granted, refused = answers(first)
--- a/tests/decisions/slots/test_slot_requests.py
+++ b/tests/decisions/slots/test_slot_requests.py
@@ -19,7 +19,7 @@
 
 
 def found_by(daemon: SlotsOf) -> list[AssignedBy]:
-    return [placing.found_by for _, placing in daemon.ended if isinstance(placing, Assignment)]
+    return [placing.assigned_by for _, placing in daemon.ended if isinstance(placing, Assignment)]
 
 
 def test_the_coordinator_itself_places_at_once() -> None:
@@ -79,7 +79,7 @@
 
 def test_when_all_are_full_a_request_is_deferred_or_joins_the_queue() -> None:
     first, second = fleet(engines=1, slots=1)
-    first.times.on_completed("service", 0.06, 0.6, waited=False)
+    first.times.on_completed("service", 0.06, 0.6, was_queued=False)
     first.want(NOW, 1)
     second.want(NOW, 2, longest_wait=0.1)
     deliver(NOW, first, second)
@@ -89,7 +89,7 @@
     deliver(NOW, first, second)
     placed = second.ended[1][1]
     assert isinstance(placed, Assignment)
-    assert placed.waits
+    assert placed.is_queued
 
 
 def test_without_an_engine_there_is_no_place() -> None:
@@ -123,7 +123,7 @@
 def test_the_own_zone_comes_first_and_another_one_when_it_is_full() -> None:
     here, there, asker = zones()
     for daemon in (here, there):
-        daemon.times.on_completed("service", 0.06, 0.6, waited=False)
+        daemon.times.on_completed("service", 0.06, 0.6, was_queued=False)
     for token in range(18):
         asker.want(NOW, token)
         deliver(NOW, here, there, asker)
--- a/tests/proofs/test_slots.py
+++ b/tests/proofs/test_slots.py
@@ -58,7 +58,7 @@
 
 def sent(daemon: Daemon) -> int:
     """Returns how many of a daemon's requests are at engines."""
-    return sum(not request.is_placing for request in daemon.core.requests.requests.values())
+    return sum(request.is_running for request in daemon.core.requests.requests.values())
 
 
 def slots_missing_after_a_burst() -> int:
