--- a/src/troutswitch/decisions/forwarding/attempts.py
+++ b/src/troutswitch/decisions/forwarding/attempts.py
@@ -7,8 +7,9 @@
 
 from troutswitch.decisions.crashes.interface import Suspects
 from troutswitch.decisions.forwarding.candidates import FULL_SECONDS
+from troutswitch.decisions.forwarding.engine import Engine, RequestSize
 from troutswitch.decisions.forwarding.engine_silence import event_gap_timeout, first_event_timeout
-from troutswitch.decisions.forwarding.engines import Engine, EngineRegistry, RequestSize
+from troutswitch.decisions.forwarding.engines import EngineRegistry
 from troutswitch.decisions.forwarding.long_prompts import expected_prefill
 from troutswitch.decisions.forwarding.messages import (
     AbortAttempt,
--- a/src/troutswitch/decisions/forwarding/candidates.py
+++ b/src/troutswitch/decisions/forwarding/candidates.py
@@ -10,7 +10,8 @@
 Measurements: docs/POLICY.md.
 """
 
-from troutswitch.decisions.forwarding.engines import Engine, EngineRegistry
+from troutswitch.decisions.forwarding.engine import Engine
+from troutswitch.decisions.forwarding.engines import EngineRegistry
 from troutswitch.decisions.forwarding.request import ForwardedRequest
 
 FULL_SECONDS = 0.15
--- /dev/null
+++ b/src/troutswitch/decisions/forwarding/engine.py
@@ -0,0 +1,155 @@
+"""One incarnation of an engine, as this daemon sees it: counts of requests, load and failures.
+
+Question: how many requests are on an engine now? Three sources know a part of it:
+
+- this daemon's own requests there, exact;
+- those of other daemons, by the reports of peers and coordinators (`peers_*`, up to a second old);
+- the engine's own load, that comes with its answers, and counts up to `LOAD_FRESH_SECONDS`.
+
+Rule: the larger of the counts and of the engine's load, as both lag. Of prompt tokens that wait
+to be read, and of slots that online requests take, moving averages are kept too.
+
+The averages go on by themselves each `SAMPLE_SECONDS`. Everything else is written by
+`engines.EngineRegistry` and by the slot ledger of a coordinator.
+
+Measurements: docs/POLICY.md.
+"""
+
+from collections import deque
+from dataclasses import dataclass, field
+
+from troutswitch.decisions.forwarding.types import EngineLoad, EngineRecord
+
+LOAD_FRESH_SECONDS = 0.4
+"""Age up to which a load that an engine reported counts."""
+SAMPLE_SECONDS = 0.1
+"""Interval between samples of the waiting prompt tokens and of the slots taken online."""
+PREFILL_AVERAGE_SECONDS = 3.0
+"""Time over which the prompt tokens that wait are averaged."""
+ONLINE_AVERAGE_SECONDS = 8.0
+"""Time over which the slots that online requests take are averaged."""
+PREFILL_WEIGHT = SAMPLE_SECONDS / PREFILL_AVERAGE_SECONDS
+ONLINE_WEIGHT = SAMPLE_SECONDS / ONLINE_AVERAGE_SECONDS
+
+
+@dataclass(frozen=True, slots=True)
+class RequestSize:
+    """What a request takes of an engine: tokens of memory, and prompt tokens to read."""
+
+    tokens: int
+    prefill_tokens: int
+
+
+NO_SIZE = RequestSize(0, 0)
+
+
+@dataclass(slots=True)
+class Engine:
+    """One incarnation of an engine. Times are this process's clock, in seconds."""
+
+    record: EngineRecord
+    is_listed: bool = True
+    """Whether the newest list of engines has it, or still counts it as there."""
+    is_draining: bool = False
+    """Whether it takes no new work any more; for good."""
+
+    # This daemon's requests on it.
+    online_in_flight: int = 0
+    batch_in_flight: int = 0
+    tokens_in_flight: int = 0
+    prefill_tokens: int = 0
+    """Prompt tokens of those whose answer has not begun."""
+
+    # Other daemons' requests on it, as reported.
+    peers_online: int = 0
+    peers_batch: int = 0
+    peers_prefill_tokens: int = 0
+
+    # The engine's own load.
+    load: EngineLoad | None = None
+    load_at: float = float("-inf")
+    sent_since_load: int = 0
+    """Requests that this daemon sent since the load was reported."""
+    last_seen_at: float = float("-inf")
+    """When bytes of any of its answers came last."""
+
+    # Averages.
+    mean_prefill_tokens: float = 0.0
+    mean_online: float = 0.0
+    online_samples: int = 0
+
+    # Failures.
+    failures: int = 0
+    """Failures in a row."""
+    ejected_until: float = float("-inf")
+    full_until: float = float("-inf")
+    """Until when it is left out as it rejected a request as full."""
+
+    online_sent_at: deque[float] = field(default_factory=deque)
+    """When the online requests on the engine were sent, by the counts here, oldest first."""
+
+    @property
+    def is_leaving(self) -> bool:
+        """Whether the engine must not be sent new work."""
+        return self.is_draining or not self.is_listed
+
+    @property
+    def slots(self) -> int:
+        """Requests that the engine runs at once."""
+        return max(1, self.record.slots)
+
+    @property
+    def waiting_prefill_tokens(self) -> int:
+        """Prompt tokens that the engine has still to read, by the counts of daemons."""
+        return self.prefill_tokens + self.peers_prefill_tokens
+
+    def online(self) -> int:
+        """Returns the online requests on the engine, by the counts of daemons."""
+        return self.online_in_flight + self.peers_online
+
+    def batch(self) -> int:
+        """Returns the batch items on the engine, by the counts of daemons."""
+        return self.batch_in_flight + self.peers_batch
+
+    def in_flight(self, now: float) -> int:
+        """Returns the requests on the engine: the larger of the counts and of its own load."""
+        own = self.online_in_flight + self.batch_in_flight
+        counted = own + self.peers_online + self.peers_batch
+        if self.load is None or now - self.load_at > LOAD_FRESH_SECONDS:
+            return counted
+        reported = self.load.running + self.load.waiting + self.sent_since_load
+        if self.peers_online or self.peers_batch:
+            return max(counted, reported)
+        return max(own, reported)
+
+    def online_load(self, now: float) -> int:
+        """Returns the online requests on the engine: the larger of counts and load."""
+        return max(self.online(), self.in_flight(now) - self.batch())
+
+    def change_peers_online(self, now: float, change: int) -> None:
+        """Takes a change of the online requests that peers have on the engine."""
+        change = max(change, -self.peers_online)
+        self.peers_online += change
+        self._note_online(now, change)
+
+    def change_own_online(self, now: float, change: int) -> None:
+        """Takes a change of this daemon's online requests on the engine."""
+        change = max(change, -self.online_in_flight)
+        self.online_in_flight += change
+        self._note_online(now, change)
+
+    def _note_online(self, now: float, change: int) -> None:
+        """Notes times of sending; which request ended is not known, the oldest most likely."""
+        for _ in range(change):
+            self.online_sent_at.append(now)
+        for _ in range(min(-change, len(self.online_sent_at))):
+            self.online_sent_at.popleft()
+
+    def sample(self) -> None:
+        """Takes the present counts into the averages; called each `SAMPLE_SECONDS`."""
+        change = self.waiting_prefill_tokens - self.mean_prefill_tokens
+        self.mean_prefill_tokens += PREFILL_WEIGHT * change
+        online_change = min(self.online(), self.slots) - self.mean_online
+        self.online_samples += 1
+        weight = max(ONLINE_WEIGHT, 1 / self.online_samples)
+        self.mean_online += weight * online_change
--- a/src/troutswitch/decisions/forwarding/engine_silence.py
+++ b/src/troutswitch/decisions/forwarding/engine_silence.py
@@ -19,7 +19,7 @@
 Measurements: docs/POLICY.md.
 """
 
-from troutswitch.decisions.forwarding.engines import Engine
+from troutswitch.decisions.forwarding.engine import Engine
 from troutswitch.decisions.forwarding.request import ForwardedRequest
 
 SILENCE_LEAST_SECONDS = 0.4
--- a/src/troutswitch/decisions/forwarding/placement.py
+++ b/src/troutswitch/decisions/forwarding/placement.py
@@ -1,33 +1,48 @@
 """Chooses an engine for a request: an interface and its implementations.
 
-`prefix_shortest` is the default. `two_choices` also acts, whatever the policy, where no
-coordinator answers (`slots/slot_requests.py`). `prefix_aware` is there to be compared with.
+Question: several engines may take a request now. Which one gets it?
+
+Inputs: for each engine the online requests, batch items and waiting prompt tokens on it, by the
+counts of this daemon and of its peers (up to a second old) or by the engine's own load, and
+averages of the waiting prompt tokens over three seconds (`engine`); its zone; the request's
+prompt size and session.
+
+Rule of `prefix_shortest`, the default: a long prompt goes to the engine that its session keeps to,
+among the few engines that take long prompts (`long_prompts`). Any other request goes to the engine
+with the lowest `queue_cost`, with a small random part. Costs are shares of an engine's slots.
+
+`two_choices` also decides, whatever the policy, where no coordinator answers
+(`slots/slot_requests.py`). `prefix_aware` is there to be compared with.
+
+Why: batch items are preempted at once, so they count little; waiting prompt tokens hold up the
+first token of whatever comes next.
+
+Measurements: docs/POLICY.md, "The policies".
 """
 
 import random
 from collections.abc import Callable
 from typing import Protocol
 
-from troutswitch.decisions.forwarding.engines import Engine
+from troutswitch.decisions.forwarding.engine import Engine
 from troutswitch.decisions.forwarding.long_prompts import PromptSizes, choose_home
 from troutswitch.decisions.forwarding.types import PromptShape
 
 PREFILL_TOKENS_AS_FULL = 8192
-"""Prompt tokens waiting at an engine that count as much as all its slots taken: they hold
-up the first token of whatever comes, while free slots beyond one do not matter."""
+"""Prompt tokens waiting at an engine that count as much as all its slots taken."""
 ZONE_PENALTY = 0.1
 """Load share that an engine of another zone counts as more."""
-HEADROOM_CHOICES = 2
-"""Engines drawn by their room, of which the better one is taken."""
+WEIGHTED_CHOICES = 2
+"""Engines drawn by `Headroom`, of which the better one is taken."""
 HEADROOM_LEAST = 0.05
-"""Room by which an engine without any is still drawn now and then."""
-
+"""Free share by which an engine without any is still drawn now and then."""
 BATCH_WEIGHT = 0.2
-"""Part of a request that a batch item counts as where items yield at once."""
+"""Part of an online request that a batch item counts as, since it is preempted at once."""
 ZONE_CHOICES = 2
 """Engines drawn by `TwoChoices`, and the least number of near ones of which it draws."""
 QUEUE_NOISE = 0.1
-"""Random part of an engine's cost, in shares of its slots."""
+"""Random part of an engine's cost, in shares of its slots: daemons with the same counts don't
+all choose the same engine."""
 
 
 class PlacementPolicy(Protocol):
@@ -46,7 +61,7 @@
 
 
 class HomePolicy(Protocol):
-    """Knows engines to which some requests go whatever the counts of others are."""
+    """Knows the engines to which some requests go whatever the load of others is."""
 
     def home(self, candidates: list[Engine], prompt: PromptShape) -> Engine | None:
         """Returns the engine for a request, or None if any may take it."""
@@ -54,42 +69,44 @@
 
 
 def load_share(now: float, engine: Engine) -> float:
-    """Returns the share of the engine's slots that is taken; over 1 if requests wait."""
+    """Returns the share of the engine's slots that is taken; over 1 if requests are queued."""
     return engine.in_flight(now) / engine.slots
 
 
 def placement_cost(now: float, engine: Engine, zone: str) -> float:
-    """Returns how bad an engine is for the next request: 1 is as bad as no free slot.
-
-    Where prompts often wait, they probably wait again when the request arrives.
-    """
-    prefill = max(engine.waiting_prefill_tokens, engine.usual_prefill_tokens)
-    return _room_cost(now, engine, zone) + prefill / PREFILL_TOKENS_AS_FULL
+    """Returns how bad an engine is for the next request: 1 is as bad as no free slot."""
+    return batch_cost(now, engine, zone) + _prefill_cost(engine)
 
 
 def queue_cost(now: float, engine: Engine, zone: str) -> float:
-    """Returns how bad an engine is for the next request where batch items yield at once."""
-    away = ZONE_PENALTY if engine.record.zone != zone else 0.0
+    """Returns how bad an engine is for the next request where batch items are preempted."""
     taken = engine.online_load(now) + BATCH_WEIGHT * engine.batch()
-    prefill = max(engine.waiting_prefill_tokens, engine.usual_prefill_tokens)
-    return taken / engine.slots + away + prefill / PREFILL_TOKENS_AS_FULL
+    return taken / engine.slots + _zone_cost(engine, zone) + _prefill_cost(engine)
 
 
 def batch_cost(now: float, engine: Engine, zone: str) -> float:
-    """Returns how bad an engine is for a batch item, which may wait to be read."""
-    return _room_cost(now, engine, zone)
+    """Returns how bad an engine is for a batch item, whose prompt may wait to be read."""
+    return load_share(now, engine) + _zone_cost(engine, zone)
+
 
+def _zone_cost(engine: Engine, zone: str) -> float:
+    return ZONE_PENALTY if engine.record.zone != zone else 0.0
 
-def _room_cost(now: float, engine: Engine, zone: str) -> float:
-    away = ZONE_PENALTY if engine.record.zone != zone else 0.0
-    return load_share(now, engine) + away
+
+def _prefill_cost(engine: Engine) -> float:
+    """Returns the cost of waiting prompt tokens.
+
+    Where there often are some, there probably are again when the request arrives.
+    """
+    waiting = max(engine.waiting_prefill_tokens, engine.mean_prefill_tokens)
+    return waiting / PREFILL_TOKENS_AS_FULL
 
 
 class Headroom:
-    """The better one of two engines, drawn the more often the more room they have.
+    """The better one of two engines, drawn the more often the more free capacity they have.
 
-    What is known of loads is as old as the last reports. If many daemons took the engine
-    that seems best, it would not stay so; drawn by their room, all fill alike.
+    Load counts are as old as the last reports. If many daemons took the engine that seems best,
+    it would not stay so; drawn by their free capacity, all fill alike.
     """
 
     def choose(
@@ -103,15 +120,15 @@
         """Chooses the better of the engines drawn."""
         costs = [placement_cost(now, engine, zone) for engine in candidates]
         weights = [max(HEADROOM_LEAST, 1.0 - cost) ** 2 for cost in costs]
-        places = rng.choices(range(len(candidates)), weights, k=HEADROOM_CHOICES)
-        return candidates[min(places, key=lambda place: costs[place])]
+        drawn = rng.choices(range(len(candidates)), weights, k=WEIGHTED_CHOICES)
+        return candidates[min(drawn, key=lambda index: costs[index])]
 
 
 class ShortestQueue:
     """The engine with fewest online requests for its slots.
 
-    Batch items count little, as they yield. It needs counts that are fresh: with old ones
-    all daemons take the same engine, which the random part of the cost lessens.
+    It needs counts that are fresh: with old ones all daemons take the same engine, which the
+    random part of the cost lessens.
     """
 
     def choose(
@@ -130,7 +147,7 @@
 
 
 class TwoChoices:
-    """The better one of two engines drawn at random, near ones if there are two.
+    """The better one of two engines drawn at random, of the own zone if it has two.
 
     For counts that are old: if all daemons took the best engine, all would take the same.
     """
@@ -151,13 +168,13 @@
 
 
 class LongPromptHomes:
-    """Long prompts go to their session's engine among few."""
+    """Long prompts go to the engine of their session, among the few that take long prompts."""
 
     def __init__(self) -> None:
         self._sizes = PromptSizes()
 
     def home(self, candidates: list[Engine], prompt: PromptShape) -> Engine | None:
-        """Returns a long prompt's engine; all daemons order those engines alike."""
+        """Returns a long prompt's engine, and takes the prompt's size into the mean."""
         if not candidates:
             return None
         service = candidates[0].record.service
@@ -175,7 +192,7 @@
 
 
 class PrefixAware:
-    """Long prompts to their session's engine among few, others as a second policy says."""
+    """Long prompts to the engine of their session, others as a second policy chooses."""
 
     def __init__(self, others: PlacementPolicy) -> None:
         self.homes = LongPromptHomes()
--- a/src/troutswitch/decisions/forwarding/placer.py
+++ b/src/troutswitch/decisions/forwarding/placer.py
@@ -15,7 +15,7 @@
 from enum import Enum
 from typing import Protocol
 
-from troutswitch.decisions.forwarding.engines import Engine
+from troutswitch.decisions.forwarding.engine import Engine
 from troutswitch.decisions.forwarding.placement import PlacementPolicy
 from troutswitch.decisions.forwarding.run_times import RunTimes
 from troutswitch.decisions.forwarding.types import PromptShape
--- a/src/troutswitch/decisions/forwarding/request.py
+++ b/src/troutswitch/decisions/forwarding/request.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-from troutswitch.decisions.forwarding.engines import NO_SIZE, RequestSize
+from troutswitch.decisions.forwarding.engine import NO_SIZE, RequestSize
 from troutswitch.decisions.forwarding.messages import RequestArrived
 from troutswitch.decisions.forwarding.types import Route
 from troutswitch.decisions.tenants.types import NO_TENANT
--- a/src/troutswitch/decisions/forwarding/requests.py
+++ b/src/troutswitch/decisions/forwarding/requests.py
@@ -30,8 +30,9 @@
 from troutswitch.decisions.forwarding.arrivals import Admitted, Arrivals, Refused
 from troutswitch.decisions.forwarding.attempts import EngineAttempts
 from troutswitch.decisions.forwarding.candidates import candidate_engines, forget_tried
+from troutswitch.decisions.forwarding.engine import Engine
 from troutswitch.decisions.forwarding.engine_silence import is_engine_silent
-from troutswitch.decisions.forwarding.engines import Engine, EngineRegistry
+from troutswitch.decisions.forwarding.engines import EngineRegistry
 from troutswitch.decisions.forwarding.experience import Experience
 from troutswitch.decisions.forwarding.log_events import (
     line_of_end,
--- a/src/troutswitch/decisions/forwarding/wait_estimate.py
+++ b/src/troutswitch/decisions/forwarding/wait_estimate.py
@@ -9,7 +9,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from troutswitch.decisions.forwarding.engines import Engine
+from troutswitch.decisions.forwarding.engine import Engine
 from troutswitch.decisions.forwarding.run_times import ServiceTimes
 
 
--- a/src/troutswitch/decisions/gateway.py
+++ b/src/troutswitch/decisions/gateway.py
@@ -323,7 +323,7 @@
         draining, left = self.leaving.on_news(now, news)
         for engine_id in draining:
             self.engines.mark_draining(engine_id)
-        self.engines.on_told_left(now, left)
+        self.engines.on_drain_notice(now, left)
         if draining or left:
             self._log("engines leave", peer=news.sender, draining=draining, left=left)
 
--- a/tests/decisions/forwarding/test_admission.py
+++ b/tests/decisions/forwarding/test_admission.py
@@ -19,7 +19,7 @@
     Deferral,
     HoldLate,
 )
-from troutswitch.decisions.forwarding.engines import Engine
+from troutswitch.decisions.forwarding.engine import Engine
 from troutswitch.decisions.forwarding.messages import AnswerBegun, FinishRequest, SendRequest
 from troutswitch.decisions.forwarding.requests import ForwardedRequests
 from troutswitch.decisions.forwarding.run_times import RunTimes, ServiceTimes
--- a/tests/decisions/forwarding/test_arrivals.py
+++ b/tests/decisions/forwarding/test_arrivals.py
@@ -6,7 +6,7 @@
 import pytest
 
 from tests.decisions.forwarding.worlds import World, arrival, route
-from troutswitch.decisions.forwarding.engines import Engine
+from troutswitch.decisions.forwarding.engine import Engine
 from troutswitch.decisions.forwarding.messages import FinishRequest, SendRequest
 from troutswitch.decisions.forwarding.placer import (
     AssignedBy,
--- a/tests/decisions/forwarding/test_engines.py
+++ b/tests/decisions/forwarding/test_engines.py
@@ -1,5 +1,6 @@
 from tests.decisions.forwarding.worlds import engine
-from troutswitch.decisions.forwarding.engines import NO_SIZE, EngineRegistry, RequestSize
+from troutswitch.decisions.forwarding.engine import NO_SIZE, RequestSize
+from troutswitch.decisions.forwarding.engines import EngineRegistry
 from troutswitch.decisions.forwarding.types import EngineLoad
 
 
--- a/tests/decisions/forwarding/test_placement.py
+++ b/tests/decisions/forwarding/test_placement.py
@@ -3,7 +3,8 @@
 import pytest
 
 from tests.decisions.forwarding.worlds import engine
-from troutswitch.decisions.forwarding.engines import Engine, EngineRegistry
+from troutswitch.decisions.forwarding.engine import Engine
+from troutswitch.decisions.forwarding.engines import EngineRegistry
 from troutswitch.decisions.forwarding.long_prompts import (
     LONG_PROMPT_LEAST_TOKENS,
     PromptSizes,
--- a/tests/decisions/forwarding/test_wait_estimate.py
+++ b/tests/decisions/forwarding/test_wait_estimate.py
@@ -4,7 +4,7 @@
 from hypothesis import strategies as st
 
 from tests.decisions.forwarding.worlds import engine
-from troutswitch.decisions.forwarding.engines import Engine
+from troutswitch.decisions.forwarding.engine import Engine
 from troutswitch.decisions.forwarding.run_times import ServiceTimes
 from troutswitch.decisions.forwarding.wait_estimate import slot_wait
 
--- a/tests/decisions/peers/test_drain_notices.py
+++ b/tests/decisions/peers/test_drain_notices.py
@@ -6,7 +6,7 @@
 from troutswitch.common import Address
 from troutswitch.daemons import datagram
 from troutswitch.daemons.messages import EngineDrainNotice
-from troutswitch.decisions.forwarding.engines import TOLD_SECONDS, EngineRegistry
+from troutswitch.decisions.forwarding.engines import DRAIN_NOTICE_SECONDS, EngineRegistry
 from troutswitch.decisions.peers.drain_notices import TELL_SECONDS, TOLD_A_MESSAGE, DrainNotices
 from troutswitch.decisions.slots.messages import SendToPeers
 
@@ -78,9 +78,9 @@
     registry = EngineRegistry()
     records = [engine("s0"), engine("s1")]
     registry.on_list(0.0, records)
-    registry.on_told_left(1.0, ["s1", "unknown"])
+    registry.on_drain_notice(1.0, ["s1", "unknown"])
     assert [held.record.engine_id for held in registry.of_service("s")] == ["s0"]
-    registry.on_list(1.0 + TOLD_SECONDS / 2, records)  # began before it left
+    registry.on_list(1.0 + DRAIN_NOTICE_SECONDS / 2, records)  # began before it left
     assert [held.record.engine_id for held in registry.of_service("s")] == ["s0"]
-    registry.on_list(1.1 + TOLD_SECONDS, records)
+    registry.on_list(1.1 + DRAIN_NOTICE_SECONDS, records)
     assert len(registry.of_service("s")) == 2
