--- a/src/troutswitch/cli/explain.py
+++ b/src/troutswitch/cli/explain.py
@@ -21,7 +21,7 @@
     "item given up": "dead-lettered",
     "job does not fit": "refused: too many tokens wait",
 }
-DECIDED_BY = ("status", "tenant", "decided_by", "come_back_ms", "configuration_version")
+DECIDED_BY = ("status", "tenant", "decided_by", "retry_after_ms", "configuration_version")
 """Fields that tell what decided on a request, in the last line of its story."""
 
 
--- a/src/troutswitch/decisions/crashes/suspects.py
+++ b/src/troutswitch/decisions/crashes/suspects.py
@@ -145,7 +145,7 @@
 
     def _take_back(self, now: float, crashes: list[Crash], reason: str) -> None:
         if crashes:
-            self._log("crashes taken back", reason=reason, count=len(crashes))
+            self._log("crashes retracted", reason=reason, count=len(crashes))
         for crash in crashes:
             self._take(now, crash, 0.0, False)
             self._shared.publish(now, crash, 0.0, False)
--- a/src/troutswitch/decisions/forwarding/log_events.py
+++ b/src/troutswitch/decisions/forwarding/log_events.py
@@ -1,4 +1,10 @@
-"""Log lines about forwarded requests: what was decided, from what, and how old that was."""
+"""Log lines about forwarded requests: what was decided, from what, and how old that was.
+
+One function an event, so that its fields stand in one place. `troutswitch explain` and
+`troutswitch bound` (`hindsight`) read these lines, `gateway/metrics.py` counts them. Fields that
+end in `_ms` are whole milliseconds. `objective_ms` is the latency objective of the route,
+`client_timeout_ms` the time left with which the request came, `elapsed_ms` the time since then.
+"""
 
 from troutswitch.decisions.forwarding.admission import Deferral
 from troutswitch.decisions.forwarding.arrivals import Refused
@@ -14,7 +20,7 @@
 from troutswitch.outcomes import AttemptKind, Cut, MayHaveRun, NotRun, Step
 
 MILLISECONDS_MOST = 3_600_000
-"""Stands for a time that was never."""
+"""Stands for a time that never was."""
 
 
 def milliseconds(seconds: float) -> int:
@@ -34,7 +40,7 @@
             "reason": refusal.reason,
             "step": refusal.step,
             "status": refusal.status,
-            "come_back_ms": milliseconds(refusal.retry_after or 0.0),
+            "retry_after_ms": milliseconds(refusal.retry_after or 0.0),
             "decided_by": refused.decided_by,
             "configuration_version": version,
         },
@@ -56,14 +62,14 @@
             "attempt": request.attempt,
             "engine": engine.record.engine_id,
             "load": engine.in_flight(now),
-            "found_by": assignment.assigned_by.value,
+            "assigned_by": assignment.assigned_by.value,
             "load_age_ms": milliseconds(now - engine.load_at),
             "objective_ms": milliseconds(request.route.objective),
             "time_left_ms": milliseconds(request.ends_at - now),
             "configuration_version": version,
             "list_age_ms": milliseconds(now - listed_at),
-            "given_ms": milliseconds(request.arrival.time_left),
-            "here_ms": milliseconds(now - request.arrived_at),
+            "client_timeout_ms": milliseconds(request.arrival.time_left),
+            "elapsed_ms": milliseconds(now - request.arrived_at),
         },
     )
 
@@ -71,7 +77,7 @@
 def line_of_deferral(
     now: float, request: ForwardedRequest, deferral: Deferral, times: ServiceTimes
 ) -> LogLine:
-    """Returns the line of a request whose caller is asked to come back."""
+    """Returns the line of a request that is refused with a time to retry, and why."""
     estimate = deferral.estimate
     return LogLine(
         "request deferred",
@@ -81,12 +87,12 @@
             "wait_ms": milliseconds(estimate.wait),
             "queued": estimate.queued,
             "slots": estimate.slots,
-            "held_ms": milliseconds(estimate.slot_time),
+            "slot_time_ms": milliseconds(estimate.slot_time),
             "first_ms": milliseconds(times.first_event),
             "objective_ms": milliseconds(request.route.objective),
-            "come_back_ms": milliseconds(deferral.retry_after),
-            "given_ms": milliseconds(request.arrival.time_left),
-            "here_ms": milliseconds(now - request.arrived_at),
+            "retry_after_ms": milliseconds(deferral.retry_after),
+            "client_timeout_ms": milliseconds(request.arrival.time_left),
+            "elapsed_ms": milliseconds(now - request.arrived_at),
         },
     )
 
@@ -112,7 +118,7 @@
 
 
 def line_of_silence(now: float, request: ForwardedRequest) -> LogLine:
-    """Returns the line of an attempt that is left since its engine sends nothing."""
+    """Returns the line of an attempt that is abandoned since its engine sends nothing."""
     return LogLine(
         "engine fell silent",
         {
@@ -144,17 +150,18 @@
 def line_of_unserved(event: RequestUnserved) -> LogLine:
     """Returns the line of a request whose connection was found closed."""
     age = milliseconds(event.age)
-    fields: dict[str, object] = {"request_id": event.request_id, "state": "not yet looked at"}
+    fields: dict[str, object] = {"request_id": event.request_id, "state": "not yet handled"}
     return LogLine("caller gone", {**fields, "close_age_ms": age})
 
 
 def line_of_wait(now: float, request: ForwardedRequest, reason: str) -> LogLine:
-    """Returns the line of a request that waits for room for the first time.
+    """Returns the line of a request that waits for capacity for the first time.
 
-    It has run somewhere, or was delivered in part, so it can't be refused any more.
+    It has run somewhere, or was delivered in part, so it can't be refused any more; or it would
+    be late at every engine and leaves the slots to others.
     """
     return LogLine(
-        "request waits for room",
+        "request waits for capacity",
         {
             "request_id": request.arrival.request_id,
             "reason": reason,
@@ -190,8 +197,8 @@
             "waits": request.waits,
             "delivered": request.delivered,
             "time_left_ms": milliseconds(request.ends_at - now),
-            "given_ms": milliseconds(request.arrival.time_left),
-            "here_ms": milliseconds(now - request.arrived_at),
+            "client_timeout_ms": milliseconds(request.arrival.time_left),
+            "elapsed_ms": milliseconds(now - request.arrived_at),
             "objective_ms": milliseconds(request.route.objective),
             "engines_known": engines_known,
             "list_age_ms": milliseconds(list_age),
--- a/src/troutswitch/hindsight/callers.py
+++ b/src/troutswitch/hindsight/callers.py
@@ -114,17 +114,17 @@
                 self.refused_before_route += 1
 
     def _try(self, fields: dict[str, Any]) -> Try | None:
-        if "given_ms" not in fields:
+        if "client_timeout_ms" not in fields:
             return None
         found = self.tries.setdefault(str(fields["request_id"]), Try(str(fields["route"])))
-        found.given = _seconds(fields, "given_ms")
+        found.given = _seconds(fields, "client_timeout_ms")
         found.objective = _seconds(fields, "objective_ms")
         return found
 
     def _on_sent(self, fields: dict[str, Any]) -> None:
         found = self._try(fields)
         if found is not None:
-            here = _seconds(fields, "here_ms")
+            here = _seconds(fields, "elapsed_ms")
             self._sent[str(fields["request_id"]), int(fields["attempt"])] = here
 
     def _on_ended(self, fields: dict[str, Any]) -> None:
@@ -146,7 +146,7 @@
     def _close(self, fields: dict[str, Any], end: End) -> None:
         found = self._try(fields)
         if found is not None:
-            found.held = _seconds(fields, "here_ms")
+            found.held = _seconds(fields, "elapsed_ms")
             found.end = end
 
 
--- a/tests/decisions/forwarding/test_hold_late.py
+++ b/tests/decisions/forwarding/test_hold_late.py
@@ -71,7 +71,7 @@
     world, _ = full_world()
     made = world.requests.on_arrived(1.0, arrival(900, time_left=TIME_LEFT_SECONDS - 1.0))
     assert [given.event for given in made if isinstance(given, LogLine)] == [
-        "request waits for room"
+        "request waits for capacity"
     ]
     again = world.requests.on_timer(1.0 + CAPACITY_RETRY_SECONDS)
     assert not [given for given in again if isinstance(given, LogLine)]
--- a/tests/hindsight/test_callers.py
+++ b/tests/hindsight/test_callers.py
@@ -12,7 +12,9 @@
 GIVEN_MS = 5000
 
 
-def sent(name: str, given_ms: int = GIVEN_MS, here_ms: int = 0, attempt: int = 1) -> str:
+def sent(
+    name: str, client_timeout_ms: int = GIVEN_MS, elapsed_ms: int = 0, attempt: int = 1
+) -> str:
     return line(
         1.0,
         "request sent",
@@ -20,8 +22,8 @@
         route="r",
         attempt=attempt,
         objective_ms=300,
-        given_ms=given_ms,
-        here_ms=here_ms,
+        client_timeout_ms=client_timeout_ms,
+        elapsed_ms=elapsed_ms,
     )
 
 
@@ -38,9 +40,9 @@
     )
 
 
-def closed(name: str, event: str, given_ms: int = GIVEN_MS, **fields: str | int) -> str:
-    held: dict[str, object] = {"route": "r", "objective_ms": 300, "here_ms": 20}
-    held |= {"request_id": name, "given_ms": given_ms, **fields}
+def closed(name: str, event: str, client_timeout_ms: int = GIVEN_MS, **fields: str | int) -> str:
+    held: dict[str, object] = {"route": "r", "objective_ms": 300, "elapsed_ms": 20}
+    held |= {"request_id": name, "client_timeout_ms": client_timeout_ms, **fields}
     return line(2.0, event, "d", **held)
 
 
@@ -50,15 +52,15 @@
 
 
 def test_an_answer_in_aim_counts_from_arrival_over_all_attempts() -> None:
-    found = count(sent("a"), ended("a", 250), sent("b", here_ms=100), ended("b", 250))
+    found = count(sent("a"), ended("a", 250), sent("b", elapsed_ms=100), ended("b", 250))
     assert (found.first_tries, found.in_aim, found.late) == (2, 1, 1)
     again = [sent("a"), ended("a", 3_600_000, kind="refused")]
-    again += [sent("a", here_ms=100, attempt=2), ended("a", 250, attempt=2)]
+    again += [sent("a", elapsed_ms=100, attempt=2), ended("a", 250, attempt=2)]
     assert (count(*again).in_aim, count(*again).late) == (0, 1)
 
 
 def test_a_success_after_a_refusal_is_late_by_the_time_since_the_first_try() -> None:
-    rows = [closed("a", "request deferred"), sent("b", given_ms=4000), ended("b", 100)]
+    rows = [closed("a", "request deferred"), sent("b", client_timeout_ms=4000), ended("b", 100)]
     found = count(*rows, sent("c"), ended("c", 100))
     assert (found.tries, found.first_tries) == (3, 2)
     assert (found.in_aim, found.late, found.refused_once, found.refused_again) == (1, 1, 0, 0)
@@ -66,14 +68,16 @@
 
 def test_refused_once_and_twice_are_told_apart_by_the_time_left() -> None:
     rows = [closed("a", "request deferred"), closed("b", "request deferred"), sent("c"), sent("d")]
-    rows += [closed("e", "request given up", given_ms=3800, outcome="NotRun", reason="full")]
+    rows += [
+        closed("e", "request given up", client_timeout_ms=3800, outcome="NotRun", reason="full")
+    ]
     found = count(*rows)
     assert (found.refused_once, found.refused_again, found.unknown) == (1, 1, 2)
 
 
 def test_what_was_held_and_not_served_tells_its_seconds() -> None:
-    rows = [closed("a", "request given up", outcome="Cut", reason="deadline", here_ms=4900)]
-    rows += [closed("b", "request given up", outcome="NotRun", reason="full", here_ms=100)]
+    rows = [closed("a", "request given up", outcome="Cut", reason="deadline", elapsed_ms=4900)]
+    rows += [closed("b", "request given up", outcome="NotRun", reason="full", elapsed_ms=100)]
     found = count(*rows)
     assert (found.failed, found.refused_first) == (1, 1)
     assert (found.held_seconds, found.longest_held) == (5.0, 4.9)
--- a/tests/proofs/test_crashes.py
+++ b/tests/proofs/test_crashes.py
@@ -222,7 +222,7 @@
     still names the ended one; a daemon sends a bystander there, and the next life rejects it.
     Cause: the head of that rejection was taken as a sign that the ended engine lives, so its
     crash was taken back from the record, for all daemons, and the cause was free again.
-    Evidence: the log of one play has "crashes taken back: engine lives" 6 ms after a request
+    Evidence: the log of one play has "crashes retracted: engine lives" 6 ms after a request
     was sent to the ended life, in the same millisecond as its rejection with 421.
     """
     world = started(seed)
