--- a/src/troutswitch/cli/explain.py
+++ b/src/troutswitch/cli/explain.py
@@ -18,7 +18,7 @@
     "request refused": "refused",
     "request deferred": "asked to come back",
     "item listed": "listed",
-    "item given up": "dead-lettered",
+    "item dead-lettered": "dead-lettered",
     "job does not fit": "refused: too many tokens wait",
 }
 DECIDED_BY = ("status", "tenant", "decided_by", "come_back_ms", "configuration_version")
--- a/src/troutswitch/decisions/crashes/suspects.py
+++ b/src/troutswitch/decisions/crashes/suspects.py
@@ -203,9 +203,9 @@
         """Reads what others wrote while this daemon stood still."""
         self._shared.follower.read_again(now)
 
-    def set_pace(self, pace: float) -> None:
+    def set_least_interval(self, seconds: float) -> None:
         """Sets the least time between reads of the store, in seconds, for a large fleet."""
-        self._shared.follower.pace = pace
+        self._shared.follower.least_interval = seconds
 
     # Timers.
 
--- a/src/troutswitch/decisions/forwarding/engine_list.py
+++ b/src/troutswitch/decisions/forwarding/engine_list.py
@@ -30,11 +30,11 @@
 
 
 class EngineListReader:
-    """Reads the list each `interval` seconds, or `pace` if the size of the fleet asks for more."""
+    """Reads the list each `interval` seconds, or `least_interval` if that is longer."""
 
     def __init__(self, numbers: CallNumbers, rng: random.Random, interval: float) -> None:
         self.interval = interval
-        self.pace = 0.0
+        self.least_interval = 0.0
         self.pages = 1
         """Pages of the last whole reading."""
         self.failures = 0
@@ -97,7 +97,7 @@
             return None
         rows, self.pages = self._rows, self._pages_read
         self._forget_pages()
-        self._due = now + max(self.interval, self.pace) * self._rng.uniform(0.8, 1.2)
+        self._due = now + max(self.interval, self.least_interval) * self._rng.uniform(0.8, 1.2)
         return rows
 
     def _begin_again(self, now: float) -> None:
--- a/src/troutswitch/decisions/gateway.py
+++ b/src/troutswitch/decisions/gateway.py
@@ -50,6 +50,7 @@
 )
 from troutswitch.decisions.jobs.batch_capacity import BATCH_CAPACITY_POLICIES
 from troutswitch.decisions.jobs.coordinator import JobCoordinator, JobEvent
+from troutswitch.decisions.jobs.dependencies import JobDependencies, JobSettings
 from troutswitch.decisions.peers.catch_up import PeerCatchUp, PeerStateReceived, ReadingState
 from troutswitch.decisions.peers.drain_notices import DrainNotices
 from troutswitch.decisions.peers.heartbeats import Peers
@@ -169,20 +170,24 @@
         )
         self.requests.arrivals.quota = self.quota
         self.jobs = JobCoordinator(
-            identity.name,
-            identity.zone,
-            identity.member_ttl_least,
-            identity.job_kept,
-            self.routes,
-            self.engines,
-            self.numbers,
-            identity.store_limits,
-            rng,
-            self._emit,
-            self.slots,
-            policies.batch,
-            self.suspects,
-            self.requests.arrivals.callers,
+            JobDependencies(
+                self.routes,
+                self.engines,
+                self.slots,
+                self.suspects,
+                self.requests.arrivals.callers,
+                self.numbers,
+                rng,
+                self._emit,
+            ),
+            JobSettings(
+                identity.name,
+                identity.zone,
+                identity.member_ttl_least,
+                identity.job_kept,
+                identity.store_limits,
+                policies.batch,
+            ),
         )
         self.peers = Peers(
             identity.name,
@@ -196,7 +201,7 @@
         self.leaving = DrainNotices(
             identity.name,
             self.peers.addresses,
-            lambda: self.engine_list.pace > self.engine_list.interval,
+            lambda: self.engine_list.least_interval > self.engine_list.interval,
             rng,
         )
         self.peer_registry = PeerRegistry(
@@ -277,7 +282,7 @@
             case SlotWanted():
                 return self._on_slot_wanted(now, instruction)
             case StartItems():
-                return list(self.jobs.owner.on_places(now, instruction))
+                return list(self.jobs.owner.on_slots_granted(now, instruction))
             case _:
                 return [instruction]
 
@@ -384,7 +389,7 @@
         if self._suspects_changes != self.suspects.changes:
             self._suspects_changes = self.suspects.changes
             self._instructions += self.requests.end_refused(now)
-        self._pace_readings()
+        self._limit_readings()
         self._look_whether_behind(now)
         self._counted(now, self.quota.on_timer(now))
         self._instructions += self.requests.on_timer(now)
@@ -416,15 +421,17 @@
             self.engines.on_list_failed(now)
         return calls
 
-    def _pace_readings(self) -> None:
+    def _limit_readings(self) -> None:
         """Reads less often in a large fleet, so that all readings together stay bounded."""
         rate = READS_SHARE * self.identity.store_reads_per_second
-        pace = (1 + len(self.peers.peers)) / rate if rate > 0 else 0.0
-        self.engine_list.pace = pace * self.engine_list.pages
-        self.engines.expired.interval = max(self.engine_list.pace, self.engine_list.interval)
-        self.slots.claims.set_pace(pace)
-        self.jobs.replicas.index_follower.pace = pace
-        self.suspects.set_pace(pace)
+        least_interval = (1 + len(self.peers.peers)) / rate if rate > 0 else 0.0
+        self.engine_list.least_interval = least_interval * self.engine_list.pages
+        self.engines.expired.interval = max(
+            self.engine_list.least_interval, self.engine_list.interval
+        )
+        self.slots.claims.set_least_interval(least_interval)
+        self.jobs.replicas.index_follower.least_interval = least_interval
+        self.suspects.set_least_interval(least_interval)
 
     # Peers.
 
@@ -447,14 +454,14 @@
 
     def _own_entry(self) -> PeerRegistryEntry:
         identity = self.identity
-        experience = replace(self.requests.experience(), pace=self.jobs.owner.pace.learnt())
+        experience = replace(self.requests.experience(), pace=self.jobs.owner.run_times.learnt())
         return PeerRegistryEntry(identity.name, identity.peer_address, identity.zone, experience)
 
     def _on_peer_registry_entry(self, now: float, entry: PeerRegistryEntry) -> None:
         self.peers.meet(now, entry)
         self.requests.begin_with(entry.experience)
         if entry.experience.pace is not None:
-            self.jobs.owner.pace.begin_with(entry.experience.pace)
+            self.jobs.owner.run_times.begin_with(entry.experience.pace)
 
     def _on_peer_state(self, now: float, event: PeerStateReceived) -> None:
         self._catch_up.on_told()
--- a/src/troutswitch/decisions/jobs/batch_capacity.py
+++ b/src/troutswitch/decisions/jobs/batch_capacity.py
@@ -1,7 +1,17 @@
-"""How much of an engine batch items may take, so that online requests find room.
+"""Rule: how many slots of an engine may batch items take, and how many items must yield?
 
-Engines know no priorities and admit in the order of arrival. An item gives its slot back
-only by being stopped, which takes a few milliseconds once somebody asks for the slot.
+Inputs: the slots of the engine; the requests and items that it has, by this daemon's own count, the
+counts that peers reported and the load that the engine reported; the age of the item's job as a
+share of its completion target.
+
+The rule is a policy, `room` of TROUTSWITCH_POLICIES. `slots`, the default, lets items fill all
+slots that online requests leave, and has items yield as soon as requests need their slots.
+`shares`, the baseline that operators compare it with, keeps a share of the slots free.
+
+Why: engines know no priorities and admit in the order of arrival, so an online request finds a
+slot only if items leave one or stop at once. To stop an item takes milliseconds, and it resumes
+after its last whole event, so a reserve costs more than it saves. Measured in docs/POLICY.md,
+"Rounds" and "Ablation".
 """
 
 import random
@@ -12,11 +22,12 @@
 from troutswitch.decisions.forwarding.engines import Engine
 
 MEMORY_SHARE = 0.85
-"""Share of an engine's memory that this daemon's own requests may fill with a batch item."""
+"""Share of an engine's cache up to which this daemon's own requests may fill it with an item. What
+other daemons have there is not counted."""
 
 
 class BatchCapacityPolicy(Protocol):
-    """Tells how many items may start at an engine, and how many must stop."""
+    """Says how many items may start at an engine, and how many must stop."""
 
     def free(self, now: float, engine: Engine, age_share: float) -> int:
         """Returns how many more items the engine may take from all daemons together.
@@ -24,7 +35,7 @@
         Args:
             now: this process's clock, in seconds.
             engine: the engine.
-            age_share: age of the item's job, in its objectives.
+            age_share: age of the item's job, as a share of its completion target.
         """
         ...
 
@@ -35,11 +46,12 @@
 
 @dataclass(frozen=True, slots=True)
 class ShareCapacity:
-    """Room by shares of the slots: the baseline.
+    """Capacity by shares of the slots: the baseline.
 
-    A job whose time is less than `pressing_age` of its objective gone is `relaxed`, and
-    one past its objective is again, as haste no longer helps it; between, it is
-    `pressing`. Beyond `yield_share` of all requests an item is stopped.
+    Items of a job whose age is below `pressing_age` (a share of its completion target) may fill
+    the share `relaxed`, and those of an older one `pressing`. Past the target it is `relaxed`
+    again, since haste no longer helps. Items stop where all requests fill more than
+    `yield_share`.
     """
 
     relaxed: float = 0.85
@@ -54,13 +66,13 @@
         return max(0, max(1, int(engine.slots * share)) - engine.in_flight(now))
 
     def surplus(self, now: float, engine: Engine) -> int:
-        """Returns how many items stand above the share from which they yield."""
+        """Returns how many items are above the share from which they yield."""
         return _surplus(now, engine, int(engine.slots * self.yield_share))
 
 
 @dataclass(frozen=True, slots=True)
 class SlotCapacity:
-    """Room by whole slots: items fill all but `reserve` of them, and yield when asked."""
+    """Capacity by whole slots: items fill all but `reserve`, and yield to online requests."""
 
     reserve: int = 0
 
@@ -70,7 +82,7 @@
         return max(0, most - engine.in_flight(now))
 
     def surplus(self, now: float, engine: Engine) -> int:
-        """Returns how many items hold slots for which online requests wait."""
+        """Returns how many items have slots for which online requests wait."""
         return _surplus(now, engine, engine.slots)
 
 
@@ -84,21 +96,27 @@
     "shares": ShareCapacity,
     "slots": SlotCapacity,
 }
-"""Room policies by name."""
+"""Capacity policies by name."""
 
 
 def has_memory(engine: Engine, tokens: int, cache_tokens: int) -> bool:
-    """Returns whether an item of some tokens fits the engine's memory, as far as known."""
+    """Returns whether an item fits into an engine's cache, by what this daemon has there.
+
+    Args:
+        engine: the engine.
+        tokens: estimated size of the item.
+        cache_tokens: size of the engine's cache; 0 if it is not known, which always fits.
+    """
     if cache_tokens <= 0:
         return True
     return engine.tokens_in_flight + tokens <= cache_tokens * MEMORY_SHARE
 
 
 def own_part(count: int, part: float, rng: random.Random) -> int:
-    """Returns this daemon's part of a count, rounded at random so that parts add up.
+    """Returns this daemon's part of a count, rounded at random so that the parts add up.
 
-    Daemons hear of each other's steps late. If each took all the room it sees, all
-    would start, and then all would stop.
+    Guards against oscillation: daemons learn of each other's starts late. If each took all free
+    slots that it sees, all would start, and then all would stop.
     """
     exact = count * part
     whole = int(exact)
--- a/src/troutswitch/decisions/jobs/coordinator.py
+++ b/src/troutswitch/decisions/jobs/coordinator.py
@@ -1,13 +1,15 @@
-"""Batch jobs of one daemon: intake, reads, ownership and runs, behind one door."""
+"""The batch jobs of one daemon as its other decisions see them.
 
-import random
-from collections.abc import Callable, Iterable
+It builds the parts (intake, reads, ownership, owner, retention), passes each event and store
+outcome to the part that it concerns, and emits what they want done. It owns the drain: how long
+the daemon keeps its shards to save what running items made.
+"""
+
+from collections.abc import Iterable
 from dataclasses import replace
+from typing import assert_never
 
-from troutswitch.decisions.crashes.interface import Suspects
-from troutswitch.decisions.forwarding.engines import EngineRegistry
-from troutswitch.decisions.forwarding.messages import LogLine
-from troutswitch.decisions.forwarding.routes import RouteTable
+from troutswitch.decisions.jobs.dependencies import JobDependencies, JobInstruction, JobSettings
 from troutswitch.decisions.jobs.intake import JobIntake
 from troutswitch.decisions.jobs.messages import (
     AnswerJobCall,
@@ -21,20 +23,17 @@
     JobSubmitted,
     ResultsRequested,
 )
-from troutswitch.decisions.jobs.owner import BatchSlots, JobOwner
+from troutswitch.decisions.jobs.owner import JobOwner
 from troutswitch.decisions.jobs.ownership import ShardOwnership
 from troutswitch.decisions.jobs.reads import JobCall, JobReads
-from troutswitch.decisions.jobs.records import StoreLimits
 from troutswitch.decisions.jobs.replicas import JobReplicas
 from troutswitch.decisions.jobs.retention import JobRetention
-from troutswitch.decisions.policies import BatchPolicies
-from troutswitch.decisions.storage.follower import CallNumbers
+from troutswitch.decisions.jobs.token_limits import TokenLimits
 from troutswitch.decisions.storage.messages import StoreOutcome
-from troutswitch.decisions.tenants.callers import TenantKeys
 from troutswitch.outcomes import NotRun
 
 DRAIN_SECONDS = 1.5
-"""Longest time for which a stopping daemon keeps its shards to save running items."""
+"""Longest time for which a daemon that drains keeps its shards to save running items."""
 
 JobEvent = (
     JobSubmitted
@@ -45,57 +44,37 @@
     | ItemBegun
     | ItemProgressed
 )
+"""Events of clients and of runs."""
 
 
 class JobCoordinator:
     """All decisions about batch jobs on one daemon."""
 
-    def __init__(
-        self,
-        member: str,
-        zone: str,
-        ttl_least: float,
-        job_kept: float,
-        routes: RouteTable,
-        engines: EngineRegistry,
-        numbers: CallNumbers,
-        room: StoreLimits,
-        rng: random.Random,
-        emit: Callable[[object], None],
-        slots: BatchSlots,
-        policies: BatchPolicies,
-        suspects: Suspects,
-        callers: TenantKeys,
-    ) -> None:
-        self._callers = callers
-        self._emit = emit
+    def __init__(self, dependencies: JobDependencies, settings: JobSettings) -> None:
+        routes, numbers = dependencies.routes, dependencies.numbers
+        rng, log = dependencies.rng, dependencies.log
+        self._tenant_keys = dependencies.tenant_keys
+        self._emit = dependencies.emit
+        self._log = log
         self._drain_until = float("inf")
         self.replicas = JobReplicas(numbers, rng)
-        self.intake = JobIntake(routes, self.replicas, numbers, room, self._answer, self._log)
-        self.reads = JobReads(self.replicas, numbers, self._answer, self._log)
-        self.ownership = ShardOwnership(member, ttl_least, self.replicas, numbers, rng, self._log)
-        self.owner = JobOwner(
-            routes,
-            engines,
-            self.replicas,
-            self.ownership,
-            numbers,
-            room,
-            rng,
-            self._log,
-            slots,
-            zone,
-            policies,
-            suspects,
+        token_limits = TokenLimits(routes, self.replicas.index)
+        self.intake = JobIntake(
+            routes, self.replicas, numbers, settings.limits, token_limits, self._answer, log
+        )
+        self.reads = JobReads(self.replicas, numbers, self._answer, log)
+        self.ownership = ShardOwnership(
+            settings.member, settings.member_ttl_least, self.replicas, numbers, rng, log
+        )
+        self.owner = JobOwner(dependencies, settings, self.replicas, self.ownership, token_limits)
+        self.retention = JobRetention(
+            self.replicas, self.ownership, numbers, settings.job_kept, log
         )
-
-        self.retention = JobRetention(self.replicas, self.ownership, numbers, job_kept, self._log)
 
     def _answer(self, token: int, answer: JobAnswer) -> None:
         self._emit(AnswerJobCall(token, answer))
 
-    def _log(self, event: str, **fields: object) -> None:
-        self._emit(LogLine(event, fields))
+    # Events.
 
     def on_event(self, now: float, event: JobEvent) -> None:
         """Takes an event of a client or of a run."""
@@ -109,11 +88,11 @@
             case ItemProgressed():
                 self.owner.on_progressed(event)
             case _:
-                raise TypeError(f"no event of jobs: {type(event).__name__}")
+                assert_never(event)
 
     def _on_call(self, now: float, event: JobCall | JobSubmitted) -> None:
-        """Takes a client's call, if its key is known."""
-        tenant = self._callers.identify_for_jobs(event.caller_key)
+        """Takes a client's call; one whose key is not known is refused."""
+        tenant = self._tenant_keys.identify_for_jobs(event.caller_key)
         if isinstance(tenant, NotRun):
             refusal = JobRefused(tenant.status, tenant.reason, tenant.retry_after)
             self._log("job call refused", job_id=event.job_id, reason=tenant.reason)
@@ -123,7 +102,7 @@
         if isinstance(call, JobSubmitted):
             self._emit_all(self.intake.on_submitted(now, call))
         else:
-            self._emit_all(self.reads.on_asked(now, call))
+            self._emit_all(self.reads.on_call(now, call))
 
     def on_store(self, now: float, call: int, outcome: StoreOutcome) -> None:
         """Takes the outcome of a store call."""
@@ -138,7 +117,9 @@
         elif self.retention.owns(call):
             self.retention.on_answer(now, outcome)
         else:
-            self._emit_all(self.replicas.on_answer(now, call, outcome) or [])
+            self._emit_all(self.replicas.on_answer(now, call, outcome))
+
+    # Timers.
 
     def next_due(self) -> float:
         """Returns when `on_timer` has something to do."""
@@ -163,7 +144,7 @@
         self._emit_all(self.replicas.on_timer(now))
 
     def drain(self, now: float) -> None:
-        """Stops running items, saves what they made, then passes the shards on."""
+        """Stops running items, saves what they made, then releases the shards."""
         self.owner.is_draining = True
         self._drain_until = now + DRAIN_SECONDS
 
@@ -171,9 +152,9 @@
         if not self.owner.is_draining or self.ownership.is_leaving:
             return
         if self.owner.is_saved() or now >= self._drain_until:
-            self._log("shards passed on", saved=self.owner.is_saved())
+            self._log("shards released", saved=self.owner.is_saved())
             self._emit_all(self.ownership.leave())
 
-    def _emit_all(self, instructions: Iterable[object]) -> None:
+    def _emit_all(self, instructions: Iterable[JobInstruction]) -> None:
         for instruction in instructions:
             self._emit(instruction)
--- a/src/troutswitch/decisions/jobs/index.py
+++ b/src/troutswitch/decisions/jobs/index.py
@@ -1,4 +1,8 @@
-"""The index of all jobs: a fold over the index partition, the same on every daemon."""
+"""The index of all jobs: a fold over the index partition, the same on every daemon.
+
+It owns the entry of each job: its manifest, whether it was ended, and the tokens of its items that
+are not listed yet.
+"""
 
 from dataclasses import dataclass, field
 
@@ -15,15 +19,15 @@
 from troutswitch.decisions.storage.messages import KeyedRecord
 
 AGE_MOST_SECONDS = 86_400.0
-"""Longest age of a job that is taken from the time of day."""
+"""Longest age of a job that is believed, as clocks may be wrong."""
 
 
 @dataclass(slots=True)
 class JobEntry:
-    """One job as the index tells it. Times are seconds.
+    """One job. Times are seconds.
 
-    `seen_at` is when this daemon first read of it, `age_when_seen` the job's age by then,
-    as far as the time of day tells.
+    `seen_at` is when this daemon first read its manifest, on this process's clock, and
+    `age_when_seen` the job's age by then, by the time of day.
     """
 
     manifest: Manifest
@@ -33,7 +37,7 @@
     age_when_seen: float = 0.0
 
     def age(self, now: float) -> float:
-        """Returns the time since the job was handed in, as far as known."""
+        """Returns the time since the job was submitted, by the clocks of two daemons."""
         return now - self.seen_at + self.age_when_seen
 
     @property
@@ -76,12 +80,12 @@
             self._take_progress(job_id, read_progress(value))
 
     def _take_manifest(self, now: float, manifest: Manifest, time_of_day: float) -> None:
-        """Takes a manifest; a whole read comes by key, so marks may come before it."""
+        """Takes a manifest; a read of newest records comes by key, so marks may come before it."""
         if manifest.job_id in self.jobs:
-            return  # the first manifest of a job holds
+            return  # the first manifest of a job is the one that was accepted
         entry = JobEntry(manifest, manifest.tokens, now)
-        if time_of_day and manifest.handed_in_at:
-            age = time_of_day - manifest.handed_in_at
+        if time_of_day and manifest.submitted_at:
+            age = time_of_day - manifest.submitted_at
             entry.age_when_seen = min(max(0.0, age), AGE_MOST_SECONDS)
         self.jobs[manifest.job_id] = entry
         entry.is_ended = manifest.job_id in self._early_ends
@@ -101,7 +105,7 @@
         if entry is None:
             self._early_progress[job_id] = tokens_left
         else:
-            # What is listed stays listed, so a late word of a former owner changes nothing.
+            # What is listed stays listed, so a late report of a former owner changes nothing.
             entry.tokens_left = min(entry.tokens_left, tokens_left)
 
     def _remove(self, kind: str, job_id: str) -> None:
--- a/src/troutswitch/decisions/jobs/intake.py
+++ b/src/troutswitch/decisions/jobs/intake.py
@@ -1,27 +1,31 @@
-"""Takes jobs in: content first, then the manifest at the expected end of the index.
+"""Accepts jobs: content first, then the manifest at the expected end of the index.
 
-    STORING   -> PLACING    the items' records were acknowledged
-    PLACING   -> accepted   the manifest was appended at the end that was read
-    PLACING   -> READING    the index ends elsewhere, or the answer was lost
-    READING   -> PLACING    the index was read to its end, and the job still fits
-    READING   -> accepted   the index has the job's manifest: this or another hand-in
-    any       -> refused    it does not fit, or time ran out
+    STORING    -> APPENDING  the items' records were acknowledged
+    APPENDING  -> accepted   the manifest was appended at the end that was read
+    APPENDING  -> READING    the index ends elsewhere, or the answer was lost
+    READING    -> STORING    the index was read to its end, and the job still fits; content that
+                             was stored before is not stored again
+    READING    -> accepted   the index has the job's manifest, of this or another submission
+    any        -> refused    it does not fit, or time ran out
 
-The manifest's append is the one moment at which a job begins to exist. Its condition
-makes every writer count all jobs before it, so the tokens that wait are bounded across
-all daemons without one that counts for them.
+The append of the manifest is the one moment at which a job begins to exist. Its condition makes
+every daemon count all jobs before it, so the tokens that wait are bounded across all daemons
+without one that counts for them (`token_limits`).
 
-A refusal by 429 or 503 promises that the job never runs. It is only given while no
-append of the manifest is without an answer.
+A refusal by 429 or 503 promises that the job never runs. It is only given while no append of the
+manifest is without an answer; otherwise the status is 504.
+
+It owns the submissions in progress on this daemon.
 """
 
 from collections.abc import Callable
 from dataclasses import dataclass
 from enum import Enum
+from typing import assert_never
 
 from troutswitch.decisions.forwarding.routes import RouteTable
 from troutswitch.decisions.forwarding.types import Route, RouteKind
-from troutswitch.decisions.jobs.index import JobEntry
+from troutswitch.decisions.jobs.due_times import completion_target
 from troutswitch.decisions.jobs.messages import (
     JobAccepted,
     JobAnswer,
@@ -39,6 +43,7 @@
     shard_partition,
 )
 from troutswitch.decisions.jobs.replicas import JobReplicas
+from troutswitch.decisions.jobs.token_limits import TokenLimits
 from troutswitch.decisions.storage.follower import CallNumbers
 from troutswitch.decisions.storage.messages import (
     Appended,
@@ -51,105 +56,126 @@
 )
 
 RESERVE_SECONDS = 0.3
-"""Part of a client's time that is left for its answer."""
+"""Part of a client's timeout that is left for its answer."""
 RETRY_PAUSE_SECONDS = 0.15
+"""Pause after a store call that failed."""
 CALL_LOST_SECONDS = 4.0
+"""Time after which a store call without an answer wakes this module up."""
 RETRY_AFTER_SECONDS = 0.5
-QUOTA_RETRY_AFTER_SECONDS = 1.0
+"""Retry-After where the store or the configuration could not be read."""
+LIMIT_RETRY_AFTER_SECONDS = 1.0
+"""Retry-After where too many tokens wait."""
+ROW_OVERHEAD_BYTES = 8
+"""Bytes that are reckoned for a record in a call beside its key and value."""
 
 
 class IntakeState(Enum):
-    """State of a job that is being taken in."""
+    """State of a submission."""
 
     STORING = "storing"
     READING = "reading"
-    PLACING = "placing"
+    APPENDING = "appending"
 
 
 @dataclass(slots=True)
-class Intake:
-    """One hand-in of a job."""
+class Submission:
+    """One submission of a job. Times are seconds on this process's clock.
+
+    `batches` holds the records of content that are not stored yet, a call each. `call` is the
+    store call in flight, or 0. `may_be_accepted` tells that an append of the manifest was not
+    answered, and may have acted.
+    """
 
     event: JobSubmitted
     route: Route
     manifest: Manifest
     batches: list[tuple[KeyedRecord, ...]]
     begun_at: float
-    give_up_at: float
+    expires_at: float
     state: IntakeState = IntakeState.STORING
     call: int = 0
-    requested_at: float = 0.0
+    call_at: float = 0.0
     retry_at: float = float("inf")
-    may_be_placed: bool = False
+    may_be_accepted: bool = False
+
+    def next_due(self) -> float:
+        """Returns when the submission expires, is tried again, or lacks an answer for long."""
+        lost_at = self.call_at + CALL_LOST_SECONDS if self.call else float("inf")
+        return min(self.expires_at, self.retry_at, lost_at)
 
 
 class JobIntake:
-    """All hand-ins in progress on this daemon."""
+    """All submissions in progress on this daemon."""
 
     def __init__(
         self,
         routes: RouteTable,
         replicas: JobReplicas,
         numbers: CallNumbers,
-        room: StoreLimits,
+        limits: StoreLimits,
+        token_limits: TokenLimits,
         answer: Callable[[int, JobAnswer], None],
         log: Callable[..., None],
     ) -> None:
-        self.intakes: dict[int, Intake] = {}
+        self._submissions: dict[int, Submission] = {}
         self._routes = routes
         self._replicas = replicas
         self._numbers = numbers
-        self._room = room
+        self._limits = limits
+        self._token_limits = token_limits
         self._answer = answer
         self._log = log
 
+    # Arrival.
+
     def on_submitted(self, now: float, event: JobSubmitted) -> list[StoreCall]:
-        """Begins a hand-in, or answers it at once."""
+        """Begins a submission, or answers it at once."""
         if self._routes.configuration is None:
-            return self._reply(event, JobRefused(503, "no configuration yet", RETRY_AFTER_SECONDS))
+            refusal = JobRefused(503, "no configuration yet", RETRY_AFTER_SECONDS)
+            return self._answer_at_once(event, refusal)
         route = self._routes.match(event.host, event.path)
         if route is None or route.kind is not RouteKind.JOBS:
-            return self._reply(event, JobRefused(404, "no such route"))
+            return self._answer_at_once(event, JobRefused(404, "no such route"))
         if not self._replicas.index_follower.is_current:
-            return self._reply(event, JobRefused(503, "the index is not read yet", 0.5))
+            refusal = JobRefused(503, "the index is not read yet", RETRY_AFTER_SECONDS)
+            return self._answer_at_once(event, refusal)
         return self._begin(now, event, route)
 
     def _begin(self, now: float, event: JobSubmitted, route: Route) -> list[StoreCall]:
-        manifest = Manifest(
+        manifest = self._manifest(now, event, route)
+        try:
+            records = chunk_records(event.job_id, event.items, self._limits.record_bytes)
+        except RecordError as error:
+            return self._answer_at_once(event, JobRefused(413, str(error)))
+        known = self._known(manifest)
+        if known is not None:
+            return self._answer_at_once(event, known)
+        batches = _batches(records, self._limits.call_bytes)
+        expires_at = now + max(0.0, event.time_left - RESERVE_SECONDS)
+        submission = Submission(event, route, manifest, batches, now, expires_at)
+        self._submissions[event.token] = submission
+        if not self._token_limits.fits(route, manifest):
+            # The count of this replica may lag; the index is read before a refusal.
+            self._read_index(submission)
+            return []
+        return self._store_next(now, submission)
+
+    def _manifest(self, now: float, event: JobSubmitted, route: Route) -> Manifest:
+        return Manifest(
             event.job_id,
             route.name,
             event.host,
             len(event.items),
             sum(item.tokens for item in event.items),
             event.digest,
-            shard_of(event.job_id, self._room.shards),
+            shard_of(event.job_id, self._limits.shards),
             self._replicas.time_of_day(now),
             event.tenant,
         )
-        try:
-            records = chunk_records(event.job_id, event.items, self._room.record_bytes)
-        except RecordError as error:
-            return self._reply(event, JobRefused(413, str(error)))
-        known = self._known(event, manifest)
-        if known is not None:
-            return self._reply(event, known)
-        intake = Intake(
-            event,
-            route,
-            manifest,
-            _batches(records, self._room.call_bytes),
-            now,
-            now + max(0.0, event.time_left - RESERVE_SECONDS),
-        )
-        self.intakes[event.token] = intake
-        if not self._fits(intake):
-            # The tokens told here may lag; the index is read before a refusal.
-            self._read_index(intake)
-            return []
-        return self._store_next(now, intake)
 
-    def _known(self, event: JobSubmitted, manifest: Manifest) -> JobAnswer | None:
-        entry: JobEntry | None = self._replicas.index.jobs.get(event.job_id)
+    def _known(self, manifest: Manifest) -> JobAnswer | None:
+        """Returns the answer to a job whose id is in the index; None if it is not."""
+        entry = self._replicas.index.jobs.get(manifest.job_id)
         if entry is None:
             return None
         is_same = entry.manifest.digest == manifest.digest
@@ -157,188 +183,181 @@
             return JobAccepted()
         return JobRefused(409, "the job's id was used for other content")
 
-    def _fits(self, intake: Intake) -> bool:
-        most = intake.route.queued_tokens_most
-        if most <= 0:
-            return True
-        waiting = self._replicas.index.waiting_tokens(intake.route.name, intake.manifest.tenant)
-        return waiting + intake.manifest.tokens <= most
+    def _answer_at_once(self, event: JobSubmitted, answer: JobAnswer) -> list[StoreCall]:
+        self._log(
+            "job answered at once",
+            job_id=event.job_id,
+            answer=type(answer).__name__,
+            reason=getattr(answer, "reason", ""),
+        )
+        self._answer(event.token, answer)
+        return []
 
     # Steps.
 
-    def _store_next(self, now: float, intake: Intake) -> list[StoreCall]:
-        """Appends the next records of content; they are harmless any number of times."""
-        intake.state = IntakeState.STORING
-        if not intake.batches:
-            return self._place(now, intake)
-        partition = shard_partition(intake.manifest.shard)
-        return self._call(
-            now, intake, AppendRecords(self._numbers.next(), partition, intake.batches[0])
-        )
-
-    def _place(self, now: float, intake: Intake) -> list[StoreCall]:
-        intake.state = IntakeState.PLACING
+    def _store_next(self, now: float, submission: Submission) -> list[StoreCall]:
+        """Appends the next records of content, then the manifest; content may be stored twice."""
+        if not submission.batches:
+            return self._append_manifest(now, submission)
+        submission.state = IntakeState.STORING
+        partition = shard_partition(submission.manifest.shard)
+        call = AppendRecords(self._numbers.next(), partition, submission.batches[0])
+        return self._begin_call(now, submission, call)
+
+    def _append_manifest(self, now: float, submission: Submission) -> list[StoreCall]:
+        submission.state = IntakeState.APPENDING
         end = self._replicas.index_follower.next_offset
-        record = manifest_record(intake.manifest)
-        return self._call(now, intake, AppendRecords(self._numbers.next(), INDEX, (record,), end))
-
-    def _call(self, now: float, intake: Intake, call: AppendRecords) -> list[StoreCall]:
-        intake.call = call.call
-        intake.requested_at = now
-        intake.retry_at = float("inf")
+        record = manifest_record(submission.manifest)
+        call = AppendRecords(self._numbers.next(), INDEX, (record,), end)
+        return self._begin_call(now, submission, call)
+
+    @staticmethod
+    def _begin_call(now: float, submission: Submission, call: AppendRecords) -> list[StoreCall]:
+        submission.call = call.call
+        submission.call_at = now
+        submission.retry_at = float("inf")
         return [call]
 
-    def _read_index(self, intake: Intake) -> None:
-        intake.state = IntakeState.READING
-        intake.call = 0
-        token = intake.event.token
-        self._replicas.index_refresher.ask(
+    def _read_index(self, submission: Submission) -> None:
+        submission.state = IntakeState.READING
+        submission.call = 0
+        token = submission.event.token
+        self._replicas.index_refresher.refresh(
             lambda now, succeeded: self._on_index_read(now, token, succeeded)
         )
 
     def _on_index_read(self, now: float, token: int, succeeded: bool) -> None:
-        intake = self.intakes.get(token)
-        if intake is None or intake.state is not IntakeState.READING:
+        submission = self._submissions.get(token)
+        if submission is None or submission.state is not IntakeState.READING:
             return
         if not succeeded:
-            intake.retry_at = now + RETRY_PAUSE_SECONDS
+            submission.retry_at = now + RETRY_PAUSE_SECONDS
             return
-        known = self._known(intake.event, intake.manifest)
+        known = self._known(submission.manifest)
         if known is not None:
-            self._finish(now, intake, known)
-        elif not self._fits(intake):
-            self._refuse_unfit(now, intake)
+            self._finish(now, submission, known)
+        elif not self._token_limits.fits(submission.route, submission.manifest):
+            self._refuse_for_limit(now, submission)
         else:
-            intake.retry_at = now
+            submission.retry_at = now
 
-    def _refuse_unfit(self, now: float, intake: Intake) -> None:
-        """Refuses a job that does not fit, unless an append of it may still act."""
-        waiting = self._replicas.index.waiting_tokens(intake.route.name, intake.manifest.tenant)
-        self._log(
-            "job does not fit",
-            job_id=intake.event.job_id,
-            tokens=intake.manifest.tokens,
-            waiting=waiting,
-            most=intake.route.queued_tokens_most,
-        )
-        status = 504 if intake.may_be_placed else 429
-        self._finish(
-            now, intake, JobRefused(status, "too many tokens wait", QUOTA_RETRY_AFTER_SECONDS)
-        )
+    # Outcomes.
 
     def owns(self, call: int) -> bool:
-        """Returns whether an answer belongs to a hand-in."""
-        return any(intake.call == call for intake in self.intakes.values())
+        """Returns whether a store call is of a submission."""
+        return any(submission.call == call for submission in self._submissions.values())
 
     def on_answer(self, now: float, call: int, outcome: StoreOutcome) -> list[StoreCall]:
-        """Takes the outcome of a hand-in's call."""
-        intake = next(i for i in self.intakes.values() if i.call == call)
-        intake.call = 0
-        if intake.state is IntakeState.STORING:
-            return self._on_stored(now, intake, outcome)
-        return self._on_placed(now, intake, outcome)
-
-    def _on_stored(self, now: float, intake: Intake, outcome: StoreOutcome) -> list[StoreCall]:
+        """Takes the outcome of a submission's call."""
+        submission = next(s for s in self._submissions.values() if s.call == call)
+        submission.call = 0
+        if submission.state is IntakeState.STORING:
+            return self._on_stored(now, submission, outcome)
+        self._on_manifest_answered(now, submission, outcome)
+        return []
+
+    def _on_stored(
+        self, now: float, submission: Submission, outcome: StoreOutcome
+    ) -> list[StoreCall]:
         if isinstance(outcome, Appended):
-            del intake.batches[0]
-            return self._store_next(now, intake)
-        intake.retry_at = now + RETRY_PAUSE_SECONDS
+            del submission.batches[0]
+            return self._store_next(now, submission)
+        submission.retry_at = now + RETRY_PAUSE_SECONDS
         return []
 
-    def _on_placed(self, now: float, intake: Intake, outcome: StoreOutcome) -> list[StoreCall]:
+    def _on_manifest_answered(
+        self, now: float, submission: Submission, outcome: StoreOutcome
+    ) -> None:
         match outcome:
             case Appended():
-                record = manifest_record(intake.manifest)
-                self._replicas.index.take(now, record)
+                self._replicas.index.take(now, manifest_record(submission.manifest))
                 self._replicas.index_follower.skip(outcome.offset, outcome.end)
-                self._finish(now, intake, JobAccepted())
+                self._finish(now, submission, JobAccepted())
             case EndMoved():
-                self._read_index(intake)
+                self._read_index(submission)
             case CallFailed(may_have_acted=True):
-                intake.may_be_placed = True
-                self._read_index(intake)
+                submission.may_be_accepted = True
+                self._read_index(submission)
             case _:
-                intake.retry_at = now + RETRY_PAUSE_SECONDS
-        return []
+                submission.retry_at = now + RETRY_PAUSE_SECONDS
 
-    # Timers and ends.
+    # Timers.
 
     def next_due(self) -> float:
         """Returns when `on_timer` has something to do."""
-        return min(
-            (
-                min(
-                    i.give_up_at,
-                    i.retry_at,
-                    i.requested_at + CALL_LOST_SECONDS if i.call else i.retry_at,
-                )
-                for i in self.intakes.values()
-            ),
-            default=float("inf"),
-        )
+        dues = (submission.next_due() for submission in self._submissions.values())
+        return min(dues, default=float("inf"))
 
     def on_timer(self, now: float) -> list[StoreCall]:
         """Tries again what failed, and ends what has run out of time."""
         calls: list[StoreCall] = []
-        for intake in list(self.intakes.values()):
-            if now >= intake.give_up_at:
-                self._give_up(now, intake)
-            elif intake.retry_at <= now:
-                calls += self._again(now, intake)
+        for submission in list(self._submissions.values()):
+            if now >= submission.expires_at:
+                self._expire(now, submission)
+            elif submission.retry_at <= now:
+                calls += self._retry(now, submission)
         return calls
 
-    def _again(self, now: float, intake: Intake) -> list[StoreCall]:
-        intake.retry_at = float("inf")
-        if intake.state is IntakeState.STORING:
-            return self._store_next(now, intake)
-        if intake.state is IntakeState.PLACING:
-            return self._place(now, intake)
-        known = self._known(intake.event, intake.manifest)
+    def _retry(self, now: float, submission: Submission) -> list[StoreCall]:
+        submission.retry_at = float("inf")
+        match submission.state:
+            case IntakeState.STORING:
+                return self._store_next(now, submission)
+            case IntakeState.APPENDING:
+                return self._append_manifest(now, submission)
+            case IntakeState.READING:
+                return self._go_on_after_read(now, submission)
+            case _:
+                assert_never(submission.state)
+
+    def _go_on_after_read(self, now: float, submission: Submission) -> list[StoreCall]:
+        known = self._known(submission.manifest)
         if known is not None:
-            self._finish(now, intake, known)
+            self._finish(now, submission, known)
             return []
-        if not self._replicas.index_follower.is_current or not self._fits(intake):
-            self._read_index(intake)
+        is_current = self._replicas.index_follower.is_current
+        if not is_current or not self._token_limits.fits(submission.route, submission.manifest):
+            self._read_index(submission)
             return []
-        return self._store_next(now, intake)
-
-    def _give_up(self, now: float, intake: Intake) -> None:
-        unanswered = intake.state is IntakeState.PLACING and intake.call != 0
-        may_be_placed = intake.may_be_placed or unanswered
-        status = 504 if may_be_placed else 503
-        self._finish(
-            now, intake, JobRefused(status, "the store did not answer", RETRY_AFTER_SECONDS)
-        )
+        return self._store_next(now, submission)
 
-    def _finish(self, now: float, intake: Intake, answer: JobAnswer) -> None:
-        del self.intakes[intake.event.token]
+    # Ends.
+
+    def _refuse_for_limit(self, now: float, submission: Submission) -> None:
+        """Refuses a job that does not fit; by 504 if an append of its manifest may still act."""
         self._log(
-            "job hand-in ended",
-            job_id=intake.event.job_id,
-            items=intake.manifest.item_count,
-            tokens=intake.manifest.tokens,
-            shard=intake.manifest.shard,
-            answer=type(answer).__name__,
-            reason=getattr(answer, "reason", ""),
-            status=getattr(answer, "status", 202),
-            took_ms=round((now - intake.begun_at) * 1000),
-            due_ms=round(self._objective(intake.manifest.route) * 1000),
+            "job does not fit",
+            job_id=submission.event.job_id,
+            tokens=submission.manifest.tokens,
+            waiting=self._token_limits.waiting(submission.manifest),
+            most=submission.route.queued_tokens_most,
         )
-        self._answer(intake.event.token, answer)
-
-    def _objective(self, route_name: str) -> float:
-        route = self._routes.named(route_name)
-        return route.completion_target if route is not None else 0.0
-
-    def _reply(self, event: JobSubmitted, answer: JobAnswer) -> list[StoreCall]:
+        status = 504 if submission.may_be_accepted else 429
+        refusal = JobRefused(status, "too many tokens wait", LIMIT_RETRY_AFTER_SECONDS)
+        self._finish(now, submission, refusal)
+
+    def _expire(self, now: float, submission: Submission) -> None:
+        is_unanswered = submission.state is IntakeState.APPENDING and submission.call != 0
+        status = 504 if submission.may_be_accepted or is_unanswered else 503
+        refusal = JobRefused(status, "the store did not answer", RETRY_AFTER_SECONDS)
+        self._finish(now, submission, refusal)
+
+    def _finish(self, now: float, submission: Submission, answer: JobAnswer) -> None:
+        del self._submissions[submission.event.token]
+        manifest = submission.manifest
         self._log(
-            "job answered at once",
-            job_id=event.job_id,
+            "job submission ended",
+            job_id=manifest.job_id,
+            items=manifest.item_count,
+            tokens=manifest.tokens,
+            shard=manifest.shard,
             answer=type(answer).__name__,
             reason=getattr(answer, "reason", ""),
+            status=getattr(answer, "status", 202),
+            took_ms=round((now - submission.begun_at) * 1000),
+            due_ms=round(completion_target(self._routes, manifest) * 1000),
         )
-        self._answer(event.token, answer)
-        return []
+        self._answer(submission.event.token, answer)
 
 
 def _batches(records: tuple[KeyedRecord, ...], call_bytes: int) -> list[tuple[KeyedRecord, ...]]:
@@ -346,7 +365,7 @@
     batches: list[list[KeyedRecord]] = [[]]
     used = 0
     for record in records:
-        size = len(record.value) + len(record.key) + 8
+        size = len(record.value) + len(record.key) + ROW_OVERHEAD_BYTES
         if batches[-1] and used + size > call_bytes:
             batches.append([])
             used = 0
--- a/src/troutswitch/decisions/jobs/item_contents.py
+++ b/src/troutswitch/decisions/jobs/item_contents.py
@@ -1,7 +1,8 @@
-"""Names items by what engines read of them, so that their crashes are counted over all owners.
+"""Content keys of items, by which the crashes under them are counted over all owners.
 
-Items of one job that share a path are named together until one of them was done: what ends
-engines is then likely what they have in common, and counted apart each of them would end three.
+Items of one job that share a path have a common key until one of them is done. Guards against a
+job whose items all crash engines: what they have in common is then the likely cause, and if they
+were counted apart, each of them could crash as many engines as a single item may.
 """
 
 from collections import Counter
@@ -13,24 +14,20 @@
 from troutswitch.decisions.jobs.shard import JobContent
 
 SHARED_METHOD = "ITEMS"
-"""Stands for the method in the name of several items, which no request can have."""
+"""Stands for the method in the common key, so that no request has the same key."""
 REMEMBERED_MOST = 1024
-"""Jobs, and paths of done items, that are remembered; one that was forgotten is looked up again."""
+"""Jobs, and paths of done items, that are cached; others are looked up again."""
 
 
 class ItemContents:
-    """The content keys of the items that this daemon owns.
-
-    On a day with such a job of eight items, 35 engines ended under it where the items were
-    counted apart (a play with the logs of all daemons).
-    """
+    """The content keys of the items that this daemon owns."""
 
     def __init__(self, replicas: JobReplicas) -> None:
         self._replicas = replicas
         self._done: dict[tuple[str, str], None] = {}
         """Jobs and paths of which an item was done here."""
         self._paths: dict[str, Counter[str]] = {}
-        """How many items of a job have a path; kept once all items of the job were read."""
+        """How many items of a job have a path; cached once all items of the job were read."""
 
     def of(self, progress: ItemProgress) -> str:
         """Returns the key under which a run of an item counts; empty if its job is not known."""
@@ -42,7 +39,7 @@
         return (self._own(progress), shared) if shared else (self._own(progress),)
 
     def on_done(self, progress: ItemProgress) -> None:
-        """An item was done: from now on those that share its path are named apart."""
+        """An item was done: from now on those that share its path have keys of their own."""
         if self._siblings(progress) > 1:
             self._note_done(progress)
 
@@ -54,7 +51,7 @@
         return progress.content
 
     def _shared(self, progress: ItemProgress) -> str:
-        """Returns the key of all items with this one's path; empty if it is named alone."""
+        """Returns the common key of items with this one's path; empty if there is none."""
         entry = self._replicas.index.jobs.get(progress.job_id)
         if entry is None or self._siblings(progress) < 2 or self._was_done(progress):
             return ""
@@ -65,15 +62,19 @@
         """Returns how many items of the job have this item's path, itself among them."""
         paths = self._paths.get(progress.job_id)
         if paths is None:
-            items = self._content(progress).items()
-            paths = Counter(item.path for item in items)
-            entry = self._replicas.index.jobs.get(progress.job_id)
-            if entry is not None and len(items) == entry.manifest.item_count:
-                self._paths[progress.job_id] = paths
-                if len(self._paths) > REMEMBERED_MOST:
-                    del self._paths[next(iter(self._paths))]
+            paths = self._count_paths(progress)
         return paths[progress.item.path]
 
+    def _count_paths(self, progress: ItemProgress) -> Counter[str]:
+        items = self._content(progress).items()
+        paths = Counter(item.path for item in items)
+        entry = self._replicas.index.jobs.get(progress.job_id)
+        if entry is not None and len(items) == entry.manifest.item_count:
+            self._paths[progress.job_id] = paths
+            if len(self._paths) > REMEMBERED_MOST:
+                del self._paths[next(iter(self._paths))]
+        return paths
+
     def _was_done(self, progress: ItemProgress) -> bool:
         """Returns whether an item with this path was done, here or by an earlier owner."""
         path = progress.item.path
--- a/src/troutswitch/decisions/jobs/item_refusals.py
+++ b/src/troutswitch/decisions/jobs/item_refusals.py
@@ -1,9 +1,18 @@
-"""Which items may not run, as engines ended under them, and when one of them is tried again.
+"""Rule: which items may not run because engines crashed under them, and when is one tried again?
 
-FREE     -> REFUSED   three engines ended under the item, or under those named with it
-REFUSED  -> ON_TRIAL  no engine has ended under it for `TRIAL_SECONDS`
-ON_TRIAL -> REFUSED   one more engine ended: the next trial comes as long after that
-ON_TRIAL -> FREE      an engine ran it to its end
+Inputs: the contents that the crash record refuses, and the time of their last crash, from this
+daemon and from peers' reports (seconds old at most); when a trial was last started here.
+
+The rule:
+
+    FREE     -> REFUSED   three engines crashed under the item, or under those named with it
+    REFUSED  -> ON_TRIAL  no engine has crashed under it for `TRIAL_SECONDS`
+    ON_TRIAL -> REFUSED   one more engine crashed: the next trial comes as long after that
+    ON_TRIAL -> FREE      an engine ran it to its end
+
+Why: an item must not crash one engine after the other, yet it may not be dead-lettered for it:
+only an engine's answer or the end of its retention allows that. So it waits, and is tried again
+in case something else caused the crashes. tests/proofs/test_crashes.py holds the bounds.
 """
 
 from troutswitch.decisions.crashes.interface import Suspects
@@ -12,12 +21,11 @@
 from troutswitch.decisions.jobs.replicas import JobReplicas
 
 TRIAL_SECONDS = 16.0
-"""Time without a crash after which a refused item is tried once more: users count an item as left
-lying that no engine has had for 20 s, of which some go by until it has a place."""
+"""Time without a crash after which a refused item is tried once more. An item counts as abandoned
+when no engine has had it for 20 s, and some seconds pass until it has a slot."""
 TRIALS_MOST = 2
-"""Engines that trials of an item may end: users allow three more after the first three, and one may
-be in flight when the third becomes known. With these an item is never left lying for 50 s, by
-when its retention (60 s) allows to give it up."""
+"""Engines that trials of an item may crash. Three crashes are allowed after the first three, and
+one more run may be in flight when the third becomes known."""
 
 
 class ItemRefusals:
@@ -29,11 +37,11 @@
         self._tried_at: dict[str, float] = {}
         """When a trial of a content was last started here."""
 
-    def holds(self, now: float, progress: ItemProgress) -> bool:
+    def forbids_start(self, now: float, progress: ItemProgress) -> bool:
         """Returns whether an item may not start now."""
         return any(not self._may_try(now, content) for content in self._refused(progress))
 
-    def stops(self, progress: ItemProgress) -> bool:
+    def forbids_run(self, progress: ItemProgress) -> bool:
         """Returns whether a run of an item must be stopped."""
         return not progress.is_on_trial and bool(self._refused(progress))
 
@@ -45,14 +53,14 @@
             self._tried_at[content] = now
 
     def on_stopped(self, progress: ItemProgress) -> None:
-        """A run was stopped here: if it was a trial, it has shown nothing."""
+        """This daemon stopped a run: if it was a trial, it has shown nothing."""
         if progress.is_on_trial:
             progress.is_on_trial = False
             for content in self._contents.both(progress):
                 self._tried_at.pop(content, None)
 
     def on_lost(self, now: float, progress: ItemProgress, engine_id: str) -> None:
-        """A run's answer was lost."""
+        """The connection of a run broke off before its end."""
         progress.is_on_trial = False
         self._suspects.on_lost(now, self._contents.of(progress), engine_id)
 
--- /dev/null
+++ b/src/troutswitch/decisions/jobs/item_retries.py
@@ -0,0 +1,113 @@
+"""Rule: when is an item tried again, and when is it dead-lettered?
+
+Inputs: the routes in force; the age of the job since this daemon first read of it, in seconds; the
+failed runs of the item, here and at earlier owners; the statuses with which its runs ended; the
+contents that crashes have refused.
+
+The rule, for an item that could start:
+
+- without a route for `ROUTE_GONE_SECONDS`, past the route's retention, or with as many failed runs
+  as the route allows, it is dead-lettered;
+- while crashes forbid its start, it is looked at again after `REFUSED_RETRY_SECONDS`.
+
+And for one whose run ended early:
+
+- status 422 dead-letters it, as the engine says that it can never be done;
+- status 500 counts as a failed run; the last that the route allows dead-letters it;
+- anything else (a stop, a crash, a lost connection, a full engine) says nothing of the item, and
+  it is tried again, without a bound on the number of runs.
+
+Why: an accepted item must complete, so only an engine's answer about it, its retention or the loss
+of its route may end it. Measured in docs/POLICY.md, "Rounds"; tests/decisions/jobs/test_failures.py
+holds the bound on failed runs over all owners.
+"""
+
+import random
+
+from troutswitch.decisions.forwarding.routes import RouteTable
+from troutswitch.decisions.forwarding.types import Route
+from troutswitch.decisions.jobs.index import JobIndex
+from troutswitch.decisions.jobs.item_endings import ItemEndings
+from troutswitch.decisions.jobs.item_refusals import ItemRefusals
+from troutswitch.decisions.jobs.items import ItemProgress
+from troutswitch.decisions.jobs.messages import ItemRunEnded
+from troutswitch.outcomes import AttemptKind
+
+RETRY_SECONDS = 0.2
+"""Mean pause after a run that ended early, or while an item has no route."""
+FAILED_RETRY_SECONDS = 0.4
+"""Pause after a run that the engine says has failed."""
+REFUSED_RETRY_SECONDS = 1.0
+"""Pause until an item that crashes forbid to start is looked at again."""
+ROUTE_GONE_SECONDS = 6.0
+"""Time without a route after which an item is dead-lettered: a change of the configuration may
+take a route away for a moment."""
+FAILED_STATUS = 500
+"""Status with which an engine says that an item's run failed."""
+NEVER_STATUS = 422
+"""Status with which an engine says that an item can never be done."""
+
+
+class ItemRetries:
+    """Decides what becomes of items that have not ended."""
+
+    def __init__(
+        self,
+        routes: RouteTable,
+        index: JobIndex,
+        refusals: ItemRefusals,
+        endings: ItemEndings,
+        rng: random.Random,
+    ) -> None:
+        self._routes = routes
+        self._index = index
+        self._refusals = refusals
+        self._endings = endings
+        self._rng = rng
+
+    def route_to_start(self, now: float, progress: ItemProgress) -> Route | None:
+        """Returns the route of an item that may start now.
+
+        Returns None if it must wait, for which its retry time is set, or was dead-lettered.
+        """
+        entry = self._index.jobs[progress.job_id]
+        route = self._routes.match(entry.manifest.host, progress.item.path)
+        if route is None:
+            self._on_no_route(now, progress)
+            return None
+        progress.no_route_since = float("inf")
+        if route.retention and now - entry.seen_at > route.retention:
+            self._endings.dead_letter(progress, "its retention is over")
+            return None
+        if progress.failures >= route.attempts_most:
+            reason = f"{progress.failures} runs failed at earlier owners"
+            self._endings.dead_letter(progress, reason)
+            return None
+        if self._refusals.forbids_start(now, progress):
+            progress.retry_at = now + REFUSED_RETRY_SECONDS
+            return None
+        return route
+
+    def _on_no_route(self, now: float, progress: ItemProgress) -> None:
+        progress.no_route_since = min(progress.no_route_since, now)
+        if now - progress.no_route_since > ROUTE_GONE_SECONDS:
+            self._endings.dead_letter(progress, "its route is gone")
+        else:
+            progress.retry_at = now + RETRY_SECONDS
+
+    def on_ended_early(self, now: float, progress: ItemProgress, event: ItemRunEnded) -> None:
+        """Takes the end of a run that did not bring the item's whole output."""
+        if event.status == NEVER_STATUS:
+            self._endings.dead_letter(progress, f"status {event.status}")
+            return
+        progress.retry_at = now + RETRY_SECONDS * self._rng.uniform(0.5, 1.5)
+        if event.status == FAILED_STATUS and event.kind is not AttemptKind.REFUSED:
+            self._on_failed(now, progress)
+
+    def _on_failed(self, now: float, progress: ItemProgress) -> None:
+        progress.failures += 1
+        progress.retry_at = now + FAILED_RETRY_SECONDS
+        entry = self._index.jobs.get(progress.job_id)
+        route = self._routes.named(entry.manifest.route) if entry is not None else None
+        if route is not None and progress.failures >= route.attempts_most:
+            self._endings.dead_letter(progress, f"{progress.failures} runs failed")
--- a/src/troutswitch/decisions/jobs/items.py
+++ b/src/troutswitch/decisions/jobs/items.py
@@ -1,4 +1,8 @@
-"""What is known here of an item that is not listed: its output so far and its runs."""
+"""Progress of one item that is not listed: its output so far, and its runs.
+
+The output is made of whole events. It owns which of them are saved in the store, and checks that
+what is saved is what was made here.
+"""
 
 from dataclasses import dataclass, field
 
@@ -9,15 +13,29 @@
 
 @dataclass(slots=True)
 class ItemProgress:
-    """An item of a shard that this daemon owns.
-
-    `number` is the item's place in its job. `texts` is the output so far, of which the
-    events in `unsaved` are not in the store yet; `parts` counts the records that are. `content`
-    is the item's content key once it was needed.
-    `is_on_trial` tells that it runs although engines ended under it (`itemrefusals`).
-    `failures` counts the runs that failed, here and at earlier owners, of which the store has
-    `failures_saved`. `started_at` is the first start on this daemon, `ran_seconds` the time in
-    runs here.
+    """An item of a shard that this daemon owns. Times are seconds on this process's clock.
+
+    Attributes:
+        shard: the shard of its job.
+        job_id: its job.
+        item: what is sent to the engine.
+        number: its index in its job.
+        position: id of the last event of its output.
+        texts: its output so far.
+        unsaved: the last events of the output, which are not in the store yet.
+        saved_position: id of the last event that is.
+        parts: number of records that hold the saved output.
+        failures: runs that failed, here and at earlier owners.
+        failures_saved: as many as the store knows of.
+        runs: runs started here.
+        retry_at: when the next run may start.
+        no_route_since: since when it has had no route.
+        run: number of the run in flight, or 0.
+        is_finished: whether it has ended, and its result need only be listed.
+        started_at: its first start here.
+        ran_seconds: the time in runs here.
+        content: its content key, once it was needed (`item_contents`).
+        is_on_trial: whether it runs although engines crashed under it (`item_refusals`).
     """
 
     shard: int
@@ -43,9 +61,13 @@
 
     @property
     def key(self) -> tuple[str, str]:
-        """What names the item on this daemon: ids of its job and of itself."""
+        """Ids of its job and of itself."""
         return self.job_id, self.item.item_id
 
+    def may_start(self, now: float) -> bool:
+        """Returns whether it has not ended, no run is in flight, and its retry time has come."""
+        return not self.run and not self.is_finished and now >= self.retry_at
+
     def restore(self, parts: list[OutputPart]) -> None:
         """Takes over the output that an earlier owner saved."""
         ensure(not self.texts, "an item with output takes over another's")
@@ -65,7 +87,7 @@
 
     @property
     def events_done(self) -> int:
-        """Events made so far, as their ids tell; 0 where ids are no numbers."""
+        """Number of events made so far, by the last event's id; 0 where ids are no numbers."""
         return int(self.position) if self.position.isdigit() else 0
 
     @property
@@ -87,7 +109,7 @@
         return OutputPart(self.saved_position, position, "\n".join(texts))
 
     def on_saved(self, part: OutputPart) -> None:
-        """A part stands in the store."""
+        """A part was saved in the store."""
         ensure(part.after == self.saved_position, "parts are saved out of order")
         while self.unsaved and self.saved_position != part.position:
             self.saved_position = self.unsaved.pop(0).position
@@ -104,10 +126,10 @@
         return None
 
     def agrees_with(self, parts: list[OutputPart]) -> bool:
-        """Makes sure that the saved parts are those of this output.
+        """Returns whether the saved parts are those of this output; further ones count as saved.
 
-        After a write whose fate was not known, the store may have a part more. Returns
-        False if it has one that is not from here, after which this item begins anew.
+        After a write whose outcome is unknown, the store may have one part more. If it has one
+        that is not from here, this item must begin anew.
         """
         if len(parts) < self.parts:
             return False
--- a/src/troutswitch/decisions/jobs/messages.py
+++ b/src/troutswitch/decisions/jobs/messages.py
@@ -1,4 +1,7 @@
-"""Typed events and instructions of batch jobs."""
+"""Typed events and instructions of batch jobs.
+
+Times are seconds. A `token` names a client's call on this daemon, a `run` one run of an item.
+"""
 
 from dataclasses import dataclass
 
@@ -13,10 +16,10 @@
 
 @dataclass(frozen=True, slots=True)
 class JobSubmitted:
-    """A client hands a job in. `time_left` is what it will wait, in seconds.
+    """A client submits a job.
 
-    `caller_key` is the digest of the key that it shows; `tenant` is worked out from it. So in all
-    calls about jobs.
+    In all calls about jobs, `time_left` is how long the client will wait, `caller_key` the digest
+    of its API key, and `tenant` the name that this daemon finds for the key.
     """
 
     token: int
@@ -44,7 +47,7 @@
 
 @dataclass(frozen=True, slots=True)
 class BodyRequested:
-    """A client asks for the body of an item."""
+    """A client reads the body of an item."""
 
     token: int
     job_id: str
@@ -82,7 +85,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ItemProgressed:
-    """Events of a run came; told a few times a second."""
+    """Events of a run's output came; they are gathered, and sent a few times a second."""
 
     run: int
     events: tuple[OutputEvent, ...]
@@ -90,7 +93,12 @@
 
 @dataclass(frozen=True, slots=True)
 class ItemRunEnded:
-    """A run of an item ended. `events` are those that were not told yet."""
+    """A run of an item ended.
+
+    `events` are those that no `ItemProgressed` brought. `status` is the HTTP status of the
+    response, 0 if there was none. `load` is the engine's report on itself, if the response carried
+    one. `wrong_instance` tells that another engine answers at the address.
+    """
 
     run: int
     kind: AttemptKind
@@ -106,7 +114,11 @@
 
 @dataclass(frozen=True, slots=True)
 class RunItem:
-    """Run an item at an engine, from the event after `resume_after`. Times are seconds."""
+    """Run an item at an engine, from the event after `resume_after`.
+
+    `first_wait` is the longest wait for the first bytes of the response, `gap_wait` that for each
+    further event.
+    """
 
     run: int
     engine_id: str
@@ -133,9 +145,10 @@
 
 @dataclass(frozen=True, slots=True)
 class JobRefused:
-    """Answer: the call was not carried out. `status` is that of HTTP.
+    """Answer: the call was not carried out.
 
-    429 and 503 are only given where none of the job will ever run.
+    `status` is that of HTTP; of a submission, 429 and 503 promise that none of the job will ever
+    run. `retry_after` is in seconds; None if the client is told no time.
     """
 
     status: int
--- a/src/troutswitch/decisions/jobs/open_items.py
+++ b/src/troutswitch/decisions/jobs/open_items.py
@@ -1,51 +1,72 @@
-"""The items of this daemon's shards that are not listed: what is known of each."""
+"""The items of this daemon's shards that are not listed, with the progress of each.
 
-from collections.abc import Iterable, Iterator
+It owns `ItemProgress` by job and item. Progress begins with what earlier owners saved in the
+shard, and ends when the item's result is listed, its job is ended or its shard has another owner.
+"""
+
+from collections.abc import Iterator
 
 from troutswitch.decisions.jobs.index import JobEntry
 from troutswitch.decisions.jobs.items import ItemProgress
 from troutswitch.decisions.jobs.order import ItemKey
+from troutswitch.decisions.jobs.ownership import ShardOwnership
 from troutswitch.decisions.jobs.replicas import JobReplicas
 
 
 class OpenItems:
-    """Progress of items by job and item, taken over from what earlier owners saved."""
+    """Progress of the items that this daemon has to finish."""
 
-    def __init__(self, replicas: JobReplicas) -> None:
+    def __init__(self, replicas: JobReplicas, ownership: ShardOwnership) -> None:
         self._replicas = replicas
+        self._ownership = ownership
         self._items: dict[ItemKey, ItemProgress] = {}
-        self._asked_shards: set[int] = set()
+        self._shards_refreshing: set[int] = set()
 
     def __iter__(self) -> Iterator[ItemProgress]:
         return iter(list(self._items.values()))
 
-    def holds(self, progress: ItemProgress) -> bool:
-        """Returns whether the item is known with this progress, and did not begin anew."""
-        return self._items.get(progress.key) is progress
+    def is_wanted(self, progress: ItemProgress) -> bool:
+        """Returns whether an item is still to be run here, with this progress.
+
+        It is not once its job was ended, its shard has another owner, or it began anew.
+        """
+        if self._items.get(progress.key) is not progress:
+            return False
+        entry = self._replicas.index.jobs.get(progress.job_id)
+        is_open = entry is not None and not entry.is_ended
+        return is_open and progress.shard in self._ownership.leases
 
     def drop(self, progress: ItemProgress) -> None:
         """Forgets an item."""
         self._items.pop(progress.key, None)
 
     def unfinished(self) -> list[ItemProgress]:
-        """Returns the items that are still to be done."""
+        """Returns the items that have no result yet."""
         return [progress for progress in self._items.values() if not progress.is_finished]
 
     def of_shard(self, shard: int) -> list[ItemProgress]:
         """Returns the items of a shard."""
         return [progress for progress in self._items.values() if progress.shard == shard]
 
-    def startable(self, now: float, entries: Iterable[JobEntry]) -> list[ItemProgress]:
-        """Returns the items of some jobs that may start; those not known yet become known."""
-        return [p for entry in entries for p in self._of_job(entry) if _may_start(now, p)]
+    def startable(self, now: float, store_served_at: float) -> list[ItemProgress]:
+        """Returns the items that no run is in flight for and whose retry time has come.
+
+        Args:
+            now: this process's clock, in seconds.
+            store_served_at: see `ShardOwnership.workable`.
+        """
+        leases = self._ownership.workable(store_served_at)
+        entries = [e for lease in leases for e in self._replicas.index.open_in_shard(lease.shard)]
+        return [item for entry in entries for item in self._of_job(entry) if item.may_start(now)]
 
     def _of_job(self, entry: JobEntry) -> list[ItemProgress]:
+        """Returns a job's items that are not listed; those not known yet become known."""
         manifest = entry.manifest
         content = self._replicas.shard(manifest.shard).fold.content(manifest.job_id)
         items = content.items()
         if len(items) < manifest.item_count:
-            self._ask_shard(manifest.shard)
-        held: list[ItemProgress] = []
+            self._refresh_shard(manifest.shard)
+        unlisted: list[ItemProgress] = []
         for number, item in enumerate(items):
             if item.item_id in content.listed:
                 continue
@@ -55,26 +76,25 @@
                 progress.restore(content.saved_output(number))
                 progress.failures = progress.failures_saved = content.failures.get(number, 0)
                 self._items[progress.key] = progress
-            held.append(progress)
-        return held
+            unlisted.append(progress)
+        return unlisted
 
-    def _ask_shard(self, shard: int) -> None:
-        """Has the shard read on: a job's items are stored before the job is placed."""
-        if shard in self._asked_shards:
+    def _refresh_shard(self, shard: int) -> None:
+        """Has the shard read on: a job's items are stored before its manifest is."""
+        if shard in self._shards_refreshing:
             return
-        self._asked_shards.add(shard)
-        self._replicas.shard(shard).refresher.ask(
-            lambda now, succeeded: self._asked_shards.discard(shard)
+        self._shards_refreshing.add(shard)
+        self._replicas.shard(shard).refresher.refresh(
+            lambda now, succeeded: self._shards_refreshing.discard(shard)
         )
 
     def compare_saved(self, shard: int) -> None:
-        """Compares items with what the shard's new reading tells; strange ones begin anew."""
+        """Compares items with the saved output that was read anew.
+
+        An item whose saved output is not from here begins anew, from that output.
+        """
         fold = self._replicas.shard(shard).fold
         for progress in self.of_shard(shard):
             saved = fold.content(progress.job_id).saved_output(progress.number)
             if not progress.is_finished and not progress.agrees_with(saved):
                 self.drop(progress)
-
-
-def _may_start(now: float, progress: ItemProgress) -> bool:
-    return not progress.run and not progress.is_finished and now >= progress.retry_at
--- a/src/troutswitch/decisions/jobs/order.py
+++ b/src/troutswitch/decisions/jobs/order.py
@@ -1,6 +1,15 @@
-"""Orders batch items by what is lost if they wait: an interface and its implementations.
+"""Rule: in which order do a daemon's batch items start, and which of them will be late?
 
-`least_slack` is the baseline that `most_in_time` is compared with.
+Inputs, for each item that is not listed: the time at which its job is due and the seconds that it
+still has to run (an estimate from finished runs, see `run_time_estimate`); the slots that this
+daemon's items can count on, from digests of coordinators that are at most 2 s old.
+
+The rule is a policy, `items` of TROUTSWITCH_POLICIES. `most_in_time`, the default, chooses the
+largest set of items that can all meet their targets, and puts the others behind them.
+`least_slack` is the baseline that operators compare it with.
+
+Why: spreading slots over more items than can be finished makes all of them late. Measured in
+docs/POLICY.md, "Rounds" and "Ablation".
 """
 
 import heapq
@@ -14,7 +23,10 @@
 
 @dataclass(frozen=True, slots=True)
 class ItemProspect:
-    """One item that is not listed. Times are seconds; `due` is on this process's clock."""
+    """An item that is not listed: when it is due, on this process's clock, and what it has to run.
+
+    Both times are in seconds.
+    """
 
     key: ItemKey
     due: float
@@ -23,7 +35,7 @@
 
 @dataclass(frozen=True, slots=True, order=True)
 class ItemRank:
-    """Place of an item: late ones last, then by figures that the policy chooses."""
+    """Sort key of an item: late items last, then by figures that the policy chooses."""
 
     is_late: bool
     first: float
@@ -32,10 +44,10 @@
 
 @dataclass(frozen=True, slots=True)
 class BatchCapacity:
-    """What this daemon's items may count on.
+    """What this daemon's items can count on.
 
-    `slots` is the mean number of slots that its items have together; `duty` is the part
-    of the time for which an item that was started runs, from 0 to 1.
+    `slots` is the mean number of slots that its items have together; `duty` is the part of the
+    time for which an item that was started runs, from 0 to 1.
     """
 
     slots: float
@@ -53,9 +65,9 @@
 
 
 class LeastSlack:
-    """Least slack first: the time until due, less the time that an item runs yet.
+    """Least slack first: the time until an item is due, less the time that it still has to run.
 
-    An item that cannot be in time waits for room that no other item needs.
+    An item that cannot meet its target waits for slots that no other item needs.
     """
 
     def rank(
@@ -67,37 +79,42 @@
 
 
 class MostInTime:
-    """As many items in time as the capacity allows; the others go behind them.
+    """As many items as possible meet their targets with the given capacity.
 
-    Moore and Hodgson's rule: items are taken in the order of their due times, and
-    whenever one would be late, the longest of those taken so far is left out. Those
-    half done are short, so work that was begun is finished before new work is begun.
+    This is the Moore-Hodgson algorithm: items are taken in the order of their due times, and
+    whenever one would be late, the longest of those taken so far is left out. Items that are half
+    done are short, so work that was begun is finished before new work is begun.
     """
 
     def rank(
         self, now: float, items: Iterable[ItemProspect], capacity: BatchCapacity
     ) -> dict[ItemKey, ItemRank]:
-        """Ranks by due time, then by what is left."""
-        taken: list[tuple[float, ItemKey]] = []
-        left_out: set[ItemKey] = set()
+        """Ranks by due time, then by the time left; late items by the time left."""
         ordered = sorted(items, key=lambda item: (item.due, item.seconds_left, item.key))
-        work = 0.0
-        for item in ordered:
-            time_left = item.due - now
-            if item.seconds_left > time_left * capacity.duty:
-                left_out.add(item.key)
-                continue
-            heapq.heappush(taken, (-item.seconds_left, item.key))
-            work += item.seconds_left
-            while taken and work > time_left * capacity.slots:
-                longest, key = heapq.heappop(taken)
-                work += longest
-                left_out.add(key)
-        return {item.key: _rank(item, item.key in left_out) for item in ordered}
+        late = _left_out(now, ordered, capacity)
+        return {item.key: _rank(item, item.key in late) for item in ordered}
+
+
+def _left_out(now: float, ordered: list[ItemProspect], capacity: BatchCapacity) -> set[ItemKey]:
+    """Returns the items that the capacity does not allow to meet their targets."""
+    taken: list[tuple[float, ItemKey]] = []  # longest first
+    left_out: set[ItemKey] = set()
+    work = 0.0
+    for item in ordered:
+        time_left = item.due - now
+        if item.seconds_left > time_left * capacity.duty:
+            left_out.add(item.key)
+            continue
+        heapq.heappush(taken, (-item.seconds_left, item.key))
+        work += item.seconds_left
+        while taken and work > time_left * capacity.slots:
+            negative_longest, key = heapq.heappop(taken)
+            work += negative_longest
+            left_out.add(key)
+    return left_out
 
 
 def _rank(item: ItemProspect, is_late: bool) -> ItemRank:
-    """Items in time by due time; late ones by what is left, so that they get done."""
     if is_late:
         return ItemRank(True, item.seconds_left)
     return ItemRank(False, item.due, item.seconds_left)
--- a/src/troutswitch/decisions/jobs/ownership.py
+++ b/src/troutswitch/decisions/jobs/ownership.py
@@ -1,13 +1,18 @@
-"""Which shards this daemon owns: the group's deal is a hint, the writer's epoch the fence.
+"""Which shards this daemon owns: the group assigns shards, and the writer's epoch fences them.
 
-    (none)    -> CLAIMING  the group dealt the shard to this daemon
-    CLAIMING  -> READING   the store took the new epoch: no earlier owner can write now
-    READING   -> OWNED     the shard was read whole after that
-    OWNED     -> CLAIMING  a write was fenced off, but the deal still names this daemon
-    any       -> (none)    the deal names another daemon
+A lease of a shard goes through these states:
 
-Epochs are `round << 24 | random`, so that two claims never carry the same one: the
-store takes an equal epoch, and would take the second owner's writes for repeats.
+    (none)   -> FENCING  the group assigned the shard to this daemon
+    FENCING  -> READING  the store took the new epoch: no earlier owner can write now
+    READING  -> OWNED    the shard was read whole after that
+    OWNED    -> FENCING  a write was refused, but the shard is still assigned to this daemon
+    any      -> (none)   the group assigned the shard to another daemon
+
+The assignment alone protects nothing, since two daemons may act on different ones; the epoch does.
+Epochs are `round << 24 | random`, so that two leases never carry the same one: the store takes an
+equal epoch, and would take the second owner's writes for repeats.
+
+It owns this daemon's membership in the group and its leases.
 """
 
 import random
@@ -33,44 +38,57 @@
 GROUP = "shard-owners"
 WRITER = "shard-owner"
 EPOCH_BITS = 24
+"""Random low bits of an epoch."""
 JOIN_SECONDS = 0.5
-"""Interval between joins, which keep the membership."""
-JOIN_LOST_SECONDS = 4.0
+"""Interval between joins, which renew the membership."""
+CALL_LOST_SECONDS = 4.0
+"""Time after which a join or an append without an answer is made again."""
 TTL_JOINS = 5.0
-"""Silence after which the group passes shards on, in intervals between joins."""
+"""Time without a join after which the membership expires, in intervals between joins."""
 JOIN_TIMEOUT_FIRST_SECONDS = 1.0
-"""Time for the answer to the first try. A join whose connection fell silent is made again
-before the group passes this member's shards on, 2.5 s after the last one arrived: at most
-0.6 s to the next join, 1.0 s for it, 0.3 s to the retry and 0.5 s to connect make 2.4 s."""
+"""Timeout of a join after one that succeeded: short enough for a retry on a new connection to
+arrive before the membership expires."""
 JOIN_TIMEOUT_MOST_SECONDS = 2.0
-"""Time for the answer once a join has failed, as a store may be slow for long."""
+"""Timeout of a join after one that failed, as a store may be slow for long."""
 RETRY_SECONDS = 0.2
+"""Mean pause after a join or an append that failed."""
 
 
 class ShardState(Enum):
-    """State of a shard that the group dealt to this daemon."""
+    """State of a shard that is assigned to this daemon."""
 
-    CLAIMING = "claiming"
+    FENCING = "fencing"
     READING = "reading"
     OWNED = "owned"
 
 
 @dataclass(slots=True)
-class ShardClaim:
-    """A shard dealt to this daemon."""
+class ShardLease:
+    """A shard assigned to this daemon.
+
+    `call`, `call_at` and `retry_at` are of the append that fences earlier owners.
+    `next_sequence` numbers the writes under the epoch. `was_owned` stays true while the shard is
+    fenced again.
+    """
 
     shard: int
     epoch: int
-    state: ShardState = ShardState.CLAIMING
+    state: ShardState = ShardState.FENCING
     call: int = 0
     call_at: float = float("-inf")
     retry_at: float = float("-inf")
     next_sequence: int = 0
     was_owned: bool = False
 
+    def next_due(self) -> float:
+        """Returns when the append that fences is due, or counts as lost."""
+        if self.state is not ShardState.FENCING:
+            return float("inf")
+        return self.call_at + CALL_LOST_SECONDS if self.call else self.retry_at
+
 
 class ShardOwnership:
-    """Joins the group and fences the shards it deals."""
+    """Joins the group, and fences and reads the shards that it assigns."""
 
     def __init__(
         self,
@@ -81,7 +99,7 @@
         rng: random.Random,
         log: Callable[..., None],
     ) -> None:
-        self.claims: dict[int, ShardClaim] = {}
+        self.leases: dict[int, ShardLease] = {}
         self.generation = 0
         self.is_leaving = False
         self._member = member
@@ -95,49 +113,47 @@
         self._joined_at = float("-inf")
         self._failures = 0
 
-    def owned(self) -> list[ShardClaim]:
+    def owned(self) -> list[ShardLease]:
         """Returns the shards that are fenced and read."""
-        return [claim for claim in self.claims.values() if claim.state is ShardState.OWNED]
+        return [lease for lease in self.leases.values() if lease.state is ShardState.OWNED]
 
-    def workable(self, store_served_at: float) -> list[ShardClaim]:
+    def workable(self, store_served_at: float) -> list[ShardLease]:
         """Returns the shards whose items may start.
 
-        Those that are claimed again after a write without an answer are among them: while the
-        store is away nobody else can own them either, and a result is still listed once. That
-        this daemon's joins fail is no sign of it: where the store has served somebody for longer
-        than the membership lasts, others own the shards, and what was ended meanwhile is not
-        known here. (A daemon that was turned away alone ran 22 to 27 items of ended jobs in six
-        of ten simulated worlds.)
+        Those that are fenced again after a write without an answer are among them: while the
+        store is away nobody else can own them either, and a result is still listed once. But
+        that this daemon's joins fail does not show that the store is away. If it has served any
+        daemon for longer than the membership lasts, others own the shards, and jobs may have
+        been ended that are still open here; then nothing may start.
 
         Args:
-            store_served_at: when the store last told anybody known here something, in seconds of
-                this process's clock.
+            store_served_at: when the store last answered any daemon, as far as this one knows, in
+                seconds of this process's clock.
         """
         if store_served_at - self._joined_at > self._ttl:
             return []
-        return [claim for claim in self.claims.values() if claim.was_owned]
+        return [lease for lease in self.leases.values() if lease.was_owned]
 
     # The group.
 
     def next_due(self) -> float:
         """Returns when `on_timer` has something to do."""
-        due = [self._join_at + JOIN_LOST_SECONDS if self._join_call else self._join_at]
-        for claim in self.claims.values():
-            if claim.state is ShardState.CLAIMING:
-                due.append(claim.call_at + JOIN_LOST_SECONDS if claim.call else claim.retry_at)
-        return float("inf") if self.is_leaving else min(due)
+        if self.is_leaving:
+            return float("inf")
+        join_due = self._join_at + CALL_LOST_SECONDS if self._join_call else self._join_at
+        return min([join_due, *(lease.next_due() for lease in self.leases.values())])
 
     def on_timer(self, now: float) -> list[StoreCall]:
-        """Joins again and goes on with claims."""
+        """Joins again and goes on with leases."""
         if self.is_leaving:
             return []
         calls: list[StoreCall] = []
-        if self._join_call and now >= self._join_at + JOIN_LOST_SECONDS:
+        if self._join_call and now >= self._join_at + CALL_LOST_SECONDS:
             self._join_call = 0
         if not self._join_call and now >= self._join_at:
             calls.append(self._join(now))
-        for claim in self.claims.values():
-            calls += self._go_on(now, claim)
+        for lease in self.leases.values():
+            calls += self._go_on(now, lease)
         return calls
 
     def _join(self, now: float) -> StoreCall:
@@ -156,30 +172,34 @@
     def leave(self) -> list[StoreCall]:
         """Leaves the group, so that successors begin at once."""
         self.is_leaving = True
-        self.claims.clear()
+        self.leases.clear()
         return [LeaveGroup(self._numbers.next(), GROUP, self._member)]
 
     def owns(self, call: int) -> bool:
-        """Returns whether an answer belongs to the group or a claim."""
-        return call == self._join_call != 0 or any(c.call == call for c in self.claims.values())
+        """Returns whether a store call is of the group or a lease."""
+        is_join = call == self._join_call != 0
+        return is_join or any(lease.call == call for lease in self.leases.values())
 
     def on_answer(self, now: float, call: int, outcome: StoreOutcome) -> None:
-        """Takes the outcome of a join or a claim."""
+        """Takes the outcome of a join or of an append that fences."""
         if call == self._join_call:
             self._join_call = 0
-            self._on_joined(now, outcome)
+            self._on_join_answered(now, outcome)
             return
-        claim = next(c for c in self.claims.values() if c.call == call)
-        claim.call = 0
-        self._on_claimed(now, claim, outcome)
-
-    def _on_joined(self, now: float, outcome: StoreOutcome) -> None:
-        if not isinstance(outcome, GroupJoined):
-            self._failures += 1
-            if self._failures == 1:
-                self._log("group lost", outcome=str(outcome)[:120])
-            self._join_at = now + RETRY_SECONDS * self._rng.uniform(0.5, 1.5)
+        lease = next(lease for lease in self.leases.values() if lease.call == call)
+        lease.call = 0
+        self._on_fence_answered(now, lease, outcome)
+
+    def _on_join_answered(self, now: float, outcome: StoreOutcome) -> None:
+        if isinstance(outcome, GroupJoined):
+            self._on_joined(now, outcome)
             return
+        self._failures += 1
+        if self._failures == 1:
+            self._log("group lost", outcome=str(outcome)[:120])
+        self._join_at = now + RETRY_SECONDS * self._rng.uniform(0.5, 1.5)
+
+    def _on_joined(self, now: float, joined: GroupJoined) -> None:
         if self._failures:
             self._log("group regained", failures=self._failures)
         self._failures = 0
@@ -187,66 +207,75 @@
         self._joined_at = now
         if self.is_leaving:
             return
-        if outcome.generation != self.generation:
-            # The next join tells the group that this member knows the new deal, which
-            # lets others have what it gave up; it is made at once.
-            self.generation = outcome.generation
+        if joined.generation != self.generation:
+            # The next join tells the group that this member knows the new assignment. Only then
+            # does the group assign to others what this member has lost, so it is made at once.
+            self.generation = joined.generation
             self._join_at = now
-        self._take_deal(now, {p.number for p in outcome.partitions if p.topic == SHARD_TOPIC})
+        assigned = {part.number for part in joined.partitions if part.topic == SHARD_TOPIC}
+        self._take_assignment(now, assigned)
 
-    def _take_deal(self, now: float, dealt: set[int]) -> None:
-        for shard in sorted(dealt - set(self.claims)):
-            self.claims[shard] = ShardClaim(
-                shard, self._new_epoch(self.generation + 1), retry_at=now
-            )
-            self._log("shard dealt", shard=shard, generation=self.generation)
-        for shard in sorted(set(self.claims) - dealt):
-            del self.claims[shard]
-            self._log("shard passed on", shard=shard, generation=self.generation)
+    def _take_assignment(self, now: float, assigned: set[int]) -> None:
+        for shard in sorted(assigned - set(self.leases)):
+            epoch = self._new_epoch(self.generation + 1)
+            self.leases[shard] = ShardLease(shard, epoch, retry_at=now)
+            self._log("shard assigned", shard=shard, generation=self.generation)
+        for shard in sorted(set(self.leases) - assigned):
+            del self.leases[shard]
+            self._log("shard assigned to another daemon", shard=shard, generation=self.generation)
 
-    # Claims.
+    # Leases.
 
     def _new_epoch(self, least_round: int) -> int:
         return (least_round << EPOCH_BITS) | self._rng.getrandbits(EPOCH_BITS)
 
-    def _go_on(self, now: float, claim: ShardClaim) -> list[StoreCall]:
-        if claim.state is ShardState.READING:
-            replica = self._replicas.shard(claim.shard)
-            if replica.follower.is_current:
-                claim.state = ShardState.OWNED
-                claim.was_owned = True
-                self._log("shard owned", shard=claim.shard, epoch=claim.epoch)
+    def _go_on(self, now: float, lease: ShardLease) -> list[StoreCall]:
+        """Fences a shard, or notes that it was read whole."""
+        match lease.state:
+            case ShardState.FENCING:
+                return self._fence(now, lease)
+            case ShardState.READING:
+                self._check_read(lease)
+            case ShardState.OWNED:
+                pass
+        return []
+
+    def _fence(self, now: float, lease: ShardLease) -> list[StoreCall]:
+        """Appends nothing under the new epoch, after which the store refuses lower ones."""
+        if lease.call and now >= lease.call_at + CALL_LOST_SECONDS:
+            lease.call = 0
+        if lease.call or now < lease.retry_at:
             return []
-        if claim.state is not ShardState.CLAIMING:
-            return []
-        if claim.call and now >= claim.call_at + JOIN_LOST_SECONDS:
-            claim.call = 0
-        if claim.call or now < claim.retry_at:
-            return []
-        claim.call = self._numbers.next()
-        claim.call_at = now
-        stamp = WriterStamp(WRITER, claim.epoch, 0)
-        return [AppendRecords(claim.call, shard_partition(claim.shard), (), stamp=stamp)]
-
-    def _on_claimed(self, now: float, claim: ShardClaim, outcome: StoreOutcome) -> None:
+        lease.call = self._numbers.next()
+        lease.call_at = now
+        stamp = WriterStamp(WRITER, lease.epoch, 0)
+        return [AppendRecords(lease.call, shard_partition(lease.shard), (), stamp=stamp)]
+
+    def _check_read(self, lease: ShardLease) -> None:
+        if self._replicas.shard(lease.shard).follower.is_current:
+            lease.state = ShardState.OWNED
+            lease.was_owned = True
+            self._log("shard owned", shard=lease.shard, epoch=lease.epoch)
+
+    def _on_fence_answered(self, now: float, lease: ShardLease, outcome: StoreOutcome) -> None:
         match outcome:
             case Appended():
-                claim.state = ShardState.READING
-                claim.next_sequence = 0
-                self._replicas.shard(claim.shard).follower.restart(now)
+                lease.state = ShardState.READING
+                lease.next_sequence = 0
+                self._replicas.shard(lease.shard).follower.restart(now)
             case FencedOff():
-                claim.epoch = self._new_epoch((outcome.epoch >> EPOCH_BITS) + 1)
-                claim.retry_at = now
+                lease.epoch = self._new_epoch((outcome.epoch >> EPOCH_BITS) + 1)
+                lease.retry_at = now
             case _:
-                claim.retry_at = now + RETRY_SECONDS
+                lease.retry_at = now + RETRY_SECONDS
 
-    def claim_again(self, now: float, shard: int) -> None:
-        """A write was fenced off, or its fate is not known: takes a new epoch and reads."""
-        claim = self.claims.get(shard)
-        if claim is None:
+    def fence_again(self, now: float, shard: int) -> None:
+        """Takes a new epoch and reads the shard again, after a write that was refused."""
+        lease = self.leases.get(shard)
+        if lease is None:
             return
-        claim.state = ShardState.CLAIMING
-        claim.call = 0
-        claim.epoch = self._new_epoch((claim.epoch >> EPOCH_BITS) + 1)
-        claim.retry_at = now + RETRY_SECONDS * self._rng.uniform(0.5, 1.5)
-        self._log("shard claimed again", shard=shard, epoch=claim.epoch)
+        lease.state = ShardState.FENCING
+        lease.call = 0
+        lease.epoch = self._new_epoch((lease.epoch >> EPOCH_BITS) + 1)
+        lease.retry_at = now + RETRY_SECONDS * self._rng.uniform(0.5, 1.5)
+        self._log("shard fenced again", shard=shard, epoch=lease.epoch)
--- /dev/null
+++ b/src/troutswitch/decisions/jobs/progress_reports.py
@@ -0,0 +1,122 @@
+"""Reports in the index how far the jobs of this daemon's shards are.
+
+The index counts the tokens that wait, by which new jobs are accepted or refused; a job with none
+left is done. That a job is done is always reported. How far one is matters only where its route is
+crowded (`token_limits`).
+
+It owns the reports that are due or in flight, by shard. Reports carry no fence: the index keeps the
+lowest count, so a late report of a former owner changes nothing.
+"""
+
+from collections.abc import Iterable
+from dataclasses import dataclass, field
+
+from troutswitch.decisions.jobs.ownership import ShardLease
+from troutswitch.decisions.jobs.records import INDEX, progress_record
+from troutswitch.decisions.jobs.replicas import JobReplicas
+from troutswitch.decisions.jobs.token_limits import TokenLimits
+from troutswitch.decisions.storage.follower import CallNumbers
+from troutswitch.decisions.storage.messages import (
+    Appended,
+    AppendRecords,
+    KeyedRecord,
+    StoreCall,
+    StoreOutcome,
+)
+
+REPORT_SECONDS = 0.4
+"""Least interval between reports of a shard."""
+REPORT_LATENCIES = 20.0
+"""Least interval in latencies of the last report, so that reports never crowd a slow store: all
+shards share the index, and new jobs are accepted there."""
+REPORT_MOST_SECONDS = 2.0
+"""Longest interval that the latency may ask for."""
+
+
+@dataclass(slots=True)
+class _ShardReports:
+    """Reports of one shard: of the jobs that changed, and those of the call in flight."""
+
+    changed_jobs: set[str] = field(default_factory=set)
+    jobs_in_flight: set[str] = field(default_factory=set)
+    call: int = 0
+    sent_at: float = float("-inf")
+    latency: float = 0.0
+
+
+class ProgressReports:
+    """Reports of all shards that this daemon owns."""
+
+    def __init__(
+        self, replicas: JobReplicas, numbers: CallNumbers, token_limits: TokenLimits
+    ) -> None:
+        self._shards: dict[int, _ShardReports] = {}
+        self._replicas = replicas
+        self._numbers = numbers
+        self._token_limits = token_limits
+
+    def on_changed(self, shard: int, job_ids: Iterable[str]) -> None:
+        """Takes note of jobs of which results were listed, or may have been."""
+        self._shards.setdefault(shard, _ShardReports()).changed_jobs |= set(job_ids)
+
+    def forget(self, shard: int) -> None:
+        """Forgets a shard that has another owner."""
+        self._shards.pop(shard, None)
+
+    def report(self, now: float, lease: ShardLease) -> list[StoreCall]:
+        """Reports a shard's jobs that changed, if a report is due."""
+        reports = self._shards.setdefault(lease.shard, _ShardReports())
+        if not reports.changed_jobs or reports.call or now < _next_report_at(reports):
+            return []
+        reports.sent_at = now
+        reports.changed_jobs &= self._replicas.index.jobs.keys()
+        records = self._records(now, lease.shard, reports)
+        if not records:
+            return []
+        reports.changed_jobs -= reports.jobs_in_flight
+        reports.call = self._numbers.next()
+        return [AppendRecords(reports.call, INDEX, tuple(records))]
+
+    def _records(self, now: float, shard: int, reports: _ShardReports) -> list[KeyedRecord]:
+        """Returns the records of the jobs to be reported, and folds them in here."""
+        records: list[KeyedRecord] = []
+        for job_id in sorted(reports.changed_jobs):
+            left = self._tokens_left(shard, job_id)
+            if left is None or (left and not self._token_limits.is_crowded(job_id)):
+                continue
+            record = progress_record(job_id, left)
+            self._replicas.index.take(now, record)
+            records.append(record)
+            reports.jobs_in_flight.add(job_id)
+        return records
+
+    def _tokens_left(self, shard: int, job_id: str) -> int | None:
+        """Returns the tokens of a job's items that are not listed; None if not all are read.
+
+        A job that is reported as done is closed for good, so items that this replica has not read
+        yet must never count as done.
+        """
+        manifest = self._replicas.index.jobs[job_id].manifest
+        content = self._replicas.shard(shard).fold.content(job_id)
+        items = content.items()
+        if len(items) < manifest.item_count:
+            return None
+        return sum(item.tokens for item in items if item.item_id not in content.listed)
+
+    def owns(self, call: int) -> bool:
+        """Returns whether a store call is a report."""
+        return any(call == reports.call for reports in self._shards.values())
+
+    def on_answer(self, now: float, call: int, outcome: StoreOutcome) -> None:
+        """Takes the outcome of a report; one that failed is made again."""
+        reports = next(held for held in self._shards.values() if held.call == call)
+        reports.call = 0
+        reports.latency = now - reports.sent_at
+        if not isinstance(outcome, Appended):
+            reports.changed_jobs |= reports.jobs_in_flight
+        reports.jobs_in_flight = set()
+
+
+def _next_report_at(reports: _ShardReports) -> float:
+    latency_interval = min(REPORT_LATENCIES * reports.latency, REPORT_MOST_SECONDS)
+    return reports.sent_at + max(REPORT_SECONDS, latency_interval)
--- /dev/null
+++ b/src/troutswitch/decisions/jobs/ranking.py
@@ -0,0 +1,64 @@
+"""Ranks the items that a daemon has to finish: which start first, and which stop first.
+
+It owns the ranks of the last round and the run time estimate. The order itself is a policy, see
+`order`.
+"""
+
+from collections.abc import Iterable
+
+from troutswitch.decisions.forwarding.routes import RouteTable
+from troutswitch.decisions.jobs.due_times import due_at
+from troutswitch.decisions.jobs.index import JobIndex
+from troutswitch.decisions.jobs.items import ItemProgress
+from troutswitch.decisions.jobs.order import (
+    BatchCapacity,
+    ItemKey,
+    ItemOrder,
+    ItemProspect,
+    ItemRank,
+)
+from troutswitch.decisions.jobs.run_time_estimate import RunTimeEstimate
+
+UNRANKED = ItemRank(True, float("inf"))
+"""Rank of an item that became known after the last round."""
+
+
+class ItemRanking:
+    """Ranks of a daemon's items, worked out anew in each round of dispatching."""
+
+    def __init__(self, routes: RouteTable, index: JobIndex, order: ItemOrder) -> None:
+        self.run_times = RunTimeEstimate()
+        self._routes = routes
+        self._index = index
+        self._order = order
+        self._ranks: dict[ItemKey, ItemRank] = {}
+
+    def rank(self, now: float, items: Iterable[ItemProgress], capacity: BatchCapacity) -> None:
+        """Ranks all items anew."""
+        self._ranks = self._order.rank(now, [self._prospect(item) for item in items], capacity)
+
+    def _prospect(self, progress: ItemProgress) -> ItemProspect:
+        entry = self._index.jobs.get(progress.job_id)
+        due = due_at(self._routes, entry) if entry is not None else float("inf")
+        return ItemProspect(progress.key, due, self.run_times.seconds_left(progress))
+
+    def _rank(self, progress: ItemProgress) -> ItemRank:
+        return self._ranks.get(progress.key, UNRANKED)
+
+    def is_late(self, progress: ItemProgress) -> bool:
+        """Returns whether the item will miss its latency target, by the last round."""
+        return self._rank(progress).is_late
+
+    def is_overdue(self, now: float, progress: ItemProgress) -> bool:
+        """Returns whether the item's job was due before now."""
+        entry = self._index.jobs.get(progress.job_id)
+        return entry is not None and now > due_at(self._routes, entry)
+
+    def most_urgent_first(self, items: Iterable[ItemProgress]) -> list[ItemProgress]:
+        """Orders items by rank."""
+        return sorted(items, key=self._rank)
+
+    def least_urgent(self, items: Iterable[ItemProgress], count: int) -> list[ItemProgress]:
+        """Returns the items that lose least by being stopped, at most `count`."""
+        ordered = self.most_urgent_first(items)
+        return ordered[len(ordered) - min(count, len(ordered)) :]
--- a/src/troutswitch/decisions/jobs/records.py
+++ b/src/troutswitch/decisions/jobs/records.py
@@ -1,10 +1,11 @@
 """Records of batch jobs in the store, their keys and their encoding.
 
-The index partition tells which jobs there are:
+The index partition says which jobs there are:
 
     j:JOB           manifest, written at the expected end of the partition
     e:JOB           the job was ended by its client
-    p:JOB           tokens of the job's items that are not listed yet
+    p:JOB           tokens of the job's items that are not listed yet; anybody may write it, and
+                    the lowest count holds
 
 A shard partition holds the content of its jobs:
 
@@ -12,11 +13,12 @@
     r:JOB:POSITION  one result; written only by the shard's fenced owner
     x:JOB:POSITION:PART  the rest of a result's text that does not fit its record
     c:JOB:ITEM:PART a part of an item's output that is not whole yet; written likewise,
-                    so that a successor goes on after it instead of running anew
+                    so that a successor resumes after it instead of running the item anew
     f:JOB:ITEM      how many runs of an item failed; written likewise, so that all owners
                     together keep the bound on them
 
-Values are CBOR arrays that begin with the schema's version.
+Values are CBOR arrays that begin with the schema's version; an empty value removes its key. This
+module owns no state.
 """
 
 from dataclasses import dataclass
@@ -41,14 +43,16 @@
 FAILURES = "f"
 REST = "x"
 RECORD_OVERHEAD_BYTES = 512
-"""Room left in a record for its key and the arrays around the items."""
+"""Bytes kept free in a record for its key and the arrays around the items."""
 
 DONE = "done"
+"""State of a result with the item's whole output."""
 DEAD = "dead"
+"""State of a result of a dead-lettered item."""
 
 
 class RecordError(ValueError):
-    """A record that this version cannot read."""
+    """A record that is malformed, of another version, or larger than the store takes."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -62,11 +66,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Manifest:
-    """What is known of a job from the moment it is accepted.
+    """What a job consists of; it never changes once the job is accepted.
 
-    `tenant` names the tenant whose job it is, empty if none is known.
-    `handed_in_at` is the time of day, in seconds since the epoch, at the daemon that took
-    the job; 0 if it is not known. Clocks differ: it may order work, never end it.
+    `host` is the one that the job was sent to, by which its items find their route. `digest` is
+    that of its items. `tenant` names the tenant whose job it is, empty if none is known.
+    `submitted_at` is the time of day, in seconds since the epoch, at the daemon that took the
+    job; 0 if it is not known. Clocks differ: it may order work, never end it.
     """
 
     job_id: str
@@ -76,13 +81,13 @@
     tokens: int
     digest: str
     shard: int
-    handed_in_at: float = 0.0
+    submitted_at: float = 0.0
     tenant: str = NO_TENANT
 
 
 @dataclass(frozen=True, slots=True)
 class JobItem:
-    """One item of a job, as it is sent to an engine."""
+    """One item of a job, as it is sent to an engine; `tokens` estimates its size."""
 
     item_id: str
     path: str
@@ -102,7 +107,7 @@
 
 @dataclass(frozen=True, slots=True)
 class OutputPart:
-    """A part of an item's output: the data of the events after `after` up to `position`."""
+    """A part of an item's output: the data of the events after id `after` up to id `position`."""
 
     after: str
     position: str
@@ -138,7 +143,7 @@
         manifest.tokens,
         manifest.digest,
         manifest.shard,
-        manifest.handed_in_at,
+        manifest.submitted_at,
         manifest.tenant,
     ]
     return KeyedRecord(f"{MANIFEST}:{manifest.job_id}", cbor2.dumps(value))
@@ -148,11 +153,11 @@
     """Decodes a manifest.
 
     Raises:
-        RecordError: the record is malformed or of a newer version.
+        RecordError: the record is malformed or of another version.
     """
-    route, host, item_count, tokens, digest, shard, handed_in_at, tenant = _fields(value, 8)
+    route, host, item_count, tokens, digest, shard, submitted_at, tenant = _fields(value, 8)
     return Manifest(
-        job_id, route, host, item_count, tokens, digest, shard, float(handed_in_at), str(tenant)
+        job_id, route, host, item_count, tokens, digest, shard, float(submitted_at), str(tenant)
     )
 
 
@@ -162,12 +167,16 @@
 
 
 def progress_record(job_id: str, tokens_left: int) -> KeyedRecord:
-    """Encodes how many tokens of a job are not listed yet."""
+    """Encodes the tokens of a job's items that are not listed yet."""
     return KeyedRecord(f"{PROGRESS}:{job_id}", cbor2.dumps([SCHEMA_VERSION, tokens_left]))
 
 
 def read_progress(value: bytes) -> int:
-    """Decodes the tokens of a job that are not listed yet."""
+    """Decodes the tokens of a job's items that are not listed yet.
+
+    Raises:
+        RecordError: the record is malformed or of another version.
+    """
     (tokens_left,) = _fields(value, 1)
     return int(tokens_left)
 
@@ -180,15 +189,15 @@
     Raises:
         RecordError: an item is larger than a record.
     """
-    room = record_bytes - RECORD_OVERHEAD_BYTES
+    most = record_bytes - RECORD_OVERHEAD_BYTES
     chunks: list[list[list[object]]] = [[]]
     used = 0
     for item in items:
         row = [item.item_id, item.path, dict(item.headers), item.body, item.tokens]
         size = len(cbor2.dumps(row))
-        if size > room:
-            raise RecordError(f"item {item.item_id} takes {size} bytes, a record holds {room}")
-        if used + size > room:
+        if size > most:
+            raise RecordError(f"item {item.item_id} takes {size} bytes, a record holds {most}")
+        if used + size > most:
             chunks.append([])
             used = 0
         chunks[-1].append(row)
@@ -203,7 +212,7 @@
     """Decodes the items of a chunk.
 
     Raises:
-        RecordError: the record is malformed or of a newer version.
+        RecordError: the record is malformed or of another version.
     """
     (rows,) = _fields(value, 1)
     return tuple(
@@ -233,9 +242,9 @@
     job_id: str, position: int, result: ItemResult, record_bytes: int
 ) -> tuple[KeyedRecord, ...]:
     """Encodes a result at its position; the records with the rest of its text come first."""
-    room = record_bytes - RECORD_OVERHEAD_BYTES
+    most = record_bytes - RECORD_OVERHEAD_BYTES
     text = result.text.encode("utf-8", errors="surrogateescape")
-    pieces = [text[start : start + room] for start in range(0, len(text), room)] or [b""]
+    pieces = [text[start : start + most] for start in range(0, len(text), most)] or [b""]
     head = [SCHEMA_VERSION, result.item_id, result.state, pieces[0], len(pieces) - 1]
     rests = [
         KeyedRecord(
@@ -250,7 +259,7 @@
     """Decodes a result's own record.
 
     Raises:
-        RecordError: the record is malformed or of a newer version.
+        RecordError: the record is malformed or of another version.
     """
     item_id, state, piece, rests = _fields(value, 4)
     return ResultHead(item_id, state, bytes(piece), int(rests))
@@ -260,7 +269,7 @@
     """Decodes a further piece of a result's text.
 
     Raises:
-        RecordError: the record is malformed or of a newer version.
+        RecordError: the record is malformed or of another version.
     """
     (piece,) = _fields(value, 1)
     return bytes(piece)
@@ -281,7 +290,7 @@
     """Decodes how many runs of an item failed.
 
     Raises:
-        RecordError: the record is malformed or of a newer version.
+        RecordError: the record is malformed or of another version.
     """
     (count,) = _fields(value, 1)
     return int(count)
@@ -303,7 +312,7 @@
     """Decodes a part of an item's output.
 
     Raises:
-        RecordError: the record is malformed or of a newer version.
+        RecordError: the record is malformed or of another version.
     """
     after, position, text = _fields(value, 3)
     return OutputPart(after, position, text)
--- a/src/troutswitch/decisions/jobs/replicas.py
+++ b/src/troutswitch/decisions/jobs/replicas.py
@@ -1,6 +1,11 @@
-"""This daemon's replicas of the index and of the shards that it needs."""
+"""This daemon's replicas of the index and of the shards that it needs.
+
+It owns the followers and folds of all job records, and the offset between this process's clock
+and the time of day. The index is followed all the time; a shard is read when a part needs it.
+"""
 
 import random
+from collections.abc import Iterator
 from dataclasses import dataclass
 
 from troutswitch.decisions.jobs.index import JobIndex
@@ -11,15 +16,15 @@
 from troutswitch.decisions.storage.refresh import Refresher
 
 INDEX_WAIT_SECONDS = 1.0
-"""Time for which a read of the index waits at the store. Ends of jobs are heard of here,
-so a lost answer must be noticed well inside their bound."""
+"""Time for which a read of the index waits at the store. The index shows the ends of jobs, so a
+lost answer must be noticed well before a job has to have stopped."""
 INDEX_PAUSE_SECONDS = 0.25
-"""Least time between reads of the index, which bounds the calls under many jobs."""
+"""Least interval between reads of the index, which bounds the calls under many jobs."""
 
 
 @dataclass(slots=True)
 class ShardReplica:
-    """One shard as this daemon has read it; it reads on only when somebody asks."""
+    """One shard as this daemon has read it; it reads on only on demand."""
 
     fold: ShardFold
     follower: PartitionFollower
@@ -33,7 +38,7 @@
         self.index = JobIndex()
         self.shards: dict[int, ShardReplica] = {}
         self.clock_offset = 0.0
-        """How far the time of day is ahead of this process's clock; 0 if not told yet."""
+        """Seconds by which the time of day is ahead of this process's clock; 0 if not known."""
         self._numbers = numbers
         self._rng = rng
         self._now = float("-inf")
@@ -53,51 +58,57 @@
         self.index.take(self._now, record, self.time_of_day(self._now) if is_old else 0.0)
 
     def time_of_day(self, now: float) -> float:
-        """Returns the seconds since the epoch, or 0 if the clock was not told yet."""
+        """Returns the seconds since the epoch, or 0 if the offset is not known yet."""
         return now + self.clock_offset if self.clock_offset else 0.0
 
     def shard(self, number: int) -> ShardReplica:
-        """Returns the replica of a shard, which begins to read when first asked for."""
+        """Returns the replica of a shard, which begins to read when it is first needed."""
         replica = self.shards.get(number)
         if replica is None:
-            fold = ShardFold()
-            follower = PartitionFollower(
-                shard_partition(number),
-                self._numbers,
-                self._rng,
-                fold.take,
-                wait=0.0,
-                pause=0.0,
-                is_tailing=False,
-            )
-            replica = ShardReplica(fold, follower, Refresher(follower, self._numbers))
-            self.shards[number] = replica
+            replica = self.shards[number] = self._new_shard(number)
         return replica
 
+    def _new_shard(self, number: int) -> ShardReplica:
+        fold = ShardFold()
+        follower = PartitionFollower(
+            shard_partition(number),
+            self._numbers,
+            self._rng,
+            fold.take,
+            wait=0.0,
+            pause=0.0,
+            is_tailing=False,
+        )
+        return ShardReplica(fold, follower, Refresher(follower, self._numbers))
+
+    def _readers(self) -> Iterator[tuple[PartitionFollower, Refresher]]:
+        yield self.index_follower, self.index_refresher
+        for replica in self.shards.values():
+            yield replica.follower, replica.refresher
+
     def next_due(self) -> float:
         """Returns when `on_timer` has something to do."""
-        due = [self.index_follower.next_due(), self.index_refresher.next_due()]
-        for replica in self.shards.values():
-            due += [replica.follower.next_due(), replica.refresher.next_due()]
-        return min(due)
+        return min(
+            min(follower.next_due(), refresher.next_due())
+            for follower, refresher in self._readers()
+        )
 
     def on_timer(self, now: float) -> list[StoreCall]:
         """Makes the calls that are due."""
         self._now = now
-        calls = self.index_follower.on_timer(now) + self.index_refresher.on_timer(now)
-        for replica in self.shards.values():
-            calls += replica.follower.on_timer(now) + replica.refresher.on_timer(now)
+        calls: list[StoreCall] = []
+        for follower, refresher in list(self._readers()):
+            calls += follower.on_timer(now)
+            calls += refresher.on_timer(now)
         return calls
 
-    def on_answer(self, now: float, call: int, outcome: StoreOutcome) -> list[StoreCall] | None:
-        """Takes an outcome; returns None if the call is not one of these replicas'."""
+    def on_answer(self, now: float, call: int, outcome: StoreOutcome) -> list[StoreCall]:
+        """Takes an outcome; that of a call that nobody waits for any more is ignored."""
         self._now = now
-        pairs = [(self.index_follower, self.index_refresher)]
-        pairs += [(replica.follower, replica.refresher) for replica in self.shards.values()]
-        for follower, refresher in pairs:
+        for follower, refresher in list(self._readers()):
             if follower.owns(call):
                 follower.on_answer(now, outcome)
                 return []
             if refresher.owns(call):
                 return refresher.on_answer(now, outcome)
-        return None
+        return []
--- a/src/troutswitch/decisions/jobs/retention.py
+++ b/src/troutswitch/decisions/jobs/retention.py
@@ -1,12 +1,18 @@
-"""Removes what is kept of jobs whose time is over, so that the store does not fill.
+"""Rule: when are the records of a job removed from the store?
 
-A job's words in the index go first; from then on it is unknown. What a shard holds of
-a job that the index has not known for a while goes next. The second rule also takes
-what a hand-in left that was refused, and what a removal left that was broken off.
+Inputs: the age of a job since this daemon first read of it, and how long the index has not known a
+job of which a shard has content; both in seconds. Nothing is removed unless the index was read to
+its end in the last `INDEX_FRESH_SECONDS`.
 
-Removals carry no fence and are harmless any number of times: a job is removed only long
-after its client may read it, and a shard's content only while the index is read to
-its end all the time.
+The rule: a job that is done or ended loses its records in the index `MARGIN_SECONDS` after its
+client may read it for the last time; from then on it is unknown. What a shard has of a job that
+the index has not known for `ORPHAN_SECONDS` goes next. That also removes what a refused submission
+left, and what a removal left that broke off.
+
+Why: otherwise the store fills up. Removals carry no fence, and do no harm if repeated: a job is
+removed only long after its client may read it.
+
+It owns the removal in flight, and since when each job has been unknown.
 """
 
 from collections.abc import Callable
@@ -37,15 +43,19 @@
     StoreOutcome,
 )
 
-LOOK_SECONDS = 5.0
+CHECK_SECONDS = 5.0
+"""Interval between checks for what is to be removed."""
 MARGIN_SECONDS = 30.0
-"""Time beyond a job's own for which it is kept all the same."""
+"""Time for which a job is kept after its client may read it for the last time."""
 ORPHAN_SECONDS = 60.0
-"""Time for which the index must not know a job before its content is removed; well above
-the time that a hand-in, or an append without an answer, may take."""
+"""Time for which the index must not know a job before its content is removed; well above the time
+that a submission, or an append without an answer, may take."""
 INDEX_FRESH_SECONDS = 3.0
 """Age up to which the index counts as read to its end."""
 RECORDS_A_CALL = 200
+"""Most records that are removed in one store call."""
+INDEX_KINDS = (MANIFEST, END_MARK, PROGRESS)
+"""Kinds of the records that a job may have in the index."""
 
 
 class JobRetention:
@@ -64,41 +74,41 @@
         self._numbers = numbers
         self.job_kept = job_kept
         self._log = log
-        self._look_at = float("-inf")
+        self._check_at = float("-inf")
         self._call = 0
         self._removing: tuple[Partition, tuple[KeyedRecord, ...]] | None = None
         self._orphan_since: dict[str, float] = {}
 
     def next_due(self) -> float:
         """Returns when `on_timer` has something to do."""
-        return self._look_at if self._ownership.claims else float("inf")
+        return self._check_at if self._ownership.leases else float("inf")
 
     def on_timer(self, now: float) -> list[StoreCall]:
-        """Removes what is over, a call at a time."""
-        if now < self._look_at:
+        """Removes what has expired, a call at a time."""
+        if now < self._check_at:
             return []
-        self._look_at = now + LOOK_SECONDS
+        self._check_at = now + CHECK_SECONDS
         self._call = 0
         if now - self._replicas.index_follower.current_at > INDEX_FRESH_SECONDS:
             self._orphan_since.clear()
             return []
-        shards = {claim.shard for claim in self._ownership.owned()}
+        shards = {lease.shard for lease in self._ownership.owned()}
         return self._remove_expired(now, shards) or self._remove_orphans(now, shards)
 
     def _remove_expired(self, now: float, shards: set[int]) -> list[StoreCall]:
         expired = [
             job_id
             for job_id, entry in self._replicas.index.jobs.items()
-            if entry.manifest.shard in shards and self._is_over(now, entry)
+            if entry.manifest.shard in shards and self._is_expired(now, entry)
         ]
         keys = [
             f"{kind}:{job_id}"
-            for job_id in expired[: RECORDS_A_CALL // 3]
-            for kind in (MANIFEST, END_MARK, PROGRESS)
+            for job_id in expired[: RECORDS_A_CALL // len(INDEX_KINDS)]
+            for kind in INDEX_KINDS
         ]
         return self._remove(INDEX, keys)
 
-    def _is_over(self, now: float, entry: JobEntry) -> bool:
+    def _is_expired(self, now: float, entry: JobEntry) -> bool:
         return not entry.is_open and now - entry.seen_at > self.job_kept + MARGIN_SECONDS
 
     def _remove_orphans(self, now: float, shards: set[int]) -> list[StoreCall]:
@@ -125,11 +135,11 @@
         return [AppendRecords(self._call, partition, records)]
 
     def owns(self, call: int) -> bool:
-        """Returns whether an answer belongs to a removal."""
+        """Returns whether a store call is a removal."""
         return call == self._call != 0
 
     def on_answer(self, now: float, outcome: StoreOutcome) -> None:
-        """Takes the outcome of a removal; one that failed is made again."""
+        """Takes the outcome of a removal; one that failed is made again at the next check."""
         self._call = 0
         if not isinstance(outcome, Appended) or self._removing is None:
             return
@@ -140,7 +150,7 @@
             else:
                 self._replicas.shard(partition.number).fold.take(record)
         self._log("job records removed", topic=partition.topic, records=len(records))
-        self._look_at = now
+        self._check_at = now
 
 
 def content_keys(job_id: str, content: JobContent) -> list[str]:
--- /dev/null
+++ b/src/troutswitch/decisions/jobs/run_ends.py
@@ -0,0 +1,58 @@
+"""What the end of an item's run means: for the item, the record of crashes and the estimates.
+
+It owns no state; it passes each end on to the parts that it concerns.
+"""
+
+from troutswitch.decisions.jobs.item_endings import ItemEndings
+from troutswitch.decisions.jobs.item_refusals import ItemRefusals
+from troutswitch.decisions.jobs.item_retries import ItemRetries
+from troutswitch.decisions.jobs.messages import ItemRunEnded
+from troutswitch.decisions.jobs.ranking import ItemRanking
+from troutswitch.decisions.jobs.runs import ItemRun, ItemRuns
+from troutswitch.outcomes import AttemptKind
+
+BROKEN_OFF_STATUSES = (0, 200)
+"""Statuses of a run whose connection broke off: before the response, or within its stream."""
+
+
+class RunEnds:
+    """Takes the ends of runs."""
+
+    def __init__(
+        self,
+        runs: ItemRuns,
+        refusals: ItemRefusals,
+        retries: ItemRetries,
+        endings: ItemEndings,
+        ranking: ItemRanking,
+    ) -> None:
+        self._runs = runs
+        self._refusals = refusals
+        self._retries = retries
+        self._endings = endings
+        self._ranking = ranking
+
+    def take(self, now: float, event: ItemRunEnded) -> bool:
+        """Takes the end of a run; returns False if the run is unknown."""
+        run = self._runs.end(now, event)
+        if run is None:
+            return False
+        if run.is_stopped:
+            self._refusals.on_stopped(run.progress)
+        elif event.kind is AttemptKind.CUT and event.status in BROKEN_OFF_STATUSES:
+            self._refusals.on_lost(now, run.progress, run.engine_id)
+        if event.kind is AttemptKind.COMPLETED:
+            self._on_completed(now, run)
+        else:
+            self._retries.on_ended_early(now, run.progress, event)
+        return True
+
+    def _on_completed(self, now: float, run: ItemRun) -> None:
+        progress = run.progress
+        self._refusals.on_done(now, progress)
+        events = progress.events_done - run.events_before
+        run_times = self._ranking.run_times
+        run_times.on_completed(now - run.started_at, events, progress.events_done)
+        if not self._ranking.is_overdue(now, progress):
+            run_times.on_item_done(progress.ran_seconds, now - progress.started_at)
+        self._endings.complete(progress)
--- /dev/null
+++ b/src/troutswitch/decisions/jobs/run_stops.py
@@ -0,0 +1,81 @@
+"""Rule: which runs of batch items are stopped before their end?
+
+Inputs: the jobs, shards and crashes that this daemon knows of; the capacity policy's surplus at an
+engine, from the counts that `batch_capacity` describes; the ranks of the last round.
+
+The rule: runs stop that are no longer wanted (the job was ended, the shard has another owner, the
+daemon drains) or that crashes forbid. Where items stand in the way of online requests, the least
+urgent ones stop: as many as the engine's coordinator says, or where there is none, as many as the
+capacity policy counts too many. One stops at once when an online request of this daemon needs a
+slot.
+
+Why: engines know no priorities, so an item gives its slot back only by being stopped. It goes on
+later after its last whole event. Measured in docs/POLICY.md, "Rounds".
+"""
+
+from troutswitch.decisions.forwarding.engines import EngineRegistry
+from troutswitch.decisions.jobs.batch_capacity import BatchCapacityPolicy
+from troutswitch.decisions.jobs.dependencies import BatchSlots
+from troutswitch.decisions.jobs.item_refusals import ItemRefusals
+from troutswitch.decisions.jobs.messages import StopItem
+from troutswitch.decisions.jobs.open_items import OpenItems
+from troutswitch.decisions.jobs.ranking import ItemRanking
+from troutswitch.decisions.jobs.runs import ItemRuns
+
+
+class RunStops:
+    """Stops runs of this daemon."""
+
+    def __init__(
+        self,
+        runs: ItemRuns,
+        items: OpenItems,
+        refusals: ItemRefusals,
+        ranking: ItemRanking,
+        capacity: BatchCapacityPolicy,
+        engines: EngineRegistry,
+        slots: BatchSlots,
+    ) -> None:
+        self._runs = runs
+        self._items = items
+        self._refusals = refusals
+        self._ranking = ranking
+        self._capacity = capacity
+        self._engines = engines
+        self._slots = slots
+
+    def stop_unwanted(self, now: float, *, is_draining: bool) -> list[StopItem]:
+        """Stops the runs that are not wanted or refused, and drops items that are not wanted."""
+        stops: list[StopItem] = []
+        for number, run in self._runs.by_number.items():
+            is_refused = self._refusals.forbids_run(run.progress)
+            is_unwanted = is_draining or is_refused or not self._items.is_wanted(run.progress)
+            if is_unwanted and not run.is_stopped:
+                stops.append(self._runs.stop(now, number))
+        for progress in self._items:
+            if not progress.run and not self._items.is_wanted(progress):
+                self._items.drop(progress)
+        return stops
+
+    def yield_slots(self, now: float) -> list[StopItem]:
+        """Stops items that stand in the way of online requests, where no coordinator says so."""
+        stops: list[StopItem] = []
+        runs = self._runs.by_number.values()
+        for engine_id in {run.engine_id for run in runs if not run.is_stopped}:
+            engine = self._engines.engines.get(engine_id)
+            if engine is None or self._slots.is_coordinated(now, engine_id):
+                continue
+            stops += self.stop_least_urgent(now, engine_id, self._capacity.surplus(now, engine))
+        return stops
+
+    def stop_least_urgent(self, now: float, engine_id: str, count: int) -> list[StopItem]:
+        """Stops the least urgent items at an engine, at most `count`."""
+        running = [
+            run.progress
+            for run in self._runs.by_number.values()
+            if run.engine_id == engine_id and not run.is_stopped
+        ]
+        if count <= 0 or not running:
+            return []
+        chosen = self._ranking.least_urgent(running, count)
+        return [self._runs.stop(now, progress.run) for progress in chosen]
--- a/src/troutswitch/decisions/jobs/run_time_estimate.py
+++ b/src/troutswitch/decisions/jobs/run_time_estimate.py
@@ -1,4 +1,15 @@
-"""Learns how long items run, to tell which ones can still be done in time."""
+"""Rule: how long will a batch item still run?
+
+Inputs: the runs that finished on this daemon (seconds, events, and for items that met their target
+the part of the time since their first start in which they ran); before the first one, what another
+daemon had learnt, from the peer registry.
+
+The rule: exponential moving averages of the seconds an event takes and of the events an item has;
+what is left is the product of the events not made yet and the seconds of one.
+
+Why: the order of items needs to know which can still meet their targets. The clients' own
+estimates of an item's output are too far off to help. Measured in docs/POLICY.md, "Rounds".
+"""
 
 from troutswitch.decisions.forwarding.experience import BatchRunTimes
 from troutswitch.decisions.jobs.items import ItemProgress
@@ -6,15 +17,15 @@
 WEIGHT_OF_NEW = 0.2
 """Weight of the newest run in the moving averages."""
 DUTY_LEAST = 0.5
-"""Least part of the time that a started item is taken to run."""
+"""Least value of `duty`, whatever the runs show."""
 
 
 class RunTimeEstimate:
-    """Moving averages of the seconds an event takes and of the events that an item has.
+    """Moving averages of what finished runs show.
 
-    `duty` is the part of the time since its first start for which an item ran that was in
-    time. Before the first whole run all are unknown, and every item counts as feasible. What
-    clients estimate of an item's output is too far off to help (correlation 0.41 to 0.49).
+    `event_seconds` is the time between events, `item_events` the number of events of an item, and
+    `duty` the part of the time since its first start in which an item ran, from 0 to 1. Before
+    the first whole run the first two are 0, by which every item can meet its target.
     """
 
     def __init__(self) -> None:
@@ -23,7 +34,7 @@
         self.duty = 1.0
 
     def on_completed(self, seconds: float, events: int, item_events: int) -> None:
-        """Takes a run that ended whole.
+        """Takes a run that ended with the item's whole output.
 
         Args:
             seconds: how long the run took.
@@ -35,7 +46,7 @@
         self.item_events = _moved(self.item_events, item_events)
 
     def on_item_done(self, ran: float, since_start: float) -> None:
-        """Takes an item done in time: the seconds it ran, of those since it was started."""
+        """Takes an item that met its target: the seconds it ran, of those since its first start."""
         if since_start > 0:
             part = min(1.0, max(DUTY_LEAST, ran / since_start))
             self.duty = _moved(self.duty, part)
@@ -56,7 +67,7 @@
             self.duty = min(1.0, max(DUTY_LEAST, learnt.duty_percent / 100))
 
     def seconds_left(self, progress: ItemProgress) -> float:
-        """Returns how long an item is likely to run yet."""
+        """Returns how many seconds an item will probably still run."""
         events_left = max(0.0, self.item_events - progress.events_done)
         return events_left * self.event_seconds
 
--- a/src/troutswitch/decisions/jobs/runs.py
+++ b/src/troutswitch/decisions/jobs/runs.py
@@ -1,4 +1,8 @@
-"""The runs of batch items that this daemon has at engines, and what engines owe to them."""
+"""The runs of batch items that this daemon has in flight at engines.
+
+It owns the runs by number, and accounts for them in the engine registry: what each engine has in
+flight, its load reports, and whether it rejects, fails or drains.
+"""
 
 import itertools
 from collections.abc import Callable
@@ -17,17 +21,21 @@
 from troutswitch.decisions.jobs.records import Manifest
 from troutswitch.outcomes import AttemptKind
 
-FIRST_WAIT_SECONDS = 5.0
-"""Longest wait for the first bytes of an item's answer."""
-GAP_WAIT_SECONDS = 1.5
+FIRST_EVENT_TIMEOUT_SECONDS = 5.0
+"""Longest wait for the first bytes of an engine's response."""
+EVENT_TIMEOUT_SECONDS = 1.5
 """Longest wait for each further event."""
 FULL_SECONDS = 0.2
-"""Time for which an engine that rejected an item as full is left out."""
+"""Time for which an engine that rejected an item as full gets no more items."""
 
 
 @dataclass(slots=True)
 class ItemRun:
-    """One run of an item at an engine."""
+    """One run of an item at an engine.
+
+    `events_before` counts the events of the item's output that earlier runs made. `is_begun` tells
+    that the engine has read the prompt, `is_stopped` that this daemon has stopped the run.
+    """
 
     progress: ItemProgress
     engine_id: str
@@ -78,26 +86,26 @@
             manifest.host,
             progress.item,
             progress.position,
-            FIRST_WAIT_SECONDS,
-            GAP_WAIT_SECONDS,
+            FIRST_EVENT_TIMEOUT_SECONDS,
+            EVENT_TIMEOUT_SECONDS,
             manifest.tenant,
         )
 
     def on_begun(self, event: ItemBegun) -> None:
-        """A run's prompt was read."""
+        """The engine has read a run's prompt."""
         run = self.by_number.get(event.run)
         if run is not None and not run.is_begun and not run.is_stopped:
             run.is_begun = True
             self._engines.on_begun(run.engine_id, run.size)
 
     def on_progressed(self, event: ItemProgressed) -> None:
-        """Takes what a run made so far."""
+        """Takes the next events of a run's output."""
         run = self.by_number.get(event.run)
         if run is not None:
             run.progress.add(event.events)
 
     def stop(self, now: float, number: int) -> StopItem:
-        """Stops a run. From now on it counts as gone from its engine."""
+        """Stops a run, whose slot counts as free from now on."""
         run = self.by_number[number]
         ensure(not run.is_stopped, "a run is stopped twice")
         run.is_stopped = True
@@ -105,7 +113,7 @@
         return StopItem(number)
 
     def end(self, now: float, event: ItemRunEnded) -> ItemRun | None:
-        """Takes the end of a run; returns the run, or None if it was not known."""
+        """Takes the end of a run; returns the run, or None if it is unknown."""
         run = self.by_number.pop(event.run, None)
         if run is None:
             return None
@@ -127,9 +135,10 @@
         return run
 
     def _account(self, now: float, run: ItemRun, event: ItemRunEnded) -> None:
-        sound = run.is_stopped or event.status != 0
-        failed = not sound and event.kind in (AttemptKind.CUT, AttemptKind.UNREACHABLE)
+        """Notes in the engine registry what the end of a run shows of its engine."""
         if not run.is_stopped:
+            is_broken = event.kind in (AttemptKind.CUT, AttemptKind.UNREACHABLE)
+            failed = is_broken and event.status == 0
             self._engines.on_ended(
                 now, run.engine_id, True, run.size, begun=run.is_begun, failed=failed
             )
--- a/src/troutswitch/decisions/jobs/shard.py
+++ b/src/troutswitch/decisions/jobs/shard.py
@@ -1,4 +1,8 @@
-"""The content of one shard's jobs: a fold over the shard's partition."""
+"""The content of one shard's jobs: a fold over the shard's partition.
+
+It owns the items, results, saved output and counts of failed runs of each job, as far as the
+partition was read.
+"""
 
 import itertools
 from dataclasses import dataclass, field
@@ -27,7 +31,17 @@
 
 @dataclass(slots=True)
 class JobContent:
-    """Items and results of one job. A result counts once all of its text was read."""
+    """Content of one job.
+
+    Attributes:
+        chunks: items, by the number of their record.
+        results: results whose whole text was read, by position.
+        heads: the results' own records, by position.
+        rests: further pieces of results' texts, by position and part.
+        listed: ids of the items that have a result.
+        parts: saved output, by the item's number and part.
+        failures: failed runs, by the item's number.
+    """
 
     chunks: dict[int, tuple[JobItem, ...]] = field(default_factory=dict)
     results: dict[int, ItemResult] = field(default_factory=dict)
@@ -40,7 +54,7 @@
     def items(self) -> list[JobItem]:
         """Returns the items in order, up to the first chunk that was not read yet.
 
-        An item's place among them is its number, by which its saved output is found.
+        An item's index among them is its number, by which its saved output is found.
         """
         numbers = itertools.takewhile(lambda number: number in self.chunks, itertools.count())
         return [item for number in numbers for item in self.chunks[number]]
@@ -51,10 +65,10 @@
 
     def saved_output(self, item: int) -> list[OutputPart]:
         """Returns the parts of an item's output that follow one another from the start."""
-        held = self.parts.get(item, {})
+        parts = self.parts.get(item, {})
         chain: list[OutputPart] = []
         position = ""
-        while (part := held.get(len(chain))) is not None and part.after == position:
+        while (part := parts.get(len(chain))) is not None and part.after == position:
             chain.append(part)
             position = part.position
         return chain
@@ -82,13 +96,13 @@
             self.results[position] = result
 
     def remove_result(self, position: int) -> None:
-        """Forgets a result; what is left of it stands in the store no more."""
+        """Forgets a result whose record was removed."""
         self.results.pop(position, None)
         self.heads.pop(position, None)
 
     @property
     def is_empty(self) -> bool:
-        """Whether nothing of the job is held."""
+        """Whether no record of the job is left."""
         return not (self.chunks or self.heads or self.parts or self.rests or self.failures)
 
     def results_from(self, position: int, bytes_most: int) -> list[ItemResult]:
@@ -164,11 +178,11 @@
         content = self.jobs.get(job_id)
         if content is None:
             return
-        held: dict[int, dict[int, bytes]] | dict[int, dict[int, OutputPart]]
-        held = content.rests if key.startswith(f"{REST}:") else content.parts
-        held.get(number, {}).pop(part, None)
-        if not held.get(number, True):
-            del held[number]
+        parts: dict[int, dict[int, bytes]] | dict[int, dict[int, OutputPart]]
+        parts = content.rests if key.startswith(f"{REST}:") else content.parts
+        parts.get(number, {}).pop(part, None)
+        if not parts.get(number, True):
+            del parts[number]
         if content.is_empty:
             del self.jobs[job_id]
 
--- a/src/troutswitch/decisions/slots/claims.py
+++ b/src/troutswitch/decisions/slots/claims.py
@@ -198,9 +198,9 @@
 
     # Claiming.
 
-    def set_pace(self, pace: float) -> None:
+    def set_least_interval(self, seconds: float) -> None:
         """Sets the least time between reads, in seconds: a claim wakes the reads of all daemons."""
-        self._follower.pace = pace
+        self._follower.least_interval = seconds
 
     def read_again(self, now: float) -> None:
         """Reads who coordinates what, as that may have changed while this daemon stood still."""
--- a/src/troutswitch/decisions/storage/messages.py
+++ b/src/troutswitch/decisions/storage/messages.py
@@ -1,7 +1,10 @@
-"""Typed calls to a store of keyed, append-only partitions, and their outcomes.
+"""Typed calls to the store of keyed, append-only partitions, and their outcomes.
 
-A partition is a log of records; each record has a key, and the newest record of a key
-is kept for good, while older ones may be dropped. An empty value removes its key.
+A partition is a log of records; each record has a key, and the newest record of a key is kept for
+good, while older ones may be dropped. An empty value removes its key. A group assigns the
+partitions of some topics to its members.
+
+`call` names a call on this daemon. Times are seconds.
 """
 
 from dataclasses import dataclass
@@ -26,10 +29,10 @@
 
 @dataclass(frozen=True, slots=True)
 class WriterStamp:
-    """The fence of an append: a writer's text, its epoch and its next sequence number.
+    """The fence of an append: a writer's name, its epoch and its next sequence number.
 
-    A lower epoch than the partition has seen is refused, and a repeat of the last
-    sequence gets its first answer again.
+    The store refuses an epoch that is lower than one it has seen of the writer, and gives a repeat
+    of the last sequence number its first answer again.
     """
 
     writer: str
@@ -37,16 +40,17 @@
     sequence: int
 
 
-# Calls. Each has a `timeout`, the longest time in seconds for its answer beyond what a
-# read waits at the store.
+# Calls. `timeout` is the longest time for the answer beyond what a read waits at the store.
 
 READ_TIMEOUT_SECONDS = 1.5
+"""Timeout of reads that name none."""
 WRITE_TIMEOUT_SECONDS = 2.0
+"""Timeout of writes that name none."""
 
 
 @dataclass(frozen=True, slots=True)
 class ReadNewest:
-    """Read a page of the newest record of each key, after a key. `call` names the call."""
+    """Read a page of the newest record of each key, in the order of keys, after a key."""
 
     call: int
     partition: Partition
@@ -83,7 +87,11 @@
 
 @dataclass(frozen=True, slots=True)
 class JoinGroup:
-    """Join a group that deals partitions out, or stay in it."""
+    """Join a group, or renew the membership, which lasts `ttl` seconds.
+
+    `generation` is that of the assignment that the member knows. The group assigns a partition that
+    the member has lost to another one only when the member knows it, or its membership expired.
+    """
 
     call: int
     group: str
@@ -96,7 +104,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaveGroup:
-    """Leave a group, so that its partitions pass on at once."""
+    """Leave a group, so that others are assigned the member's partitions at once."""
 
     call: int
     group: str
@@ -121,7 +129,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RecordsRead:
-    """Records from the asked offset on; `next_offset` is where the next read begins."""
+    """Records from the given offset on; `next_offset` is where the next read begins."""
 
     records: tuple[KeyedRecord, ...]
     next_offset: int
@@ -130,14 +138,14 @@
 
 @dataclass(frozen=True, slots=True)
 class HistoryGone:
-    """The records at the asked offset were dropped."""
+    """The records at the given offset were dropped; `first` is the offset of the first kept one."""
 
     first: int
 
 
 @dataclass(frozen=True, slots=True)
 class Appended:
-    """The records stand at `offset` and after; the partition ends at `end`."""
+    """The records were appended at `offset`; the partition ends at `end`."""
 
     offset: int
     end: int
@@ -159,14 +167,14 @@
 
 @dataclass(frozen=True, slots=True)
 class OutOfSequence:
-    """Nothing was appended: another sequence number is wanted."""
+    """Nothing was appended: the next sequence number is another one."""
 
     wanted: int
 
 
 @dataclass(frozen=True, slots=True)
 class GroupJoined:
-    """The member's partitions at a generation of the group."""
+    """The partitions assigned to the member at a generation of the group."""
 
     generation: int
     partitions: tuple[Partition, ...]
@@ -179,10 +187,10 @@
 
 @dataclass(frozen=True, slots=True)
 class CallFailed:
-    """The call was not answered as hoped.
+    """The call failed, or was not answered.
 
-    `may_have_acted` is False only where the store said that nothing was done, or was
-    not reached at all.
+    `may_have_acted` is False only where the store said that nothing was done, or was not reached at
+    all.
     """
 
     reason: str
@@ -205,7 +213,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StoreAnswered:
-    """Event: a store call came to its outcome."""
+    """Event: a store call has an outcome."""
 
     call: int
     outcome: StoreOutcome
--- a/src/troutswitch/decisions/storage/refresh.py
+++ b/src/troutswitch/decisions/storage/refresh.py
@@ -1,7 +1,7 @@
-"""Brings a follower up to the partition's end on demand, one read for all who wait.
+"""Reads a follower's partition to its end on demand, with one read for all who wait.
 
-Whoever asks while a read is in flight waits for the next one, since the read in flight
-may have been answered before it asked.
+A waiter that comes while a read is in flight waits for the next one, since the store may have
+answered the read in flight before the waiter came. This module owns the waiters and that read.
 """
 
 from collections.abc import Callable
@@ -15,76 +15,79 @@
     StoreOutcome,
 )
 
-LOST_SECONDS = 4.0
-"""Time after which a read counts as lost."""
+CALL_LOST_SECONDS = 4.0
+"""Time after which a read without an answer counts as failed."""
 
 Waiter = Callable[[float, bool], None]
 """Called with the time and whether the partition was read to its end."""
 
 
 class Refresher:
-    """Reads one follower's partition to its end for those who ask."""
+    """Reads one follower's partition to its end for those who wait."""
 
     def __init__(self, follower: PartitionFollower, numbers: CallNumbers) -> None:
-        self.follower = follower
+        self._follower = follower
         self._numbers = numbers
         self._call = 0
         self._requested_at = float("-inf")
-        self._served: list[Waiter] = []
-        self._queued: list[Waiter] = []
+        self._in_read: list[Waiter] = []
+        self._waiting: list[Waiter] = []
 
-    def ask(self, waiter: Waiter) -> None:
-        """Has a waiter called once the partition was read to its end, or could not be."""
-        self._queued.append(waiter)
+    def refresh(self, waiter: Waiter) -> None:
+        """Has a waiter called once the partition was read to its end, or a read has failed."""
+        self._waiting.append(waiter)
 
     def next_due(self) -> float:
         """Returns when `on_timer` has something to do."""
         if self._call:
-            return self._requested_at + LOST_SECONDS
-        return float("-inf") if self._queued and self.follower.is_current else float("inf")
+            return self._requested_at + CALL_LOST_SECONDS
+        return float("-inf") if self._waiting and self._follower.is_current else float("inf")
 
     def owns(self, call: int) -> bool:
-        """Returns whether an answer belongs to this refresher."""
+        """Returns whether a store call is this refresher's read."""
         return call == self._call != 0
 
     def on_timer(self, now: float) -> list[StoreCall]:
-        """Begins a read if somebody waits; while the follower starts, they wait on."""
-        if self._call and now >= self._requested_at + LOST_SECONDS:
+        """Begins a read if somebody waits.
+
+        While the follower makes its first reading, they go on waiting, unless that has failed.
+        """
+        if self._call and now >= self._requested_at + CALL_LOST_SECONDS:
             self._call = 0
-            self._serve(now, False)
-        if self._call or not self._queued:
+            self._notify(now, False)
+        if self._call or not self._waiting:
             return []
-        if not self.follower.is_current:
-            if self.follower.failures:
-                self._served, self._queued = self._queued, []
-                self._serve(now, False)
+        if not self._follower.is_current:
+            if self._follower.failures:
+                self._in_read, self._waiting = self._waiting, []
+                self._notify(now, False)
             return []
-        self._served, self._queued = self._queued, []
+        self._in_read, self._waiting = self._waiting, []
         return [self._read(now)]
 
     def _read(self, now: float) -> StoreCall:
         self._call = self._numbers.next()
         self._requested_at = now
-        return ReadRecords(self._call, self.follower.partition, self.follower.next_offset)
+        return ReadRecords(self._call, self._follower.partition, self._follower.next_offset)
 
     def on_answer(self, now: float, outcome: StoreOutcome) -> list[StoreCall]:
-        """Takes the outcome of the read; a partition that has more is read on."""
+        """Takes the outcome of the read; while the partition has more, another one follows."""
         self._call = 0
         match outcome:
             case RecordsRead():
-                self.follower.absorb(self._requested_at, outcome)
+                self._follower.absorb(self._requested_at, outcome)
                 if outcome.next_offset < outcome.end and outcome.records:
                     return [self._read(now)]
-                self._serve(now, True)
+                self._notify(now, True)
             case HistoryGone():
-                self.follower.on_history_gone(now, outcome)
-                self._queued = self._served + self._queued
-                self._served = []
+                self._follower.on_history_gone(now, outcome)
+                self._waiting = self._in_read + self._waiting
+                self._in_read = []
             case _:
-                self._serve(now, False)
+                self._notify(now, False)
         return []
 
-    def _serve(self, now: float, succeeded: bool) -> None:
-        waiters, self._served = self._served, []
+    def _notify(self, now: float, succeeded: bool) -> None:
+        waiters, self._in_read = self._in_read, []
         for waiter in waiters:
             waiter(now, succeeded)
--- a/src/troutswitch/hindsight/day.py
+++ b/src/troutswitch/hindsight/day.py
@@ -96,7 +96,7 @@
                 self.day.deferred += 1
             case "engines changed" if "slots" in line.fields:
                 self.day.slots.append((line.seconds, int(line.fields["slots"])))
-            case "job hand-in ended" if line.fields.get("status") == 202:
+            case "job submission ended" if line.fields.get("status") == 202:
                 due = line.seconds + float(line.fields.get("due_ms", 0)) / 1000
                 job = (line.seconds, due, int(line.fields["items"]))
                 self._jobs.setdefault(str(line.fields["job_id"]), job)
--- a/tests/cli/test_explain.py
+++ b/tests/cli/test_explain.py
@@ -46,7 +46,7 @@
 def test_an_item_that_was_given_up_says_why_although_it_was_listed_later() -> None:
     """What an operator saw: an item given up after a 422 ended with "listed at", and no reason."""
     rows = [
-        line("T1", "a", "item given up", item_id="i", reason="status 422"),
+        line("T1", "a", "item dead-lettered", item_id="i", reason="status 422"),
         line("T2", "a", "item listed", item_id="i", state="dead", position=0),
     ]
     assert read_story("i", read_lines(rows)).cause() == "listed dead at a: status 422"
--- a/tests/decisions/forwarding/test_engine_list.py
+++ b/tests/decisions/forwarding/test_engine_list.py
@@ -69,7 +69,7 @@
         now, number = heapq.heappop(due)
         one = held[number]
         if paced:
-            one.pace = daemons * one.pages / (calls_a_second / 4)
+            one.least_interval = daemons * one.pages / (calls_a_second / 4)
         for call in one.on_timer(now):
             assert isinstance(call, ReadNewest)
             tokens = min(calls_a_second / 10, tokens + (now - filled_at) * calls_a_second)
@@ -87,9 +87,9 @@
     """What users saw: a day at 300 machines and 3,000 engines served 0.41 of its requests.
 
     Cause: each of 300 daemons read six pages each 0.6 s, 3,000 calls a second where the store takes
-    2,000, and began anew at each failed page; so few ever knew the engines. The pace was worked out
-    for one page. Evidence: this model, in which at most one daemon in ten is without a list of the
-    last 8 s now, and more than that were when readers were not paced by pages.
+    2,000, and began anew at each failed page; so few ever knew the engines. The least interval was
+    worked out for one page. Evidence: this model, in which at most one daemon in ten is without a
+    list of the last 8 s now, and more than that were when readers were not paced by pages.
     """
     paced = play_fleet(300, 3000, 2000.0, paced=True)
     assert all(at > 12.0 for at in paced)
--- a/tests/decisions/jobs/test_claims.py
+++ b/tests/decisions/jobs/test_claims.py
@@ -1,4 +1,4 @@
-"""Items go on while a shard is claimed again and the store is away."""
+"""Items go on while a shard is fenced again and the store is away."""
 
 import pytest
 
@@ -19,7 +19,7 @@
     assert owner.runs
     world.faults.is_down = True
     for claim in ownership.owned():
-        ownership.claim_again(world.now, claim.shard)
+        ownership.fence_again(world.now, claim.shard)
     assert not ownership.owned()
     before = owner.runs_started
     world.run(DOWN_SECONDS)
@@ -27,7 +27,7 @@
     return owner.runs_started - before
 
 
-def test_items_start_although_the_shard_is_claimed_again() -> None:
+def test_items_start_although_the_shard_is_fenced_again() -> None:
     assert starts_while_the_store_is_away() > 0
 
 
--- a/tests/decisions/jobs/test_progress.py
+++ b/tests/decisions/jobs/test_progress.py
@@ -4,8 +4,10 @@
 from collections import Counter
 
 from tests.worlds.gateway_world import GatewayWorld
+from troutswitch.decisions.forwarding.routes import RouteTable
 from troutswitch.decisions.jobs.index import JobIndex
-from troutswitch.decisions.jobs.ownership import ShardClaim, ShardOwnership, ShardState
+from troutswitch.decisions.jobs.open_items import OpenItems
+from troutswitch.decisions.jobs.ownership import ShardLease, ShardOwnership, ShardState
 from troutswitch.decisions.jobs.records import (
     DONE,
     INDEX,
@@ -19,6 +21,7 @@
     result_records,
 )
 from troutswitch.decisions.jobs.replicas import JobReplicas
+from troutswitch.decisions.jobs.token_limits import TokenLimits
 from troutswitch.decisions.jobs.writer import ShardWriter
 from troutswitch.decisions.storage.follower import CallNumbers
 from troutswitch.decisions.storage.messages import AppendRecords, StoreCall
@@ -109,35 +112,40 @@
     rng = random.Random(1)
     replicas = JobReplicas(numbers, rng)
     ownership = ShardOwnership("me", 1.0, replicas, numbers, rng, lambda *_, **__: None)
-    room = StoreLimits(262_144, 2_097_152, 4)
     writer = ShardWriter(
-        replicas, ownership, numbers, room, lambda _: None, lambda _: False, lambda *_, **__: None
+        replicas,
+        ownership,
+        numbers,
+        StoreLimits(262_144, 2_097_152, 4),
+        OpenItems(replicas, ownership),
+        TokenLimits(RouteTable(), replicas.index),
+        lambda *_, **__: None,
     )
-    claim = ShardClaim(0, 5, ShardState.OWNED)
-    ownership.claims[0] = claim
+    lease = ShardLease(0, 5, ShardState.OWNED)
+    ownership.leases[0] = lease
     items = (JobItem("a", "/p", (), b"", 7), JobItem("b", "/p", (), b"", 7))
     replicas.index.take(0.0, manifest_record(Manifest("job", "r", "h", 2, 14, "d", 0)))
-    assert writer.begin_epoch(claim)
-    assert writer.write(1.0, claim, [], False) == []
+    assert writer.begin_epoch(lease)
+    assert writer.write(1.0, lease, [], is_draining=False) == []
     for record in chunk_records("job", items[:1], 262_144):
         replicas.shard(0).fold.take(record)
-    assert writer.write(2.0, claim, [], False) == []
+    assert writer.write(2.0, lease, [], is_draining=False) == []
     for record in chunk_records("job", items, 262_144):
         replicas.shard(0).fold.take(record)
-    assert writer.write(3.0, claim, [], False) == []
+    assert writer.write(3.0, lease, [], is_draining=False) == []
     assert replicas.index.jobs["job"].is_open
     for position, item in enumerate(items):
         result = ItemResult(item.item_id, DONE, "text")
         for record in result_records("job", position, result, 262_144):
             replicas.shard(0).fold.take(record)
-    (told,) = writer.write(4.0, claim, [], False)
+    (told,) = writer.write(4.0, lease, [], is_draining=False)
     assert isinstance(told, AppendRecords)
     assert not replicas.index.jobs["job"].is_open
 
 
 def test_a_job_that_was_there_before_this_daemon_is_as_old_as_its_manifest_tells() -> None:
     index = JobIndex()
-    record = manifest_record(Manifest("job", "r", "h", 2, 14, "d", 0, handed_in_at=1000.0))
+    record = manifest_record(Manifest("job", "r", "h", 2, 14, "d", 0, submitted_at=1000.0))
     index.take(5.0, record, time_of_day=1012.0)
     assert index.jobs["job"].age(6.0) == 13.0
     assert index.jobs["job"].seen_at == 5.0
@@ -145,7 +153,7 @@
 
 def test_a_clock_that_is_behind_makes_no_job_younger_than_new() -> None:
     index = JobIndex()
-    record = manifest_record(Manifest("job", "r", "h", 2, 14, "d", 0, handed_in_at=1000.0))
+    record = manifest_record(Manifest("job", "r", "h", 2, 14, "d", 0, submitted_at=1000.0))
     index.take(5.0, record, time_of_day=900.0)
     assert index.jobs["job"].age(6.0) == 1.0
     unknown = manifest_record(Manifest("other", "r", "h", 2, 14, "d", 0))
--- /dev/null
+++ b/tests/decisions/jobs/worlds.py
@@ -0,0 +1,49 @@
+"""Items, jobs and a route for tests of how items are ranked and placed."""
+
+from troutswitch.decisions.forwarding.routes import RouteTable
+from troutswitch.decisions.forwarding.types import (
+    Backend,
+    FleetConfiguration,
+    RequestLimits,
+    Route,
+    RouteKind,
+)
+from troutswitch.decisions.jobs.index import JobIndex
+from troutswitch.decisions.jobs.items import ItemProgress
+from troutswitch.decisions.jobs.messages import OutputEvent
+from troutswitch.decisions.jobs.records import JobItem, Manifest, manifest_record
+
+TARGET_SECONDS = 20.0
+ROUTE = Route(
+    "route",
+    "host",
+    "/p/",
+    RouteKind.JOBS,
+    (Backend("service", 1.0),),
+    30.0,
+    0.5,
+    3,
+    completion_target=TARGET_SECONDS,
+)
+
+
+def item(job_id: str, number: int = 0, events: int = 0) -> ItemProgress:
+    held = JobItem(f"{job_id}-{number}", "/p/", (), b"", 100)
+    progress = ItemProgress(0, job_id, held, number)
+    if events:
+        progress.add((OutputEvent(str(events), "text"),))
+    return progress
+
+
+def route_table() -> RouteTable:
+    routes = RouteTable()
+    routes.replace(0.0, FleetConfiguration(1, (ROUTE,), {}, RequestLimits()))
+    return routes
+
+
+def job_index(seen: dict[str, float]) -> JobIndex:
+    """Returns an index of jobs that were seen at some times."""
+    index = JobIndex()
+    for job_id, at in seen.items():
+        index.take(at, manifest_record(Manifest(job_id, "route", "host", 2, 200, "d", 0)))
+    return index
--- a/tests/decisions/storage/test_follower.py
+++ b/tests/decisions/storage/test_follower.py
@@ -127,9 +127,9 @@
     held.bootstrap(0.0, end=0)
     refresher = Refresher(held.follower, held.numbers)
     served: list[tuple[str, bool]] = []
-    refresher.ask(lambda now, succeeded: served.append(("first", succeeded)))
+    refresher.refresh(lambda now, succeeded: served.append(("first", succeeded)))
     (call,) = refresher.on_timer(0.1)
-    refresher.ask(lambda now, succeeded: served.append(("second", succeeded)))
+    refresher.refresh(lambda now, succeeded: served.append(("second", succeeded)))
     refresher.on_answer(0.2, RecordsRead((record("a", b"1", 0),), 1, 1))
     assert served == [("first", True)]
     assert held.taken == {"a": b"1"}
--- a/tests/decisions/test_gateway.py
+++ b/tests/decisions/test_gateway.py
@@ -68,8 +68,8 @@
         address = Address("10.0.9.9", 7)
         core.peers.peers = {f"p-{n}": Peer(address, "z", 0.0) for n in range(peers)}
         core.step(0.0, TimerFired())
-        read_every = max(core.engine_list.interval, core.engine_list.pace)
+        read_every = max(core.engine_list.interval, core.engine_list.least_interval)
         assert peers / read_every <= READS_SHARE * 2000.0
         assert read_every < core.identity.drain / 2
-    assert core.engine_list.pace > core.engine_list.interval
-    assert core.jobs.replicas.index_follower.pace == core.engine_list.pace
+    assert core.engine_list.least_interval > core.engine_list.interval
+    assert core.jobs.replicas.index_follower.least_interval == core.engine_list.least_interval
--- a/tests/hindsight/test_bound.py
+++ b/tests/hindsight/test_bound.py
@@ -89,7 +89,7 @@
 
 def batch(items: int, done: int, due_ms: int, run_ms: int) -> list[str]:
     rows = [line(0, "engines changed", slots=1)]
-    rows.append(line(1, "job hand-in ended", job_id="j", items=items, status=202, due_ms=due_ms))
+    rows.append(line(1, "job submission ended", job_id="j", items=items, status=202, due_ms=due_ms))
     for number in range(items):
         held = {"job_id": "j", "item_id": f"i{number}"}
         rows.append(line(2, "item sent", **held))
@@ -120,7 +120,7 @@
 
 def test_a_job_of_which_nothing_started_counts() -> None:
     rows = [line(0, "engines changed", slots=1)]
-    rows.append(line(1, "job hand-in ended", job_id="j", items=3, status=202, due_ms=1000))
+    rows.append(line(1, "job submission ended", job_id="j", items=3, status=202, due_ms=1000))
     assert work_out(*rows).batch.asked == 3
 
 
