--- a/src/troutswitch/decisions/gateway.py
+++ b/src/troutswitch/decisions/gateway.py
@@ -325,7 +325,7 @@
             self.slots.reports.assume_known(claim)
 
     def _on_engines_leaving(self, now: float, news: EngineDrainNotice) -> None:
-        draining, left = self.leaving.on_news(now, news)
+        draining, left = self.leaving.on_notice(now, news)
         for engine_id in draining:
             self.engines.mark_draining(engine_id)
         self.engines.on_told_left(now, left)
@@ -402,9 +402,7 @@
         self._instructions += self.peers.on_timer(now)
         self._instructions += self.leaving.on_timer(now)
         self._instructions += self.peer_registry.on_timer(now)
-        self._instructions += self._catch_up.on_timer(
-            now, self._reading(), lambda: self.peers.live_addresses(now)
-        )
+        self._instructions += self._catch_up.on_timer(now, self._reading(), self.peers)
 
     def _look_whether_behind(self, now: float) -> None:
         """Notes whether a newer configuration may be in force than the one known here."""
@@ -458,13 +456,13 @@
         return PeerRegistryEntry(identity.name, identity.peer_address, identity.zone, experience)
 
     def _on_peer_registry_entry(self, now: float, entry: PeerRegistryEntry) -> None:
-        self.peers.meet(now, entry)
+        self.peers.on_registered(entry)
         self.requests.begin_with(entry.experience)
         if entry.experience.pace is not None:
             self.jobs.owner.run_times.begin_with(entry.experience.pace)
 
     def _on_peer_state(self, now: float, event: PeerStateReceived) -> None:
-        self._catch_up.on_told()
+        self._catch_up.on_reply()
         if event.state is None:
             return
         held = event.state.configuration
@@ -515,7 +513,7 @@
         kept_before = self.engines.kept_missing
         came, left = self.engines.on_list(read_at, records)
         self.suspects.on_list(self._now)
-        self.leaving.on_back(came)
+        self.leaving.on_listed_again(came)
         self.leaving.on_read(self._now, [r.engine_id for r in records if r.is_draining], left)
         if self.engines.kept_missing != kept_before:
             self._log(
--- a/src/troutswitch/decisions/peers/__init__.py
+++ b/src/troutswitch/decisions/peers/__init__.py
@@ -1,1 +1,1 @@
-"""Pure decisions about the other daemons of the fleet."""
+"""Pure decisions about the other daemons: who they are, and what is learnt from them."""
--- a/src/troutswitch/decisions/peers/drain_notices.py
+++ b/src/troutswitch/decisions/peers/drain_notices.py
@@ -1,8 +1,17 @@
-"""Tells peers which engines leave, where each daemon reads the list of engines seldom.
+"""Rule: who is notified of an engine that drains or left, where each daemon reads the list seldom?
 
-In a large fleet the store's reads allow each daemon a whole reading in some seconds only; but
-all readings together come every few milliseconds. So whoever reads first that an engine leaves
-tells some peers, and each that hears it for the first time tells as many once.
+Inputs: what this daemon's own readings of the engine list show, and peers' notices; whether the
+size of the fleet makes the readings too rare to do without notices.
+
+The rule: a daemon that learns first that an engine drains or left sends a notice to
+`PEERS_NOTIFIED` peers, drawn at random, and each that learns it by a notice does so once (gossip).
+
+Why: in a large fleet the store's limit on reads allows each daemon a reading in some seconds only,
+in which it would go on sending requests to engines that leave. All readings together come every few
+milliseconds.
+
+It owns what was notified, and what waits to be. tests/decisions/peers/test_drain_notices.py plays a
+fleet.
 """
 
 import random
@@ -14,23 +23,26 @@
 from troutswitch.decisions.slots.messages import SendToPeers
 
 PEERS_NOTIFIED = 8
-"""Daemons that are told at once. Where each that hears of news tells eight others once, 3 in 10,000
-miss it; they read it in the list some seconds later."""
-TELL_SECONDS = 0.02
-"""Time in which news is gathered for one message: engines of one release leave together."""
-TOLD_A_MESSAGE = 40
-"""Engines in one message, which then fits into one packet (some 20 bytes each)."""
+"""Daemons that a notice is sent to: enough for nearly all to learn of it; the others read it in the
+list some seconds later."""
+GATHER_SECONDS = 0.02
+"""Time in which engines are gathered for one notice: those of one release leave together."""
+ENGINES_A_NOTICE = 40
+"""Most engines in one notice, which then fits into one packet."""
 WAITING_MOST = 2048
+"""Most engines that wait for a notice; beyond that the oldest are left out."""
 REMEMBERED_MOST = 8192
-"""Engines of which it is remembered that they were told: more than leave in an hour."""
+"""Engines that count as notified: more than leave in an hour."""
 
 
 class DrainNotices:
-    """Passes on that engines drain, or left the list.
+    """Sends notices of engines that drain, or left the list.
 
     Args:
+        name: this daemon's name.
         peers: returns the addresses of other daemons.
-        is_needed: returns whether the list is read too seldom to do without.
+        is_needed: returns whether the list is read too seldom to do without notices.
+        rng: source of the draws.
     """
 
     def __init__(
@@ -44,57 +56,58 @@
         self._peers = peers
         self._is_needed = is_needed
         self._rng = rng
-        self._told: OrderedDict[tuple[str, bool], None] = OrderedDict()
+        self._notified: OrderedDict[tuple[str, bool], None] = OrderedDict()
         self._waiting: deque[tuple[str, bool]] = deque()
-        self._tell_at = float("inf")
+        self._notify_at = float("inf")
 
     def on_read(self, now: float, draining: Iterable[str], left: Iterable[str]) -> None:
-        """Takes what this daemon's own list has shown."""
+        """Takes what this daemon's own reading of the list shows."""
         for engine_id in draining:
             self._note(now, engine_id, is_draining=True)
         for engine_id in left:
             self._note(now, engine_id, is_draining=False)
 
-    def on_news(self, now: float, news: EngineDrainNotice) -> tuple[list[str], list[str]]:
-        """Takes what a peer tells; returns what is new: engines that drain, and that left."""
-        draining = [name for name in news.draining if self._note(now, name, is_draining=True)]
-        left = [name for name in news.left if self._note(now, name, is_draining=False)]
+    def on_notice(self, now: float, notice: EngineDrainNotice) -> tuple[list[str], list[str]]:
+        """Takes a peer's notice; returns the engines that are new: that drain, and that left."""
+        draining = [name for name in notice.draining if self._note(now, name, is_draining=True)]
+        left = [name for name in notice.left if self._note(now, name, is_draining=False)]
         return draining, left
 
     def _note(self, now: float, engine_id: str, *, is_draining: bool) -> bool:
+        """Notes what is known of an engine; returns whether it is new."""
         key = (engine_id, is_draining)
-        if key in self._told:
+        if key in self._notified:
             return False
-        self._told[key] = None
-        if len(self._told) > REMEMBERED_MOST:
-            self._told.popitem(last=False)
+        self._notified[key] = None
+        if len(self._notified) > REMEMBERED_MOST:
+            self._notified.popitem(last=False)
         if self._is_needed():
             self._waiting.append(key)
-            self._tell_at = min(self._tell_at, now + TELL_SECONDS)
+            self._notify_at = min(self._notify_at, now + GATHER_SECONDS)
             if len(self._waiting) > WAITING_MOST:
                 self._waiting.popleft()
         return True
 
-    def on_back(self, engine_ids: Iterable[str]) -> None:
-        """Engines are listed again: that they leave would be news."""
+    def on_listed_again(self, engine_ids: Iterable[str]) -> None:
+        """Engines are listed again: if they leave once more, that is new."""
         for engine_id in engine_ids:
-            self._told.pop((engine_id, False), None)
+            self._notified.pop((engine_id, False), None)
 
     def next_due(self) -> float:
         """Returns when `on_timer` has something to do."""
-        return self._tell_at
+        return self._notify_at
 
     def on_timer(self, now: float) -> list[SendToPeers]:
-        """Tells some peers what waits to be told."""
-        if now < self._tell_at:
+        """Sends a notice of the engines that wait, if it is due."""
+        if now < self._notify_at:
             return []
-        count = min(TOLD_A_MESSAGE, len(self._waiting))
-        told = [self._waiting.popleft() for _ in range(count)]
-        self._tell_at = now + TELL_SECONDS if self._waiting else float("inf")
+        count = min(ENGINES_A_NOTICE, len(self._waiting))
+        noted = [self._waiting.popleft() for _ in range(count)]
+        self._notify_at = now + GATHER_SECONDS if self._waiting else float("inf")
         peers = self._peers()
         chosen = self._rng.sample(peers, min(PEERS_NOTIFIED, len(peers)))
-        if not told or not chosen:
+        if not noted or not chosen:
             return []
-        draining = tuple(name for name, is_draining in told if is_draining)
-        left = tuple(name for name, is_draining in told if not is_draining)
+        draining = tuple(name for name, is_draining in noted if is_draining)
+        left = tuple(name for name, is_draining in noted if not is_draining)
         return [SendToPeers(tuple(chosen), EngineDrainNotice(self._name, draining, left))]
--- a/src/troutswitch/decisions/peers/heartbeats.py
+++ b/src/troutswitch/decisions/peers/heartbeats.py
@@ -1,8 +1,11 @@
-"""Knows other daemons, and tells a few of them now and then that this one lives.
+"""The other daemons as this one knows them, and the heartbeats that it sends them.
 
-Each daemon greets `HEARTBEAT_FANOUT` others drawn at random, so what one sends and takes does
-not grow with the fleet. A daemon that starts while it cannot read the store learns from a
-greeting whom to ask for the configuration and the engines, and who coordinates what.
+Each daemon sends a heartbeat to `HEARTBEAT_FANOUT` others drawn at random, so what one sends and
+receives does not grow with the fleet. A daemon that starts while it cannot read the store learns
+from heartbeats which peers it may ask for the configuration and the engine list, and who
+coordinates which group.
+
+It owns the known peers, and relies on the peer registry for those that it has not heard from.
 """
 
 import random
@@ -15,24 +18,26 @@
 from troutswitch.decisions.slots.messages import SendToPeers
 
 HEARTBEAT_SECONDS = 0.5
-"""Interval between greetings."""
+"""Interval between heartbeats."""
 HEARTBEAT_FANOUT = 2
-"""Daemons greeted at once: with two each half second, a daemon is greeted within half a second
-in 86 of 100 cases, and within one second in 98."""
+"""Daemons that are sent a heartbeat at once."""
 LIVE_SECONDS = 3.0
-"""Time for which a daemon counts as live after it was heard."""
-CLAIMS_TOLD_MOST = 16
-"""Claims in one greeting, drawn at random: some 70 bytes each, so that it fits into one packet. All
-96 of a fleet of 3,000 engines took 7 KB, near what a datagram may have here."""
+"""Time for which a daemon counts as live after its last heartbeat."""
+CLAIMS_A_HEARTBEAT = 16
+"""Most claims in one heartbeat, which then fits into one packet; more are drawn at random."""
 FORGET_SECONDS = 60.0
-"""Silence after which a daemon that was heard is greeted no more."""
-ANY_ASKED_MOST = 3
-"""Daemons never heard of which one may be asked if none was heard lately."""
+"""Time after its last heartbeat at which a daemon is forgotten."""
+SILENT_MOST = 3
+"""Daemons without a heartbeat, drawn at random, that may be asked while none is live."""
 
 
 @dataclass(slots=True)
 class Peer:
-    """Another daemon."""
+    """Another daemon.
+
+    `last_seen_at` is when its last heartbeat came, on this process's clock, or -infinity.
+    `configuration_version` is the one that it acts on, or -1.
+    """
 
     address: Address
     zone: str
@@ -41,7 +46,17 @@
 
 
 class Peers:
-    """All daemons that the directory names or that were heard."""
+    """All daemons that the registry names or that sent a heartbeat.
+
+    Args:
+        name: this daemon's name.
+        zone: its zone.
+        address: where it receives messages.
+        incarnation: tells it from earlier processes of the same name.
+        version: returns the version of the configuration in force here.
+        claims: returns the coordinators' claims that are known here.
+        rng: source of the draws.
+    """
 
     def __init__(
         self,
@@ -64,13 +79,13 @@
         self._heartbeat_at = float("-inf")
         self._newest_version = -1
 
-    def meet(self, now: float, entry: PeerRegistryEntry) -> None:
-        """Takes a daemon that the directory tells of."""
+    def on_registered(self, entry: PeerRegistryEntry) -> None:
+        """Takes a daemon that the registry names."""
         if entry.name != self._name and entry.name not in self.peers:
             self.peers[entry.name] = Peer(entry.address, entry.zone, float("-inf"))
 
     def on_heartbeat(self, now: float, heartbeat: Heartbeat) -> None:
-        """A daemon was heard."""
+        """Takes a daemon's heartbeat."""
         if heartbeat.sender == self._name:
             return
         version = heartbeat.configuration_version
@@ -82,36 +97,42 @@
         return self._heartbeat_at + HEARTBEAT_SECONDS if self.peers else float("inf")
 
     def on_timer(self, now: float) -> list[SendToPeers]:
-        """Greets some daemons."""
+        """Sends some daemons a heartbeat."""
         if now < self.next_due():
             return []
         self._heartbeat_at = now
+        self._forget_silent(now)
+        names = list(self.peers)
+        drawn = self._rng.sample(names, min(HEARTBEAT_FANOUT, len(names)))
+        addresses = tuple(self.peers[name].address for name in drawn)
+        return [SendToPeers(addresses, self._heartbeat())]
+
+    def _forget_silent(self, now: float) -> None:
         for name, peer in list(self.peers.items()):
             if FORGET_SECONDS < now - peer.last_seen_at < float("inf"):
                 del self.peers[name]
-        names = list(self.peers)
-        drawn = self._rng.sample(names, min(HEARTBEAT_FANOUT, len(names)))
+
+    def _heartbeat(self) -> Heartbeat:
         claims = self._claims()
-        if len(claims) > CLAIMS_TOLD_MOST:
-            claims = tuple(self._rng.sample(claims, CLAIMS_TOLD_MOST))
-        heartbeat = Heartbeat(
+        if len(claims) > CLAIMS_A_HEARTBEAT:
+            claims = tuple(self._rng.sample(claims, CLAIMS_A_HEARTBEAT))
+        return Heartbeat(
             self._name, self._zone, self._address, self._incarnation, self._version(), claims
         )
-        return [SendToPeers(tuple(self.peers[name].address for name in drawn), heartbeat)]
 
     def addresses(self) -> list[Address]:
-        """Returns all daemons that are known."""
+        """Returns the addresses of all daemons that are known."""
         return [peer.address for peer in self.peers.values()]
 
     def live_addresses(self, now: float) -> list[Address]:
-        """Returns daemons heard lately, those of this zone if there are any; else a few others."""
-        live = [c for c in self.peers.values() if now - c.last_seen_at <= LIVE_SECONDS]
+        """Returns live daemons, those of this zone if there are any; else a few silent ones."""
+        live = [peer for peer in self.peers.values() if now - peer.last_seen_at <= LIVE_SECONDS]
         near = [peer.address for peer in live if peer.zone == self._zone]
         if near or live:
             return near or [peer.address for peer in live]
         others = [peer.address for peer in self.peers.values()]
-        return self._rng.sample(others, min(ANY_ASKED_MOST, len(others)))
+        return self._rng.sample(others, min(SILENT_MOST, len(others)))
 
     def newest_version(self) -> int:
-        """Returns the highest configuration version that a daemon told of, or -1."""
+        """Returns the highest configuration version of any heartbeat, or -1."""
         return self._newest_version
--- a/src/troutswitch/decisions/peers/peer_registry.py
+++ b/src/troutswitch/decisions/peers/peer_registry.py
@@ -1,7 +1,9 @@
-"""The daemons' directory in the store: where each takes messages, and what it has learnt.
+"""The peer registry in the store: where each daemon receives messages, and what it has learnt.
 
-A daemon that starts finds its peers here, and begins with what they knew of the services'
-run times: after all were killed at once, nobody else could tell.
+A daemon that starts finds its peers here, and begins with what they knew of the services' run
+times, which would otherwise be lost when all daemons are killed at once.
+
+It owns this daemon's entry and the calls that read and write the registry. Entries are CBOR arrays.
 """
 
 from collections.abc import Callable
@@ -26,18 +28,23 @@
 
 PEERS_TOPIC = "daemons"
 READ_FIRST_SECONDS = 1.0
+"""Interval between the first readings, while other daemons may start too."""
 READ_SECONDS = 10.0
+"""Interval between later readings."""
+FIRST_READINGS = 2
 CALL_LOST_SECONDS = 4.0
+"""Time after which a call without an answer is made again."""
 WRITE_RETRY_SECONDS = 1.0
+"""Pause after a write that failed."""
 EXPERIENCE_SECONDS = 6.0
-"""Least interval between words on what was learnt."""
+"""Least interval between writes of what was learnt."""
 EXPERIENCE_SECONDS_A_PEER = 0.1
-"""The same interval for each other daemon, which bounds the writes of a large fleet."""
+"""Least such interval for each other daemon, which bounds the writes of a large fleet."""
 
 
 @dataclass(frozen=True, slots=True)
 class PeerRegistryEntry:
-    """One daemon as the directory tells it."""
+    """One daemon: where it receives messages, and what it has learnt."""
 
     name: str
     address: Address
@@ -46,7 +53,15 @@
 
 
 class PeerRegistry:
-    """Reads the directory, and keeps this daemon's entry."""
+    """Reads the registry, and keeps this daemon's entry up to date.
+
+    Args:
+        own: returns this daemon's entry as it should be.
+        peers: returns how many other daemons are known.
+        numbers: source of call numbers.
+        take: called with the time and an entry that was read.
+        log: called with an event and its fields.
+    """
 
     def __init__(
         self,
@@ -104,19 +119,20 @@
         return ReadNewest(self._read_call, Partition(PEERS_TOPIC))
 
     def owns(self, call: int) -> bool:
-        """Returns whether an answer belongs here."""
+        """Returns whether a store call is a reading or a write of the registry."""
         return call in (self._read_call, self._write_call)
 
     def on_answer(self, now: float, call: int, outcome: StoreOutcome) -> None:
-        """Takes the outcome of a reading, or of the word on this daemon."""
+        """Takes the outcome of a reading, or of a write of this daemon's entry."""
         if call == self._write_call:
             self._on_written(now, isinstance(outcome, Appended))
             return
         self._readings += 1
-        if self._readings == 1:  # only now, as an entry of this daemon's earlier life counts
+        if self._readings == 1:
+            # Not before, since the entry of this daemon's last incarnation is read first.
             self._write_at = min(self._write_at, now)
-        early = self._readings <= 2
-        self._read_at = now + (READ_FIRST_SECONDS if early else READ_SECONDS)
+        is_early = self._readings <= FIRST_READINGS
+        self._read_at = now + (READ_FIRST_SECONDS if is_early else READ_SECONDS)
         if isinstance(outcome, NewestPage):
             for record in outcome.records:
                 self._take_record(now, record)
--- a/src/troutswitch/decisions/storage/__init__.py
+++ b/src/troutswitch/decisions/storage/__init__.py
@@ -1,1 +1,1 @@
-"""Pure decisions about what is kept in the platform's store."""
+"""Pure decisions about reading the platform's store, and its typed calls."""
--- a/tests/decisions/peers/test_catch_up.py
+++ b/tests/decisions/peers/test_catch_up.py
@@ -5,8 +5,8 @@
 from tests.worlds.gateway_world import Daemon, GatewayWorld
 from troutswitch.common import Address
 from troutswitch.decisions.peers.catch_up import (
-    ANSWER_SECONDS,
-    PATIENCE_SECONDS,
+    GRACE_SECONDS,
+    REPLY_TIMEOUT_SECONDS,
     PeerCatchUp,
     ReadingState,
 )
@@ -16,37 +16,41 @@
 CUT = "daemon-0"
 
 
-def one_peer() -> list[Address]:
-    return [Address("10.0.0.9", 7)]
+class OnePeer:
+    def live_addresses(self, now: float) -> list[Address]:
+        return [Address("10.0.0.9", 7)]
+
+
+ONE_PEER = OnePeer()
 
 
 def test_a_daemon_that_reads_the_store_asks_nobody() -> None:
     catch_up = PeerCatchUp(random.Random(1))
-    assert all(not catch_up.on_timer(now / 10, SOUND, one_peer) for now in range(100))
+    assert all(not catch_up.on_timer(now / 10, SOUND, ONE_PEER) for now in range(100))
     assert catch_up.next_due() == NEVER
 
 
 def test_a_peer_is_asked_once_a_reading_fails_for_a_while() -> None:
     catch_up = PeerCatchUp(random.Random(1))
     failing = ReadingState(3, 3, 10.0, NEVER)
-    assert catch_up.on_timer(10.1, failing, one_peer) == []
-    (asked,) = catch_up.on_timer(10.0 + PATIENCE_SECONDS, failing, one_peer)
+    assert catch_up.on_timer(10.1, failing, ONE_PEER) == []
+    (asked,) = catch_up.on_timer(10.0 + GRACE_SECONDS, failing, ONE_PEER)
     assert (asked.host, asked.version) == ("10.0.0.9", 3)
-    assert catch_up.on_timer(10.9, failing, one_peer) == []
+    assert catch_up.on_timer(10.9, failing, ONE_PEER) == []
 
 
 def test_another_peer_is_asked_when_one_does_not_answer() -> None:
     catch_up = PeerCatchUp(random.Random(1))
     failing = ReadingState(3, 3, NEVER, 10.0)
-    assert catch_up.on_timer(11.0, failing, one_peer)
-    assert catch_up.on_timer(11.0 + ANSWER_SECONDS, failing, one_peer)
+    assert catch_up.on_timer(11.0, failing, ONE_PEER)
+    assert catch_up.on_timer(11.0 + REPLY_TIMEOUT_SECONDS, failing, ONE_PEER)
 
 
 def test_a_newer_version_at_a_peer_is_asked_for_when_the_reading_does_not_bring_it() -> None:
     catch_up = PeerCatchUp(random.Random(1))
     older = ReadingState(3, 4, NEVER, NEVER)
-    assert catch_up.on_timer(10.0, older, one_peer) == []
-    assert catch_up.on_timer(10.0 + PATIENCE_SECONDS, older, one_peer)
+    assert catch_up.on_timer(10.0, older, ONE_PEER) == []
+    assert catch_up.on_timer(10.0 + GRACE_SECONDS, older, ONE_PEER)
 
 
 def cut_world() -> tuple[GatewayWorld, Daemon]:
--- a/tests/decisions/peers/test_drain_notices.py
+++ b/tests/decisions/peers/test_drain_notices.py
@@ -1,4 +1,4 @@
-"""News of engines that leave, from whoever reads it first to all daemons."""
+"""Notices of engines that leave, from whoever reads it first to all daemons."""
 
 import random
 
@@ -7,19 +7,19 @@
 from troutswitch.daemons import datagram
 from troutswitch.daemons.messages import EngineDrainNotice
 from troutswitch.decisions.forwarding.engines import TOLD_SECONDS, EngineRegistry
-from troutswitch.decisions.peers.drain_notices import TELL_SECONDS, TOLD_A_MESSAGE, DrainNotices
+from troutswitch.decisions.peers.drain_notices import ENGINES_A_NOTICE, GATHER_SECONDS, DrainNotices
 from troutswitch.decisions.slots.messages import SendToPeers
 
 FLEET = 300
 PACKET_BYTES = 1400
 
 
-def news(number: int = 0, fleet: int = FLEET, is_needed: bool = True) -> DrainNotices:
+def notices(number: int = 0, fleet: int = FLEET, is_needed: bool = True) -> DrainNotices:
     peers = [Address("10.0.0.1", other) for other in range(fleet) if other != number]
     return DrainNotices(f"d{number}", lambda: peers, lambda: is_needed, random.Random(number))
 
 
-def told(sent: list[SendToPeers]) -> EngineDrainNotice:
+def notice(sent: list[SendToPeers]) -> EngineDrainNotice:
     message = datagram.decode(datagram.encode(sent[0].message))
     assert isinstance(message, EngineDrainNotice)
     return message
@@ -27,49 +27,49 @@
 
 def test_what_one_daemon_reads_reaches_all_in_a_few_steps() -> None:
     """Seen at 300 daemons: a request reached an engine 3,377 ms after it began to drain."""
-    fleet = [news(number) for number in range(FLEET)]
+    fleet = [notices(number) for number in range(FLEET)]
     fleet[0].on_read(0.0, ["s1"], ["s2"])
-    heard = {0}
+    reached = {0}
     now = 0.0
     for _ in range(5):
-        now += TELL_SECONDS
+        now += GATHER_SECONDS
         for sent in [one for held in fleet for one in held.on_timer(now)]:
-            message = told([sent])
+            message = notice([sent])
             for address in sent.addresses:
-                draining, left = fleet[address.port].on_news(now, message)
+                draining, left = fleet[address.port].on_notice(now, message)
                 if draining or left:
-                    heard.add(address.port)
-    assert len(heard) >= FLEET - 2
+                    reached.add(address.port)
+    assert len(reached) >= FLEET - 2
 
 
-def test_each_daemon_tells_once() -> None:
-    held = news()
+def test_each_daemon_notifies_once() -> None:
+    held = notices()
     held.on_read(0.0, ["s1"], [])
-    assert told(held.on_timer(TELL_SECONDS)).draining == ("s1",)
-    assert held.on_news(0.1, EngineDrainNotice("other", ("s1",), ())) == ([], [])
+    assert notice(held.on_timer(GATHER_SECONDS)).draining == ("s1",)
+    assert held.on_notice(0.1, EngineDrainNotice("other", ("s1",), ())) == ([], [])
     held.on_read(0.2, ["s1"], [])
     assert held.on_timer(1.0) == []
 
 
 def test_an_engine_that_is_listed_again_may_leave_again() -> None:
-    held = news()
+    held = notices()
     held.on_read(0.0, [], ["s1"])
-    held.on_timer(TELL_SECONDS)
-    held.on_back(["s1"])
-    assert held.on_news(1.0, EngineDrainNotice("other", (), ("s1",))) == ([], ["s1"])
+    held.on_timer(GATHER_SECONDS)
+    held.on_listed_again(["s1"])
+    assert held.on_notice(1.0, EngineDrainNotice("other", (), ("s1",))) == ([], ["s1"])
 
 
-def test_where_all_read_often_nobody_is_told() -> None:
-    held = news(is_needed=False)
+def test_where_all_read_often_nobody_is_notified() -> None:
+    held = notices(is_needed=False)
     held.on_read(0.0, ["s1"], ["s2"])
     assert held.next_due() == float("inf")
 
 
 def test_a_full_message_fits_into_a_packet() -> None:
-    held = news()
+    held = notices()
     held.on_read(0.0, [f"i-{number:010x}" for number in range(100)], [])
-    sent = held.on_timer(TELL_SECONDS)
-    assert len(told(sent).draining) == TOLD_A_MESSAGE
+    sent = held.on_timer(GATHER_SECONDS)
+    assert len(notice(sent).draining) == ENGINES_A_NOTICE
     assert len(datagram.encode(sent[0].message)) <= PACKET_BYTES
     assert held.next_due() < float("inf")
 
--- a/tests/decisions/peers/test_heartbeats.py
+++ b/tests/decisions/peers/test_heartbeats.py
@@ -1,4 +1,4 @@
-"""Daemons know of each other without telling everybody everything."""
+"""Daemons know of each other without sending everything to everybody."""
 
 import random
 
@@ -28,10 +28,10 @@
     return Heartbeat(name, zone, Address("10.0.0.2", port), 1, version)
 
 
-def test_daemons_are_met_through_the_directory_once_and_never_oneself() -> None:
+def test_a_registered_daemon_is_known_once_and_never_oneself() -> None:
     held = peers()
     for name in ("other", "other", "me"):
-        held.meet(0.0, entry(name, 1))
+        held.on_registered(entry(name, 1))
     assert set(held.peers) == {"other"}
 
 
@@ -39,28 +39,28 @@
     for size in (1, 3, 700):
         held = peers()
         for number in range(size):
-            held.meet(0.0, entry(f"d{number}", number))
+            held.on_registered(entry(f"d{number}", number))
         told = [held.on_timer(tick * HEARTBEAT_SECONDS / 4) for tick in range(1, 41)]
         sent = [len(made.addresses) for instructions in told for made in instructions]
         assert len(sent) == 10
         assert set(sent) == {min(size, HEARTBEAT_FANOUT)}
 
 
-def test_everybody_is_greeted_in_turn() -> None:
+def test_everybody_gets_heartbeats_in_turn() -> None:
     held = peers()
     for number in range(20):
-        held.meet(0.0, entry(f"d{number}", number))
-    greeted: set[int] = set()
+        held.on_registered(entry(f"d{number}", number))
+    reached: set[int] = set()
     for tick in range(200):
         for made in held.on_timer(tick * HEARTBEAT_SECONDS):
-            greeted.update(address.port for address in made.addresses)
-    assert greeted == set(range(20))
+            reached.update(address.port for address in made.addresses)
+    assert reached == set(range(20))
 
 
-def test_one_that_was_heard_lately_is_asked_before_others_and_the_own_zone_first() -> None:
+def test_a_live_peer_comes_before_silent_ones_and_the_own_zone_first() -> None:
     held = peers()
     for number in range(20):
-        held.meet(0.0, entry(f"d{number}", number))
+        held.on_registered(entry(f"d{number}", number))
     assert len(held.live_addresses(0.0)) == 3
     held.on_heartbeat(1.0, heartbeat("far", 90, zone="there"))
     assert [address.port for address in held.live_addresses(1.0)] == [90]
@@ -77,9 +77,9 @@
     assert held.newest_version() == 7
 
 
-def test_a_daemon_that_moved_is_greeted_at_its_new_address() -> None:
+def test_a_daemon_that_moved_gets_heartbeats_at_its_new_address() -> None:
     held = peers()
-    held.meet(0.0, entry("a", 1))
+    held.on_registered(entry("a", 1))
     held.on_heartbeat(0.0, heartbeat("a", 2))
     (made,) = held.on_timer(1.0)
     assert [address.port for address in made.addresses] == [2]
--- a/tests/decisions/peers/test_peer_registry.py
+++ b/tests/decisions/peers/test_peer_registry.py
@@ -1,4 +1,4 @@
-"""The directory of daemons, and what they have learnt."""
+"""The registry of daemons, and what they have learnt."""
 
 import random
 
@@ -45,7 +45,7 @@
 
 
 class Store:
-    """A directory and what it asked of the store."""
+    """A registry, and the calls that it makes to the store."""
 
     def __init__(self) -> None:
         self.experience = Experience()
@@ -77,7 +77,7 @@
         self.peer_registry.on_answer(now, call.call, outcome)
 
 
-def test_the_directory_is_read_before_this_daemon_s_entry_is_replaced() -> None:
+def test_the_registry_is_read_before_this_daemon_s_entry_is_replaced() -> None:
     store = Store()
     first = store.calls(0.0)
     assert [type(call) for call in first] == [ReadNewest]
