--- a/src/troutswitch/decisions/jobs/coordinator.py
+++ b/src/troutswitch/decisions/jobs/coordinator.py
@@ -51,16 +51,15 @@
     """All decisions about batch jobs on one daemon."""
 
     def __init__(self, dependencies: JobDependencies, settings: JobSettings) -> None:
-        routes, numbers = dependencies.routes, dependencies.numbers
-        rng, log = dependencies.rng, dependencies.log
+        numbers, rng, log = dependencies.numbers, dependencies.rng, dependencies.log
         self._tenant_keys = dependencies.tenant_keys
         self._emit = dependencies.emit
         self._log = log
         self._drain_until = float("inf")
         self.replicas = JobReplicas(numbers, rng)
-        token_limits = TokenLimits(routes, self.replicas.index)
+        token_limits = TokenLimits(dependencies.routes, self.replicas.index)
         self.intake = JobIntake(
-            routes, self.replicas, numbers, settings.limits, token_limits, self._answer, log
+            dependencies, settings.limits, self.replicas, token_limits, self._answer
         )
         self.reads = JobReads(self.replicas, numbers, self._answer, log)
         self.ownership = ShardOwnership(
@@ -140,7 +139,7 @@
         self._go_on_draining(now)
         self._emit_all(self.intake.on_timer(now))
         self._emit_all(self.reads.on_timer(now))
-        # Last, as the others may have asked for reads.
+        # Last, as the others may have wanted something read.
         self._emit_all(self.replicas.on_timer(now))
 
     def drain(self, now: float) -> None:
--- a/src/troutswitch/decisions/jobs/dispatcher.py
+++ b/src/troutswitch/decisions/jobs/dispatcher.py
@@ -13,18 +13,13 @@
 items. Measured in docs/POLICY.md, "Rounds" and "Rounds with coordinators of slots".
 """
 
-from troutswitch.decisions.forwarding.engines import Engine, EngineRegistry
-from troutswitch.decisions.jobs.dependencies import BatchSlots
+from troutswitch.decisions.forwarding.engines import Engine
+from troutswitch.decisions.jobs.dependencies import JobDependencies
 from troutswitch.decisions.jobs.engine_choice import EngineChoice, takes_items
-from troutswitch.decisions.jobs.index import JobIndex
-from troutswitch.decisions.jobs.item_refusals import ItemRefusals
-from troutswitch.decisions.jobs.item_retries import ItemRetries
+from troutswitch.decisions.jobs.item_parts import ItemParts
 from troutswitch.decisions.jobs.items import ItemProgress
 from troutswitch.decisions.jobs.messages import RunItem
-from troutswitch.decisions.jobs.open_items import OpenItems
 from troutswitch.decisions.jobs.order import BatchCapacity
-from troutswitch.decisions.jobs.ranking import ItemRanking
-from troutswitch.decisions.jobs.runs import ItemRuns
 from troutswitch.decisions.jobs.starvation_guard import StarvationGuard
 from troutswitch.decisions.slots.messages import FleetShare, StartItems, WaitingItems
 
@@ -38,29 +33,19 @@
     """Starts items, with granted slots or without."""
 
     def __init__(
-        self,
-        items: OpenItems,
-        runs: ItemRuns,
-        ranking: ItemRanking,
-        engine_choice: EngineChoice,
-        retries: ItemRetries,
-        refusals: ItemRefusals,
-        index: JobIndex,
-        engines: EngineRegistry,
-        slots: BatchSlots,
+        self, parts: ItemParts, engine_choice: EngineChoice, dependencies: JobDependencies
     ) -> None:
         self.waiting = WaitingItems()
         """Items that could start now, as far as this daemon may run them."""
         self.starvation_guard = StarvationGuard()
-        self._items = items
-        self._runs = runs
-        self._ranking = ranking
+        self._items = parts.items
+        self._runs = parts.runs
+        self._ranking = parts.ranking
+        self._retries = parts.retries
+        self._refusals = parts.refusals
         self._engine_choice = engine_choice
-        self._retries = retries
-        self._refusals = refusals
-        self._index = index
-        self._engines = engines
-        self._slots = slots
+        self._engines = dependencies.engines
+        self._slots = dependencies.slots
 
     # A round of dispatching.
 
@@ -69,7 +54,7 @@
         candidates = [
             progress
             for progress in self._items.startable(now, self._engines.listed_at)
-            if self._retries.route_to_start(now, progress) is not None
+            if self._retries.check(now, progress) is not None
         ]
         if not candidates and not self._runs.by_number:
             return []
@@ -121,16 +106,15 @@
 
     def _start_anywhere(self, now: float, progress: ItemProgress) -> RunItem | None:
         """Starts an item at an engine that `EngineChoice` finds; None if there is none."""
-        route = self._retries.route_to_start(now, progress)
-        if route is None:
+        item = self._retries.check(now, progress)
+        if item is None:
             return None
-        entry = self._index.jobs[progress.job_id]
-        engine = self._engine_choice.choose(now, route, progress, entry, self._is_uncoordinated)
+        engine = self._engine_choice.choose(now, item, self._is_uncoordinated)
         if engine is None:
             return None
         self._engine_choice.on_started(engine.record.engine_id)
         self._refusals.on_started(now, progress)
-        return self._runs.start(now, progress, entry.manifest, engine)
+        return self._runs.start(now, progress, item.entry.manifest, engine)
 
     def _is_uncoordinated(self, now: float, engine: Engine) -> bool:
         return not self._slots.is_coordinated(now, engine.record.engine_id)
@@ -176,13 +160,12 @@
 
     def _start_at(self, now: float, progress: ItemProgress, engine: Engine) -> RunItem | None:
         """Starts an item at an engine, if its route and the engine's memory allow."""
-        route = self._retries.route_to_start(now, progress)
-        if route is None or not self._engine_choice.may_run_at(route, progress, engine):
+        item = self._retries.check(now, progress)
+        if item is None or not self._engine_choice.may_run_at(item, engine):
             return None
-        entry = self._index.jobs[progress.job_id]
         self._count_start(now, progress)
         self._refusals.on_started(now, progress)
-        return self._runs.start(now, progress, entry.manifest, engine)
+        return self._runs.start(now, progress, item.entry.manifest, engine)
 
     def _take_off_waiting(self, started: int) -> None:
         """Takes items that started off those that wait, until the next round counts them."""
--- a/src/troutswitch/decisions/jobs/engine_choice.py
+++ b/src/troutswitch/decisions/jobs/engine_choice.py
@@ -19,11 +19,9 @@
 from troutswitch.decisions.forwarding.engines import Engine, EngineRegistry
 from troutswitch.decisions.forwarding.placement import batch_cost
 from troutswitch.decisions.forwarding.routes import RouteTable, choose_service
-from troutswitch.decisions.forwarding.types import Route
 from troutswitch.decisions.jobs.batch_capacity import BatchCapacityPolicy, has_memory, own_part
 from troutswitch.decisions.jobs.due_times import completion_target
-from troutswitch.decisions.jobs.index import JobEntry
-from troutswitch.decisions.jobs.items import ItemProgress
+from troutswitch.decisions.jobs.item_retries import StartableItem
 
 CHOICE_NOISE = 0.1
 """Most that is added to an engine's cost at random; a cost of 1 means that no slot is free."""
@@ -65,40 +63,34 @@
         self._own_share = own_share
         self._allowed = {}
 
-    def may_run_at(self, route: Route, progress: ItemProgress, engine: Engine) -> bool:
+    def may_run_at(self, item: StartableItem, engine: Engine) -> bool:
         """Returns whether an engine is of the item's route, and has memory for it."""
         service = engine.record.service
-        if all(backend.service != service for backend in route.backends):
+        if all(backend.service != service for backend in item.route.backends):
             return False
-        return has_memory(engine, progress.item.tokens, self._cache_tokens(service))
+        return has_memory(engine, item.progress.item.tokens, self._cache_tokens(service))
 
     def choose(
-        self,
-        now: float,
-        route: Route,
-        progress: ItemProgress,
-        entry: JobEntry,
-        is_open: Callable[[float, Engine], bool],
+        self, now: float, item: StartableItem, is_open: Callable[[float, Engine], bool]
     ) -> Engine | None:
         """Chooses an engine with a free slot; None if there is none.
 
         Args:
             now: this process's clock, in seconds.
-            route: the item's route.
-            progress: the item.
-            entry: the item's job.
+            item: what is to start.
             is_open: returns whether items may start at an engine without a granted slot.
         """
-        service = choose_service(route, self._rng)
-        target = completion_target(self._routes, entry.manifest)
-        age_share = entry.age(now) / target if target > 0 else 0.0
+        service = choose_service(item.route, self._rng)
+        target = completion_target(self._routes, item.entry.manifest)
+        age_share = item.entry.age(now) / target if target > 0 else 0.0
+        tokens = item.progress.item.tokens
         cache_tokens = self._cache_tokens(service)
         candidates = [
             engine
             for engine in self._engines.usable(now, service)
             if is_open(now, engine)
             and takes_items(now, engine)
-            and has_memory(engine, progress.item.tokens, cache_tokens)
+            and has_memory(engine, tokens, cache_tokens)
             and self._has_own_slot(now, engine, age_share)
         ]
         return min(candidates, key=lambda engine: self._cost(now, engine), default=None)
--- a/src/troutswitch/decisions/jobs/intake.py
+++ b/src/troutswitch/decisions/jobs/intake.py
@@ -23,8 +23,8 @@
 from enum import Enum
 from typing import assert_never
 
-from troutswitch.decisions.forwarding.routes import RouteTable
 from troutswitch.decisions.forwarding.types import Route, RouteKind
+from troutswitch.decisions.jobs.dependencies import JobDependencies
 from troutswitch.decisions.jobs.due_times import completion_target
 from troutswitch.decisions.jobs.messages import (
     JobAccepted,
@@ -44,7 +44,6 @@
 )
 from troutswitch.decisions.jobs.replicas import JobReplicas
 from troutswitch.decisions.jobs.token_limits import TokenLimits
-from troutswitch.decisions.storage.follower import CallNumbers
 from troutswitch.decisions.storage.messages import (
     Appended,
     AppendRecords,
@@ -82,7 +81,7 @@
     """One submission of a job. Times are seconds on this process's clock.
 
     `batches` holds the records of content that are not stored yet, a call each. `call` is the
-    store call in flight, or 0. `may_be_accepted` tells that an append of the manifest was not
+    store call in flight, or 0. `may_be_accepted` says that an append of the manifest was not
     answered, and may have acted.
     """
 
@@ -109,22 +108,20 @@
 
     def __init__(
         self,
-        routes: RouteTable,
-        replicas: JobReplicas,
-        numbers: CallNumbers,
+        dependencies: JobDependencies,
         limits: StoreLimits,
+        replicas: JobReplicas,
         token_limits: TokenLimits,
         answer: Callable[[int, JobAnswer], None],
-        log: Callable[..., None],
     ) -> None:
         self._submissions: dict[int, Submission] = {}
-        self._routes = routes
-        self._replicas = replicas
-        self._numbers = numbers
+        self._routes = dependencies.routes
+        self._numbers = dependencies.numbers
+        self._log = dependencies.log
         self._limits = limits
+        self._replicas = replicas
         self._token_limits = token_limits
         self._answer = answer
-        self._log = log
 
     # Arrival.
 
--- a/src/troutswitch/decisions/jobs/item_contents.py
+++ b/src/troutswitch/decisions/jobs/item_contents.py
@@ -14,9 +14,9 @@
 from troutswitch.decisions.jobs.shard import JobContent
 
 SHARED_METHOD = "ITEMS"
-"""Stands for the method in the common key, so that no request has the same key."""
+"""In place of the method in the common key, so that no request has the same key."""
 REMEMBERED_MOST = 1024
-"""Jobs, and paths of done items, that are cached; others are looked up again."""
+"""Jobs, and paths of done items, that are cached; others are found out again."""
 
 
 class ItemContents:
--- a/src/troutswitch/decisions/jobs/item_retries.py
+++ b/src/troutswitch/decisions/jobs/item_retries.py
@@ -8,7 +8,7 @@
 
 - without a route for `ROUTE_GONE_SECONDS`, past the route's retention, or with as many failed runs
   as the route allows, it is dead-lettered;
-- while crashes forbid its start, it is looked at again after `REFUSED_RETRY_SECONDS`.
+- while crashes forbid its start, it waits for `REFUSED_RETRY_SECONDS`.
 
 And for one whose run ended early:
 
@@ -23,10 +23,11 @@
 """
 
 import random
+from dataclasses import dataclass
 
 from troutswitch.decisions.forwarding.routes import RouteTable
 from troutswitch.decisions.forwarding.types import Route
-from troutswitch.decisions.jobs.index import JobIndex
+from troutswitch.decisions.jobs.index import JobEntry, JobIndex
 from troutswitch.decisions.jobs.item_endings import ItemEndings
 from troutswitch.decisions.jobs.item_refusals import ItemRefusals
 from troutswitch.decisions.jobs.items import ItemProgress
@@ -38,7 +39,7 @@
 FAILED_RETRY_SECONDS = 0.4
 """Pause after a run that the engine says has failed."""
 REFUSED_RETRY_SECONDS = 1.0
-"""Pause until an item that crashes forbid to start is looked at again."""
+"""Pause after which an item is checked again that crashes forbid to start."""
 ROUTE_GONE_SECONDS = 6.0
 """Time without a route after which an item is dead-lettered: a change of the configuration may
 take a route away for a moment."""
@@ -48,6 +49,15 @@
 """Status with which an engine says that an item can never be done."""
 
 
+@dataclass(frozen=True, slots=True)
+class StartableItem:
+    """An item that may start, its job, and the route by which it finds engines."""
+
+    progress: ItemProgress
+    entry: JobEntry
+    route: Route
+
+
 class ItemRetries:
     """Decides what becomes of items that have not ended."""
 
@@ -65,10 +75,10 @@
         self._endings = endings
         self._rng = rng
 
-    def route_to_start(self, now: float, progress: ItemProgress) -> Route | None:
-        """Returns the route of an item that may start now.
+    def check(self, now: float, progress: ItemProgress) -> StartableItem | None:
+        """Returns an item with its job and route if it may start now.
 
-        Returns None if it must wait, for which its retry time is set, or was dead-lettered.
+        Returns None if it must wait, for which its retry time is set, or is dead-lettered now.
         """
         entry = self._index.jobs[progress.job_id]
         route = self._routes.match(entry.manifest.host, progress.item.path)
@@ -86,7 +96,7 @@
         if self._refusals.forbids_start(now, progress):
             progress.retry_at = now + REFUSED_RETRY_SECONDS
             return None
-        return route
+        return StartableItem(progress, entry, route)
 
     def _on_no_route(self, now: float, progress: ItemProgress) -> None:
         progress.no_route_since = min(progress.no_route_since, now)
--- a/src/troutswitch/decisions/jobs/messages.py
+++ b/src/troutswitch/decisions/jobs/messages.py
@@ -97,7 +97,7 @@
 
     `events` are those that no `ItemProgressed` brought. `status` is the HTTP status of the
     response, 0 if there was none. `load` is the engine's report on itself, if the response carried
-    one. `wrong_instance` tells that another engine answers at the address.
+    one. `wrong_instance` is set if another engine answers at the address.
     """
 
     run: int
@@ -148,7 +148,7 @@
     """Answer: the call was not carried out.
 
     `status` is that of HTTP; of a submission, 429 and 503 promise that none of the job will ever
-    run. `retry_after` is in seconds; None if the client is told no time.
+    run. `retry_after` is in seconds; None if the response has no such header.
     """
 
     status: int
--- a/src/troutswitch/decisions/jobs/owner.py
+++ b/src/troutswitch/decisions/jobs/owner.py
@@ -20,6 +20,7 @@
 from troutswitch.decisions.jobs.dispatcher import ItemDispatcher
 from troutswitch.decisions.jobs.engine_choice import EngineChoice
 from troutswitch.decisions.jobs.item_endings import ItemEndings
+from troutswitch.decisions.jobs.item_parts import ItemParts
 from troutswitch.decisions.jobs.item_refusals import ItemRefusals
 from troutswitch.decisions.jobs.item_retries import ItemRetries
 from troutswitch.decisions.jobs.messages import (
@@ -63,44 +64,31 @@
         ownership: ShardOwnership,
         token_limits: TokenLimits,
     ) -> None:
-        routes, engines, slots = dependencies.routes, dependencies.engines, dependencies.slots
-        rng, log = dependencies.rng, dependencies.log
         capacity = BATCH_CAPACITY_POLICIES[settings.policies.room]()
-        order = ITEM_ORDERS[settings.policies.items]()
+        items = OpenItems(replicas, ownership)
         self.is_draining = False
         self._ownership = ownership
         self._round_at = float("-inf")
         self._first_round_at = float("inf")
-        self._runs = ItemRuns(engines, log)
-        self._items = OpenItems(replicas, ownership)
         self._writer = ShardWriter(
             replicas,
             ownership,
             dependencies.numbers,
             settings.limits,
-            self._items,
+            items,
             token_limits,
-            log,
+            dependencies.log,
         )
-        self._ranking = ItemRanking(routes, replicas.index, order)
-        refusals = ItemRefusals(dependencies.suspects, replicas)
-        endings = ItemEndings(self._items, self._writer, log)
-        retries = ItemRetries(routes, replicas.index, refusals, endings, rng)
-        self._run_ends = RunEnds(self._runs, refusals, retries, endings, self._ranking)
-        self._run_stops = RunStops(
-            self._runs, self._items, refusals, self._ranking, capacity, engines, slots
-        )
-        self._dispatcher = ItemDispatcher(
-            self._items,
-            self._runs,
-            self._ranking,
-            EngineChoice(routes, engines, capacity, settings.zone, rng),
-            retries,
-            refusals,
-            replicas.index,
-            engines,
-            slots,
+        parts = _build_parts(dependencies, settings, replicas, items, self._writer)
+        self._items = parts.items
+        self._runs = parts.runs
+        self._ranking = parts.ranking
+        self._run_ends = RunEnds(parts)
+        self._run_stops = RunStops(parts, capacity, dependencies)
+        engine_choice = EngineChoice(
+            dependencies.routes, dependencies.engines, capacity, settings.zone, dependencies.rng
         )
+        self._dispatcher = ItemDispatcher(parts, engine_choice, dependencies)
 
     @property
     def run_times(self) -> RunTimeEstimate:
@@ -213,3 +201,24 @@
         """Takes the outcome of a write; the next round follows at once."""
         self._writer.on_answer(now, call, outcome)
         self._round_at = now
+
+
+def _build_parts(
+    dependencies: JobDependencies,
+    settings: JobSettings,
+    replicas: JobReplicas,
+    items: OpenItems,
+    writer: ShardWriter,
+) -> ItemParts:
+    routes, log = dependencies.routes, dependencies.log
+    order = ITEM_ORDERS[settings.policies.items]()
+    refusals = ItemRefusals(dependencies.suspects, replicas)
+    endings = ItemEndings(items, writer, log)
+    return ItemParts(
+        items,
+        ItemRuns(dependencies.engines, log),
+        ItemRanking(routes, replicas.index, order),
+        refusals,
+        endings,
+        ItemRetries(routes, replicas.index, refusals, endings, dependencies.rng),
+    )
--- a/src/troutswitch/decisions/jobs/ownership.py
+++ b/src/troutswitch/decisions/jobs/ownership.py
@@ -208,8 +208,8 @@
         if self.is_leaving:
             return
         if joined.generation != self.generation:
-            # The next join tells the group that this member knows the new assignment. Only then
-            # does the group assign to others what this member has lost, so it is made at once.
+            # The next join confirms the new assignment. Only then does the group assign to others
+            # what this member has lost, so it is made at once.
             self.generation = joined.generation
             self._join_at = now
         assigned = {part.number for part in joined.partitions if part.topic == SHARD_TOPIC}
--- a/src/troutswitch/decisions/jobs/progress_reports.py
+++ b/src/troutswitch/decisions/jobs/progress_reports.py
@@ -30,7 +30,7 @@
 """Least interval in latencies of the last report, so that reports never crowd a slow store: all
 shards share the index, and new jobs are accepted there."""
 REPORT_MOST_SECONDS = 2.0
-"""Longest interval that the latency may ask for."""
+"""Longest interval that the latency may call for."""
 
 
 @dataclass(slots=True)
@@ -109,7 +109,7 @@
 
     def on_answer(self, now: float, call: int, outcome: StoreOutcome) -> None:
         """Takes the outcome of a report; one that failed is made again."""
-        reports = next(held for held in self._shards.values() if held.call == call)
+        reports = next(sent for sent in self._shards.values() if sent.call == call)
         reports.call = 0
         reports.latency = now - reports.sent_at
         if not isinstance(outcome, Appended):
--- a/src/troutswitch/decisions/jobs/run_ends.py
+++ b/src/troutswitch/decisions/jobs/run_ends.py
@@ -3,12 +3,9 @@
 It owns no state; it passes each end on to the parts that it concerns.
 """
 
-from troutswitch.decisions.jobs.item_endings import ItemEndings
-from troutswitch.decisions.jobs.item_refusals import ItemRefusals
-from troutswitch.decisions.jobs.item_retries import ItemRetries
+from troutswitch.decisions.jobs.item_parts import ItemParts
 from troutswitch.decisions.jobs.messages import ItemRunEnded
-from troutswitch.decisions.jobs.ranking import ItemRanking
-from troutswitch.decisions.jobs.runs import ItemRun, ItemRuns
+from troutswitch.decisions.jobs.runs import ItemRun
 from troutswitch.outcomes import AttemptKind
 
 BROKEN_OFF_STATUSES = (0, 200)
@@ -18,19 +15,12 @@
 class RunEnds:
     """Takes the ends of runs."""
 
-    def __init__(
-        self,
-        runs: ItemRuns,
-        refusals: ItemRefusals,
-        retries: ItemRetries,
-        endings: ItemEndings,
-        ranking: ItemRanking,
-    ) -> None:
-        self._runs = runs
-        self._refusals = refusals
-        self._retries = retries
-        self._endings = endings
-        self._ranking = ranking
+    def __init__(self, parts: ItemParts) -> None:
+        self._runs = parts.runs
+        self._refusals = parts.refusals
+        self._retries = parts.retries
+        self._endings = parts.endings
+        self._ranking = parts.ranking
 
     def take(self, now: float, event: ItemRunEnded) -> bool:
         """Takes the end of a run; returns False if the run is unknown."""
--- a/src/troutswitch/decisions/jobs/run_stops.py
+++ b/src/troutswitch/decisions/jobs/run_stops.py
@@ -13,36 +13,25 @@
 later after its last whole event. Measured in docs/POLICY.md, "Rounds".
 """
 
-from troutswitch.decisions.forwarding.engines import EngineRegistry
 from troutswitch.decisions.jobs.batch_capacity import BatchCapacityPolicy
-from troutswitch.decisions.jobs.dependencies import BatchSlots
-from troutswitch.decisions.jobs.item_refusals import ItemRefusals
+from troutswitch.decisions.jobs.dependencies import JobDependencies
+from troutswitch.decisions.jobs.item_parts import ItemParts
 from troutswitch.decisions.jobs.messages import StopItem
-from troutswitch.decisions.jobs.open_items import OpenItems
-from troutswitch.decisions.jobs.ranking import ItemRanking
-from troutswitch.decisions.jobs.runs import ItemRuns
 
 
 class RunStops:
     """Stops runs of this daemon."""
 
     def __init__(
-        self,
-        runs: ItemRuns,
-        items: OpenItems,
-        refusals: ItemRefusals,
-        ranking: ItemRanking,
-        capacity: BatchCapacityPolicy,
-        engines: EngineRegistry,
-        slots: BatchSlots,
+        self, parts: ItemParts, capacity: BatchCapacityPolicy, dependencies: JobDependencies
     ) -> None:
-        self._runs = runs
-        self._items = items
-        self._refusals = refusals
-        self._ranking = ranking
+        self._runs = parts.runs
+        self._items = parts.items
+        self._refusals = parts.refusals
+        self._ranking = parts.ranking
         self._capacity = capacity
-        self._engines = engines
-        self._slots = slots
+        self._engines = dependencies.engines
+        self._slots = dependencies.slots
 
     def stop_unwanted(self, now: float, *, is_draining: bool) -> list[StopItem]:
         """Stops the runs that are not wanted or refused, and drops items that are not wanted."""
--- a/src/troutswitch/decisions/jobs/runs.py
+++ b/src/troutswitch/decisions/jobs/runs.py
@@ -33,8 +33,8 @@
 class ItemRun:
     """One run of an item at an engine.
 
-    `events_before` counts the events of the item's output that earlier runs made. `is_begun` tells
-    that the engine has read the prompt, `is_stopped` that this daemon has stopped the run.
+    `events_before` counts the events of the item's output that earlier runs made. `is_begun` is
+    set once the engine has read the prompt, `is_stopped` once this daemon has stopped the run.
     """
 
     progress: ItemProgress
@@ -70,15 +70,7 @@
         engine_id = engine.record.engine_id
         self.by_number[number] = ItemRun(progress, engine_id, now, size, progress.events_done)
         self._engines.on_sent(now, engine_id, True, size)
-        self._log(
-            "item sent",
-            job_id=progress.job_id,
-            item_id=progress.item.item_id,
-            run=progress.runs,
-            engine=engine_id,
-            load=engine.in_flight(now),
-            resume_after=progress.position,
-        )
+        self._log_start(progress, engine_id, engine.in_flight(now))
         return RunItem(
             number,
             engine_id,
@@ -91,6 +83,17 @@
             manifest.tenant,
         )
 
+    def _log_start(self, progress: ItemProgress, engine_id: str, load: int) -> None:
+        self._log(
+            "item sent",
+            job_id=progress.job_id,
+            item_id=progress.item.item_id,
+            run=progress.runs,
+            engine=engine_id,
+            load=load,
+            resume_after=progress.position,
+        )
+
     def on_begun(self, event: ItemBegun) -> None:
         """The engine has read a run's prompt."""
         run = self.by_number.get(event.run)
--- a/tests/decisions/jobs/test_batch_capacity.py
+++ b/tests/decisions/jobs/test_batch_capacity.py
@@ -1,4 +1,4 @@
-"""Room for batch items beside online requests."""
+"""Slots for batch items beside online requests."""
 
 import random
 
--- a/tests/decisions/jobs/test_engine_choice.py
+++ b/tests/decisions/jobs/test_engine_choice.py
@@ -5,6 +5,7 @@
 from troutswitch.decisions.forwarding.engines import NO_SIZE, Engine, EngineRegistry
 from troutswitch.decisions.jobs.batch_capacity import ShareCapacity
 from troutswitch.decisions.jobs.engine_choice import EngineChoice
+from troutswitch.decisions.jobs.item_retries import StartableItem
 
 
 def engine_choice() -> tuple[EngineChoice, EngineRegistry]:
@@ -14,6 +15,10 @@
     return choice, registry
 
 
+def startable(job_id: str) -> StartableItem:
+    return StartableItem(item(job_id), job_index({job_id: 0.0}).jobs[job_id], ROUTE)
+
+
 def any_engine(now: float, held: Engine) -> bool:
     return True
 
@@ -21,26 +26,24 @@
 def test_an_item_goes_only_to_an_engine_that_is_open() -> None:
     chosen, _ = engine_choice()
     chosen.begin_round()
-    entry = job_index({"job": 0.0}).jobs["job"]
-    assert chosen.choose(1.0, ROUTE, item("job"), entry, any_engine) is not None
-    assert chosen.choose(1.0, ROUTE, item("job"), entry, lambda now, held: False) is None
+    assert chosen.choose(1.0, startable("job"), any_engine) is not None
+    assert chosen.choose(1.0, startable("job"), lambda now, held: False) is None
 
 
 def test_a_granted_slot_is_used_only_at_an_engine_of_the_item_s_route() -> None:
     chosen, _ = engine_choice()
-    assert chosen.may_run_at(ROUTE, item("job"), Engine(engine("b", service="service")))
-    assert not chosen.may_run_at(ROUTE, item("job"), Engine(engine("b", service="other")))
+    assert chosen.may_run_at(startable("job"), Engine(engine("b", service="service")))
+    assert not chosen.may_run_at(startable("job"), Engine(engine("b", service="other")))
 
 
 def test_a_round_starts_only_this_daemon_s_part_of_the_free_slots() -> None:
     chosen, registry = engine_choice()
-    entry = job_index({"job": 0.0}).jobs["job"]
     started = 0
     for _ in range(400):
         chosen.begin_round()
         chosen.set_own_share(1 / 4)
         sent = 0
-        while chosen.choose(1.0, ROUTE, item("job"), entry, any_engine) is not None:
+        while chosen.choose(1.0, startable("job"), any_engine) is not None:
             chosen.on_started("a")
             registry.on_sent(1.0, "a", True, NO_SIZE)
             sent += 1
--- a/tests/decisions/jobs/test_failures.py
+++ b/tests/decisions/jobs/test_failures.py
@@ -87,7 +87,7 @@
     """What users would see: an item that fails at each run goes on running, 27 to 35 times here.
 
     Order of events: it fails twice at its owner; another daemon takes the shard over, as all is
-    dealt anew or the owner is lost; there it fails twice again. Cause: the bound holds for the
+    assigned anew or the owner is lost; there it fails twice again. Cause: the bound holds for the
     fleet and was kept by each owner, which forgot it with the shard.
     """
     world = AlwaysFailingWorld(seed, daemons=6)
--- a/tests/decisions/jobs/test_claims.py
+++ b/tests/decisions/jobs/test_ownership.py
@@ -18,8 +18,8 @@
     world.run(1.0)
     assert owner.runs
     world.faults.is_down = True
-    for claim in ownership.owned():
-        ownership.fence_again(world.now, claim.shard)
+    for lease in ownership.owned():
+        ownership.fence_again(world.now, lease.shard)
     assert not ownership.owned()
     before = owner.runs_started
     world.run(DOWN_SECONDS)
--- a/tests/decisions/jobs/test_parts.py
+++ b/tests/decisions/jobs/test_parts.py
@@ -19,7 +19,7 @@
 from troutswitch.decisions.jobs.shard import ShardFold
 from troutswitch.decisions.storage.messages import KeyedRecord
 
-ROOM = 100_000
+RECORD_BYTES = 100_000
 ITEM = JobItem("i", "/p", (("a", "b"),), b"body", 100)
 MANIFEST = Manifest("job", "route", "host", 2, 200, "digest", 3)
 
@@ -40,7 +40,7 @@
     fold = ShardFold()
     for made in (events(1, 2), events(3)):
         first.add(made)
-        part = first.next_part(ROOM)
+        part = first.next_part(RECORD_BYTES)
         fold.take(checkpoint_record("job", 0, first.parts, part))
         first.on_saved(part)
     successor = progress()
@@ -48,7 +48,7 @@
     assert successor.position == "3"
     successor.add(events(4))
     assert successor.output == "t1\nt2\nt3\nt4"
-    assert successor.next_part(ROOM) == OutputPart("3", "4", "t4")
+    assert successor.next_part(RECORD_BYTES) == OutputPart("3", "4", "t4")
 
 
 def test_a_gap_in_the_saved_output_ends_it() -> None:
@@ -61,11 +61,11 @@
 def test_a_write_whose_fate_was_unknown_may_have_been_taken() -> None:
     held = progress()
     held.add(events(1, 2))
-    part = held.next_part(ROOM)
+    part = held.next_part(RECORD_BYTES)
     held.add(events(3))
     assert held.agrees_with([part])
     assert (held.parts, held.saved_position) == (1, "2")
-    assert held.next_part(ROOM) == OutputPart("2", "3", "t3")
+    assert held.next_part(RECORD_BYTES) == OutputPart("2", "3", "t3")
 
 
 def test_another_s_output_is_not_joined_to_ours() -> None:
--- a/tests/decisions/jobs/test_results.py
+++ b/tests/decisions/jobs/test_results.py
@@ -56,14 +56,14 @@
     assert fold.jobs == {}
 
 
-@pytest.mark.parametrize("room", [1, 10, 1000])
-def test_what_is_not_saved_is_saved_in_parts_that_fit(room: int) -> None:
+@pytest.mark.parametrize("most", [1, 10, 1000])
+def test_what_is_not_saved_is_saved_in_parts_that_fit(most: int) -> None:
     progress = ItemProgress(0, "job", JobItem("i", "/p", (), b"", 1), 0)
     progress.add(tuple(OutputEvent(str(number), "data") for number in range(1, 8)))
     texts: list[str] = []
     while progress.unsaved:
-        part = progress.next_part(room)
-        assert len(part.text) <= max(room, 4)
+        part = progress.next_part(most)
+        assert len(part.text) <= max(most, 4)
         texts.append(part.text)
         progress.on_saved(part)
     assert "\n".join(texts) == progress.output
--- a/tests/decisions/peers/test_heartbeats.py
+++ b/tests/decisions/peers/test_heartbeats.py
@@ -40,8 +40,8 @@
         held = peers()
         for number in range(size):
             held.on_registered(entry(f"d{number}", number))
-        told = [held.on_timer(tick * HEARTBEAT_SECONDS / 4) for tick in range(1, 41)]
-        sent = [len(made.addresses) for instructions in told for made in instructions]
+        made = [held.on_timer(tick * HEARTBEAT_SECONDS / 4) for tick in range(1, 41)]
+        sent = [len(each.addresses) for instructions in made for each in instructions]
         assert len(sent) == 10
         assert set(sent) == {min(size, HEARTBEAT_FANOUT)}
 
--- a/tests/proofs/test_jobs.py
+++ b/tests/proofs/test_jobs.py
@@ -67,9 +67,9 @@
 
     made = 0
 
-    def _make_event(self, daemon: Daemon, run: RunItem, number: int, pace: float) -> None:
+    def _make_event(self, daemon: Daemon, run: RunItem, number: int, interval: float) -> None:
         self.made += daemon.is_alive and run.run not in daemon.stopped
-        super()._make_event(daemon, run, number, pace)
+        super()._make_event(daemon, run, number, interval)
 
 
 def without_saved_output(call: StoreCall) -> StoreCall:
--- a/tests/worlds/gateway_world.py
+++ b/tests/worlds/gateway_world.py
@@ -1,9 +1,9 @@
-"""Gateway daemons on a virtual clock: the decisions that run, before a modelled store.
+"""Gateway daemons on a virtual clock: the decisions as they run, with a modelled store.
 
 Each daemon is a whole `GatewayCore`. Its instructions are carried out by this world:
 store calls by a `KeyedStoreModel`, with delays and faults, and batch items by modelled
-engines that make one event each `EVENT_SECONDS`. Clients hand jobs in and read results;
-an observer checks what they were promised.
+engines that make one event each `EVENT_SECONDS`. Clients submit jobs and read results; an
+observer checks the guarantees that they have.
 """
 
 import random
@@ -66,9 +66,9 @@
 
 STORE_SECONDS = 0.01
 LATE_SECONDS = 2.0
-"""Time after which an append whose answer was lost may still act."""
+"""Time after which an append whose answer was lost takes effect, if it is late."""
 EVENT_SECONDS = 0.1
-"""Mean time between events; each run has a pace of its own around it."""
+"""Mean time between events; each run has an interval of its own around it."""
 RESTART_SECONDS = 0.5
 EPOCH_SECONDS = 1.7e9
 """Time of day at which the virtual clock begins."""
@@ -76,7 +76,7 @@
 
 @dataclass
 class StoreFaults:
-    """What goes wrong at the store now; shares of calls from 0 to 1."""
+    """Faults of the store now; `answers_lost` is a share of calls, from 0 to 1."""
 
     is_down: bool = False
     answers_lost: float = 0.0
@@ -85,7 +85,7 @@
 
 @dataclass
 class Daemon:
-    """One daemon's life. A killed one is replaced by another `incarnation` of the same name."""
+    """One process of a daemon. A killed one is replaced by the next `incarnation` of its name."""
 
     name: str
     core: GatewayCore
@@ -157,13 +157,13 @@
         self.store.log(Partition("servers")).append((record,))
 
     def remove_engine(self, name: str) -> None:
-        """Has an engine leave without a word: its entry goes."""
+        """Has an engine leave without draining first: its entry is removed."""
         self.store.log(Partition("servers")).append((KeyedRecord(name, b""),))
 
     # Daemons.
 
     def start_daemon(self, name: str, incarnation: int) -> None:
-        """Starts a daemon's life, with nothing that an earlier one knew."""
+        """Starts a daemon, which knows nothing of what its earlier incarnation knew."""
         number = int(name.rpartition("-")[2])
         identity = GatewayIdentity(
             name,
@@ -183,13 +183,13 @@
         self.step(daemon, ClockCompared(EPOCH_SECONDS))
 
     def kill(self, name: str, down: float = RESTART_SECONDS) -> None:
-        """Ends a daemon's life at once; another begins after some seconds."""
+        """Kills a daemon; its next incarnation starts after some seconds."""
         daemon = self.daemons[name]
         daemon.is_alive = False
         self.after(down, lambda: self.start_daemon(name, daemon.incarnation + 1))
 
     def pause(self, name: str, seconds: float) -> None:
-        """Freezes a daemon: what reaches it waits, and it believes what it believed."""
+        """Suspends a daemon: events wait, and it keeps the state that it has."""
         self.daemons[name].paused_until = self.env.now + seconds
 
     def drain(self, name: str) -> None:
@@ -226,7 +226,7 @@
             self.step(daemon, TimerFired())
 
     def carry_out(self, daemon: Daemon, instruction: object) -> None:
-        """Does what a daemon's core asks for."""
+        """Carries out an instruction of a daemon's core."""
         match instruction:
             case ReadNewest() | ReadRecords() | AppendRecords() | JoinGroup() | LeaveGroup():
                 self._call_store(daemon, instruction)
@@ -302,7 +302,7 @@
             log.drop_history()
 
     def reassign(self) -> None:
-        """Deals all shards anew at once."""
+        """Assigns all shards anew at once."""
         self.store.reassign(GROUP)
 
     # Engines.
@@ -321,10 +321,10 @@
             self.violations.append(f"an item of an ended job ran: {run.item.item_id}")
         first = int(run.resume_after or 0)
         self.step_later(daemon, ItemBegun(run.run), 0.05)
-        pace = EVENT_SECONDS * self.rng.uniform(0.5, 1.5)
-        self.after(pace, lambda: self._make_event(daemon, run, first + 1, pace))
+        interval = EVENT_SECONDS * self.rng.uniform(0.5, 1.5)
+        self.after(interval, lambda: self._make_event(daemon, run, first + 1, interval))
 
-    def _make_event(self, daemon: Daemon, run: RunItem, number: int, pace: float) -> None:
+    def _make_event(self, daemon: Daemon, run: RunItem, number: int, interval: float) -> None:
         if not daemon.is_alive:
             return
         if run.run in daemon.stopped:
@@ -336,7 +336,7 @@
         if number == EVENTS_AN_ITEM:
             self.step(daemon, ItemRunEnded(run.run, AttemptKind.COMPLETED, 200, "", ()))
             return
-        self.after(pace, lambda: self._make_event(daemon, run, number + 1, pace))
+        self.after(interval, lambda: self._make_event(daemon, run, number + 1, interval))
 
     # Clients.
 
@@ -367,7 +367,7 @@
     def hand_in(
         self, job_id: str, items: int, tokens: int = 100, tries: int = 3, path: str = ""
     ) -> JobTruth:
-        """Hands a job in, again after each failure, and then reads its results.
+        """Submits a job, again after each failure, and then reads its results.
 
         Each item has a path and body of its own, unless a `path` for all is given.
         """
@@ -378,13 +378,13 @@
         self.clients.end_job(truth)
 
     def drop_call(self, token: int) -> None:
-        """Has a client wait no more for the answer to a call."""
+        """Has a client stop waiting for the answer to a call."""
         self._calls.pop(token, None)
 
     # Runs.
 
     def run(self, seconds: float) -> None:
-        """Lets some virtual seconds pass."""
+        """Lets virtual time pass, in seconds."""
         self.env.run(until=self.env.now + seconds)
 
     def unfinished(self) -> list[str]:
--- a/tests/worlds/job_clients.py
+++ b/tests/worlds/job_clients.py
@@ -1,4 +1,4 @@
-"""Clients of batch jobs in the simulated world: they hand in, read results, and end jobs."""
+"""Clients of batch jobs in the virtual world: they submit jobs, read results, and end jobs."""
 
 import random
 from collections.abc import Callable
@@ -19,12 +19,15 @@
 from troutswitch.decisions.jobs.records import JobItem
 
 READ_INTERVAL_SECONDS = 0.5
+"""Interval between a client's reads of results."""
 CALL_SECONDS = 4.0
+"""Timeout of a client's call."""
 JOB_KEPT_SECONDS = 120.0
+"""Time for which a client may read its job."""
 
 
 class ClientWorld(Protocol):
-    """What clients need of the world they live in."""
+    """What clients need of their world."""
 
     rng: random.Random
     jobs: dict[str, JobTruth]
@@ -48,7 +51,7 @@
         ...
 
     def drop_call(self, token: int) -> None:
-        """Has a client wait no more for the answer to a call."""
+        """Has a client stop waiting for the answer to a call."""
         ...
 
 
@@ -59,7 +62,7 @@
         self._world = world
 
     def hand_in(self, job_id: str, items: int, tokens: int, tries: int, path: str = "") -> JobTruth:
-        """Hands a job in, again after each failure, and then reads its results.
+        """Submits a job, again after each failure, and then reads its results.
 
         Items have paths of their own, or one `path` and bodies of their own.
         """
--- a/tests/worlds/job_truth.py
+++ b/tests/worlds/job_truth.py
@@ -1,4 +1,4 @@
-"""What a client of batch jobs knows of each job, and what it finds wrong in the results."""
+"""What a client knows of its jobs, and the violations that it finds in results."""
 
 from collections import Counter
 from dataclasses import dataclass, field
@@ -7,11 +7,12 @@
 from troutswitch.decisions.jobs.records import DONE, JobItem
 
 EVENTS_AN_ITEM = 20
+"""Events of each item's whole output."""
 
 
 @dataclass
 class JobTruth:
-    """What the observer knows of a job."""
+    """One job as its client knows it; `ran` counts the runs of each item."""
 
     job_id: str
     items: tuple[JobItem, ...]
@@ -33,21 +34,21 @@
         return sum(item.tokens for item in self.items if item.item_id not in listed)
 
     def take_results(self, answer: JobResults) -> list[str]:
-        """Takes an answer in; returns what is wrong with it."""
+        """Takes a page of results; returns the violations in it."""
         violations: list[str] = []
         if answer.total != len(self.items):
             violations.append(f"wrong total of {self.job_id}")
-        for place, row in enumerate(answer.results, answer.position):
-            violations += self._take_row(place, (row.item_id, row.state, row.text))
+        for position, row in enumerate(answer.results, answer.position):
+            violations += self._take_row(position, (row.item_id, row.state, row.text))
         return violations
 
-    def _take_row(self, place: int, row: tuple[str, str, str]) -> list[str]:
+    def _take_row(self, position: int, row: tuple[str, str, str]) -> list[str]:
         violations: list[str] = []
-        if self.results.setdefault(place, row) != row:
-            violations.append(f"position {place} of {self.job_id} changed")
+        if self.results.setdefault(position, row) != row:
+            violations.append(f"position {position} of {self.job_id} changed")
         names = [result[0] for result in self.results.values()]
         if len(set(names)) != len(names):
-            violations.append(f"an item of {self.job_id} stands twice")
+            violations.append(f"an item of {self.job_id} is listed twice")
         if row[1] == DONE and row[2] != whole_text(row[0]):
             violations.append(f"the output of {row[0]} is not whole")
         return violations
