--- a/src/troutswitch/decisions/forwarding/engine_list.py
+++ b/src/troutswitch/decisions/forwarding/engine_list.py
@@ -38,11 +38,11 @@
 
 
 class EngineListReader:
-    """Reads the list each `interval` seconds, or each `pace` if that is longer in a large fleet."""
+    """Reads the list each `interval` seconds, or `least_interval` if that is longer."""
 
     def __init__(self, numbers: CallNumbers, rng: random.Random, interval: float) -> None:
         self.interval = interval
-        self.pace = 0.0
+        self.least_interval = 0.0
         self.pages = 1
         """Pages of the last whole reading."""
         self.failures = 0
@@ -108,7 +108,9 @@
             return None
         rows, self.pages = self._rows, self._pages_read
         self._forget_pages()
-        self._due = now + max(self.interval, self.pace) * self._rng.uniform(*INTERVAL_JITTER)
+        self._due = now + max(self.interval, self.least_interval) * self._rng.uniform(
+            *INTERVAL_JITTER
+        )
         return rows
 
     def _on_failed(self, now: float) -> None:
--- a/src/troutswitch/decisions/gateway.py
+++ b/src/troutswitch/decisions/gateway.py
@@ -50,6 +50,7 @@
 )
 from troutswitch.decisions.jobs.batch_capacity import BATCH_CAPACITY_POLICIES
 from troutswitch.decisions.jobs.coordinator import JobCoordinator, JobEvent
+from troutswitch.decisions.jobs.dependencies import JobDependencies, JobSettings
 from troutswitch.decisions.peers.catch_up import PeerCatchUp, PeerStateReceived, ReadingState
 from troutswitch.decisions.peers.drain_notices import DrainNotices
 from troutswitch.decisions.peers.heartbeats import Peers
@@ -169,20 +170,24 @@
         )
         self.requests.arrivals.quota = self.quota
         self.jobs = JobCoordinator(
-            identity.name,
-            identity.zone,
-            identity.member_ttl_least,
-            identity.job_kept,
-            self.routes,
-            self.engines,
-            self.numbers,
-            identity.store_limits,
-            rng,
-            self._emit,
-            self.slots,
-            policies.batch,
-            self.suspects,
-            self.requests.arrivals.callers,
+            JobDependencies(
+                self.routes,
+                self.engines,
+                self.slots,
+                self.suspects,
+                self.requests.arrivals.callers,
+                self.numbers,
+                rng,
+                self._emit,
+            ),
+            JobSettings(
+                identity.name,
+                identity.zone,
+                identity.member_ttl_least,
+                identity.job_kept,
+                identity.store_limits,
+                policies.batch,
+            ),
         )
         self.peers = Peers(
             identity.name,
@@ -196,7 +201,7 @@
         self.leaving = DrainNotices(
             identity.name,
             self.peers.addresses,
-            lambda: self.engine_list.pace > self.engine_list.interval,
+            lambda: self.engine_list.least_interval > self.engine_list.interval,
             rng,
         )
         self.peer_registry = PeerRegistry(
@@ -277,7 +282,7 @@
             case SlotWanted():
                 return self._on_slot_wanted(now, instruction)
             case StartItems():
-                return list(self.jobs.owner.on_places(now, instruction))
+                return list(self.jobs.owner.on_slots_granted(now, instruction))
             case _:
                 return [instruction]
 
@@ -320,7 +325,7 @@
             self.slots.reports.assume_known(claim)
 
     def _on_engines_leaving(self, now: float, news: EngineDrainNotice) -> None:
-        draining, left = self.leaving.on_news(now, news)
+        draining, left = self.leaving.on_notice(now, news)
         for engine_id in draining:
             self.engines.mark_draining(engine_id)
         self.engines.on_drain_notice(now, left)
@@ -384,7 +389,7 @@
         if self._suspects_changes != self.suspects.changes:
             self._suspects_changes = self.suspects.changes
             self._instructions += self.requests.end_refused(now)
-        self._pace_readings()
+        self._limit_readings()
         self._look_whether_behind(now)
         self._counted(now, self.quota.on_timer(now))
         self._instructions += self.requests.on_timer(now)
@@ -397,9 +402,7 @@
         self._instructions += self.peers.on_timer(now)
         self._instructions += self.leaving.on_timer(now)
         self._instructions += self.peer_registry.on_timer(now)
-        self._instructions += self._catch_up.on_timer(
-            now, self._reading(), lambda: self.peers.live_addresses(now)
-        )
+        self._instructions += self._catch_up.on_timer(now, self._reading(), self.peers)
 
     def _look_whether_behind(self, now: float) -> None:
         """Notes whether a newer configuration may be in force than the one known here."""
@@ -416,15 +419,17 @@
             self.engines.on_list_failed(now)
         return calls
 
-    def _pace_readings(self) -> None:
+    def _limit_readings(self) -> None:
         """Reads less often in a large fleet, so that all readings together stay bounded."""
         rate = READS_SHARE * self.identity.store_reads_per_second
-        pace = (1 + len(self.peers.peers)) / rate if rate > 0 else 0.0
-        self.engine_list.pace = pace * self.engine_list.pages
-        self.engines.expired.interval = max(self.engine_list.pace, self.engine_list.interval)
-        self.slots.claims.set_pace(pace)
-        self.jobs.replicas.index_follower.pace = pace
-        self.suspects.set_pace(pace)
+        least_interval = (1 + len(self.peers.peers)) / rate if rate > 0 else 0.0
+        self.engine_list.least_interval = least_interval * self.engine_list.pages
+        self.engines.expired.interval = max(
+            self.engine_list.least_interval, self.engine_list.interval
+        )
+        self.slots.claims.set_least_interval(least_interval)
+        self.jobs.replicas.index_follower.least_interval = least_interval
+        self.suspects.set_least_interval(least_interval)
 
     # Peers.
 
@@ -448,18 +453,18 @@
     def _own_entry(self) -> PeerRegistryEntry:
         identity = self.identity
         experience = replace(
-            self.requests.experience(), batch_run_times=self.jobs.owner.pace.learnt()
+            self.requests.experience(), batch_run_times=self.jobs.owner.run_times.learnt()
         )
         return PeerRegistryEntry(identity.name, identity.peer_address, identity.zone, experience)
 
     def _on_peer_registry_entry(self, now: float, entry: PeerRegistryEntry) -> None:
-        self.peers.meet(now, entry)
+        self.peers.on_registered(entry)
         self.requests.begin_with(entry.experience)
         if entry.experience.batch_run_times is not None:
-            self.jobs.owner.pace.begin_with(entry.experience.batch_run_times)
+            self.jobs.owner.run_times.begin_with(entry.experience.batch_run_times)
 
     def _on_peer_state(self, now: float, event: PeerStateReceived) -> None:
-        self._catch_up.on_told()
+        self._catch_up.on_reply()
         if event.state is None:
             return
         held = event.state.configuration
@@ -510,7 +515,7 @@
         kept_before = self.engines.kept_missing
         came, left = self.engines.on_list(read_at, records)
         self.suspects.on_list(self._now)
-        self.leaving.on_back(came)
+        self.leaving.on_listed_again(came)
         self.leaving.on_read(self._now, [r.engine_id for r in records if r.is_draining], left)
         if self.engines.kept_missing != kept_before:
             self._log(
