--- a/src/troutswitch/daemons/datagram.py
+++ b/src/troutswitch/daemons/datagram.py
@@ -1,4 +1,8 @@
-"""Encodes the datagrams that daemons send each other: CBOR arrays, checked by type."""
+"""Encodes and decodes the datagrams that daemons send each other.
+
+A datagram is a CBOR array of the protocol's version and the message, which is an array itself;
+each field's type is checked.
+"""
 
 import cbor2
 import msgspec
@@ -6,6 +10,7 @@
 from troutswitch.daemons.messages import PeerMessage
 
 VERSION = 8
+"""Version of the protocol; daemons ignore datagrams of other versions."""
 
 
 class DatagramError(ValueError):
--- a/src/troutswitch/daemons/messages.py
+++ b/src/troutswitch/daemons/messages.py
@@ -1,7 +1,11 @@
-"""Messages between daemons about the slots of engines, each other, crashes and quotas.
+"""Messages between daemons: about slots of engines, each other, crashes, drains and quotas.
 
-One daemon, the coordinator, counts the slots of a group of engines. The others report to it
-what they hold there, and ask it for a place before they send a request.
+One daemon, the coordinator, counts the slots of a group of engines. The others report to it what
+they have in flight there, and request a slot from it before they send an online request.
+
+Each message is encoded as an array (`datagram.py`): its tag, and then its fields in order. Names
+of fields may change, their order and the tags may not. Messages may be lost, doubled, and overtake
+each other.
 """
 
 from functools import lru_cache
@@ -11,24 +15,26 @@
 from troutswitch.common import Address, stable_hash
 
 PREFILL_UNIT_TOKENS = 256
-"""Unit in which prompt tokens are told, rounded up."""
+"""Unit in which prompt tokens are reported, rounded up."""
 PREFILL_REPORTED_TOKENS = 1024
-"""Least prompt tokens that are told: fewer are read in some 20 ms, about as long as it takes
-to tell of them."""
+"""Least prompt tokens that are reported: an engine reads fewer in about the time that it takes to
+report them."""
 ENGINE_KEY_MASK = 0xFFFFFFFF
 ENGINE_KEYS_REMEMBERED = 8192
 NO_ENGINE = 0
-"""Stands for no engine in an answer."""
+"""Engine key of a reply that grants no slot."""
+UNBOUNDED_WAIT_MS = -1
+"""Longest wait of a request that accepts any wait."""
 
 
 @lru_cache(maxsize=ENGINE_KEYS_REMEMBERED)
 def engine_key(engine_id: str) -> int:
-    """Returns the short key that names an engine in messages."""
+    """Returns the short key, of 32 bits and never 0, that names an engine in messages."""
     return stable_hash("server", engine_id) & ENGINE_KEY_MASK or 1
 
 
 def prefill_units(tokens: int) -> int:
-    """Returns prompt tokens in the unit in which they are told; few are not told at all."""
+    """Returns prompt tokens in the unit in which they are reported; 0 if they are few."""
     return -(-tokens // PREFILL_UNIT_TOKENS) if tokens >= PREFILL_REPORTED_TOKENS else 0
 
 
@@ -48,10 +54,11 @@
     """What one daemon has in flight on the engines of the receiver's groups.
 
     `sequence` rises with each report of one incarnation of the sender. `waiting_items` counts the
-    batch items that it could start now and that would meet their deadline, `late_items` those
-    that would miss it, `open_items` all that it has to finish. `grant_seen` is the number of the
-    newest grant that the report includes, of the receiver's incarnation `grant_incarnation`.
-    `unusable` names engines to which the sender sends nothing for now.
+    batch items that it could start now and that can meet their job's objective, `late_items` those
+    that it could start and that will miss it, `open_items` all that it has to finish.
+    `last_grant_seen` is the highest number of the receiver's grants to the sender that the report
+    includes, as counted by the receiver's incarnation `coordinator_incarnation`. `unusable` has the
+    keys of engines to which the sender sends nothing at present.
     """
 
     sender: str
@@ -63,40 +70,41 @@
     waiting_items: int = 0
     late_items: int = 0
     open_items: int = 0
-    grant_incarnation: int = 0
-    grant_seen: int = 0
+    coordinator_incarnation: int = 0
+    last_grant_seen: int = 0
     unusable: tuple[int, ...] = ()
 
 
 class SlotRequest(msgspec.Struct, frozen=True, array_like=True, tag="ask"):
-    """Asks for a place for one online request.
+    """Requests a slot for one online request from the coordinator of a group.
 
-    `number` names the ask within the sender's life. `prefill_units` is what the engine will
-    have to read. `wait_most_ms` is the longest wait for a slot that the sender takes; a
-    negative one is no bound. `avoid` names engines that it will not send this request to.
+    `number` names the request within the sender's incarnation. `prefill_units` is what the engine
+    will have to read. `longest_wait_ms` is the longest wait for a slot that is accepted; a
+    negative one is no bound. `excluded` has the keys of engines that can't get the request.
     """
 
     report: HoldingsReport
     number: int
     group: str
     prefill_units: int
-    wait_most_ms: int
-    avoid: tuple[int, ...] = ()
+    longest_wait_ms: int
+    excluded: tuple[int, ...] = ()
 
 
 class SlotReply(msgspec.Struct, frozen=True, array_like=True, tag="place"):
-    """Answers an ask: a place at an engine, or none.
+    """Replies to a slot request: a slot at an engine, or none.
 
-    `grant` numbers the coordinator's words to one peer that change what it holds; 0 where no
-    place is granted. `wait_ms` is the wait expected for a slot, `queued` and `slots` what it
-    was worked out from. `is_coordinator` is false if the sender does not count this group.
+    `incarnation` is the sender's. `grant_number` numbers the grants of the sender to the receiver;
+    it is 0 if no slot is granted. `wait_ms` is the wait that is expected for a slot, `queued` and
+    `slots` are the counts it follows from. `is_coordinator` is false if the sender does not
+    coordinate the group.
     """
 
     sender: str
     incarnation: int
     number: int
     group: str
-    grant: int
+    grant_number: int
     engine_key: int
     wait_ms: int
     queued: int
@@ -105,15 +113,16 @@
 
 
 class BatchSlotGrant(msgspec.Struct, frozen=True, array_like=True, tag="batch"):
-    """Grants a peer places for batch items at an engine, or takes some back.
+    """Grants a peer slots for batch items at an engine, or retracts some.
 
-    A negative `count` asks the peer to stop so many items there: online requests need them.
+    With a negative `count` the peer is to stop so many items there, as online requests need their
+    slots. `grant_number` is as in `SlotReply`.
     """
 
     sender: str
     incarnation: int
     group: str
-    grant: int
+    grant_number: int
     engine_key: int
     count: int
 
@@ -127,7 +136,7 @@
 
 
 class GroupDigest(msgspec.Struct, frozen=True, array_like=True, tag="digest"):
-    """What a coordinator tells now and then to peers that have work at its engines.
+    """What a coordinator sends at intervals to peers that have work at its engines.
 
     `free_slots_hundredths` is the mean number of slots that online requests leave at all
     engines of the group, in hundredths; `open_items` the items that all daemons have to finish.
@@ -142,7 +151,7 @@
 
 
 class KnownClaim(msgspec.Struct, frozen=True, array_like=True):
-    """One claim of a group as the sender knows it; `offset` is its place in the store."""
+    """One claim of a group as the sender knows it; `offset` is its place in the store's topic."""
 
     group: str
     daemon: str
@@ -151,7 +160,7 @@
 
 
 class Heartbeat(msgspec.Struct, frozen=True, array_like=True, tag="hello"):
-    """Tells a few daemons drawn at random that the sender lives, and what it acts on."""
+    """States to a few daemons drawn at random that the sender runs, and what it acts on."""
 
     sender: str
     zone: str
@@ -162,9 +171,10 @@
 
 
 class ReportedCrash(msgspec.Struct, frozen=True, array_like=True):
-    """One engine's life that ended under a request, or is said not to have (`stands` False).
+    """One incarnation of an engine that ended while it ran a request.
 
-    `content` names the request by its content, `at` is in seconds since the epoch.
+    `content` names the request by its content, `at` is in seconds since the epoch. `stands` is
+    false if an earlier report of it is retracted.
     """
 
     content: str
@@ -174,14 +184,14 @@
 
 
 class CrashReport(msgspec.Struct, frozen=True, array_like=True, tag="crashes"):
-    """Tells what the sender has just learnt of engines that ended under requests."""
+    """Reports what the sender has just learnt of engines that ended while they ran requests."""
 
     sender: str
     crashes: tuple[ReportedCrash, ...]
 
 
 class EngineDrainNotice(msgspec.Struct, frozen=True, array_like=True, tag="leaving"):
-    """Tells which engines drain, and which left the list, as the sender has just learnt."""
+    """Reports which engines drain, and which left the list, as the sender has just learnt."""
 
     sender: str
     draining: tuple[str, ...]
@@ -189,12 +199,12 @@
 
 
 class QuotaRequest(msgspec.Struct, frozen=True, array_like=True, tag="quota"):
-    """Asks whether a tenant may send one more request; its key is not told.
+    """Requests that a tenant's requests may be sent, from the coordinator that counts them.
 
-    `number` names the ask within the sender's life. `rate` (requests a second), `burst` and
-    `version` are the limit as the sender's configuration has it. `count` is how many requests
-    the sender takes, all but the first in advance; `spent` how many of the tenant's went from the
-    sender while nobody counted.
+    `number` names the message within the sender's incarnation. `rate` (requests a second), `burst`
+    (requests) and `version` are the limit in the sender's configuration. `count` is how many
+    requests the sender takes, all but the first in advance; `spent` how many the sender admitted
+    for the tenant without a coordinator, and has not reported yet.
     """
 
     sender: str
@@ -210,9 +220,10 @@
 
 
 class QuotaDecision(msgspec.Struct, frozen=True, array_like=True, tag="quotaed"):
-    """Answers an ask: how many requests may go, or after which time there is room for one.
+    """Replies to a quota request: how many requests are admitted, or when one would be.
 
-    `is_coordinator` is false if the sender does not count for this group's tenants.
+    `wait_ms` is the time until there is quota for one. `is_coordinator` is false if the sender
+    does not count for this group's tenants.
     """
 
     sender: str
@@ -223,6 +234,8 @@
     is_coordinator: bool = True
 
 
+SlotMessage = HoldingsReport | SlotRequest | SlotReply | BatchSlotGrant | GroupDigest
+"""Messages about slots."""
 PeerMessage = (
     HoldingsReport
     | SlotRequest
@@ -235,3 +248,4 @@
     | QuotaRequest
     | QuotaDecision
 )
+"""All messages between daemons."""
--- a/src/troutswitch/decisions/gateway.py
+++ b/src/troutswitch/decisions/gateway.py
@@ -7,6 +7,7 @@
 import random
 from dataclasses import replace
 
+from troutswitch.daemons.identity import DaemonIdentity
 from troutswitch.daemons.messages import (
     CrashReport,
     EngineDrainNotice,
@@ -55,8 +56,8 @@
 from troutswitch.decisions.peers.heartbeats import Peers
 from troutswitch.decisions.peers.peer_registry import PeerRegistry, PeerRegistryEntry
 from troutswitch.decisions.policies import Policies
-from troutswitch.decisions.slots.fleet import FleetSlots
-from troutswitch.decisions.slots.messages import PeerMessageReceived, StartItems
+from troutswitch.decisions.slots.fleet import FleetSlots, SlotPolicies
+from troutswitch.decisions.slots.messages import PeerMessageReceived, StartItems, WaitingItems
 from troutswitch.decisions.slots.slot_requests import PlacementFound
 from troutswitch.decisions.storage.follower import CallNumbers, PartitionFollower
 from troutswitch.decisions.storage.messages import (
@@ -86,6 +87,21 @@
 Instruction = object
 
 
+class _OwnItems:
+    """The batch items of a core's job owner, which is made after the decisions on slots."""
+
+    def __init__(self, core: "GatewayCore") -> None:
+        self._core = core
+
+    @property
+    def waiting(self) -> WaitingItems:
+        return self._core.jobs.owner.waiting
+
+    @property
+    def open_items(self) -> int:
+        return self._core.jobs.owner.open_items
+
+
 class GatewayCore:
     """All decisions of one gateway daemon."""
 
@@ -140,24 +156,20 @@
         self._listing: tuple[tuple[StoredRecord, ...], float] | None = None
         incarnation = rng.getrandbits(31)
         self.slots = FleetSlots(
-            identity.name,
-            identity.zone,
-            identity.peer_address,
-            incarnation,
+            DaemonIdentity(identity.name, identity.zone, identity.peer_address, incarnation),
             self.engines,
             self.requests.times,
-            home_policy(policies.placement),
-            BATCH_CAPACITY_POLICIES[policies.batch.room](),
+            SlotPolicies(
+                home_policy(policies.placement), BATCH_CAPACITY_POLICIES[policies.batch.room]()
+            ),
+            _OwnItems(self),
+            self.requests,
             self.numbers,
-            lambda: self.jobs.owner.waiting,
-            lambda: self.jobs.owner.open_items,
-            self.requests.candidates,
             self._emit,
-            self._log,
             rng,
         )
         if policies.places == "coordinators":
-            self.requests.placer = self.slots.asks
+            self.requests.placer = self.slots.requests
         self.quota: Quota = make_quota(
             policies.quota,
             identity,
@@ -190,7 +202,7 @@
             identity.peer_address,
             incarnation,
             lambda: self.routes.version,
-            self.slots.claims.told,
+            self.slots.claims.known_claims,
             rng,
         )
         self.leaving = DrainNotices(
@@ -333,7 +345,7 @@
 
     def _place_found(self, now: float, ended: list[PlacementFound]) -> None:
         for found in ended:
-            self._instructions += self.requests.on_placed(now, found.token, found.placing)
+            self._instructions += self.requests.on_placed(now, found.token, found.placement)
 
     def _on_process_resumed(self, now: float, event: ProcessResumed) -> None:
         """Reads again what others changed meanwhile; reads in flight are of before.
@@ -422,7 +434,7 @@
         pace = (1 + len(self.peers.peers)) / rate if rate > 0 else 0.0
         self.engine_list.pace = pace * self.engine_list.pages
         self.engines.expired.interval = max(self.engine_list.pace, self.engine_list.interval)
-        self.slots.claims.set_pace(pace)
+        self.slots.claims.set_read_interval(pace)
         self.jobs.replicas.index_follower.pace = pace
         self.suspects.set_pace(pace)
 
--- /dev/null
+++ b/src/troutswitch/decisions/slots/batch_grants.py
@@ -0,0 +1,39 @@
+"""Grants peers slots for batch items, and retracts such slots, by numbered messages.
+
+It relies on the ledger, which counts a grant from when it is sent, and on the groups, since a
+peer accepts a grant only from the coordinator of the engine's group.
+"""
+
+from troutswitch.daemons.identity import DaemonIdentity
+from troutswitch.daemons.messages import BatchSlotGrant, EngineShare, engine_key
+from troutswitch.decisions.forwarding.engines import Engine
+from troutswitch.decisions.invariants import ensure
+from troutswitch.decisions.slots.groups import EngineGroups
+from troutswitch.decisions.slots.ledger import SlotLedger
+from troutswitch.decisions.slots.messages import SendToPeers
+
+
+class BatchGrants:
+    """Grants of the groups that this daemon coordinates."""
+
+    def __init__(self, identity: DaemonIdentity, groups: EngineGroups, ledger: SlotLedger) -> None:
+        self._identity = identity
+        self._groups = groups
+        self._ledger = ledger
+
+    def grant(self, now: float, peer: str, engine: Engine, count: int) -> SendToPeers:
+        """Grants a holder `count` slots at an engine; a negative count retracts as many.
+
+        Raises:
+            InvariantViolated: the engine is in no group.
+        """
+        key = engine_key(engine.record.engine_id)
+        grant_number = self._ledger.grant(now, peer, EngineShare(key, 0, count, 0))
+        group = self._groups.of_engine(engine.record.engine_id)
+        ensure(group is not None, "a slot is granted at an engine of no group")
+        assert group is not None
+        incarnation = self._identity.incarnation
+        message = BatchSlotGrant(
+            self._identity.name, incarnation, group.name, grant_number, key, count
+        )
+        return SendToPeers((self._ledger.holders[peer].address,), message)
--- a/src/troutswitch/decisions/slots/coordinator.py
+++ b/src/troutswitch/decisions/slots/coordinator.py
@@ -1,18 +1,16 @@
-"""Decides for a group of engines who gets which slot: the coordinator's part.
+"""The coordinator's part: grants the slots of the groups that this daemon coordinates.
 
-An online request gets the engine with the fewest online requests, a free slot before one that
-a batch item has. Where a batch item has the slot, one holder is told in the same step to stop
-one. Slots that are free are granted to daemons with batch items that wait.
+It owns the set of coordinated groups, and when each was taken over. It replies to slot requests
+(`slot_choice.py`), has batch items stopped where online requests need slots (`preemption.py`),
+assigns free slots to waiting items (`batch_slots.py`), and sends digests. It relies on the ledger
+for what peers have in flight, and on `coordinator_claims.py` for which groups are its own.
 """
 
 import random
-from collections.abc import Callable
-from dataclasses import dataclass
 
-from troutswitch.common import Address
+from troutswitch.daemons.identity import DaemonIdentity
 from troutswitch.daemons.messages import (
     NO_ENGINE,
-    BatchSlotGrant,
     EngineShare,
     GroupDigest,
     SlotReply,
@@ -20,145 +18,125 @@
     engine_key,
 )
 from troutswitch.decisions.forwarding.engines import Engine, EngineRegistry
-from troutswitch.decisions.forwarding.messages import LogLine
-from troutswitch.decisions.forwarding.placement import queue_cost
 from troutswitch.decisions.forwarding.run_times import RunTimes
-from troutswitch.decisions.forwarding.wait_estimate import NO_WAIT, Estimate, slot_wait
-from troutswitch.decisions.invariants import ensure
+from troutswitch.decisions.forwarding.wait_estimate import NO_WAIT
 from troutswitch.decisions.jobs.batch_capacity import BatchCapacityPolicy
-from troutswitch.decisions.slots.batch_slots import SELF, BatchGrant, BatchSlotAssigner
-from troutswitch.decisions.slots.groups import EngineGroups, Group
+from troutswitch.decisions.slots.batch_grants import BatchGrants
+from troutswitch.decisions.slots.batch_slots import SELF, BatchAssignment, BatchSlotAssigner
+from troutswitch.decisions.slots.groups import EngineGroups
 from troutswitch.decisions.slots.ledger import SlotLedger
-from troutswitch.decisions.slots.messages import SendToPeers, StartItems, WaitingItems
+from troutswitch.decisions.slots.messages import (
+    OwnItems,
+    SendToPeers,
+    SlotInstruction,
+    StartItems,
+)
+from troutswitch.decisions.slots.preemption import ItemPreemption
+from troutswitch.decisions.slots.slot_choice import SlotChoice, SlotDecision, SlotQuery
 
-NO_FREE_SLOT_COST = 1.0
-"""Cost, in shares of an engine's slots, of an engine where no slot is free: one online request
-more at an engine with a free slot is always better than stopping a batch item elsewhere."""
 GRACE_SECONDS = 0.6
-"""Time after which a new coordinator grants places for batch items: by then each holder has
-reported to it (they refresh each 0.5 s)."""
+"""Time after which a new coordinator grants slots to batch items: by then each holder has
+reported to it (`reports.REFRESH_SECONDS`)."""
 DIGEST_SECONDS = 0.5
-"""Interval between digests to peers that have work here."""
-Instruction = SendToPeers | StartItems | LogLine
-
-
-@dataclass(frozen=True, slots=True)
-class PlaceRequest:
-    """An online request for which a place is asked, by this daemon or a peer.
-
-    `longest_wait` is in seconds; `avoid` holds keys of engines that it will not go to.
-    """
-
-    group: Group
-    zone: str
-    prefill_units: int
-    longest_wait: float
-    avoid: frozenset[int]
-
-
-@dataclass(frozen=True, slots=True)
-class Decision:
-    """An engine for a request, or none; the wait expected there, or at best."""
-
-    engine: Engine | None
-    estimate: Estimate
+"""Interval between digests to peers that have work at the coordinated engines."""
 
 
 class SlotCoordinator:
-    """Grants places at the engines of the groups that this daemon coordinates."""
+    """Grants slots at the engines of the groups that this daemon coordinates."""
 
     def __init__(
         self,
-        name: str,
-        zone: str,
+        identity: DaemonIdentity,
         engines: EngineRegistry,
         groups: EngineGroups,
         ledger: SlotLedger,
         times: RunTimes,
-        own_waiting: Callable[[], WaitingItems],
-        own_open: Callable[[], int],
-        room: BatchCapacityPolicy,
+        own_items: OwnItems,
+        capacity: BatchCapacityPolicy,
         rng: random.Random,
     ) -> None:
         self.coordinated: dict[str, float] = {}
-        """Groups that this daemon coordinates, with since when."""
-        self._name = name
-        self._zone = zone
+        """Groups that this daemon coordinates, with when it took each over."""
+        self._identity = identity
         self._engines = engines
         self._groups = groups
         self._ledger = ledger
-        self._times = times
-        self._own_open = own_open
-        self._rng = rng
+        self._own_items = own_items
         self._digest_at = float("-inf")
-        self._own_stops: dict[str, int] = {}
-        """Own items told to stop in this step, which still count as running."""
-        self._dealer = BatchSlotAssigner(zone, ledger, own_waiting, room, rng)
+        self._choice = SlotChoice(ledger, times, rng)
+        self._grants = BatchGrants(identity, groups, ledger)
+        self._preemption = ItemPreemption(identity.name, ledger, self._grants, rng)
+        self._assigner = BatchSlotAssigner(identity.zone, ledger, own_items, capacity, rng)
 
-    # What is coordinated.
+    # Coordinated groups.
 
     def begin(self, now: float, group: str) -> None:
-        """Takes a group over; its counts fill as holders report."""
+        """Takes a group over; its counts become complete as holders report."""
         self.coordinated[group] = now
         self._ledger.recount(now, self.engines_of(group))
 
     def end(self, group: str) -> None:
-        """Gives a group up."""
+        """Stops coordinating a group."""
         self.coordinated.pop(group, None)
 
     def coordinates(self, group: str) -> bool:
-        """Returns whether this daemon counts a group's slots."""
+        """Returns whether this daemon coordinates a group."""
         return group in self.coordinated
 
     def on_list_changed(self, now: float) -> None:
-        """Counts anew, as engines came or moved between groups."""
+        """Counts again after engines joined or moved between groups."""
         for group in self.coordinated:
             self._ledger.recount(now, self.engines_of(group))
 
     def engines_of(self, group: str) -> list[Engine]:
         """Returns a group's engines that have not begun to leave."""
-        held = (self._engines.engines.get(name) for name in self._groups.members(group))
-        return [engine for engine in held if engine is not None and not engine.is_leaving]
+        known = (self._engines.engines.get(name) for name in self._groups.members(group))
+        return [engine for engine in known if engine is not None and not engine.is_leaving]
 
     # Online requests.
 
-    def on_ask(self, now: float, ask: SlotRequest) -> list[Instruction]:
-        """Answers a peer's ask, whose report the ledger has taken."""
-        group = self._groups.named(ask.group)
-        holder = self._ledger.holders[ask.report.sender]
-        if group is None or ask.group not in self.coordinated:
-            refusal = self._answer(ask, None, NO_WAIT, 0, is_coordinator=False)
+    def on_request(self, now: float, request: SlotRequest) -> list[SlotInstruction]:
+        """Replies to a peer's request, whose report the ledger has taken already."""
+        holder = self._ledger.holders[request.report.sender]
+        query = self._query(request)
+        if query is None:
+            refusal = self._reply(request, SlotDecision(None, NO_WAIT), 0, is_coordinator=False)
             return [SendToPeers((holder.address,), refusal)]
-        wait = float("inf") if ask.wait_most_ms < 0 else ask.wait_most_ms / 1000
-        request = PlaceRequest(
-            group, ask.report.zone, ask.prefill_units, wait, frozenset(ask.avoid)
-        )
-        decision = self.decide(now, request)
-        grant = 0
-        made: list[Instruction] = []
+        decision = self.decide(now, query)
+        grant_number = 0
+        preempted: list[SlotInstruction] = []
         if decision.engine is not None:
             key = engine_key(decision.engine.record.engine_id)
-            share = EngineShare(key, 1, 0, ask.prefill_units)
-            grant = self._ledger.tell(now, ask.report.sender, share)
-            made = self._make_room(now, decision.engine)
-        answer = self._answer(ask, decision.engine, decision.estimate, grant)
-        return [SendToPeers((holder.address,), answer), *made]
-
-    def _answer(
+            share = EngineShare(key, 1, 0, request.prefill_units)
+            grant_number = self._ledger.grant(now, request.report.sender, share)
+            preempted = self._preemption.make_room(now, decision.engine)
+        reply = self._reply(request, decision, grant_number)
+        return [SendToPeers((holder.address,), reply), *preempted]
+
+    def _query(self, request: SlotRequest) -> SlotQuery | None:
+        """Returns what a peer requests; None if this daemon does not coordinate the group."""
+        group = self._groups.named(request.group)
+        if group is None or not self.coordinates(request.group):
+            return None
+        is_bounded = request.longest_wait_ms >= 0
+        longest_wait = request.longest_wait_ms / 1000 if is_bounded else float("inf")
+        return SlotQuery(group, request.report.zone, longest_wait, frozenset(request.excluded))
+
+    def _reply(
         self,
-        ask: SlotRequest,
-        engine: Engine | None,
-        estimate: Estimate,
-        grant: int,
+        request: SlotRequest,
+        decision: SlotDecision,
+        grant_number: int,
         *,
         is_coordinator: bool = True,
     ) -> SlotReply:
+        engine, estimate = decision.engine, decision.estimate
         return SlotReply(
-            self._name,
-            self._ledger.incarnation,
-            ask.number,
-            ask.group,
-            grant,
+            self._identity.name,
+            self._identity.incarnation,
+            request.number,
+            request.group,
+            grant_number,
             engine_key(engine.record.engine_id) if engine is not None else NO_ENGINE,
             round(estimate.wait * 1000),
             estimate.queued,
@@ -166,123 +144,63 @@
             is_coordinator,
         )
 
-    def decide(self, now: float, request: PlaceRequest) -> Decision:
-        """Chooses an engine, unless the wait is longer than the request takes."""
-        candidates = self._candidates(now, request)
-        if not candidates:
-            return Decision(None, NO_WAIT)
-        costs = {s.record.engine_id: self._cost(now, s, request.zone) for s in candidates}
-        engine = min(candidates, key=lambda s: (costs[s.record.engine_id], self._rng.random()))
-        estimate = slot_wait(now, engine, self._times.of(request.group.service))
-        if estimate.wait > request.longest_wait:
-            return Decision(None, estimate)
-        return Decision(engine, estimate)
-
-    def _candidates(self, now: float, request: PlaceRequest) -> list[Engine]:
-        present = [
-            engine
-            for engine in self.engines_of(request.group.name)
-            if engine_key(engine.record.engine_id) not in request.avoid
-        ]
-        sound = [engine for engine in present if self._is_sound(now, engine)]
-        return sound or present
+    def decide(self, now: float, query: SlotQuery) -> SlotDecision:
+        """Chooses an engine in a coordinated group."""
+        return self._choice.choose(now, query, self.engines_of(query.group.name))
 
-    def _is_sound(self, now: float, engine: Engine) -> bool:
-        if now < max(engine.ejected_until, engine.full_until):
-            return False
-        return not self._ledger.is_avoided(engine_key(engine.record.engine_id))
-
-    @staticmethod
-    def _cost(now: float, engine: Engine, zone: str) -> float:
-        is_full = engine.in_flight(now) >= engine.slots
-        return queue_cost(now, engine, zone) + (NO_FREE_SLOT_COST if is_full else 0.0)
-
-    def make_room_for_own(self, now: float, engine: Engine) -> list[Instruction]:
-        """Has a batch item stopped for an online request that this daemon sends now."""
-        return self._make_room(now, engine, about_to_send=1)
-
-    def _make_room(self, now: float, engine: Engine, about_to_send: int = 0) -> list[Instruction]:
-        """Has as many batch items stopped as requests and items exceed the engine's slots."""
-        instructions: list[Instruction] = []
-        surplus = engine.online() + engine.batch() + about_to_send - engine.slots
-        for _ in range(min(surplus, engine.batch())):
-            instructions += self._take_one_back(now, engine)
-        return instructions
-
-    def _take_one_back(self, now: float, engine: Engine) -> list[Instruction]:
-        """Has one holder stop an item, drawn by how many it has there."""
-        engine_id = engine.record.engine_id
-        own = engine.batch_in_flight - self._own_stops.get(engine_id, 0)
-        holders = [(SELF, own)] if own > 0 else []
-        holders += self._ledger.batch_holders(engine_key(engine_id))
-        if not holders:
-            return []
-        names = [name for name, _ in holders]
-        name = self._rng.choices(names, [count for _, count in holders])[0]
-        line = LogLine("item to yield", {"engine": engine_id, "peer": name or self._name})
-        if name == SELF:
-            self._own_stops[engine_id] = self._own_stops.get(engine_id, 0) + 1
-            return [StartItems(engine_id, -1), line]
-        holder = self._ledger.holders[name]
-        return [self._tell_batch(now, name, holder.address, engine, -1), line]
-
-    def _tell_batch(
-        self, now: float, name: str, address: Address, engine: Engine, count: int
-    ) -> SendToPeers:
-        key = engine_key(engine.record.engine_id)
-        grant = self._ledger.tell(now, name, EngineShare(key, 0, count, 0))
-        group = self._groups.of_engine(engine.record.engine_id)
-        ensure(group is not None, "a place is granted at an engine of no group")
-        assert group is not None
-        message = BatchSlotGrant(
-            self._name, self._ledger.incarnation, group.name, grant, key, count
-        )
-        return SendToPeers((address,), message)
+    def make_room_for_own(self, now: float, engine: Engine) -> list[SlotInstruction]:
+        """Has a batch item stopped, if needed, for an online request that is sent in this step."""
+        return self._preemption.make_room(now, engine, about_to_send=1)
 
     # Timers.
 
     def next_due(self) -> float:
-        """Returns when `on_timer` has something to do."""
+        """Returns when `on_timer` has something to do, in seconds of this process's clock."""
         if not self.coordinated:
             return float("inf")
         digest_due = self._digest_at + DIGEST_SECONDS if self._ledger.holders else float("inf")
-        return min(digest_due, self._dealer.next_due())
+        return min(digest_due, self._assigner.next_due())
 
-    def on_timer(self, now: float) -> list[Instruction]:
-        """Takes slots back that online requests need, grants free ones, and sends digests."""
+    def on_timer(self, now: float) -> list[SlotInstruction]:
+        """Retracts slots that online requests need, assigns free ones, and sends digests."""
         if not self.coordinated:
             return []
-        instructions: list[Instruction] = []
-        if self._dealer.is_due(now):
-            for group in self.coordinated:
-                for engine in self.engines_of(group):
-                    instructions += self._make_room(now, engine)
-            instructions += self._deal(now)
+        instructions: list[SlotInstruction] = []
+        if self._assigner.is_due(now):
+            instructions += self._make_room(now)
+            instructions += self._assign(now)
         if now >= self._digest_at + DIGEST_SECONDS:
             self._digest_at = now
             instructions += self._digests(now)
-        self._own_stops.clear()  # they are carried out at the end of the step
+        self._preemption.end_step()
+        return instructions
+
+    def _make_room(self, now: float) -> list[SlotInstruction]:
+        """Makes room for requests that were sent without the coordinator's grant."""
+        instructions: list[SlotInstruction] = []
+        for group in self.coordinated:
+            for engine in self.engines_of(group):
+                instructions += self._preemption.make_room(now, engine)
         return instructions
 
-    def _deal(self, now: float) -> list[Instruction]:
-        """Grants the slots that are free in each group that is old enough here."""
+    def _assign(self, now: float) -> list[SlotInstruction]:
+        """Assigns the free slots of each group that was taken over long enough ago."""
         settled = {
-            group: [s for s in self.engines_of(group) if self._is_sound(now, s)]
+            group: [e for e in self.engines_of(group) if self._choice.is_usable(now, e)]
             for group, since in self.coordinated.items()
             if now - since >= GRACE_SECONDS
         }
-        grants = self._dealer.deal(now, settled)
-        return [self._grant(now, grant) for grant in grants]
+        assignments = self._assigner.assign(now, settled)
+        return [self._grant(now, assignment) for assignment in assignments]
 
-    def _grant(self, now: float, grant: BatchGrant) -> Instruction:
-        if grant.daemon == SELF:
-            return StartItems(grant.engine.record.engine_id, grant.count)
-        holder = self._ledger.holders[grant.daemon]
-        return self._tell_batch(now, grant.daemon, holder.address, grant.engine, grant.count)
+    def _grant(self, now: float, assignment: BatchAssignment) -> SlotInstruction:
+        if assignment.daemon == SELF:
+            return StartItems(assignment.engine.record.engine_id, assignment.count)
+        return self._grants.grant(now, assignment.daemon, assignment.engine, assignment.count)
 
     # Digests.
 
-    def _digests(self, now: float) -> list[Instruction]:
+    def _digests(self, now: float) -> list[SlotInstruction]:
         addresses = tuple(
             holder.address
             for holder in self._ledger.holders.values()
@@ -290,21 +208,19 @@
         )
         if not addresses:
             return []
-        return [SendToPeers(addresses, self.digest(now, group)) for group in self.coordinated]
+        return [SendToPeers(addresses, self._digest(now, group)) for group in self.coordinated]
 
-    def digest(self, now: float, group: str) -> GroupDigest:
-        """Returns what is known of a group."""
-        engines = self.engines_of(group)
-        free = self.usual_free_slots(now, group)
+    def _digest(self, now: float, group: str) -> GroupDigest:
+        free_slots = max(0.0, self.mean_free_slots(now, group))
         return GroupDigest(
-            self._name,
-            self._ledger.incarnation,
+            self._identity.name,
+            self._identity.incarnation,
             group,
-            self._engines.counts_of(engines),
-            round(max(0.0, free) * 100),
-            self._own_open() + self._ledger.open_items(),
+            self._engines.counts_of(self.engines_of(group)),
+            round(free_slots * 100),
+            self._own_items.open_items + self._ledger.open_items(),
         )
 
-    def usual_free_slots(self, now: float, group: str) -> float:
+    def mean_free_slots(self, now: float, group: str) -> float:
         """Returns the mean number of slots that online requests leave in a group."""
         return self._engines.usual_free_slots(now, self.engines_of(group))
--- /dev/null
+++ b/src/troutswitch/decisions/slots/coordinator_claims.py
@@ -0,0 +1,302 @@
+"""Decides which daemon coordinates a group: claims in the store, of which the newest is in force.
+
+    (none)   -> CLAIMED   a daemon of the group's zone appended a claim at the expected end
+    CLAIMED  -> SUSPECT   requests to the coordinator got no reply (`coordinator_health.py`)
+    SUSPECT  -> CLAIMED   it sent a message, or another daemon's claim was read
+
+Inputs: the claims, read from the store's topic or received from peers with their heartbeats, up
+to some hundred milliseconds old; the health of coordinators as this daemon sees it.
+
+Rule: a daemon claims a group that has no coordinator, or a missing one, after a delay: a part of
+`CLAIM_SPREAD_SECONDS` that follows from a hash of both names, and `OTHER_ZONE_SECONDS` more if the
+group is of another zone. The claim is appended on condition that the topic has no newer record. It
+claims nothing while it drains, while it cannot read the topic, or while a claim of its own is
+under way; between two claims of one group lie `CLAIM_INTERVAL_SECONDS`.
+
+Why: the store's condition lets one of several claims succeed, and all daemons read the topic, so
+they agree once they have read it. The delay lets one claim and the others read. Until then two
+daemons may both act as coordinator; each grants by the reports that it receives, and its peers
+use only the grants of the one whose claim they know. While the store is away, or nobody replies,
+daemons place requests from their local view (`local_placement.py`).
+
+It owns the claims that this daemon knows, and its own claims under way. Measured in
+docs/POLICY.md, "Rounds with coordinators of slots"; docs/SLOTS.md lists what fails how.
+"""
+
+import random
+from collections.abc import Callable, Iterable
+from dataclasses import dataclass
+
+import cbor2
+
+from troutswitch.common import Address, stable_hash
+from troutswitch.daemons.messages import KnownClaim
+from troutswitch.decisions.slots.coordinator_health import NEVER, CoordinatorHealth
+from troutswitch.decisions.slots.groups import EngineGroups, Group
+from troutswitch.decisions.storage.follower import CallNumbers, PartitionFollower
+from troutswitch.decisions.storage.messages import (
+    Appended,
+    AppendRecords,
+    EndMoved,
+    KeyedRecord,
+    Partition,
+    StoreCall,
+    StoreOutcome,
+)
+
+CLAIMS_TOPIC = "coordinators"
+READ_WAIT_SECONDS = 3.0
+"""Time for which a read waits at the store for a new claim; a lost answer is noticed after it."""
+READ_INTERVAL_SECONDS = 0.05
+"""Least interval between reads."""
+CLAIM_SPREAD_SECONDS = 0.3
+"""Longest part of the delay before a claim that differs between daemons."""
+OTHER_ZONE_SECONDS = 1.0
+"""Additional delay of daemons of other zones."""
+CHECK_SECONDS = 0.05
+"""Interval between checks for groups that need a coordinator."""
+CLAIM_INTERVAL_SECONDS = 1.0
+"""Least interval between claims of one group by one daemon."""
+CONFLICT_RETRY_SECONDS = 0.1
+"""Time after which a claim is retried that another record was appended before."""
+CALL_TIMEOUT_SECONDS = 4.0
+"""Time after which a claim that the store did not answer is no longer awaited."""
+
+
+@dataclass(frozen=True, slots=True)
+class Claim:
+    """A daemon's claim of a group; of two, the one with the higher `offset` is in force."""
+
+    group: str
+    daemon: str
+    address: Address
+    offset: int
+
+
+@dataclass(frozen=True, slots=True)
+class _OwnClaim:
+    """A claim of this daemon that the store has not answered yet."""
+
+    group: str
+    sent_at: float
+
+
+class CoordinatorClaims:
+    """Follows the claims, and claims groups that have no coordinator."""
+
+    def __init__(
+        self,
+        name: str,
+        zone: str,
+        address: Address,
+        groups: EngineGroups,
+        numbers: CallNumbers,
+        rng: random.Random,
+        log: Callable[..., None],
+    ) -> None:
+        self.is_draining = False
+        """Whether this daemon drains: it then coordinates and claims nothing."""
+        self.changes = 0
+        """Changes of who coordinates what, to tell whether reports go elsewhere."""
+        self._name = name
+        self._zone = zone
+        self._address = address
+        self._groups = groups
+        self._numbers = numbers
+        self._log = log
+        self._claims: dict[str, Claim] = {}
+        self._health = CoordinatorHealth()
+        self._own_claims: dict[int, _OwnClaim] = {}
+        """Own claims under way, by the number of the call to the store."""
+        self._claimed_at: dict[str, float] = {}
+        self._check_at = float("-inf")
+        self._next_claim = NEVER
+        self._follower = PartitionFollower(
+            Partition(CLAIMS_TOPIC),
+            numbers,
+            rng,
+            self._take_record,
+            READ_WAIT_SECONDS,
+            READ_INTERVAL_SECONDS,
+        )
+
+    # Known claims.
+
+    def claim_of(self, group: str) -> Claim | None:
+        """Returns the newest claim of a group that is known here."""
+        return self._claims.get(group)
+
+    def is_own(self, group: str) -> bool:
+        """Returns whether this daemon coordinates a group, by the newest claim known here."""
+        claim = self._claims.get(group)
+        return claim is not None and claim.daemon == self._name and not self.is_draining
+
+    def coordinator(self, now: float, group: str) -> Claim | None:
+        """Returns the claim of a group's coordinator, unless it is suspected."""
+        claim = self._claims.get(group)
+        if claim is None or self._health.is_suspected(now, group):
+            return None
+        return claim
+
+    def known_claims(self) -> tuple[KnownClaim, ...]:
+        """Returns the known claims of present groups, in the form in which peers get them."""
+        known = [self._claims.get(group.name) for group in self._groups.all()]
+        return tuple(
+            KnownClaim(claim.group, claim.daemon, claim.address, claim.offset)
+            for claim in known
+            if claim is not None
+        )
+
+    def take_claims(self, claims: Iterable[KnownClaim]) -> None:
+        """Takes claims that a peer knows, which may be newer than those read here."""
+        for known in claims:
+            self.take(Claim(known.group, known.daemon, known.address, known.offset))
+
+    def _take_record(self, record: KeyedRecord) -> None:
+        try:
+            daemon, host, port = cbor2.loads(record.value)
+            claim = Claim(record.key, str(daemon), Address(str(host), int(port)), record.offset)
+        except (cbor2.CBORDecodeError, ValueError, TypeError) as error:
+            self._log("claim malformed", group=record.key, reason=str(error))
+            return
+        self.take(claim)
+
+    def take(self, claim: Claim) -> None:
+        """Takes a claim, unless a newer one of its group is known."""
+        known = self._claims.get(claim.group)
+        if known is not None and known.offset >= claim.offset:
+            return
+        self._claims[claim.group] = claim
+        self.changes += 1
+        self._health.on_new_coordinator(claim.group)
+        self._claimed_at.pop(claim.group, None)
+        self._log(
+            "coordinator known", group=claim.group, coordinator=claim.daemon, offset=claim.offset
+        )
+
+    # Health of coordinators.
+
+    def on_activity(self, group: str, daemon: str) -> None:
+        """A daemon sent a message as the coordinator of a group."""
+        claim = self._claims.get(group)
+        if claim is not None and claim.daemon == daemon:
+            self._health.on_activity(group)
+
+    def on_missed(self, now: float, group: str) -> None:
+        """A request to the coordinator of a group got no reply in time."""
+        self._note_suspicion(group, self._health.on_missed(now, group))
+
+    def on_denied(self, now: float, group: str) -> None:
+        """The daemon that got a request replied that it does not coordinate the group."""
+        self._note_suspicion(group, self._health.on_denied(now, group))
+
+    def _note_suspicion(self, group: str, is_new: bool) -> None:
+        self._plan()
+        if is_new:
+            claim = self._claims.get(group)
+            coordinator = claim.daemon if claim is not None else ""
+            self._log("coordinator suspected", group=group, coordinator=coordinator)
+
+    def on_wanted(self, now: float, group: str) -> None:
+        """A group of which no usable coordinator is known needs one."""
+        if self._health.on_wanted(now, group):
+            self._plan()
+
+    # Claiming.
+
+    def _claim_due(self, group: Group) -> float:
+        """Returns when this daemon claims a group, if nothing changes until then."""
+        if not self._may_claim(group.name):
+            return NEVER
+        has_coordinator = group.name in self._claims and not self._health.is_missing(group.name)
+        missing_since = self._health.missing_since(group.name)
+        if has_coordinator or missing_since == NEVER:
+            return NEVER
+        claimed_at = self._claimed_at.get(group.name, float("-inf"))
+        return max(missing_since + self._claim_delay(group), claimed_at + CLAIM_INTERVAL_SECONDS)
+
+    def _may_claim(self, group: str) -> bool:
+        if self.is_draining or not self._follower.is_current or self._follower.failures:
+            return False
+        is_claiming = any(claim.group == group for claim in self._own_claims.values())
+        return not is_claiming and not self.is_own(group)
+
+    def _claim_delay(self, group: Group) -> float:
+        """Returns how long this daemon leaves a claim to others; it differs between daemons."""
+        part = (stable_hash(group.name, self._name) % 1000) / 1000
+        is_near = group.zone in ("", self._zone)
+        return part * CLAIM_SPREAD_SECONDS + (0.0 if is_near else OTHER_ZONE_SECONDS)
+
+    def _plan(self) -> None:
+        """Works out when the next claim is due; called after whatever may change that."""
+        due = (self._claim_due(group) for group in self._groups.all())
+        self._next_claim = min(due, default=NEVER)
+
+    def _check(self, now: float) -> list[StoreCall]:
+        """Claims the groups that are due."""
+        self._drop_unanswered(now)
+        calls: list[StoreCall] = []
+        for group in self._groups.all():
+            if group.name not in self._claims:
+                self.on_wanted(now, group.name)
+            if now >= self._claim_due(group):
+                calls.append(self._claim(now, group.name))
+        self._plan()
+        return calls
+
+    def _drop_unanswered(self, now: float) -> None:
+        for call, claim in list(self._own_claims.items()):
+            if now >= claim.sent_at + CALL_TIMEOUT_SECONDS:
+                del self._own_claims[call]
+
+    def _claim(self, now: float, group: str) -> StoreCall:
+        self._claimed_at[group] = now
+        call = self._numbers.next()
+        self._own_claims[call] = _OwnClaim(group, now)
+        value = cbor2.dumps([self._name, self._address.host, self._address.port])
+        record = KeyedRecord(group, value)
+        end = self._follower.next_offset
+        return AppendRecords(call, Partition(CLAIMS_TOPIC), (record,), expected_end=end)
+
+    # The store.
+
+    def set_read_interval(self, seconds: float) -> None:
+        """Sets the least interval between reads: one claim ends the reads of all daemons."""
+        self._follower.pace = seconds
+
+    def read_again(self, now: float) -> None:
+        """Reads the claims at once, as they may have changed while this process was suspended."""
+        self._follower.read_again(now)
+
+    def owns(self, call: int) -> bool:
+        """Returns whether a call to the store was made here."""
+        return call in self._own_claims or self._follower.owns(call)
+
+    def on_answer(self, now: float, call: int, outcome: StoreOutcome) -> None:
+        """Takes the outcome of a read or of a claim."""
+        if self._follower.owns(call):
+            self._follower.on_answer(now, outcome)
+            self._plan()
+            return
+        group = self._own_claims.pop(call).group
+        if isinstance(outcome, Appended):
+            self.take(Claim(group, self._name, self._address, outcome.offset))
+            return
+        if isinstance(outcome, EndMoved):
+            self._claimed_at[group] = now - CLAIM_INTERVAL_SECONDS + CONFLICT_RETRY_SECONDS
+        self._plan()
+        self._log("claim not taken", group=group, outcome=str(outcome)[:80])
+
+    # Timers.
+
+    def next_due(self) -> float:
+        """Returns when `on_timer` has something to do, in seconds of this process's clock."""
+        return min(self._follower.next_due(), max(self._check_at, self._next_claim))
+
+    def on_timer(self, now: float) -> list[StoreCall]:
+        """Reads claims, and claims what has had no coordinator for long enough."""
+        calls: list[StoreCall] = list(self._follower.on_timer(now))
+        if now >= self._check_at:
+            self._check_at = now + CHECK_SECONDS
+            calls += self._check(now)
+        return calls
--- a/src/troutswitch/decisions/slots/fleet.py
+++ b/src/troutswitch/decisions/slots/fleet.py
@@ -1,267 +1,239 @@
-"""The slots of all engines as one daemon deals with them: its part as coordinator, and as one
-that asks and reports."""
+"""All decisions on slots of one daemon: its part as coordinator, and as one that requests slots.
+
+It owns the parts in this package, follows the engine list and the claims with them, and passes each
+peer's message about slots to the part that it concerns. Grants are used only if they come from
+the daemon whose claim of the group is the newest known here, and once each.
+"""
 
 import random
-from collections.abc import Callable
+from collections.abc import Callable, Sequence
 from dataclasses import dataclass
+from typing import assert_never
 
-from troutswitch.common import Address
+from troutswitch.daemons.identity import DaemonIdentity
 from troutswitch.daemons.messages import (
     BatchSlotGrant,
     GroupDigest,
     HoldingsReport,
-    PeerMessage,
+    SlotMessage,
     SlotReply,
     SlotRequest,
 )
-from troutswitch.decisions.forwarding.engines import Engine, EngineRegistry
+from troutswitch.decisions.forwarding.engines import EngineRegistry
 from troutswitch.decisions.forwarding.messages import LogLine
 from troutswitch.decisions.forwarding.placement import HomePolicy
 from troutswitch.decisions.forwarding.run_times import RunTimes
 from troutswitch.decisions.jobs.batch_capacity import BatchCapacityPolicy
-from troutswitch.decisions.slots.claims import Claim, CoordinatorClaims
+from troutswitch.decisions.slots.batch_coordination import BatchCoordination
 from troutswitch.decisions.slots.coordinator import SlotCoordinator
+from troutswitch.decisions.slots.coordinator_claims import Claim, CoordinatorClaims
 from troutswitch.decisions.slots.groups import EngineGroups
 from troutswitch.decisions.slots.ledger import SlotLedger
+from troutswitch.decisions.slots.local_placement import LocalPlacement, RequestCandidates
 from troutswitch.decisions.slots.messages import (
     FleetShare,
-    SendToPeers,
+    OwnItems,
+    SlotInstruction,
     StartItems,
-    WaitingItems,
 )
 from troutswitch.decisions.slots.reports import HoldingsReports
 from troutswitch.decisions.slots.slot_requests import PlacementFound, SlotRequests
 from troutswitch.decisions.storage.follower import CallNumbers
 from troutswitch.decisions.storage.messages import StoreCall, StoreOutcome
 
-DIGEST_FRESH_SECONDS = 2.0
-"""Age up to which a digest counts: four intervals between digests."""
-UNCOORDINATED_SECONDS = 1.0
-"""Time without a word of a coordinator after which batch items start by what is known here;
-until then another daemon takes the group over."""
-
-Instruction = SendToPeers | StartItems | LogLine
-
 
 @dataclass(frozen=True, slots=True)
-class _Heard:
-    """A digest, and when it came."""
+class SlotPolicies:
+    """Policies on which decisions on slots rely.
+
+    `homes` knows the engines of long prompts; `batch_capacity` how much of an engine items may
+    take.
+    """
 
-    at: float
-    digest: GroupDigest
+    homes: HomePolicy
+    batch_capacity: BatchCapacityPolicy
 
 
 class FleetSlots:
-    """Groups, claims, counts, asks and reports of one daemon."""
+    """Groups, claims, counts, slot requests and reports of one daemon."""
 
     def __init__(
         self,
-        name: str,
-        zone: str,
-        address: Address,
-        incarnation: int,
+        identity: DaemonIdentity,
         engines: EngineRegistry,
         times: RunTimes,
-        homes: HomePolicy,
-        room: BatchCapacityPolicy,
+        policies: SlotPolicies,
+        own_items: OwnItems,
+        requests: RequestCandidates,
         numbers: CallNumbers,
-        own_waiting: Callable[[], WaitingItems],
-        own_open: Callable[[], int],
-        candidates: Callable[[float, int], list[Engine]],
-        emit: Callable[[Instruction], None],
-        log: Callable[..., None],
+        emit: Callable[[SlotInstruction], None],
         rng: random.Random,
     ) -> None:
+        name, zone, address = identity.name, identity.zone, identity.address
         self._engines = engines
         self._emit = emit
-        self._log = log
-        self._own_open = own_open
         self._list_changes = -1
-        self._heard: dict[str, _Heard] = {}
-        self._word_at: dict[str, float] = {}
-        """When each group's coordinator was last heard, or had last nothing to tell."""
-        self._looked_at: dict[str, float] = {}
         self.groups = EngineGroups()
-        self.claims = CoordinatorClaims(name, zone, address, self.groups, numbers, rng, log)
-        self.ledger = SlotLedger(engines, incarnation)
+        self.claims = CoordinatorClaims(name, zone, address, self.groups, numbers, rng, self._log)
+        self.ledger = SlotLedger(engines, identity.incarnation)
         self.coordinator = SlotCoordinator(
-            name, zone, engines, self.groups, self.ledger, times, own_waiting, own_open, room, rng
-        )
-        self.reports = HoldingsReports(
-            name,
-            zone,
-            address,
-            incarnation,
+            identity,
             engines,
             self.groups,
-            self.claims,
-            own_waiting,
-            own_open,
+            self.ledger,
+            times,
+            own_items,
+            policies.batch_capacity,
+            rng,
         )
-        self.asks = SlotRequests(
+        self.batch = BatchCoordination(self.groups, self.coordinator, self.ledger, own_items)
+        self.reports = HoldingsReports(identity, engines, self.groups, self.claims, own_items)
+        self.requests = SlotRequests(
             zone,
-            engines,
             self.groups,
             self.claims,
             self.coordinator,
-            homes,
-            self.reports.report,
-            candidates,
+            self.reports,
+            LocalPlacement(zone, engines, requests, policies.homes, rng),
             emit,
             rng,
         )
 
     # Messages.
 
-    def on_message(self, now: float, message: PeerMessage) -> list[PlacementFound]:
-        """Takes a peer's message about slots; returns searches for a place that ended."""
+    def on_message(self, now: float, message: SlotMessage) -> list[PlacementFound]:
+        """Takes a peer's message; returns the searches for a slot that it ended."""
         match message:
             case HoldingsReport():
                 self.ledger.on_report(now, message)
             case SlotRequest():
                 self.ledger.on_report(now, message.report)
-                self._emit_all(self.coordinator.on_ask(now, message))
+                self._emit_all(self.coordinator.on_request(now, message))
             case SlotReply():
-                return self._on_answer(now, message)
+                return self._on_reply(now, message)
             case BatchSlotGrant():
-                self._on_places(now, message)
+                self._on_batch_grant(now, message)
             case GroupDigest():
                 self._on_digest(now, message)
             case _:
-                raise TypeError(f"no message about slots: {type(message).__name__}")
+                assert_never(message)
         return []
 
-    def _on_answer(self, now: float, answer: SlotReply) -> list[PlacementFound]:
-        claim = self.claims.claim_of(answer.group)
-        is_current = claim is not None and claim.daemon == answer.sender
-        if claim is not None and is_current and answer.is_coordinator:
-            self._word_at[answer.group] = now
-            if answer.grant and not self.reports.take_grant(
-                claim, answer.incarnation, answer.grant
-            ):
-                return []
-        if claim is not None and is_current and answer.grant and not self.asks.is_awaited(answer):
-            self.reports.on_unused_place(claim)
-        found = self.asks.on_answer(now, answer)
+    def _on_reply(self, now: float, reply: SlotReply) -> list[PlacementFound]:
+        claim = self.claim_by(reply.group, reply.sender)
+        if claim is not None:
+            if reply.is_coordinator:
+                self.batch.on_activity(now, reply.group)
+                if self._is_doubled(claim, reply):
+                    return []
+            if reply.grant_number and not self.requests.is_awaited(reply):
+                self.reports.on_unused_grant(claim)
+        found = self.requests.on_reply(now, reply)
         return [found] if found is not None else []
 
-    def _on_places(self, now: float, places: BatchSlotGrant) -> None:
-        claim = self.claims.claim_of(places.group)
-        engine = self._engines.by_key(places.engine_key)
-        if claim is None or claim.daemon != places.sender:
-            self._log("places of another coordinator", group=places.group, peer=places.sender)
+    def _is_doubled(self, claim: Claim, reply: SlotReply) -> bool:
+        """Notes the grant of a reply; returns whether it was received before."""
+        if not reply.grant_number:
+            return False
+        return not self.reports.take_grant(claim, reply.incarnation, reply.grant_number)
+
+    def _on_batch_grant(self, now: float, grant: BatchSlotGrant) -> None:
+        claim = self.claim_by(grant.group, grant.sender)
+        if claim is None:
+            self._log("grant of another coordinator", group=grant.group, peer=grant.sender)
             return
-        if not self.reports.take_grant(claim, places.incarnation, places.grant) or engine is None:
+        is_new = self.reports.take_grant(claim, grant.incarnation, grant.grant_number)
+        engine = self._engines.by_key(grant.engine_key)
+        if not is_new or engine is None:
             return
-        self._word_at[places.group] = now
-        self.claims.on_activity(places.group, places.sender)
-        self._emit(StartItems(engine.record.engine_id, places.count))
+        self.batch.on_activity(now, grant.group)
+        self.claims.on_activity(grant.group, grant.sender)
+        self._emit(StartItems(engine.record.engine_id, grant.count))
 
     def _on_digest(self, now: float, digest: GroupDigest) -> None:
-        claim = self.claims.claim_of(digest.group)
-        if claim is None or claim.daemon != digest.sender:
+        if self.claim_by(digest.group, digest.sender) is None:
             return
-        self._word_at[digest.group] = now
-        self._heard[digest.group] = _Heard(now, digest)
+        self.batch.on_digest(now, digest)
         self.claims.on_activity(digest.group, digest.sender)
         if not self.coordinator.coordinates(digest.group):
             self._engines.take_counts(now, digest.counts)
 
     def claim_by(self, group: str, sender: str) -> Claim | None:
-        """Returns the claim of a group if it is a given daemon's."""
+        """Returns the newest known claim of a group if it is that of a given daemon."""
         claim = self.claims.claim_of(group)
         return claim if claim is not None and claim.daemon == sender else None
 
-    # What batch items may count on (`BatchSlots`).
+    # For batch items (`jobs.owner.BatchSlots`).
 
     def share(self, now: float) -> FleetShare:
-        """Returns what all daemons' items may count on together."""
-        free = 0.0
-        others = self.ledger.open_items() if self.coordinator.coordinated else 0
-        for group in self.groups.all():
-            told = self._digest(now, group.name)
-            if told is not None:
-                free += told.free_slots_hundredths / 100
-                others = max(others, told.open_items - self._own_open())
-            else:
-                free += self.coordinator.usual_free_slots(now, group.name)
-        return FleetShare(free, others)
-
-    def _digest(self, now: float, group: str) -> GroupDigest | None:
-        """Returns the newest digest of a group that another daemon coordinates."""
-        heard = self._heard.get(group)
-        if heard is None or self.coordinator.coordinates(group):
-            return None
-        return heard.digest if now - heard.at <= DIGEST_FRESH_SECONDS else None
+        """Returns the free slots and the items of all daemons."""
+        return self.batch.share(now)
 
     def is_coordinated(self, now: float, engine_id: str) -> bool:
-        """Returns whether places at an engine are granted, and must not be taken without."""
-        group = self.groups.of_engine(engine_id)
-        if group is None:
-            return False
-        if self.coordinator.coordinates(group.name):
-            return True
-        looked_at = self._looked_at.get(group.name, float("-inf"))
-        self._looked_at[group.name] = now
-        if now - looked_at > UNCOORDINATED_SECONDS:
-            self._word_at[group.name] = now  # nothing was wanted of it, so it was silent
-        return now - self._word_at[group.name] <= UNCOORDINATED_SECONDS
+        """Returns whether items at an engine may start only by its coordinator's grants."""
+        return self.batch.is_coordinated(now, engine_id)
+
+    # The store.
+
+    def owns(self, call: int) -> bool:
+        """Returns whether a call to the store was made here."""
+        return self.claims.owns(call)
+
+    def on_store(self, now: float, call: int, outcome: StoreOutcome) -> None:
+        """Takes the outcome of a call to the store."""
+        self.claims.on_answer(now, call, outcome)
 
     # Timers.
 
     def next_due(self) -> float:
-        """Returns when `on_timer` has something to do."""
+        """Returns when `on_timer` has something to do, in seconds of this process's clock."""
         return min(
             self.claims.next_due(),
             self.ledger.next_due(),
             self.coordinator.next_due(),
             self.reports.next_due(),
-            self.asks.next_due(),
+            self.requests.next_due(),
         )
 
     def on_timer(self, now: float) -> tuple[list[PlacementFound], list[StoreCall]]:
-        """Does what is due; returns searches that ended, and calls to the store."""
+        """Does what is due; returns the searches that ended, and calls to the store."""
         self._follow_list(now)
         calls = self.claims.on_timer(now)
         self._follow_claims(now)
         self.ledger.on_timer(now)
         self._emit_all(self.coordinator.on_timer(now))
-        found = self.asks.on_timer(now)
+        found = self.requests.on_timer(now)
         self._emit_all(self.reports.on_timer(now))
         self.ledger.validate()
         return found, calls
 
     def _follow_list(self, now: float) -> None:
+        """Groups the engines again if the list changed."""
         if self._engines.list_changes == self._list_changes:
             return
         self._list_changes = self._engines.list_changes
-        present = [s.record for s in self._engines.engines.values() if not s.is_leaving]
+        present = [e.record for e in self._engines.engines.values() if not e.is_leaving]
         self.groups.update(present)
         self.coordinator.on_list_changed(now)
 
     def _follow_claims(self, now: float) -> None:
-        """Begins and ends to coordinate as the claims have it."""
+        """Begins and ends to coordinate groups according to the claims."""
         own = {group.name for group in self.groups.all() if self.claims.is_own(group.name)}
-        held = set(self.coordinator.coordinated)
-        for group in sorted(own - held):
+        coordinated = set(self.coordinator.coordinated)
+        for group in sorted(own - coordinated):
             self._log("coordination begun", group=group)
             self.coordinator.begin(now, group)
-        for group in sorted(held - own):
+        for group in sorted(coordinated - own):
             self._log("coordination ended", group=group)
             self.coordinator.end(group)
 
-    def owns(self, call: int) -> bool:
-        """Returns whether a store's answer belongs here."""
-        return self.claims.owns(call)
-
-    def on_store(self, now: float, call: int, outcome: StoreOutcome) -> None:
-        """Takes a store's answer."""
-        self.claims.on_answer(now, call, outcome)
-
     def drain(self) -> None:
-        """Gives up what this daemon coordinates: others claim it."""
-        self.claims.is_leaving = True
+        """Stops coordinating groups, so that other daemons claim them."""
+        self.claims.is_draining = True
+
+    def _log(self, event: str, **fields: object) -> None:
+        self._emit(LogLine(event, fields))
 
-    def _emit_all(self, instructions: list[Instruction] | list[SendToPeers]) -> None:
+    def _emit_all(self, instructions: Sequence[SlotInstruction]) -> None:
         for instruction in instructions:
             self._emit(instruction)
--- /dev/null
+++ b/src/troutswitch/decisions/slots/group_search.py
@@ -0,0 +1,102 @@
+"""Decides which coordinator is asked next for a request's slot, and which wait is accepted.
+
+Inputs: the groups of the request's service, from the engine list that this daemon read last; the
+waits that coordinators replied within this search, in seconds, each some milliseconds old; the
+longest wait that the request accepts, in seconds.
+
+Rule:
+
+1. At most `GROUPS_ASKED_MOST` groups are asked, one after the other in random order; those that
+   span zones or are of this daemon's zone come first.
+2. A group is accepted only if the wait there is `NEAR_WAIT_SECONDS` at most, as long as there is
+   another group to ask, or one that replied. If there is none, its wait is accepted up to the
+   request's own bound.
+3. If no group was accepted, the one with the shortest wait is asked again, and takes the request
+   to its queue. If that wait is longer than the request accepts, there is no slot in time.
+
+Why: a free slot in another zone is worth one more message of a few milliseconds, but asking every
+group would cost more than the wait that it saves. The order is random so that daemons which send
+at the same time spread over the groups.
+
+Measured in docs/POLICY.md, "Rounds with coordinators of slots"; ways that were weighed are in
+docs/SLOTS.md.
+"""
+
+import random
+from dataclasses import dataclass
+
+from troutswitch.decisions.forwarding.placer import PlacementRequest
+from troutswitch.decisions.forwarding.wait_estimate import Estimate
+from troutswitch.decisions.slots.groups import Group
+
+GROUPS_ASKED_MOST = 3
+"""Groups that are asked for one request before it joins the shortest queue."""
+NEAR_WAIT_SECONDS = 0.02
+"""Wait for a slot up to which no other group is asked: about what another request costs."""
+
+
+def groups_in_order(groups: list[Group], zone: str, rng: random.Random) -> list[Group]:
+    """Returns the groups to ask, in order, for a daemon of a zone."""
+    ordered = list(groups)
+    rng.shuffle(ordered)
+    ordered.sort(key=lambda group: group.zone not in ("", zone))
+    return ordered[:GROUPS_ASKED_MOST]
+
+
+@dataclass(frozen=True, slots=True)
+class _GroupWait:
+    """The shortest wait at a group's engines, as its coordinator estimates it."""
+
+    group: Group
+    estimate: Estimate
+
+
+class GroupSearch:
+    """The search for one request's slot, group by group."""
+
+    def __init__(self, request: PlacementRequest, groups: list[Group]) -> None:
+        self.request = request
+        self.group: Group | None = None
+        """The group that was asked last."""
+        self._groups = list(groups)
+        self._shortest: _GroupWait | None = None
+        self._joins_queue = False
+
+    def next_group(self) -> Group | None:
+        """Moves to the next group and returns it; None when all were asked."""
+        if not self._groups:
+            return None
+        self.group = self._groups.pop(0)
+        return self.group
+
+    def accepted_wait(self) -> float:
+        """Returns the longest wait to accept of the group that is asked now, in seconds."""
+        has_alternative = bool(self._groups) or self._shortest is not None
+        if self._joins_queue or not has_alternative:
+            return self.request.longest_wait
+        return min(NEAR_WAIT_SECONDS, self.request.longest_wait)
+
+    def note_wait(self, group: Group, estimate: Estimate) -> None:
+        """Notes the wait at a group that was not accepted."""
+        if estimate.slots == 0:
+            return  # the group has no engine for the request
+        if self._shortest is None or estimate.wait < self._shortest.estimate.wait:
+            self._shortest = _GroupWait(group, estimate)
+
+    def too_long_wait(self) -> Estimate | None:
+        """Returns the shortest wait that was replied if it is longer than the request accepts."""
+        if self._shortest is None or self._joins_queue:
+            return None
+        estimate = self._shortest.estimate
+        return estimate if estimate.wait > self.request.longest_wait else None
+
+    def join_queue(self) -> Group | None:
+        """Moves to the group with the shortest wait, whose queue is joined.
+
+        Returns None if no group has an engine for the request, or if the queue was tried already.
+        """
+        if self._shortest is None or self._joins_queue:
+            return None
+        self._joins_queue = True
+        self.group = self._shortest.group
+        return self.group
--- a/src/troutswitch/decisions/slots/ledger.py
+++ b/src/troutswitch/decisions/slots/ledger.py
@@ -1,10 +1,14 @@
-"""What other daemons hold at engines, as the coordinator of these engines knows it.
+"""Counts what other daemons have in flight on the engines that this daemon coordinates.
 
-A peer's share of an engine is what its newest report tells, and what this daemon granted or
-took back since that report was made. Words to a peer carry numbers, and a report carries the
-number of the newest word that it includes, so a count is exact but for words and reports that
-are lost; a word that no report includes lapses after `WORD_LAPSE_SECONDS`, and a peer that is
-silent counts no more after `SILENT_SECONDS`.
+A peer's share of an engine is what its newest report states, plus what this daemon granted or
+retracted since that report was made. Grants to a peer are numbered, and a report carries the
+number of the newest grant that it includes. So a count is exact as long as no datagram is lost.
+
+What bounds a loss: a grant that no report includes expires after `GRANT_EXPIRY_SECONDS`, and what a
+peer has in flight counts no more once it was silent for `SILENT_SECONDS`.
+
+It owns the holders, which are the peers that report here, and it writes the peers' counts of each
+engine in the registry.
 """
 
 from collections import deque
@@ -21,31 +25,35 @@
 from troutswitch.decisions.forwarding.engines import Engine, EngineRegistry
 from troutswitch.decisions.invariants import ensure
 
-WORD_LAPSE_SECONDS = 0.5
-"""Time after which a word counts no more that no report has included: five times the longest
-time between a change and the report of it, with room for a lost datagram."""
+GRANT_EXPIRY_SECONDS = 0.5
+"""Time after which a grant counts no more that no report has included: more than twice the
+longest time until a report includes it, so that one lost report changes nothing."""
 SILENT_SECONDS = 2.0
-"""Silence after which a peer's holdings no longer count: four refreshments of its report."""
+"""Silence after which what a peer has in flight counts no more: four of its refreshed reports."""
 FORGET_SECONDS = 60.0
 """Silence after which a peer is forgotten."""
-LOOK_SECONDS = 0.1
-"""Interval between looks for words that lapsed and peers that fell silent."""
-EJECTIONS_TO_AVOID = 2
-"""Daemons that must find an engine unusable before no daemon is sent there."""
+CHECK_SECONDS = 0.1
+"""Interval between checks for expired grants and silent peers."""
+REPORTS_TO_AVOID = 2
+"""Daemons that must report an engine as unusable before no daemon is sent there."""
 
 
 @dataclass(frozen=True, slots=True)
-class Word:
-    """A grant (positive counts) or a taking back (negative ones) that a peer was told."""
+class Grant:
+    """Slots that a peer was granted; negative counts retract some."""
 
     number: int
-    told_at: float
+    granted_at: float
     share: EngineShare
 
 
 @dataclass(slots=True)
 class Holder:
-    """A peer with work at engines that this daemon counts."""
+    """A peer with work at the engines that this daemon coordinates.
+
+    `reported` is what its newest report states, `grants` what was granted since, and `shares`
+    both together, each by the engine's key. Times are in seconds of this process's clock.
+    """
 
     address: Address
     zone: str
@@ -53,8 +61,8 @@
     sequence: int
     last_seen_at: float
     reported: dict[int, EngineShare] = field(default_factory=dict)
-    words: deque[Word] = field(default_factory=deque)
-    last_word: int = 0
+    grants: deque[Grant] = field(default_factory=deque)
+    last_grant: int = 0
     shares: dict[int, EngineShare] = field(default_factory=dict)
     waiting_items: int = 0
     late_items: int = 0
@@ -62,14 +70,44 @@
     unusable: frozenset[int] = frozenset()
 
     def batch_at(self, key: int) -> int:
-        """Returns the batch items that it has at an engine."""
+        """Returns the batch items that it has at the engine of a key."""
         share = self.shares.get(key)
         return share.batch if share is not None else 0
 
     @property
-    def batch_on_the_way(self) -> int:
-        """Places for batch items that it was granted since its report."""
-        return sum(grant.share.batch for grant in self.words if grant.share.batch > 0)
+    def unreported_batch_grants(self) -> int:
+        """Slots for batch items that it was granted since its newest report."""
+        return sum(grant.share.batch for grant in self.grants if grant.share.batch > 0)
+
+    def take_report(self, now: float, report: HoldingsReport) -> None:
+        """Takes the content of a report that is newer than the last one."""
+        self.address, self.zone = report.address, report.zone
+        self.incarnation, self.sequence = report.incarnation, report.sequence
+        self.last_seen_at = now
+        self.waiting_items = report.waiting_items
+        self.late_items = report.late_items
+        self.open_items = report.open_items
+        self.unusable = frozenset(report.unusable)
+        self.reported = {share.engine_key: share for share in report.shares}
+
+    def drop_reported_grants(self, last_seen: int) -> None:
+        """Drops the grants up to a number, which the newest report includes."""
+        while self.grants and self.grants[0].number <= last_seen:
+            self.grants.popleft()
+
+    def drop_expired_grants(self, now: float) -> None:
+        """Drops the grants that no report included in time."""
+        while self.grants and now - self.grants[0].granted_at > GRANT_EXPIRY_SECONDS:
+            self.grants.popleft()
+
+    def clear(self) -> None:
+        """Counts the peer as having nothing, since it is silent."""
+        self.reported = {}
+        self.grants.clear()
+        self.waiting_items = 0
+        self.late_items = 0
+        self.open_items = 0
+        self.unusable = frozenset()
 
 
 class SlotLedger:
@@ -77,53 +115,45 @@
 
     def __init__(self, engines: EngineRegistry, incarnation: int) -> None:
         self.holders: dict[str, Holder] = {}
-        self.incarnation = incarnation
+        self._incarnation = incarnation
         self._engines = engines
-        self._looked_at = float("-inf")
+        self._checked_at = float("-inf")
 
     def on_report(self, now: float, report: HoldingsReport) -> bool:
-        """Takes a report; returns whether it is news, not one that a newer one overtook."""
+        """Takes a report; returns whether it was taken, as no newer one came before it."""
         holder = self.holders.get(report.sender)
         if holder is None:
             holder = Holder(report.address, report.zone, report.incarnation, -1, now)
             self.holders[report.sender] = holder
         if holder.incarnation != report.incarnation:
-            holder.words.clear()
+            holder.grants.clear()
         elif report.sequence <= holder.sequence:
             return False
-        holder.address, holder.zone = report.address, report.zone
-        holder.incarnation, holder.sequence = report.incarnation, report.sequence
-        holder.last_seen_at = now
-        holder.waiting_items = report.waiting_items
-        holder.late_items = report.late_items
-        holder.open_items = report.open_items
-        holder.unusable = frozenset(report.unusable)
-        holder.reported = {share.engine_key: share for share in report.shares}
-        if report.grant_incarnation == self.incarnation:
-            while holder.words and holder.words[0].number <= report.grant_seen:
-                holder.words.popleft()
+        holder.take_report(now, report)
+        if report.coordinator_incarnation == self._incarnation:
+            holder.drop_reported_grants(report.last_grant_seen)
         self._apply(now, holder)
         return True
 
-    def tell(self, now: float, name: str, share: EngineShare) -> int:
-        """Notes a word to a peer, which changes its share; returns the word's number."""
+    def grant(self, now: float, name: str, share: EngineShare) -> int:
+        """Counts a grant to a holder from now; returns the grant's number."""
         holder = self.holders[name]
-        holder.last_word += 1
-        holder.words.append(Word(holder.last_word, now, share))
+        holder.last_grant += 1
+        holder.grants.append(Grant(holder.last_grant, now, share))
         self._apply(now, holder)
-        return holder.last_word
+        return holder.last_grant
 
     def _apply(self, now: float, holder: Holder) -> None:
-        """Brings the counts of engines in line with what a holder has now."""
+        """Updates the counts of engines to what a holder has now."""
         shares = dict(holder.reported)
-        for grant in holder.words:
+        for grant in holder.grants:
             key = grant.share.engine_key
-            shares[key] = _sum(shares.get(key, EngineShare(key, 0, 0, 0)), grant.share)
+            shares[key] = _sum(shares.get(key, _nothing(key)), grant.share)
         if shares == holder.shares:
             return
         for key in holder.shares.keys() | shares.keys():
-            nothing = EngineShare(key, 0, 0, 0)
-            self._change(now, holder.shares.get(key, nothing), shares.get(key, nothing))
+            old = holder.shares.get(key, _nothing(key))
+            self._change(now, old, shares.get(key, _nothing(key)))
         holder.shares = shares
 
     def _change(self, now: float, old: EngineShare, new: EngineShare) -> None:
@@ -135,35 +165,8 @@
         engine.peers_batch = max(0, engine.peers_batch + new.batch - old.batch)
         engine.peers_prefill_tokens = max(0, engine.peers_prefill_tokens + tokens)
 
-    def next_due(self) -> float:
-        """Returns when `on_timer` has something to do."""
-        return self._looked_at + LOOK_SECONDS if self.holders else float("inf")
-
-    def on_timer(self, now: float) -> None:
-        """Lets words lapse, and peers that fell silent count no more."""
-        if now < self.next_due():
-            return
-        self._looked_at = now
-        for name, holder in list(self.holders.items()):
-            if now - holder.last_seen_at > SILENT_SECONDS:
-                self._silence(holder)
-            while holder.words and now - holder.words[0].told_at > WORD_LAPSE_SECONDS:
-                holder.words.popleft()
-            self._apply(now, holder)
-            if now - holder.last_seen_at > FORGET_SECONDS:
-                del self.holders[name]
-
-    @staticmethod
-    def _silence(holder: Holder) -> None:
-        holder.reported = {}
-        holder.words.clear()
-        holder.waiting_items = 0
-        holder.late_items = 0
-        holder.open_items = 0
-        holder.unusable = frozenset()
-
     def recount(self, now: float, engines: Iterable[Engine]) -> None:
-        """Makes the counts of some engines anew from the holders, after the list changed."""
+        """Counts some engines again from the holders, after engines joined or changed groups."""
         for engine in engines:
             engine.change_peers_online(now, -engine.peers_online)
             engine.peers_batch = 0
@@ -172,28 +175,58 @@
             for holder in self.holders.values():
                 share = holder.shares.get(key)
                 if share is not None:
-                    self._change(now, EngineShare(key, 0, 0, 0), share)
+                    self._change(now, _nothing(key), share)
+
+    # What the holders have.
 
     def batch_holders(self, key: int) -> list[tuple[str, int]]:
-        """Returns the peers that have batch items at an engine, with how many."""
-        held = ((name, holder.batch_at(key)) for name, holder in self.holders.items())
-        return [(name, count) for name, count in held if count > 0]
+        """Returns the peers that have batch items at the engine of a key, with how many."""
+        counts = ((name, holder.batch_at(key)) for name, holder in self.holders.items())
+        return [(name, count) for name, count in counts if count > 0]
 
     def is_avoided(self, key: int) -> bool:
-        """Returns whether several daemons find an engine unusable."""
-        found = sum(key in holder.unusable for holder in self.holders.values())
-        return found >= EJECTIONS_TO_AVOID
+        """Returns whether several daemons report the engine of a key as unusable."""
+        reports = sum(key in holder.unusable for holder in self.holders.values())
+        return reports >= REPORTS_TO_AVOID
 
     def open_items(self) -> int:
-        """Returns the batch items that peers have to finish."""
+        """Returns the number of batch items that peers have to finish."""
         return sum(holder.open_items for holder in self.holders.values())
 
+    # Timers.
+
+    def next_due(self) -> float:
+        """Returns when `on_timer` has something to do, in seconds of this process's clock."""
+        return self._checked_at + CHECK_SECONDS if self.holders else float("inf")
+
+    def on_timer(self, now: float) -> None:
+        """Drops expired grants, and what silent peers had in flight."""
+        if now < self.next_due():
+            return
+        self._checked_at = now
+        for name, holder in list(self.holders.items()):
+            silence = now - holder.last_seen_at
+            if silence > SILENT_SECONDS:
+                holder.clear()
+            holder.drop_expired_grants(now)
+            self._apply(now, holder)
+            if silence > FORGET_SECONDS:
+                del self.holders[name]
+
     def validate(self) -> None:
-        """Asserts what must hold between events."""
+        """Asserts what must hold between events.
+
+        Raises:
+            InvariantViolated: the grants to a holder aren't numbered in their order.
+        """
         for holder in self.holders.values():
-            numbers = [grant.number for grant in holder.words]
-            ensure(numbers == sorted(set(numbers)), "words to a peer are out of order")
-            ensure(not numbers or numbers[-1] <= holder.last_word, "a word has no number")
+            numbers = [grant.number for grant in holder.grants]
+            ensure(numbers == sorted(set(numbers)), "grants to a peer are out of order")
+            ensure(not numbers or numbers[-1] <= holder.last_grant, "a grant has no number")
+
+
+def _nothing(key: int) -> EngineShare:
+    return EngineShare(key, 0, 0, 0)
 
 
 def _sum(share: EngineShare, change: EngineShare) -> EngineShare:
--- /dev/null
+++ b/src/troutswitch/decisions/slots/local_placement.py
@@ -0,0 +1,94 @@
+"""Decides where a request goes if no coordinator decides it.
+
+Inputs: the engines that this daemon may send the request to, from its newest engine list and its
+own failed attempts; the online requests and items at each engine in this daemon's local view,
+which is up to some hundred milliseconds old.
+
+Rule:
+
+1. A long prompt goes to the home engine of its session (`forwarding/long_prompts.py`), whatever
+   the coordinators count.
+2. If no coordinator is known or none replies in time, the better of two engines drawn at random
+   is taken, near ones first (`TwoChoices`). If the request may go to none of them any more, any
+   engine of its service that is usable is drawn from.
+3. Without any engine the request ends with `NoEngine`.
+
+Why two choices: while no coordinator replies, the local view is old, and daemons that all took
+the best engine would take the same one.
+
+Measured in docs/POLICY.md, "Rounds with coordinators of slots". A daemon that uses no coordinators
+at all (policy `own_counts`) places with `forwarding/placer.py` instead.
+"""
+
+import random
+from typing import Protocol
+
+from troutswitch.daemons.messages import engine_key
+from troutswitch.decisions.forwarding.engines import Engine, EngineRegistry
+from troutswitch.decisions.forwarding.placement import HomePolicy, TwoChoices
+from troutswitch.decisions.forwarding.placer import (
+    AssignedBy,
+    Assignment,
+    NoEngine,
+    PlacementRequest,
+)
+
+
+class RequestCandidates(Protocol):
+    """Knows which engines a request may still be sent to."""
+
+    def candidates(self, now: float, token: int) -> list[Engine]:
+        """Returns the engines for the request that `token` names within this process."""
+        ...
+
+
+class LocalPlacement:
+    """Placements that this daemon makes from its local view."""
+
+    def __init__(
+        self,
+        zone: str,
+        engines: EngineRegistry,
+        requests: RequestCandidates,
+        homes: HomePolicy,
+        rng: random.Random,
+    ) -> None:
+        self._zone = zone
+        self._engines = engines
+        self._requests = requests
+        self._homes = homes
+        self._rng = rng
+        self._fallback = TwoChoices()
+
+    def home(
+        self, now: float, request: PlacementRequest, candidates: list[Engine]
+    ) -> Assignment | None:
+        """Assigns a request to its home engine, if it has one."""
+        engine = self._homes.home(candidates, request.prompt)
+        return _assignment(now, engine, AssignedBy.HOME) if engine is not None else None
+
+    def fall_back(self, now: float, request: PlacementRequest) -> Assignment | NoEngine:
+        """Assigns a request for which no coordinator granted a slot."""
+        candidates = self._requests.candidates(now, request.token)
+        if not candidates:
+            candidates = self._engines.usable(now, request.service)
+        if not candidates:
+            return NoEngine()
+        engine = self._fallback.choose(now, candidates, request.prompt, self._zone, self._rng)
+        return _assignment(now, engine, AssignedBy.FALLBACK)
+
+    def permitted(self, now: float, token: int, key: int) -> Engine | None:
+        """Returns the engine of a key, unless it is unknown here or the request may not use it."""
+        engine = self._engines.by_key(key)
+        allowed = self._requests.candidates(now, token)
+        return engine if engine is not None and engine in allowed else None
+
+    def excluded(self, now: float, token: int, engines: list[Engine]) -> frozenset[int]:
+        """Returns the keys of those engines that a request may not be sent to."""
+        allowed = {e.record.engine_id for e in self._requests.candidates(now, token)}
+        ids = [engine.record.engine_id for engine in engines]
+        return frozenset(engine_key(engine_id) for engine_id in ids if engine_id not in allowed)
+
+
+def _assignment(now: float, engine: Engine, assigned_by: AssignedBy) -> Assignment:
+    return Assignment(engine, assigned_by, engine.in_flight(now) >= engine.slots)
--- a/src/troutswitch/decisions/slots/messages.py
+++ b/src/troutswitch/decisions/slots/messages.py
@@ -1,14 +1,16 @@
-"""Typed messages between the decisions on slots and the rest of a daemon."""
+"""Events, instructions and interfaces between the decisions on slots and the rest of a daemon."""
 
 from dataclasses import dataclass
+from typing import Protocol
 
 from troutswitch.common import Address
 from troutswitch.daemons.messages import PeerMessage
+from troutswitch.decisions.forwarding.messages import LogLine
 
 
 @dataclass(frozen=True, slots=True)
 class SendToPeers:
-    """Instruction: send a message to daemons."""
+    """Instruction: send a message to daemons, one datagram to each address."""
 
     addresses: tuple[Address, ...]
     message: PeerMessage
@@ -16,14 +18,17 @@
 
 @dataclass(frozen=True, slots=True)
 class PeerMessageReceived:
-    """Event: a message of a peer came."""
+    """Event: a datagram of another daemon was received and decoded."""
 
     message: PeerMessage
 
 
 @dataclass(frozen=True, slots=True)
 class WaitingItems:
-    """Batch items that a daemon could start now: those that can be in time, and the others."""
+    """Batch items that a daemon could start now.
+
+    `in_time` of them can still meet their job's objective; the `late` ones will miss it.
+    """
 
     in_time: int = 0
     late: int = 0
@@ -31,15 +36,21 @@
 
 @dataclass(frozen=True, slots=True)
 class StartItems:
-    """This daemon may start so many batch items at an engine, or is to stop some if negative."""
+    """Instruction: start up to `count` of this daemon's batch items at an engine.
+
+    A negative `count` is the number of running items to stop there.
+    """
 
     engine_id: str
     count: int
 
 
+SlotInstruction = SendToPeers | StartItems | LogLine
+
+
 @dataclass(frozen=True, slots=True)
 class FleetShare:
-    """What batch items of the whole fleet may count on.
+    """What the batch items of the whole fleet have to share.
 
     `free_slots` is the mean number of slots that online requests leave; `open_items` counts
     the items that other daemons have to finish.
@@ -47,3 +58,17 @@
 
     free_slots: float
     open_items: int
+
+
+class OwnItems(Protocol):
+    """The batch items that this daemon owns."""
+
+    @property
+    def waiting(self) -> WaitingItems:
+        """Items that could start now."""
+        ...
+
+    @property
+    def open_items(self) -> int:
+        """Number of items that are not finished."""
+        ...
--- /dev/null
+++ b/src/troutswitch/decisions/slots/preemption.py
@@ -0,0 +1,78 @@
+"""Decides which batch item stops so that an online request gets its slot.
+
+Inputs: online requests and batch items at an engine as the coordinator counts them, exact but for
+reports in flight (some 10 ms); this daemon's own items there, exact.
+
+Rule: as many items stop as online requests and items together exceed the engine's slots, at most
+all items. Each time one holder is drawn at random, by how many items it has there; it chooses
+which of its items stops (`jobs/owner.py`).
+
+Why: engines admit in the order of arrival and know no priorities, so an item gives up its slot
+only by being stopped. Drawing by the number of items lets all daemons lose alike.
+
+Measured in docs/POLICY.md, "Rounds with coordinators of slots".
+"""
+
+import random
+
+from troutswitch.daemons.messages import engine_key
+from troutswitch.decisions.forwarding.engines import Engine
+from troutswitch.decisions.forwarding.messages import LogLine
+from troutswitch.decisions.slots.batch_grants import BatchGrants
+from troutswitch.decisions.slots.batch_slots import SELF
+from troutswitch.decisions.slots.ledger import SlotLedger
+from troutswitch.decisions.slots.messages import SlotInstruction, StartItems
+
+
+class ItemPreemption:
+    """Stops batch items at the engines that this daemon coordinates."""
+
+    def __init__(
+        self, name: str, ledger: SlotLedger, grants: BatchGrants, rng: random.Random
+    ) -> None:
+        self._name = name
+        self._ledger = ledger
+        self._grants = grants
+        self._rng = rng
+        self._own_stops: dict[str, int] = {}
+        """Own items by engine that are to stop in this step, and still count as running."""
+
+    def make_room(
+        self, now: float, engine: Engine, about_to_send: int = 0
+    ) -> list[SlotInstruction]:
+        """Stops the items that are above the engine's slots.
+
+        `about_to_send` is the number of online requests of this daemon that are sent to the engine
+        in this step and do not count there yet.
+        """
+        instructions: list[SlotInstruction] = []
+        surplus = engine.online() + engine.batch() + about_to_send - engine.slots
+        for _ in range(min(surplus, engine.batch())):
+            instructions += self._stop_one(now, engine)
+        return instructions
+
+    def end_step(self) -> None:
+        """Forgets which own items were to stop: they are stopped at the end of the step."""
+        self._own_stops.clear()
+
+    def _stop_one(self, now: float, engine: Engine) -> list[SlotInstruction]:
+        engine_id = engine.record.engine_id
+        holder = self._draw_holder(engine)
+        if holder is None:
+            return []
+        line = LogLine("item to yield", {"engine": engine_id, "peer": holder or self._name})
+        if holder == SELF:
+            self._own_stops[engine_id] = self._own_stops.get(engine_id, 0) + 1
+            return [StartItems(engine_id, -1), line]
+        return [self._grants.grant(now, holder, engine, -1), line]
+
+    def _draw_holder(self, engine: Engine) -> str | None:
+        """Draws a daemon with items at an engine, by how many it has; None if there is none."""
+        engine_id = engine.record.engine_id
+        own = engine.batch_in_flight - self._own_stops.get(engine_id, 0)
+        holders = [(SELF, own)] if own > 0 else []
+        holders += self._ledger.batch_holders(engine_key(engine_id))
+        if not holders:
+            return None
+        names = [name for name, _ in holders]
+        return self._rng.choices(names, [count for _, count in holders])[0]
--- a/src/troutswitch/decisions/slots/reports.py
+++ b/src/troutswitch/decisions/slots/reports.py
@@ -1,14 +1,18 @@
-"""Tells coordinators what this daemon has in flight at their engines.
+"""Reports to coordinators what this daemon has in flight at their engines.
 
-A report goes some milliseconds after a change that the coordinator does not know, and now and
-then while anything is held or waits. A daemon that holds nothing and wants nothing tells
-nothing, so what is told follows the requests, not the number of daemons.
+A report is sent some milliseconds after a change that the coordinator does not know, and
+repeatedly while anything is in flight or waits. A daemon without work sends none, so the number of
+reports follows the number of requests, not of daemons.
+
+It owns what each coordinator was last told, the number of its newest grant that came here, and the
+sequence number of this daemon's reports. It relies on the claims for who coordinates which group.
 """
 
-from collections.abc import Callable
+from collections.abc import Iterator
 from dataclasses import dataclass, field
 
 from troutswitch.common import Address
+from troutswitch.daemons.identity import DaemonIdentity
 from troutswitch.daemons.messages import (
     EngineShare,
     HoldingsReport,
@@ -16,30 +20,30 @@
     prefill_units,
 )
 from troutswitch.decisions.forwarding.engines import Engine, EngineRegistry
-from troutswitch.decisions.slots.claims import Claim, CoordinatorClaims
+from troutswitch.decisions.slots.coordinator_claims import Claim, CoordinatorClaims
 from troutswitch.decisions.slots.groups import EngineGroups
-from troutswitch.decisions.slots.messages import SendToPeers, WaitingItems
+from troutswitch.decisions.slots.messages import OwnItems, SendToPeers, WaitingItems
 
 REPORT_SECONDS = 0.01
 """Least interval between reports to one coordinator: changes within it go together."""
-NOTICE_SECONDS = 0.2
-"""Longest time until a coordinator hears that its words came, well before they lapse."""
+ACKNOWLEDGE_SECONDS = 0.2
+"""Longest time until a report acknowledges a grant, well before the grant expires."""
 REFRESH_SECONDS = 0.5
-"""Interval between reports while something is held or waits, in case one was lost, and for a
-coordinator that is new."""
+"""Interval between reports while something is in flight or waits, for a coordinator that is new
+or lost a report."""
 
 
 @dataclass(frozen=True, slots=True)
-class _Told:
-    """What a coordinator is told, but for what changes with each report."""
+class _Holdings:
+    """What one coordinator is to know of this daemon."""
 
     shares: tuple[EngineShare, ...] = ()
     waiting: WaitingItems = field(default_factory=WaitingItems)
     open_items: int = 0
 
     @property
-    def is_nothing(self) -> bool:
-        """Whether there is no need to tell it again."""
+    def is_empty(self) -> bool:
+        """Whether there is no need to repeat the report."""
         return not self.shares and not self.open_items
 
 
@@ -48,13 +52,24 @@
     """One coordinator as this daemon reports to it."""
 
     address: Address
-    told: _Told = field(default_factory=_Told)
+    reported: _Holdings = field(default_factory=_Holdings)
     sent_at: float = float("-inf")
     incarnation: int = 0
-    grant_seen: int = 0
-    has_news: bool = False
-    holds_unused: bool = False
-    """Whether it granted a place that nobody here takes."""
+    last_grant_seen: int = 0
+    has_unacknowledged: bool = False
+    has_unused_grant: bool = False
+    """Whether it granted a slot to a request that is gone."""
+
+
+@dataclass(frozen=True, slots=True)
+class _State:
+    """All that holdings follow from, to tell whether they are to be worked out again."""
+
+    engine_changes: int
+    claim_changes: int
+    group_changes: int
+    waiting: WaitingItems
+    open_items: int
 
 
 class HoldingsReports:
@@ -62,123 +77,128 @@
 
     def __init__(
         self,
-        name: str,
-        zone: str,
-        address: Address,
-        incarnation: int,
+        identity: DaemonIdentity,
         engines: EngineRegistry,
         groups: EngineGroups,
         claims: CoordinatorClaims,
-        waiting: Callable[[], WaitingItems],
-        open_items: Callable[[], int],
+        own_items: OwnItems,
     ) -> None:
-        self._name = name
-        self._zone = zone
-        self._address = address
-        self._incarnation = incarnation
+        self._identity = identity
         self._engines = engines
         self._groups = groups
         self._claims = claims
-        self._waiting = waiting
-        self._open_items = open_items
+        self._own_items = own_items
         self._sequence = 0
         self._coordinators: dict[str, _Coordinator] = {}
-        self._seen_state: tuple[tuple[int, int, int], WaitingItems, int] | None = None
-        self._wanted: dict[str, _Told] = {}
-
-    # Words of coordinators.
-
-    def take_grant(self, claim: Claim, incarnation: int, grant: int) -> bool:
-        """Notes a numbered word; returns whether it is new, so that it may be acted on."""
-        held = self._held(claim)
-        if held.incarnation != incarnation:
-            held.incarnation, held.grant_seen = incarnation, 0
-            held.has_news = True  # a new life of the coordinator knows nothing yet
-        if grant <= held.grant_seen:
+        self._seen_state: _State | None = None
+        self._holdings: dict[str, _Holdings] = {}
+
+    # Grants of coordinators.
+
+    def take_grant(self, claim: Claim, incarnation: int, number: int) -> bool:
+        """Notes a numbered grant; returns whether it is new, so that it may be acted on."""
+        coordinator = self._coordinator(claim)
+        if coordinator.incarnation != incarnation:
+            coordinator.incarnation, coordinator.last_grant_seen = incarnation, 0
+            coordinator.has_unacknowledged = True  # a new process has no reports yet
+        if number <= coordinator.last_grant_seen:
             return False
-        held.grant_seen = grant
-        held.has_news = True
+        coordinator.last_grant_seen = number
+        coordinator.has_unacknowledged = True
         return True
 
-    def on_unused_place(self, claim: Claim) -> None:
-        """Gives a granted place back with the next report, as its request is gone.
+    def on_unused_grant(self, claim: Claim) -> None:
+        """Gives a slot back with the next report, as the request it was granted to is gone.
 
-        It stood empty for `NOTICE_SECONDS` more otherwise.
+        Otherwise the slot would stay empty until the next acknowledgement.
         """
-        self._held(claim).holds_unused = True
+        self._coordinator(claim).has_unused_grant = True
 
     def knows_all(self, claim: Claim) -> bool:
-        """Returns whether a coordinator was told what this daemon has there now."""
+        """Returns whether a coordinator was sent what this daemon has there now."""
         self._update()
-        return self._held(claim).told == self._wanted.get(claim.daemon, _Told())
+        return self._coordinator(claim).reported == self._holdings_for(claim)
 
     def assume_known(self, claim: Claim) -> None:
-        """Takes it that the coordinator knows what it has just granted."""
+        """Counts what this daemon has now as reported: the coordinator has just granted it."""
         self._update()
-        self._held(claim).told = self._wanted.get(claim.daemon, _Told())
+        self._coordinator(claim).reported = self._holdings_for(claim)
 
-    def _held(self, claim: Claim) -> _Coordinator:
-        held = self._coordinators.get(claim.daemon)
-        if held is None:
-            held = _Coordinator(claim.address)
-            self._coordinators[claim.daemon] = held
-        held.address = claim.address
-        return held
+    def _coordinator(self, claim: Claim) -> _Coordinator:
+        coordinator = self._coordinators.get(claim.daemon)
+        if coordinator is None:
+            coordinator = _Coordinator(claim.address)
+            self._coordinators[claim.daemon] = coordinator
+        coordinator.address = claim.address
+        return coordinator
 
-    # What is to be told.
+    def _holdings_for(self, claim: Claim) -> _Holdings:
+        return self._holdings.get(claim.daemon, _Holdings())
+
+    # What there is to report.
 
     def _update(self) -> None:
-        """Works out anew what each coordinator is to know, if anything changed."""
-        changes = (self._engines.changes, self._claims.changes, self._groups.changes)
-        waiting, open_items = self._waiting(), self._open_items()
-        state = (changes, waiting, open_items)
+        """Works out the holdings for each coordinator, if anything changed."""
+        state = _State(
+            self._engines.changes,
+            self._claims.changes,
+            self._groups.changes,
+            self._own_items.waiting,
+            self._own_items.open_items,
+        )
         if state == self._seen_state:
             return
         self._seen_state = state
+        shares = self._shares()
+        self._holdings = {}
+        for claim in self._peers_claims():
+            self._coordinator(claim)
+            in_flight = tuple(shares.get(claim.daemon, ()))
+            self._holdings[claim.daemon] = _Holdings(in_flight, state.waiting, state.open_items)
+
+    def _shares(self) -> dict[str, list[EngineShare]]:
+        """Returns what is in flight here, by the coordinator that counts it."""
         shares: dict[str, list[EngineShare]] = {}
         for engine_id, engine in self._engines.engines.items():
             if engine.online_in_flight or engine.batch_in_flight:
-                claim = self._claim_for(engine_id)
+                group = self._groups.of_engine(engine_id)
+                claim = self._claims.claim_of(group.name) if group is not None else None
                 if claim is not None:
                     shares.setdefault(claim.daemon, []).append(_share(engine_id, engine))
-        wanted: dict[str, _Told] = {}
+        return shares
+
+    def _peers_claims(self) -> Iterator[Claim]:
+        """Yields the claims of groups that peers coordinate."""
         for group in self._groups.all():
             claim = self._claims.claim_of(group.name)
-            if claim is not None and claim.daemon != self._name:
-                self._held(claim)
-                held = tuple(shares.get(claim.daemon, ()))
-                wanted[claim.daemon] = _Told(held, waiting, open_items)
-        self._wanted = wanted
-
-    def _claim_for(self, engine_id: str) -> Claim | None:
-        group = self._groups.of_engine(engine_id)
-        return self._claims.claim_of(group.name) if group is not None else None
+            if claim is not None and claim.daemon != self._identity.name:
+                yield claim
 
     # Reports.
 
     def report(self, now: float, claim: Claim) -> HoldingsReport:
         """Returns a report for a coordinator, which counts as sent now."""
         self._update()
-        return self._make(now, self._held(claim), self._wanted.get(claim.daemon, _Told()))
+        return self._report(now, self._coordinator(claim), self._holdings_for(claim))
 
-    def _make(self, now: float, held: _Coordinator, told: _Told) -> HoldingsReport:
-        held.told = told
-        held.sent_at = now
-        held.has_news = False
-        held.holds_unused = False
+    def _report(self, now: float, coordinator: _Coordinator, holdings: _Holdings) -> HoldingsReport:
+        coordinator.reported = holdings
+        coordinator.sent_at = now
+        coordinator.has_unacknowledged = False
+        coordinator.has_unused_grant = False
         self._sequence += 1
         return HoldingsReport(
-            self._name,
-            self._zone,
-            self._address,
-            self._incarnation,
+            self._identity.name,
+            self._identity.zone,
+            self._identity.address,
+            self._identity.incarnation,
             self._sequence,
-            told.shares,
-            told.waiting.in_time,
-            told.waiting.late,
-            told.open_items,
-            held.incarnation,
-            held.grant_seen,
+            holdings.shares,
+            holdings.waiting.in_time,
+            holdings.waiting.late,
+            holdings.open_items,
+            coordinator.incarnation,
+            coordinator.last_grant_seen,
             self._unusable(now),
         )
 
@@ -189,28 +209,30 @@
             if engine.is_leaving or now < max(engine.ejected_until, engine.full_until)
         )
 
+    # Timers.
+
     def next_due(self) -> float:
-        """Returns when `on_timer` has something to do."""
+        """Returns when `on_timer` has something to do, in seconds of this process's clock."""
         self._update()
-        return min((self._due(name) for name in self._wanted), default=float("inf"))
+        return min((self._due(name) for name in self._holdings), default=float("inf"))
 
     def _due(self, name: str) -> float:
-        held = self._coordinators[name]
-        wanted = self._wanted[name]
-        if wanted != held.told or held.holds_unused:
-            return held.sent_at + REPORT_SECONDS
-        if held.has_news:
-            return held.sent_at + NOTICE_SECONDS
-        return float("inf") if wanted.is_nothing else held.sent_at + REFRESH_SECONDS
+        coordinator = self._coordinators[name]
+        holdings = self._holdings[name]
+        if holdings != coordinator.reported or coordinator.has_unused_grant:
+            return coordinator.sent_at + REPORT_SECONDS
+        if coordinator.has_unacknowledged:
+            return coordinator.sent_at + ACKNOWLEDGE_SECONDS
+        return float("inf") if holdings.is_empty else coordinator.sent_at + REFRESH_SECONDS
 
     def on_timer(self, now: float) -> list[SendToPeers]:
         """Sends the reports that are due."""
         self._update()
         instructions: list[SendToPeers] = []
-        for name in [name for name in self._wanted if now >= self._due(name)]:
-            held = self._coordinators[name]
-            report = self._make(now, held, self._wanted[name])
-            instructions.append(SendToPeers((held.address,), report))
+        for name in [name for name in self._holdings if now >= self._due(name)]:
+            coordinator = self._coordinators[name]
+            report = self._report(now, coordinator, self._holdings[name])
+            instructions.append(SendToPeers((coordinator.address,), report))
         return instructions
 
 
--- a/src/troutswitch/decisions/slots/slot_requests.py
+++ b/src/troutswitch/decisions/slots/slot_requests.py
@@ -1,12 +1,19 @@
-"""Finds places for this daemon's online requests by asking coordinators.
+"""Requests slots for this daemon's online requests from coordinators, and awaits the replies.
 
-(wish)  -> ASKED      the coordinator of a group was asked, the own zone's first
-ASKED   -> ASKED      it has no place soon: the next group is asked
-ASKED   -> placed     a place was granted, or the best group takes the request to its queue
-ASKED   -> deferred   the wait is too long in every group
-ASKED   -> fallback   no answer within `ANSWER_SECONDS`: placed by what is known here
+    (new)     -> AWAITING    a group's coordinator was sent a request
+    AWAITING  -> AWAITING    no slot soon: the next group's coordinator was sent a request
+    AWAITING  -> assigned    a slot was granted, or the queue of the best group was joined
+    AWAITING  -> no slot     the wait is too long in every group
+    AWAITING  -> fallback    no reply within `REPLY_SECONDS`: this daemon decides alone
+
+A group that this daemon coordinates itself is decided at once, without a message.
+
+It owns the searches that await a reply. Which group comes next and which wait is accepted is
+decided in `group_search.py`, placements without a coordinator in `local_placement.py`. It tells
+the claims whether coordinators reply, so that a silent one is replaced.
 """
 
+import enum
 import itertools
 import random
 from collections.abc import Callable
@@ -14,271 +21,245 @@
 
 from troutswitch.daemons.messages import (
     NO_ENGINE,
-    HoldingsReport,
+    UNBOUNDED_WAIT_MS,
     SlotReply,
     SlotRequest,
-    engine_key,
     prefill_units,
 )
-from troutswitch.decisions.forwarding.engines import Engine, EngineRegistry
+from troutswitch.decisions.forwarding.engines import Engine
 from troutswitch.decisions.forwarding.messages import LogLine
-from troutswitch.decisions.forwarding.placement import HomePolicy, PlacementPolicy, TwoChoices
 from troutswitch.decisions.forwarding.placer import (
     AssignedBy,
     Assignment,
-    NoEngine,
     NoSlotInTime,
     Placement,
     PlacementRequest,
 )
 from troutswitch.decisions.forwarding.wait_estimate import Estimate
-from troutswitch.decisions.slots.claims import Claim, CoordinatorClaims
-from troutswitch.decisions.slots.coordinator import PlaceRequest, SlotCoordinator
+from troutswitch.decisions.slots.coordinator import SlotCoordinator
+from troutswitch.decisions.slots.coordinator_claims import Claim, CoordinatorClaims
+from troutswitch.decisions.slots.group_search import GroupSearch, groups_in_order
 from troutswitch.decisions.slots.groups import EngineGroups, Group
-from troutswitch.decisions.slots.messages import SendToPeers, StartItems
+from troutswitch.decisions.slots.local_placement import LocalPlacement
+from troutswitch.decisions.slots.messages import SendToPeers, SlotInstruction
+from troutswitch.decisions.slots.reports import HoldingsReports
+from troutswitch.decisions.slots.slot_choice import SlotQuery
+
+REPLY_SECONDS = 0.03
+"""Time within which a coordinator must reply: a tenth of an objective of 300 ms, and several
+times what a reply from another zone takes."""
 
-ANSWER_SECONDS = 0.03
-"""Time for an answer: a tenth of an objective of 300 ms; an answer takes one to four
-milliseconds between zones, and more where a daemon's processor is busy."""
-GROUPS_ASKED_MOST = 3
-"""Groups that are asked for one request before it joins the shortest queue."""
-NEAR_WAIT_SECONDS = 0.02
-"""Wait for a slot for which no other group is asked: about what asking costs."""
-NO_BOUND = -1
-"""Stands for a request that takes any wait, in an ask."""
 
-Instruction = SendToPeers | StartItems | LogLine
+class _Pending(enum.Enum):
+    """A coordinator was sent a request, and its reply is awaited."""
+
+    REPLY = enum.auto()
 
 
 @dataclass(slots=True)
-class _Search:
-    """The search for one request's place."""
+class _OpenSearch:
+    """A search that awaits the reply to the slot request of a number."""
+
+    search: GroupSearch
+    number: int
+    requested_at: float
 
-    wish: PlacementRequest
-    groups: list[Group]
-    number: int = 0
-    asked: Group | None = None
-    requested_at: float = 0.0
-    is_last: bool = False
-    best: Estimate | None = None
-    best_group: Group | None = None
+    @property
+    def due_at(self) -> float:
+        """When the reply is overdue."""
+        return self.requested_at + REPLY_SECONDS
 
 
 @dataclass(frozen=True, slots=True)
 class PlacementFound:
-    """The end of a search."""
+    """How the search for the request that `token` names ended."""
 
     token: int
-    placing: Placement
+    placement: Placement
 
 
 class SlotRequests:
-    """Searches in progress; implements `Placer`."""
+    """Searches for slots of this daemon's online requests; implements `Placer`."""
 
     def __init__(
         self,
         zone: str,
-        engines: EngineRegistry,
         groups: EngineGroups,
         claims: CoordinatorClaims,
         coordinator: SlotCoordinator,
-        homes: HomePolicy,
-        report: Callable[[float, Claim], HoldingsReport],
-        candidates: Callable[[float, int], list[Engine]],
-        emit: Callable[[Instruction], None],
+        reports: HoldingsReports,
+        local: LocalPlacement,
+        emit: Callable[[SlotInstruction], None],
         rng: random.Random,
     ) -> None:
         self._zone = zone
-        self._engines = engines
         self._groups = groups
         self._claims = claims
         self._coordinator = coordinator
-        self._homes = homes
-        self._report = report
-        self._candidates = candidates
+        self._reports = reports
+        self._local = local
         self._emit = emit
         self._rng = rng
-        self._fallback: PlacementPolicy = TwoChoices()
-        self._searches: dict[int, _Search] = {}
-        self._by_number: dict[int, int] = {}
+        self._open: dict[int, _OpenSearch] = {}
+        self._tokens: dict[int, int] = {}
+        """Tokens of requests by the number of the slot request whose reply is awaited."""
         self._numbers = itertools.count(1)
 
-    # Placer.
+    # `Placer`.
 
     def place(
-        self, now: float, wish: PlacementRequest, candidates: list[Engine]
+        self, now: float, request: PlacementRequest, candidates: list[Engine]
     ) -> Placement | None:
-        """Begins a search; one that this daemon can end itself ends at once."""
-        home = self._homes.home(candidates, wish.prompt)
+        """Begins a search; returns its end if no reply has to be awaited."""
+        home = self._local.home(now, request, candidates)
         if home is not None:
-            return Assignment(home, AssignedBy.HOME, home.in_flight(now) >= home.slots)
-        search = _Search(wish, self._groups_in_order(wish.service))
-        return self._go_on(now, search)
+            return home
+        groups = self._groups.of_service(request.service)
+        search = GroupSearch(request, groups_in_order(groups, self._zone, self._rng))
+        return self._advance(now, search)
 
     def withdraw(self, now: float, token: int) -> None:
-        """Forgets a search; a place that is granted to it is given back (`is_awaited`)."""
-        search = self._searches.pop(token, None)
-        if search is not None:
-            self._by_number.pop(search.number, None)
-
-    def _groups_in_order(self, service: str) -> list[Group]:
-        groups = self._groups.of_service(service)
-        self._rng.shuffle(groups)
-        groups.sort(key=lambda group: group.zone not in ("", self._zone))
-        return groups[:GROUPS_ASKED_MOST]
-
-    # Searching.
-
-    def _go_on(self, now: float, search: _Search) -> Placement | None:
-        """Asks the next group, or ends the search."""
-        while search.groups:
-            search.asked = search.groups.pop(0)
-            placing, is_sent = self._ask(now, search, search.asked)
-            if placing is not None or is_sent:
-                return placing
-        return self._end(now, search)
-
-    def _ask(self, now: float, search: _Search, group: Group) -> tuple[Placement | None, bool]:
-        """Asks a group's coordinator; returns the end of the search, and if an answer is due."""
+        """Forgets a search; a slot that is still granted to it is given back (`is_awaited`)."""
+        open_search = self._open.pop(token, None)
+        if open_search is not None:
+            self._tokens.pop(open_search.number, None)
+
+    # The course of a search.
+
+    def _advance(self, now: float, search: GroupSearch) -> Placement | None:
+        """Tries the groups that are left; returns None if a reply is awaited."""
+        while (group := search.next_group()) is not None:
+            outcome = self._try_group(now, search, group)
+            if outcome is _Pending.REPLY:
+                return None
+            if outcome is not None:
+                return outcome
+        return self._join_shortest_queue(now, search)
+
+    def _join_shortest_queue(self, now: float, search: GroupSearch) -> Placement | None:
+        """Ends a search that found no slot soon; returns None if a reply is awaited."""
+        too_long_wait = search.too_long_wait()
+        if too_long_wait is not None:
+            return NoSlotInTime(too_long_wait)
+        group = search.join_queue()
+        outcome = self._try_group(now, search, group) if group is not None else None
+        if outcome is _Pending.REPLY:
+            return None
+        return outcome if outcome is not None else self._local.fall_back(now, search.request)
+
+    def _try_group(
+        self, now: float, search: GroupSearch, group: Group
+    ) -> Placement | _Pending | None:
+        """Decides for a group of this daemon's, or sends a request to the group's coordinator.
+
+        Returns None if the group has no slot soon, or no coordinator is known.
+        """
         if self._coordinator.coordinates(group.name):
-            return self._decide_here(now, search, group), False
+            return self._decide(now, search, group)
         claim = self._claims.coordinator(now, group.name)
         if claim is None:
             self._claims.on_wanted(now, group.name)
-            return None, False
-        search.number = next(self._numbers)
-        search.requested_at = now
-        self._searches[search.wish.token] = search
-        self._by_number[search.number] = search.wish.token
-        self._emit(SendToPeers((claim.address,), self._message(now, search, group, claim)))
-        return None, True
-
-    def _message(self, now: float, search: _Search, group: Group, claim: Claim) -> SlotRequest:
-        wait = self._wait_taken(search)
-        return SlotRequest(
-            self._report(now, claim),
-            search.number,
-            group.name,
-            prefill_units(search.wish.prompt.prompt_tokens),
-            NO_BOUND if wait == float("inf") else round(wait * 1000),
-            tuple(sorted(self._avoided(now, search, group))),
-        )
-
-    def _wait_taken(self, search: _Search) -> float:
-        """Returns the wait that is taken now: little while another group may have a slot."""
-        if search.is_last or (not search.groups and search.best is None):
-            return search.wish.longest_wait
-        return min(NEAR_WAIT_SECONDS, search.wish.longest_wait)
-
-    def _avoided(self, now: float, search: _Search, group: Group) -> frozenset[int]:
-        allowed = {s.record.engine_id for s in self._candidates(now, search.wish.token)}
-        held = self._coordinator.engines_of(group.name)
-        return frozenset(
-            engine_key(s.record.engine_id) for s in held if s.record.engine_id not in allowed
-        )
+            return None
+        self._send(now, search, group, claim)
+        return _Pending.REPLY
 
-    def _decide_here(self, now: float, search: _Search, group: Group) -> Placement | None:
-        request = PlaceRequest(
-            group,
-            self._zone,
-            prefill_units(search.wish.prompt.prompt_tokens),
-            self._wait_taken(search),
-            self._avoided(now, search, group),
+    def _decide(self, now: float, search: GroupSearch, group: Group) -> Placement | None:
+        """Decides as the coordinator of a group; returns None if it has no slot soon."""
+        query = SlotQuery(
+            group, self._zone, search.accepted_wait(), self._excluded(now, search, group)
         )
-        decision = self._coordinator.decide(now, request)
+        decision = self._coordinator.decide(now, query)
         if decision.engine is None:
-            self._note_wait(search, group, decision.estimate)
+            search.note_wait(group, decision.estimate)
             return None
-        for made in self._coordinator.make_room_for_own(now, decision.engine):
-            self._emit(made)
+        for instruction in self._coordinator.make_room_for_own(now, decision.engine):
+            self._emit(instruction)
         return Assignment(decision.engine, AssignedBy.COORDINATOR, decision.estimate.wait > 0)
 
-    @staticmethod
-    def _note_wait(search: _Search, group: Group, estimate: Estimate) -> None:
-        if estimate.slots == 0:
-            return  # the group has no engine for the request
-        if search.best is None or estimate.wait < search.best.wait:
-            search.best, search.best_group = estimate, group
-
-    def _end(self, now: float, search: _Search) -> Placement | None:
-        """No group has a place soon: joins the shortest queue, or is deferred."""
-        best, group = search.best, search.best_group
-        if best is None or group is None or search.is_last:
-            return self._fall_back(now, search)
-        if best.wait > search.wish.longest_wait:
-            return NoSlotInTime(best)
-        search.is_last = True
-        placing, is_sent = self._ask(now, search, group)
-        search.asked = group
-        if placing is None and not is_sent:
-            return self._fall_back(now, search)
-        return placing
-
-    def _fall_back(self, now: float, search: _Search) -> Placement:
-        """Places by what is known here."""
-        candidates = self._candidates(now, search.wish.token)
-        if not candidates:
-            candidates = self._engines.usable(now, search.wish.service)
-        if not candidates:
-            return NoEngine()
-        prompt = search.wish.prompt
-        engine = self._fallback.choose(now, candidates, prompt, self._zone, self._rng)
-        return Assignment(engine, AssignedBy.FALLBACK, engine.in_flight(now) >= engine.slots)
-
-    # Answers.
-
-    def is_awaited(self, answer: SlotReply) -> bool:
-        """Returns whether a search still waits for an answer."""
-        return answer.number in self._by_number
-
-    def on_answer(self, now: float, answer: SlotReply) -> PlacementFound | None:
-        """Takes a coordinator's answer; returns the search's end if it ends."""
-        token = self._by_number.pop(answer.number, None)
-        search = self._searches.get(token) if token is not None else None
-        if search is None or search.number != answer.number or search.asked is None:
+    def _send(self, now: float, search: GroupSearch, group: Group, claim: Claim) -> None:
+        token = search.request.token
+        number = next(self._numbers)
+        self._open[token] = _OpenSearch(search, number, now)
+        self._tokens[number] = token
+        wait = search.accepted_wait()
+        request = SlotRequest(
+            self._reports.report(now, claim),
+            number,
+            group.name,
+            prefill_units(search.request.prompt.prompt_tokens),
+            UNBOUNDED_WAIT_MS if wait == float("inf") else round(wait * 1000),
+            tuple(sorted(self._excluded(now, search, group))),
+        )
+        self._emit(SendToPeers((claim.address,), request))
+
+    def _excluded(self, now: float, search: GroupSearch, group: Group) -> frozenset[int]:
+        engines = self._coordinator.engines_of(group.name)
+        return self._local.excluded(now, search.request.token, engines)
+
+    # Replies.
+
+    def is_awaited(self, reply: SlotReply) -> bool:
+        """Returns whether a search still awaits a reply."""
+        return reply.number in self._tokens
+
+    def on_reply(self, now: float, reply: SlotReply) -> PlacementFound | None:
+        """Takes a coordinator's reply; returns the search's end if it ends.
+
+        A reply that comes too late, or to a request that was withdrawn, changes nothing.
+        """
+        token = self._tokens.pop(reply.number, None)
+        open_search = self._open.get(token) if token is not None else None
+        if open_search is None or open_search.number != reply.number:
             return None
-        if not answer.is_coordinator:
-            self._claims.on_denied(now, answer.group)
-            return self._finish(now, search, self._go_on(now, search))
-        self._claims.on_activity(answer.group, answer.sender)
-        if answer.engine_key == NO_ENGINE:
-            held = answer.wait_ms / 1000
-            estimate = Estimate(held, answer.queued, answer.slots, 0.0)
-            self._note_wait(search, search.asked, estimate)
-            return self._finish(now, search, self._go_on(now, search))
-        engine = self._engines.by_key(answer.engine_key)
-        allowed = self._candidates(now, search.wish.token)
-        if engine is None or engine not in allowed:
-            return self._finish(now, search, self._fall_back(now, search))
-        place = Assignment(engine, AssignedBy.COORDINATOR, answer.wait_ms > 0)
-        return self._finish(now, search, place)
+        placement = self._after_reply(now, open_search.search, reply)
+        return self._finish(now, open_search.search, placement)
+
+    def _after_reply(self, now: float, search: GroupSearch, reply: SlotReply) -> Placement | None:
+        """Returns where a reply leads; None if another reply is awaited."""
+        if not reply.is_coordinator:
+            self._claims.on_denied(now, reply.group)
+            return self._advance(now, search)
+        self._claims.on_activity(reply.group, reply.sender)
+        if reply.engine_key == NO_ENGINE:
+            if search.group is not None:
+                search.note_wait(search.group, _estimate(reply))
+            return self._advance(now, search)
+        engine = self._local.permitted(now, search.request.token, reply.engine_key)
+        if engine is None:
+            return self._local.fall_back(now, search.request)
+        return Assignment(engine, AssignedBy.COORDINATOR, reply.wait_ms > 0)
 
     def _finish(
-        self, now: float, search: _Search, placing: Placement | None
+        self, now: float, search: GroupSearch, placement: Placement | None
     ) -> PlacementFound | None:
-        if placing is None:
+        if placement is None:
             return None
-        self.withdraw(now, search.wish.token)
-        return PlacementFound(search.wish.token, placing)
+        self.withdraw(now, search.request.token)
+        return PlacementFound(search.request.token, placement)
 
     # Timers.
 
     def next_due(self) -> float:
-        """Returns when `on_timer` has something to do."""
-        asked = (search.requested_at for search in self._searches.values())
-        return min(asked, default=float("inf")) + ANSWER_SECONDS
+        """Returns when `on_timer` has something to do, in seconds of this process's clock."""
+        return min((held.due_at for held in self._open.values()), default=float("inf"))
 
     def on_timer(self, now: float) -> list[PlacementFound]:
-        """Places by what is known here where no answer came."""
-        ended: list[PlacementFound] = []
-        late = [s for s in self._searches.values() if now >= s.requested_at + ANSWER_SECONDS]
-        for search in late:
-            if search.asked is not None:
-                self._claims.on_missed(now, search.asked.name)
-                line = {"group": search.asked.name, "waited_ms": round(ANSWER_SECONDS * 1000)}
-                self._emit(LogLine("place not answered", line))
-            self._by_number.pop(search.number, None)
-            placing = self._fall_back(now, search)
-            self.withdraw(now, search.wish.token)
-            ended.append(PlacementFound(search.wish.token, placing))
-        return ended
+        """Ends the searches whose reply is overdue."""
+        overdue = [held for held in self._open.values() if now >= held.due_at]
+        return [self._end_overdue(now, held) for held in overdue]
+
+    def _end_overdue(self, now: float, overdue: _OpenSearch) -> PlacementFound:
+        search = overdue.search
+        if search.group is not None:
+            self._claims.on_missed(now, search.group.name)
+            waited_ms = round(REPLY_SECONDS * 1000)
+            fields: dict[str, object] = {"group": search.group.name, "waited_ms": waited_ms}
+            self._emit(LogLine("slot request not answered", fields))
+        placement = self._local.fall_back(now, search.request)
+        self.withdraw(now, search.request.token)
+        return PlacementFound(search.request.token, placement)
+
+
+def _estimate(reply: SlotReply) -> Estimate:
+    """Returns the wait that a coordinator replied; how long a slot is held is not replied."""
+    return Estimate(reply.wait_ms / 1000, reply.queued, reply.slots, 0.0)
--- a/src/troutswitch/decisions/tenants/coordinated_quota.py
+++ b/src/troutswitch/decisions/tenants/coordinated_quota.py
@@ -1,7 +1,7 @@
 """Quotas counted by one daemon a tenant, which is asked before a request is sent.
 
-That daemon is the coordinator of one of the groups of engines (`slots/claims.py`), drawn by the
-tenant's name: all daemons agree on who it is, and another takes over when it is silent.
+That daemon is the coordinator of one of the groups of engines, drawn by the tenant's name: all
+daemons agree on who it is, and another takes over when it is silent.
 """
 
 import itertools
@@ -13,7 +13,7 @@
 from troutswitch.common import Address, stable_hash
 from troutswitch.daemons.messages import QuotaDecision, QuotaRequest
 from troutswitch.decisions.forwarding.messages import LogLine
-from troutswitch.decisions.slots.claims import CoordinatorClaims
+from troutswitch.decisions.slots.coordinator_claims import CoordinatorClaims
 from troutswitch.decisions.slots.groups import EngineGroups, Group
 from troutswitch.decisions.slots.messages import SendToPeers
 from troutswitch.decisions.tenants.ledger import QuotaLedger, QuotaLimit
--- a/tests/decisions/slots/test_coordinator.py
+++ b/tests/decisions/slots/test_coordinator.py
@@ -32,8 +32,8 @@
     return first, second
 
 
-def ask(number: int = 1, wait_most_ms: int = -1, **held: int) -> SlotRequest:
-    return SlotRequest(report("peer", number, **held), number, GROUP, 0, wait_most_ms)
+def ask(number: int = 1, longest_wait_ms: int = -1, **held: int) -> SlotRequest:
+    return SlotRequest(report("peer", number, **held), number, GROUP, 0, longest_wait_ms)
 
 
 def places(daemon: SlotsOf) -> list[BatchSlotGrant]:
@@ -85,7 +85,7 @@
     share = EngineShare(engine_key("s0"), 2, 4, 0)
     first.take(SETTLED, HoldingsReport("other", "z", address_of("other"), 1, 1, (share,)))
     first.tick(SETTLED + ASSIGN_SECONDS)
-    assert [(made.count, made.grant) for made in places(first)] == [(-1, 1), (-1, 2)]
+    assert [(made.count, made.grant_number) for made in places(first)] == [(-1, 1), (-1, 2)]
     first.tick(SETTLED + 3 * ASSIGN_SECONDS)
     assert places(first) == []
 
@@ -93,11 +93,11 @@
 def test_a_request_that_takes_no_wait_gets_the_wait_told() -> None:
     first, _ = pair(engines=1, slots=1)
     first.times.on_completed("service", 0.06, 0.6, waited=False)
-    first.take(NOW, ask(1, wait_most_ms=0))
-    first.take(NOW, ask(2, wait_most_ms=0))
+    first.take(NOW, ask(1, longest_wait_ms=0))
+    first.take(NOW, ask(2, longest_wait_ms=0))
     granted, refused = answers(first)
-    assert granted.grant > 0
-    assert refused.grant == 0
+    assert granted.grant_number > 0
+    assert refused.grant_number == 0
     assert refused.engine_key == 0
     assert 300 < refused.wait_ms <= 600
 
@@ -150,7 +150,7 @@
 def test_without_counting_its_own_words_a_coordinator_grants_too_much(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(SlotLedger, "_apply", lambda self, now, holder: holder.words.clear())
+    monkeypatch.setattr(SlotLedger, "_apply", lambda self, now, holder: holder.grants.clear())
     assert granted_before_a_report_comes() > 2
 
 
--- a/tests/decisions/slots/test_claims.py
+++ b/tests/decisions/slots/test_coordinator_claims.py
@@ -6,13 +6,12 @@
 
 from tests.decisions.slots.worlds import GROUP, ZONE, address_of, record
 from troutswitch.daemons.messages import KnownClaim
-from troutswitch.decisions.slots.claims import (
+from troutswitch.decisions.slots.coordinator_claims import (
     CLAIM_SPREAD_SECONDS,
-    FAR_SECONDS,
-    SUSPECT_MISSES,
-    SUSPECT_SECONDS,
+    OTHER_ZONE_SECONDS,
     CoordinatorClaims,
 )
+from troutswitch.decisions.slots.coordinator_health import SUSPECT_MISSES, SUSPECT_SECONDS
 from troutswitch.decisions.slots.groups import EngineGroups
 from troutswitch.decisions.storage.follower import CallNumbers
 from troutswitch.decisions.storage.messages import (
@@ -97,7 +96,7 @@
     far = Store("far", engines=17)
     far.appends(0.0)
     assert far.appends(CLAIM_SPREAD_SECONDS + 0.01) == []
-    assert len(far.appends(FAR_SECONDS + CLAIM_SPREAD_SECONDS + 0.01)) == 1
+    assert len(far.appends(OTHER_ZONE_SECONDS + CLAIM_SPREAD_SECONDS + 0.01)) == 1
 
 
 def test_the_newest_claim_holds_in_whatever_order_they_come() -> None:
@@ -151,7 +150,7 @@
     store = Store()
     store.claims.take_claims((told("me", 3),))
     assert store.claims.is_own(GROUP)
-    store.claims.is_leaving = True
+    store.claims.is_draining = True
     assert not store.claims.is_own(GROUP)
     assert store.appends(9.0) == []
 
--- a/tests/decisions/slots/test_fleet.py
+++ b/tests/decisions/slots/test_fleet.py
@@ -1,9 +1,9 @@
 """When batch items wait for a place to be granted, and when they start without."""
 
-from tests.decisions.slots.worlds import GROUP, SlotsOf, deliver, record
+from tests.decisions.slots.worlds import GROUP, SlotsOf, deliver, incarnation_of, record
 from troutswitch.daemons.messages import BatchSlotGrant, engine_key
+from troutswitch.decisions.slots.batch_coordination import UNCOORDINATED_SECONDS
 from troutswitch.decisions.slots.coordinator import DIGEST_SECONDS
-from troutswitch.decisions.slots.fleet import UNCOORDINATED_SECONDS
 
 NOW = 5.0
 TICK = 0.05
@@ -62,13 +62,13 @@
     second.waiting = 3
     second.take(NOW, BatchSlotGrant("stranger", 1, GROUP, 1, engine_key("s0"), 3))
     assert second.items == []
-    assert "places of another coordinator" in second.lines
+    assert "grant of another coordinator" in second.lines
 
 
 def test_a_word_that_comes_twice_is_taken_once() -> None:
-    first, second = pair()
+    _, second = pair()
     second.waiting = 9
-    grant = BatchSlotGrant("first", first.fleet.ledger.incarnation, GROUP, 1, engine_key("s0"), 2)
+    grant = BatchSlotGrant("first", incarnation_of("first"), GROUP, 1, engine_key("s0"), 2)
     second.take(NOW, grant)
     second.take(NOW, grant)
     assert len(second.items) == 2
--- a/tests/decisions/slots/test_ledger.py
+++ b/tests/decisions/slots/test_ledger.py
@@ -5,7 +5,7 @@
 from tests.decisions.slots.worlds import record, report
 from troutswitch.daemons.messages import EngineShare, engine_key
 from troutswitch.decisions.forwarding.engines import EngineRegistry
-from troutswitch.decisions.slots.ledger import SILENT_SECONDS, WORD_LAPSE_SECONDS, SlotLedger
+from troutswitch.decisions.slots.ledger import GRANT_EXPIRY_SECONDS, SILENT_SECONDS, SlotLedger
 
 LIFE = 77
 A = engine_key("a")
@@ -39,7 +39,7 @@
 def test_a_new_life_begins_its_sequence_anew_and_knows_no_words() -> None:
     held, engines = ledger()
     held.on_report(0.0, report(sequence=50, a=3))
-    held.tell(0.0, "peer", ONE_ITEM)
+    held.grant(0.0, "peer", ONE_ITEM)
     held.on_report(0.1, report(sequence=1, incarnation=2, a=1))
     assert batch(engines) == 1
 
@@ -47,39 +47,39 @@
 def test_a_word_counts_from_when_it_is_told() -> None:
     held, engines = ledger()
     held.on_report(0.0, report(sequence=1, a=1))
-    held.tell(0.0, "peer", ONE_ITEM)
+    held.grant(0.0, "peer", ONE_ITEM)
     assert batch(engines) == 2
-    held.tell(0.0, "peer", EngineShare(A, 0, -1, 0))
+    held.grant(0.0, "peer", EngineShare(A, 0, -1, 0))
     assert batch(engines) == 1
 
 
 def test_a_report_made_before_a_word_came_does_not_undo_it() -> None:
     held, engines = ledger()
     held.on_report(0.0, report(sequence=1, a=1))
-    grant = held.tell(0.0, "peer", ONE_ITEM)
+    grant = held.grant(0.0, "peer", ONE_ITEM)
     held.on_report(0.01, report(sequence=2, a=1))
     assert batch(engines) == 2
     told = report(sequence=3, a=2)
-    held.on_report(0.02, replace(told, grant_incarnation=LIFE, grant_seen=grant))
+    held.on_report(0.02, replace(told, coordinator_incarnation=LIFE, last_grant_seen=grant))
     assert batch(engines) == 2
 
 
 def test_words_of_an_earlier_life_of_this_daemon_do_not_count_as_seen() -> None:
     held, engines = ledger()
     held.on_report(0.0, report(sequence=1))
-    held.tell(0.0, "peer", ONE_ITEM)
+    held.grant(0.0, "peer", ONE_ITEM)
     told = report(sequence=2)
-    held.on_report(0.01, replace(told, grant_incarnation=5, grant_seen=99))
+    held.on_report(0.01, replace(told, coordinator_incarnation=5, last_grant_seen=99))
     assert batch(engines) == 1
 
 
 def test_a_word_that_is_never_reported_lapses() -> None:
     held, engines = ledger()
     held.on_report(0.0, report(sequence=1))
-    held.tell(0.0, "peer", ONE_ITEM)
-    held.on_timer(WORD_LAPSE_SECONDS - 0.01)
+    held.grant(0.0, "peer", ONE_ITEM)
+    held.on_timer(GRANT_EXPIRY_SECONDS - 0.01)
     assert batch(engines) == 1
-    held.on_timer(WORD_LAPSE_SECONDS + 0.2)
+    held.on_timer(GRANT_EXPIRY_SECONDS + 0.2)
     assert batch(engines) == 0
 
 
--- a/tests/decisions/slots/test_machine.py
+++ b/tests/decisions/slots/test_machine.py
@@ -18,20 +18,21 @@
     run_state_machine_as_test,
 )
 
-from tests.decisions.slots.worlds import SlotsOf, record
+from tests.decisions.slots.worlds import SlotsOf, incarnation_of, record
 from troutswitch.common import Address
 from troutswitch.daemons.messages import HoldingsReport, PeerMessage
 from troutswitch.decisions.slots import ledger
 from troutswitch.decisions.slots.coordinator import GRACE_SECONDS
-from troutswitch.decisions.slots.ledger import LOOK_SECONDS, SILENT_SECONDS, WORD_LAPSE_SECONDS
+from troutswitch.decisions.slots.group_search import GROUPS_ASKED_MOST
+from troutswitch.decisions.slots.ledger import CHECK_SECONDS, GRANT_EXPIRY_SECONDS, SILENT_SECONDS
 from troutswitch.decisions.slots.reports import REFRESH_SECONDS
-from troutswitch.decisions.slots.slot_requests import ANSWER_SECONDS, GROUPS_ASKED_MOST
+from troutswitch.decisions.slots.slot_requests import REPLY_SECONDS
 
 ENGINES = 2
 SLOTS = 3
 HOLDERS = ("h1", "h2", "h3")
-SETTLE_SECONDS = SILENT_SECONDS + WORD_LAPSE_SECONDS + REFRESH_SECONDS + 2 * LOOK_SECONDS
-SEARCH_SECONDS_MOST = (GROUPS_ASKED_MOST + 1) * ANSWER_SECONDS
+SETTLE_SECONDS = SILENT_SECONDS + GRANT_EXPIRY_SECONDS + REFRESH_SECONDS + 2 * CHECK_SECONDS
+SEARCH_SECONDS_MOST = (GROUPS_ASKED_MOST + 1) * REPLY_SECONDS
 """Longest time for which a request may wait for its place."""
 PLACES = st.integers(0, 10_000)
 
@@ -130,18 +131,17 @@
     def wait_long(self) -> None:
         """Words that are on the way may lapse before they come."""
         self.has_lost = True
-        self.pass_time(WORD_LAPSE_SECONDS)
+        self.pass_time(GRANT_EXPIRY_SECONDS)
 
     @rule(place=PLACES)
     def die(self, place: int) -> None:
         """A holder ends with all that it had, and begins anew with another life."""
         name = HOLDERS[place % len(HOLDERS)]
         records = [engine.record for engine in self.daemons[name].engines.engines.values()]
-        claim = self.daemons["c"].fleet.claims.told()
+        claim = self.daemons["c"].fleet.claims.known_claims()
         self.incarnations += 1
-        anew = SlotsOf(name, records)
-        anew.fleet.ledger.incarnation = anew.fleet.ledger.incarnation + 1000 * self.incarnations
-        anew.fleet.reports._incarnation = anew.fleet.ledger.incarnation
+        incarnation = incarnation_of(name) + 1000 * self.incarnations
+        anew = SlotsOf(name, records, incarnation=incarnation)
         anew.fleet.claims.take_claims(claim)
         self.daemons[name] = anew
         anew.tick(self.now)
@@ -149,7 +149,7 @@
             del self.wanted[token]
 
     def alive_tokens(self) -> set[int]:
-        return {token for d in self.daemons.values() for token in d.fleet.asks._searches}
+        return {token for d in self.daemons.values() for token in d.fleet.requests._open}
 
     # What holds.
 
@@ -174,7 +174,7 @@
     def no_request_waits_for_its_place_beyond_the_stated_time(self) -> None:
         for token, since in self.wanted.items():
             if token in self.alive_tokens():
-                assert self.now - since <= SEARCH_SECONDS_MOST + WORD_LAPSE_SECONDS
+                assert self.now - since <= SEARCH_SECONDS_MOST + GRANT_EXPIRY_SECONDS
 
     @rule()
     def settle(self) -> None:
@@ -212,6 +212,6 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(ledger, "SILENT_SECONDS", 1e9)
-    monkeypatch.setattr(ledger, "WORD_LAPSE_SECONDS", 1e9)
+    monkeypatch.setattr(ledger, "GRANT_EXPIRY_SECONDS", 1e9)
     with pytest.raises(AssertionError):
         run_state_machine_as_test(SlotsMachine, settings=settings(SETTINGS, max_examples=1000))
--- a/tests/decisions/slots/test_reports.py
+++ b/tests/decisions/slots/test_reports.py
@@ -3,7 +3,7 @@
 from tests.decisions.slots.worlds import SlotsOf, deliver, record
 from troutswitch.daemons.messages import HoldingsReport
 from troutswitch.decisions.forwarding.engines import NO_SIZE
-from troutswitch.decisions.slots.reports import NOTICE_SECONDS, REFRESH_SECONDS, REPORT_SECONDS
+from troutswitch.decisions.slots.reports import ACKNOWLEDGE_SECONDS, REFRESH_SECONDS, REPORT_SECONDS
 
 NOW = 5.0
 
@@ -59,20 +59,20 @@
     deliver(NOW, first, second)
     second.fleet.reports.assume_known(known)
     assert reports(second, NOW + REPORT_SECONDS) == []
-    (told,) = reports(second, NOW + NOTICE_SECONDS)
-    assert told.grant_seen == 1
+    (told,) = reports(second, NOW + ACKNOWLEDGE_SECONDS)
+    assert told.last_grant_seen == 1
     assert [share.online for share in told.shares] == [1]
 
 
 def test_a_place_granted_to_a_caller_that_left_is_given_back_at_once() -> None:
     """A caller left while a coordinator was asked for its place. The place came, nobody took
-    it, and the coordinator counted it as taken for `NOTICE_SECONDS`, 20 times as long."""
+    it, and the coordinator counted it as taken for `ACKNOWLEDGE_SECONDS`, 20 times as long."""
     first, second = fleet()
     second.want(NOW, 1)
-    second.fleet.asks.withdraw(NOW, 1)
+    second.fleet.requests.withdraw(NOW, 1)
     deliver(NOW, first, second)
     (told,) = reports(second, NOW + REPORT_SECONDS)
-    assert (told.grant_seen, told.shares) == (1, ())
+    assert (told.last_grant_seen, told.shares) == (1, ())
 
 
 def test_items_that_wait_are_told_to_every_coordinator() -> None:
--- a/tests/decisions/slots/test_slot_requests.py
+++ b/tests/decisions/slots/test_slot_requests.py
@@ -5,8 +5,8 @@
 from tests.decisions.slots.worlds import GROUP, SlotsOf, deliver, record
 from troutswitch.daemons.messages import SlotRequest
 from troutswitch.decisions.forwarding.placer import AssignedBy, Assignment, NoEngine, NoSlotInTime
-from troutswitch.decisions.slots.claims import SUSPECT_SECONDS
-from troutswitch.decisions.slots.slot_requests import ANSWER_SECONDS
+from troutswitch.decisions.slots.coordinator_health import SUSPECT_SECONDS
+from troutswitch.decisions.slots.slot_requests import REPLY_SECONDS
 
 NOW = 5.0
 
@@ -40,8 +40,8 @@
 def test_no_request_waits_longer_than_stated_on_a_silent_coordinator() -> None:
     _, second = fleet()
     second.want(NOW, 1)
-    assert second.fleet.asks.next_due() == pytest.approx(NOW + ANSWER_SECONDS)
-    second.tick(NOW + ANSWER_SECONDS)
+    assert second.fleet.requests.next_due() == pytest.approx(NOW + REPLY_SECONDS)
+    second.tick(NOW + REPLY_SECONDS)
     assert found_by(second) == [AssignedBy.FALLBACK]
 
 
@@ -50,7 +50,7 @@
     now = NOW
     for token in (1, 2):
         second.want(now, token)
-        now += ANSWER_SECONDS
+        now += REPLY_SECONDS
         second.tick(now)
     second.messages()
     second.want(now, 3)
@@ -63,7 +63,7 @@
 def test_an_answer_that_comes_too_late_places_nothing() -> None:
     first, second = fleet()
     second.want(NOW, 1)
-    second.tick(NOW + ANSWER_SECONDS)
+    second.tick(NOW + REPLY_SECONDS)
     deliver(NOW + 0.1, first, second)
     assert len(second.ended) == 1
 
@@ -71,7 +71,7 @@
 def test_a_withdrawn_search_ends_nothing() -> None:
     first, second = fleet()
     second.want(NOW, 1)
-    second.fleet.asks.withdraw(NOW, 1)
+    second.fleet.requests.withdraw(NOW, 1)
     deliver(NOW, first, second)
     second.tick(NOW + 1.0)
     assert second.ended == []
@@ -96,7 +96,7 @@
     _, second = fleet(engines=1)
     second.want(NOW, 1)
     second.engines.mark_draining("s0")
-    second.tick(NOW + ANSWER_SECONDS)
+    second.tick(NOW + REPLY_SECONDS)
     assert isinstance(second.ended[0][1], NoEngine)
 
 
--- a/tests/decisions/slots/worlds.py
+++ b/tests/decisions/slots/worlds.py
@@ -2,23 +2,32 @@
 
 import random
 from collections.abc import Callable
+from typing import assert_never
 
 from troutswitch.common import Address
+from troutswitch.daemons.identity import DaemonIdentity
 from troutswitch.daemons.messages import (
     EngineShare,
     HoldingsReport,
     KnownClaim,
     PeerMessage,
+    SlotMessage,
     engine_key,
 )
 from troutswitch.decisions.forwarding.engines import NO_SIZE, Engine, EngineRegistry
+from troutswitch.decisions.forwarding.messages import LogLine
 from troutswitch.decisions.forwarding.placement import NoHomes
 from troutswitch.decisions.forwarding.placer import Assignment, Placement, PlacementRequest
 from troutswitch.decisions.forwarding.run_times import RunTimes
 from troutswitch.decisions.forwarding.types import EngineRecord, PromptShape
 from troutswitch.decisions.jobs.batch_capacity import SlotCapacity
-from troutswitch.decisions.slots.fleet import FleetSlots
-from troutswitch.decisions.slots.messages import SendToPeers, StartItems, WaitingItems
+from troutswitch.decisions.slots.fleet import FleetSlots, SlotPolicies
+from troutswitch.decisions.slots.messages import (
+    SendToPeers,
+    SlotInstruction,
+    StartItems,
+    WaitingItems,
+)
 from troutswitch.decisions.storage.follower import CallNumbers
 
 SERVICE = "service"
@@ -42,10 +51,27 @@
     return HoldingsReport(sender, ZONE, address_of(sender), incarnation, sequence, shares, waiting)
 
 
+class OwnItemsOf:
+    """The batch items of a daemon of this world."""
+
+    def __init__(self, daemon: "SlotsOf") -> None:
+        self._daemon = daemon
+
+    @property
+    def waiting(self) -> WaitingItems:
+        return WaitingItems(self._daemon.waiting, self._daemon.late)
+
+    @property
+    def open_items(self) -> int:
+        return self._daemon.waiting + self._daemon.late + len(self._daemon.items)
+
+
 class SlotsOf:
     """One daemon's decisions on slots, with the requests and items that follow from them."""
 
-    def __init__(self, name: str, records: list[EngineRecord], zone: str = ZONE) -> None:
+    def __init__(
+        self, name: str, records: list[EngineRecord], zone: str = ZONE, incarnation: int = 0
+    ) -> None:
         self.name = name
         self.address = address_of(name)
         self.engines = EngineRegistry()
@@ -59,31 +85,32 @@
         self.lines: list[str] = []
         self.times = RunTimes()
         self.fleet = FleetSlots(
-            name,
-            zone,
-            self.address,
-            hash_life(name),
+            DaemonIdentity(name, zone, self.address, incarnation or incarnation_of(name)),
             self.engines,
             self.times,
-            NoHomes(),
-            SlotCapacity(),
+            SlotPolicies(NoHomes(), SlotCapacity()),
+            OwnItemsOf(self),
+            self,
             CallNumbers(),
-            lambda: WaitingItems(self.waiting, self.late),
-            lambda: self.waiting + self.late + len(self.items),
-            lambda now, token: self.engines.usable(now, SERVICE),
             self._emit,
-            lambda event, **fields: self.lines.append(event),
             random.Random(name),
         )
 
-    def _emit(self, instruction: object) -> None:
+    def candidates(self, now: float, token: int) -> list[Engine]:
+        return self.engines.usable(now, SERVICE)
+
+    def _emit(self, instruction: SlotInstruction) -> None:
         match instruction:
             case SendToPeers():
                 self.out.append(instruction)
             case StartItems():
-                self._items(instruction)
+                self._start_items(instruction)
+            case LogLine():
+                self.lines.append(instruction.event)
+            case _:
+                assert_never(instruction)
 
-    def _items(self, places: StartItems) -> None:
+    def _start_items(self, places: StartItems) -> None:
         for _ in range(max(0, places.count)):
             if self.waiting + self.late == 0:
                 return
@@ -113,19 +140,20 @@
     def tick(self, now: float) -> None:
         found, _ = self.fleet.on_timer(now)
         for one in found:
-            self._take(now, one.token, one.placing)
+            self._take(now, one.token, one.placement)
 
     def want(self, now: float, token: int, longest_wait: float = float("inf")) -> None:
         """Seeks a place for a request."""
         wish = PlacementRequest(token, SERVICE, PromptShape(), longest_wait)
-        placing = self.fleet.asks.place(now, wish, self.engines.usable(now, SERVICE))
+        placing = self.fleet.requests.place(now, wish, self.engines.usable(now, SERVICE))
         if placing is not None:
             self._take(now, token, placing)
 
     def take(self, now: float, message: PeerMessage) -> None:
-        """Takes a peer's message."""
+        """Takes a peer's message about slots."""
+        assert isinstance(message, SlotMessage)
         for one in self.fleet.on_message(now, message):
-            self._take(now, one.token, one.placing)
+            self._take(now, one.token, one.placement)
 
     def _take(self, now: float, token: int, placing: Placement) -> None:
         self.ended.append((token, placing))
@@ -148,7 +176,7 @@
         return [made.message for made in sent]
 
 
-def hash_life(name: str) -> int:
+def incarnation_of(name: str) -> int:
     return sum(name.encode()) + 1
 
 
--- a/tests/decisions/tenants/test_machine.py
+++ b/tests/decisions/tenants/test_machine.py
@@ -14,7 +14,7 @@
 from tests.decisions.forwarding.worlds import engine
 from troutswitch.common import Address
 from troutswitch.daemons.messages import QuotaDecision, QuotaRequest
-from troutswitch.decisions.slots.claims import Claim, CoordinatorClaims
+from troutswitch.decisions.slots.coordinator_claims import Claim, CoordinatorClaims
 from troutswitch.decisions.slots.groups import EngineGroups
 from troutswitch.decisions.slots.messages import SendToPeers
 from troutswitch.decisions.storage.follower import CallNumbers
--- a/tests/forms/samples.py
+++ b/tests/forms/samples.py
@@ -46,8 +46,8 @@
 from troutswitch.decisions.jobs.shard import JobContent
 from troutswitch.decisions.peers import peer_registry as peer_registry
 from troutswitch.decisions.peers.peer_registry import PeerRegistryEntry, decode_entry, encode_entry
-from troutswitch.decisions.slots import claims as claims_module
-from troutswitch.decisions.slots.claims import CoordinatorClaims
+from troutswitch.decisions.slots import coordinator_claims as claims_module
+from troutswitch.decisions.slots.coordinator_claims import CoordinatorClaims
 from troutswitch.decisions.slots.groups import EngineGroups, assign_groups
 from troutswitch.decisions.storage.follower import CallNumbers
 from troutswitch.decisions.storage.messages import (
@@ -103,8 +103,8 @@
     waiting_items=7,
     late_items=8,
     open_items=9,
-    grant_incarnation=LARGE + 1,
-    grant_seen=12,
+    coordinator_incarnation=LARGE + 1,
+    last_grant_seen=12,
     unusable=(21, 22, 23),
 )
 
@@ -127,8 +127,8 @@
             number=31,
             group="s|z|0",
             prefill_units=4,
-            wait_most_ms=1500,
-            avoid=(41, 42),
+            longest_wait_ms=1500,
+            excluded=(41, 42),
         )
     ),
     "answer with a place, defaults": _peer_message(
@@ -140,7 +140,7 @@
             incarnation=6,
             number=31,
             group="s|z|0",
-            grant=0,
+            grant_number=0,
             engine_key=0,
             wait_ms=0,
             queued=0,
@@ -153,7 +153,7 @@
     ),
     "places for batch items, taken back": _peer_message(
         peer_messages.BatchSlotGrant(
-            sender="d-2", incarnation=6, group="s|z|0", grant=61, engine_key=62, count=-3
+            sender="d-2", incarnation=6, group="s|z|0", grant_number=61, engine_key=62, count=-3
         )
     ),
     "digest of a group, empty": _peer_message(
@@ -475,7 +475,7 @@
     (read,) = (call for call in claims.on_timer(0.0) if isinstance(call, ReadNewest))
     page = NewestPage((KeyedRecord(held.key, held.value, 7),), False, 8)
     claims.on_answer(0.1, read.call, page)
-    ((group, daemon, address, offset),) = (plain(told) for told in claims.told())
+    ((group, daemon, address, offset),) = (plain(told) for told in claims.known_claims())
     assert offset == 7
     return claim_records(daemon, Address(*address), group.partition("|")[0])
 
--- a/tests/worlds/quota_world.py
+++ b/tests/worlds/quota_world.py
@@ -11,7 +11,7 @@
 from troutswitch.daemons.messages import QuotaDecision, QuotaRequest
 from troutswitch.decisions.forwarding.types import EngineRecord
 from troutswitch.decisions.limits import TokenBucket
-from troutswitch.decisions.slots.claims import Claim, CoordinatorClaims
+from troutswitch.decisions.slots.coordinator_claims import Claim, CoordinatorClaims
 from troutswitch.decisions.slots.groups import EngineGroups
 from troutswitch.decisions.slots.messages import SendToPeers
 from troutswitch.decisions.storage.follower import CallNumbers
