--- a/src/troutswitch/decisions/forwarding/arrivals.py
+++ b/src/troutswitch/decisions/forwarding/arrivals.py
@@ -12,8 +12,8 @@
 from troutswitch.decisions.forwarding.messages import RequestArrived
 from troutswitch.decisions.forwarding.routes import RouteTable
 from troutswitch.decisions.forwarding.types import Route
-from troutswitch.decisions.tenants.callers import TenantKeys
-from troutswitch.decisions.tenants.quota import NoQuota, Quota, QuotaEnd, QuotaMessage
+from troutswitch.decisions.tenants.quota import NoQuota, Quota, QuotaEnd, QuotaResult
+from troutswitch.decisions.tenants.tenant_keys import TenantKeys
 from troutswitch.decisions.tenants.types import NO_TENANT, Tenant
 from troutswitch.outcomes import NotRun, Step
 
@@ -92,10 +92,10 @@
         tenant = self.callers.identify(counting.arrival.caller_key, counting.route)
         if isinstance(tenant, NotRun):
             return Refused(counting.arrival, tenant)
-        return self._end(_Counting(counting.arrival, counting.route, tenant), end.grant)
+        return self._end(_Counting(counting.arrival, counting.route, tenant), end.result)
 
     @staticmethod
-    def _end(counting: _Counting, grant: QuotaMessage) -> Admitted | Refused:
+    def _end(counting: _Counting, grant: QuotaResult) -> Admitted | Refused:
         arrival, tenant = counting.arrival, counting.tenant
         if grant.is_allowed:
             return Admitted(arrival, counting.route, tenant, grant.decided_by)
--- a/src/troutswitch/decisions/gateway.py
+++ b/src/troutswitch/decisions/gateway.py
@@ -67,8 +67,9 @@
     StoreCall,
     StoreOutcome,
 )
-from troutswitch.decisions.tenants.choice import make_quota
 from troutswitch.decisions.tenants.quota import Quota, QuotaEnd
+from troutswitch.decisions.tenants.quota_groups import QuotaGroups
+from troutswitch.decisions.tenants.quota_policies import make_quota
 
 CONFIGURATION_TOPIC = "configuration"
 CONFIGURATION_WAIT_SHARE = 0.35
@@ -102,6 +103,21 @@
         return self._core.jobs.owner.open_items
 
 
+class _FleetState:
+    """What quotas need to know of a core's routes and peers; the peers are made after them."""
+
+    def __init__(self, core: "GatewayCore") -> None:
+        self._core = core
+
+    @property
+    def configuration_version(self) -> int:
+        return self._core.routes.version
+
+    @property
+    def daemons(self) -> int:
+        return 1 + len(self._core.peers.peers)
+
+
 class GatewayCore:
     """All decisions of one gateway daemon."""
 
@@ -155,8 +171,11 @@
         self._configuration_record: StoredRecord | None = None
         self._listing: tuple[tuple[StoredRecord, ...], float] | None = None
         incarnation = rng.getrandbits(31)
+        peer_identity = DaemonIdentity(
+            identity.name, identity.zone, identity.peer_address, incarnation
+        )
         self.slots = FleetSlots(
-            DaemonIdentity(identity.name, identity.zone, identity.peer_address, incarnation),
+            peer_identity,
             self.engines,
             self.requests.times,
             SlotPolicies(
@@ -172,10 +191,10 @@
             self.requests.placer = self.slots.requests
         self.quota: Quota = make_quota(
             policies.quota,
-            identity,
-            self.slots,
-            lambda: self.routes.version,
-            lambda: 1 + len(self.peers.peers),
+            peer_identity,
+            identity.quota_bounds,
+            QuotaGroups(self.slots.groups, self.slots.claims, self.slots.coordinator.coordinated),
+            _FleetState(self),
             self._emit,
             rng,
         )
@@ -318,10 +337,10 @@
             self._on_engines_leaving(now, message)
             return
         if isinstance(message, QuotaRequest):
-            self.quota.on_ask(now, message)
+            self.quota.on_request(now, message)
             return
         if isinstance(message, QuotaDecision):
-            self._counted(now, self.quota.on_answer(now, message))
+            self._counted(now, self.quota.on_decision(now, message))
             return
         claim = None
         if isinstance(message, SlotReply):
--- a/src/troutswitch/decisions/jobs/coordinator.py
+++ b/src/troutswitch/decisions/jobs/coordinator.py
@@ -30,7 +30,7 @@
 from troutswitch.decisions.policies import BatchPolicies
 from troutswitch.decisions.storage.follower import CallNumbers
 from troutswitch.decisions.storage.messages import StoreOutcome
-from troutswitch.decisions.tenants.callers import TenantKeys
+from troutswitch.decisions.tenants.tenant_keys import TenantKeys
 from troutswitch.outcomes import NotRun
 
 DRAIN_SECONDS = 1.5
--- a/src/troutswitch/decisions/tenants/coordinated_quota.py
+++ b/src/troutswitch/decisions/tenants/coordinated_quota.py
@@ -1,7 +1,24 @@
-"""Quotas counted by one daemon a tenant, which is asked before a request is sent.
+"""Decides on a request's quota by a request to the daemon that counts for its tenant.
 
-That daemon is the coordinator of one of the groups of engines, drawn by the tenant's name: all
-daemons agree on who it is, and another takes over when it is silent.
+Inputs: the coordinator of the tenant's group (`quota_groups.py`) as the claims known here have it;
+its decisions; the tenant's limit in this daemon's configuration.
+
+Rule:
+
+1. A tenant without a limit costs no message, nor does a request that a lease covers.
+2. If this daemon coordinates the tenant's group, it counts by itself (`quota_coordinator.py`).
+3. Otherwise the coordinator is sent a request, and once more after `RESEND_SECONDS`. After
+   `DECISION_SECONDS` without a decision the coordinator counts as silent, as for slots.
+4. If there is no coordinator, or it is silent or denies that it is one, this daemon decides alone
+   (`uncoordinated_quota.py`). What it admits so is reported to the next coordinator, which counts
+   it then.
+
+With leases, a coordinator may grant `LEASED_MOST` more requests in advance, to be used within
+`LEASE_SECONDS`, while the tenant has used less than half of its quota.
+
+Why: one count over all daemons neither exceeds a quota nor refuses what is inside it. The second
+message makes up for a lost datagram within the time for a decision. Measured in
+docs/design/tenants.md.
 """
 
 import itertools
@@ -9,138 +26,148 @@
 from collections import Counter
 from collections.abc import Callable
 from dataclasses import dataclass, replace
+from typing import Protocol
 
-from troutswitch.common import Address, stable_hash
+from troutswitch.daemons.identity import DaemonIdentity
 from troutswitch.daemons.messages import QuotaDecision, QuotaRequest
 from troutswitch.decisions.forwarding.messages import LogLine
-from troutswitch.decisions.slots.coordinator_claims import CoordinatorClaims
-from troutswitch.decisions.slots.groups import EngineGroups, Group
+from troutswitch.decisions.slots.coordinator_claims import Claim
+from troutswitch.decisions.slots.groups import Group
 from troutswitch.decisions.slots.messages import SendToPeers
-from troutswitch.decisions.tenants.ledger import QuotaLedger, QuotaLimit
-from troutswitch.decisions.tenants.quota import UNLIMITED, QuotaEnd, QuotaMessage
-from troutswitch.decisions.tenants.shares import LastGrants
+from troutswitch.decisions.tenants.quota import UNLIMITED, QuotaEnd, QuotaResult
+from troutswitch.decisions.tenants.quota_coordinator import QuotaCoordinator
+from troutswitch.decisions.tenants.quota_groups import QuotaGroups
+from troutswitch.decisions.tenants.quota_ledger import QuotaLimit
 from troutswitch.decisions.tenants.types import QuotaBounds, Tenant
+from troutswitch.decisions.tenants.uncoordinated_quota import UncoordinatedQuota
 
-ANSWER_SECONDS = 0.03
-"""Time for an answer, as for a place: a tenth of an objective of 300 ms; one takes one to four
-milliseconds between zones."""
-AGAIN_SECONDS = 0.012
-"""Time after which an ask that was not answered is sent once more. Where one message in twenty was
-lost and none was sent again, a tenant at eleven times its usual came to 1.22 of what users allow in
-a window (`tests/worlds/quota_world.py`, 61 daemons)."""
+DECISION_SECONDS = 0.03
+"""Time within which a coordinator must decide, as for slots: a tenth of an objective of 300 ms."""
+RESEND_SECONDS = 0.012
+"""Time after which a request without a decision is sent once more."""
 LEASE_SECONDS = 0.5
-"""Time for which requests that were allowed in advance may be used."""
+"""Time for which requests that were granted in advance may be used."""
 LEASED_MOST = 4
-"""Requests allowed in advance with one answer, while a tenant has used less than half."""
+"""Requests granted in advance with one decision."""
+
+
+class FleetState(Protocol):
+    """What quotas need to know of the daemon and its peers."""
+
+    @property
+    def configuration_version(self) -> int:
+        """Version of the configuration in force."""
+        ...
+
+    @property
+    def daemons(self) -> int:
+        """Number of daemons, this one included."""
+        ...
 
 
 @dataclass(frozen=True, slots=True)
-class _Ask:
-    """An ask that waits for its answer."""
+class _Pending:
+    """A request that awaits its coordinator's decision. Times are seconds."""
 
     token: int
     tenant: Tenant
-    asked: SendToPeers
+    message: SendToPeers
     group: str
     requested_at: float
     spent: int
-    is_again: bool = False
+    is_resent: bool = False
+
+    @property
+    def decision_due_at(self) -> float:
+        """When the decision is overdue."""
+        return self.requested_at + DECISION_SECONDS
 
     @property
     def due_at(self) -> float:
-        """When the ask is sent again, or given up."""
-        return self.requested_at + (ANSWER_SECONDS if self.is_again else AGAIN_SECONDS)
+        """When the request is sent again, or ends without a decision."""
+        return self.decision_due_at if self.is_resent else self.requested_at + RESEND_SECONDS
 
 
 @dataclass(slots=True)
 class _Lease:
-    """Requests of a tenant that were allowed in advance."""
+    """Requests of a tenant that were granted in advance."""
 
     left: int
     until: float
 
 
 class CoordinatedQuota:
-    """Implements `Quota` by asking; with `leases`, requests are allowed in advance."""
+    """Implements `Quota` by requests to coordinators; with `leases`, some need no request."""
 
     def __init__(
         self,
-        name: str,
-        address: Address,
+        identity: DaemonIdentity,
         bounds: QuotaBounds,
-        groups: EngineGroups,
-        claims: CoordinatorClaims,
-        coordinated: dict[str, float],
-        version: Callable[[], int],
-        daemons: Callable[[], int],
+        groups: QuotaGroups,
+        fleet: FleetState,
         emit: Callable[[SendToPeers | LogLine], None],
         rng: random.Random,
         *,
         leases: bool = False,
     ) -> None:
-        self.ledger = QuotaLedger(bounds)
-        self._name = name
-        self._address = address
+        self.coordinator = QuotaCoordinator(identity.name, bounds, groups)
+        self._identity = identity
         self._groups = groups
-        self._claims = claims
-        self._coordinated = coordinated
-        self._version = version
+        self._fleet = fleet
         self._emit = emit
-        self._extra = LEASED_MOST if leases else 0
-        self._alone = LastGrants(daemons, rng)
-        self._asks: dict[int, _Ask] = {}
+        self._in_advance = LEASED_MOST if leases else 0
+        self._uncoordinated = UncoordinatedQuota(lambda: fleet.daemons, rng)
+        self._pending: dict[int, _Pending] = {}
         self._leases: dict[str, _Lease] = {}
         self._numbers = itertools.count(1)
         self._spent: Counter[str] = Counter()
-        """Requests of tenants that went from here while nobody counted, not told of yet."""
-        self._counted: dict[str, float] = {}
+        """Requests by tenant that were admitted without a coordinator, and not reported yet."""
 
     # Requests of this daemon.
 
-    def take(self, now: float, token: int, tenant: Tenant) -> QuotaMessage | None:
-        """Takes one request from a tenant's quota; None if a coordinator is asked."""
+    def take(self, now: float, token: int, tenant: Tenant) -> QuotaResult | None:
+        """Takes one request from a tenant's quota; None if a coordinator decides on it."""
         if not tenant.is_limited:
             return UNLIMITED
         if self._use_lease(now, tenant.name):
-            return QuotaMessage(True, 0.0, "lease")
-        group = self._group_of(tenant.name)
+            return QuotaResult(True, 0.0, "lease")
+        group = self._groups.group_of(tenant.name)
         if group is None:
-            return self._take_alone(now, tenant)
-        if group.name in self._coordinated:
-            limit = QuotaLimit(tenant.rate, tenant.burst, self._version())
-            grant = self.ledger.take(now, tenant.name, limit, 1, self._coordinated[group.name])
-            return QuotaMessage(grant.granted > 0, grant.wait, "counted here")
-        claim = self._claims.coordinator(now, group.name)
+            return self._decide_alone(now, tenant)
+        if self.coordinator.counts_for(group.name):
+            limit = QuotaLimit(tenant.rate, tenant.burst, self._fleet.configuration_version)
+            grant = self.coordinator.take_own(now, group.name, tenant.name, limit)
+            return QuotaResult(grant.granted > 0, grant.wait, "counted here")
+        claim = self._groups.claims.coordinator(now, group.name)
         if claim is None:
-            self._claims.on_wanted(now, group.name)
-            return self._take_alone(now, tenant)
+            self._groups.claims.on_wanted(now, group.name)
+            return self._decide_alone(now, tenant)
+        self._send(now, token, tenant, group, claim)
+        return None
+
+    def _send(self, now: float, token: int, tenant: Tenant, group: Group, claim: Claim) -> None:
+        """Sends the coordinator of a tenant's group a request."""
         number = next(self._numbers)
-        ask = QuotaRequest(
-            self._name,
-            self._address,
+        request = QuotaRequest(
+            self._identity.name,
+            self._identity.address,
             number,
             group.name,
             tenant.name,
             tenant.rate,
             tenant.burst,
-            self._version(),
-            1 + self._extra,
+            self._fleet.configuration_version,
+            1 + self._in_advance,
             self._spent[tenant.name],
         )
-        asked = SendToPeers((claim.address,), ask)
-        self._asks[number] = _Ask(token, tenant, asked, group.name, now, ask.spent)
-        self._emit(asked)
-        return None
+        message = SendToPeers((claim.address,), request)
+        self._pending[number] = _Pending(token, tenant, message, group.name, now, request.spent)
+        self._emit(message)
 
-    def _take_alone(self, now: float, tenant: Tenant) -> QuotaMessage:
-        grant = self._alone.take(now, tenant)
-        self._spent[tenant.name] += grant.is_allowed
-        return grant
-
-    def _group_of(self, tenant: str) -> Group | None:
-        """Returns the group whose coordinator counts for a tenant: the highest by hash."""
-        groups = self._groups.all()
-        return max(groups, key=lambda group: stable_hash(group.name, tenant), default=None)
+    def _decide_alone(self, now: float, tenant: Tenant) -> QuotaResult:
+        result = self._uncoordinated.take(now, tenant)
+        self._spent[tenant.name] += result.is_allowed
+        return result
 
     def _use_lease(self, now: float, tenant: str) -> bool:
         lease = self._leases.get(tenant)
@@ -150,83 +177,62 @@
         return True
 
     def withdraw(self, token: int) -> None:
-        """Forgets a request; what is allowed to it counts all the same."""
-        for number, ask in list(self._asks.items()):
-            if ask.token == token:
-                del self._asks[number]
-
-    # Coordinator.
-
-    def on_ask(self, now: float, ask: QuotaRequest) -> None:
-        """Answers a peer."""
-        since = self._coordinated.get(ask.group)
-        granted, wait = 0, 0.0
-        if since is not None and ask.rate > 0:
-            limit = QuotaLimit(ask.rate, ask.burst, ask.version)
-            self.ledger.debit(now, ask.tenant, limit, ask.spent, since)
-            count = ask.count if self.ledger.is_ample(ask.tenant) else 1
-            grant = self.ledger.take(now, ask.tenant, limit, count, since)
-            granted, wait = grant.granted, grant.wait
-        answer = QuotaDecision(
-            self._name, ask.number, ask.group, granted, round(wait * 1000), since is not None
-        )
-        self._emit(SendToPeers((ask.address,), answer))
-
-    # Answers.
-
-    def on_answer(self, now: float, answer: QuotaDecision) -> list[QuotaEnd]:
-        """Takes a coordinator's answer; a late one changes nothing."""
-        ask = self._asks.pop(answer.number, None)
-        if ask is None:
+        """Forgets a request; what a coordinator grants it counts all the same."""
+        for number, pending in list(self._pending.items()):
+            if pending.token == token:
+                del self._pending[number]
+
+    # Messages.
+
+    def on_request(self, now: float, request: QuotaRequest) -> None:
+        """Replies to a peer."""
+        decision = self.coordinator.decide(now, request)
+        self._emit(SendToPeers((request.address,), decision))
+
+    def on_decision(self, now: float, decision: QuotaDecision) -> list[QuotaEnd]:
+        """Takes a coordinator's decision; one that comes too late changes nothing."""
+        pending = self._pending.pop(decision.number, None)
+        if pending is None:
             return []
-        if not answer.is_coordinator:
-            self._claims.on_denied(now, ask.group)
-            return [QuotaEnd(ask.token, self._take_alone(now, ask.tenant))]
-        self._claims.on_activity(ask.group, answer.sender)
-        self._spent[ask.tenant.name] = max(0, self._spent[ask.tenant.name] - ask.spent)
-        is_allowed = answer.granted > 0
-        self._alone.on_word(now, ask.tenant.name, is_allowed)
-        if answer.granted > 1:
-            self._leases[ask.tenant.name] = _Lease(answer.granted - 1, now + LEASE_SECONDS)
-        grant = QuotaMessage(is_allowed, answer.wait_ms / 1000, f"counted by {answer.sender}")
-        return [QuotaEnd(ask.token, grant)]
+        if not decision.is_coordinator:
+            self._groups.claims.on_denied(now, pending.group)
+            return [QuotaEnd(pending.token, self._decide_alone(now, pending.tenant))]
+        self._groups.claims.on_activity(pending.group, decision.sender)
+        return [QuotaEnd(pending.token, self._result(now, pending, decision))]
+
+    def _result(self, now: float, pending: _Pending, decision: QuotaDecision) -> QuotaResult:
+        """Notes what a coordinator has counted and granted, and returns the request's result."""
+        tenant = pending.tenant.name
+        self._spent[tenant] = max(0, self._spent[tenant] - pending.spent)
+        is_allowed = decision.granted > 0
+        self._uncoordinated.on_decision(now, tenant, is_allowed)
+        if decision.granted > 1:
+            self._leases[tenant] = _Lease(decision.granted - 1, now + LEASE_SECONDS)
+        return QuotaResult(is_allowed, decision.wait_ms / 1000, f"counted by {decision.sender}")
 
     # Timers.
 
     def next_due(self) -> float:
-        """Returns when `on_timer` has something to do."""
-        return min((ask.due_at for ask in self._asks.values()), default=float("inf"))
+        """Returns when `on_timer` has something to do, in seconds of this process's clock."""
+        return min((pending.due_at for pending in self._pending.values()), default=float("inf"))
 
     def on_timer(self, now: float) -> list[QuotaEnd]:
-        """Decides here what was not answered in time."""
-        self.ledger.forget_idle(now)
-        self._follow_coordination()
+        """Sends requests again, and ends those whose decision is overdue."""
+        self.coordinator.on_timer(now)
         ended: list[QuotaEnd] = []
-        for number, ask in list(self._asks.items()):
-            if now < ask.due_at:
+        for number, pending in list(self._pending.items()):
+            if now < pending.due_at:
                 continue
-            if not ask.is_again and now < ask.requested_at + ANSWER_SECONDS:
-                self._asks[number] = replace(ask, is_again=True)
-                self._emit(ask.asked)
+            if not pending.is_resent and now < pending.decision_due_at:
+                self._pending[number] = replace(pending, is_resent=True)
+                self._emit(pending.message)
                 continue
-            del self._asks[number]
-            self._claims.on_missed(now, ask.group)
-            fields = {"group": ask.group, "tenant": ask.tenant.name}
-            self._emit(LogLine("quota not answered", {**fields}))
-            ended.append(QuotaEnd(ask.token, self._take_alone(now, ask.tenant)))
+            del self._pending[number]
+            ended.append(self._end_overdue(now, pending))
         return ended
 
-    def _follow_coordination(self) -> None:
-        """Drops the accounts of groups that this daemon no longer coordinates, or does anew."""
-        if self._counted == self._coordinated:
-            return
-        kept = {
-            name for name, since in self._coordinated.items() if self._counted.get(name) == since
-        }
-        gone: set[str] = set()
-        for tenant in self.ledger.tenants():
-            group = self._group_of(tenant)
-            if group is None or group.name not in kept:
-                gone.add(tenant)
-        self.ledger.forget(gone)
-        self._counted = dict(self._coordinated)
+    def _end_overdue(self, now: float, pending: _Pending) -> QuotaEnd:
+        self._groups.claims.on_missed(now, pending.group)
+        fields: dict[str, object] = {"group": pending.group, "tenant": pending.tenant.name}
+        self._emit(LogLine("quota request not answered", fields))
+        return QuotaEnd(pending.token, self._decide_alone(now, pending.tenant))
--- a/src/troutswitch/decisions/tenants/quota.py
+++ b/src/troutswitch/decisions/tenants/quota.py
@@ -1,8 +1,10 @@
 """The interface of quotas: whether a tenant may send one more request now, over all daemons.
 
-(taken)  -> allowed    the request counts against the tenant's quota
-(taken)  -> exceeded   with the time after which there is room for this caller
-(taken)  -> ASKED      a coordinator was asked; the end comes by `on_answer` or `on_timer`
+    (taken)   -> allowed    the request counts against the tenant's quota
+    (taken)   -> exceeded   with the time after which there is quota for this caller
+    (taken)   -> AWAITING   a coordinator was sent a request; `on_decision` or `on_timer` ends it
+
+`quota_policies.py` names the implementations.
 """
 
 from dataclasses import dataclass
@@ -13,10 +15,11 @@
 
 
 @dataclass(frozen=True, slots=True)
-class QuotaMessage:
+class QuotaResult:
     """Whether one request is inside its tenant's quota.
 
-    `wait` is the time in seconds after which there is room for it; `decided_by` says who counted.
+    `wait` is the time in seconds after which there is quota for it; `decided_by` says, for logs,
+    who counted.
     """
 
     is_allowed: bool
@@ -26,58 +29,58 @@
 
 @dataclass(frozen=True, slots=True)
 class QuotaEnd:
-    """The word on a request for which a coordinator was asked."""
+    """The result for a request that awaited a coordinator's decision, named by its token."""
 
     token: int
-    grant: QuotaMessage
+    result: QuotaResult
 
 
-UNLIMITED = QuotaMessage(True, 0.0, "no limit")
+UNLIMITED = QuotaResult(True, 0.0, "no limit")
 
 
 class Quota(Protocol):
     """Counts the requests of tenants over all daemons."""
 
-    def take(self, now: float, token: int, tenant: Tenant) -> QuotaMessage | None:
-        """Takes one request from a tenant's quota; None if the word comes later."""
+    def take(self, now: float, token: int, tenant: Tenant) -> QuotaResult | None:
+        """Takes one request from a tenant's quota; None if the result comes later."""
         ...
 
     def withdraw(self, token: int) -> None:
-        """Forgets a request whose word is not needed any more."""
+        """Forgets a request whose result is not needed any more."""
         ...
 
-    def on_ask(self, now: float, ask: QuotaRequest) -> None:
-        """Answers a peer, as the coordinator of the tenant."""
+    def on_request(self, now: float, request: QuotaRequest) -> None:
+        """Replies to a peer, as the coordinator of the tenant."""
         ...
 
-    def on_answer(self, now: float, answer: QuotaDecision) -> list[QuotaEnd]:
-        """Takes a coordinator's answer."""
+    def on_decision(self, now: float, decision: QuotaDecision) -> list[QuotaEnd]:
+        """Takes a coordinator's decision."""
         ...
 
     def next_due(self) -> float:
-        """Returns when `on_timer` has something to do."""
+        """Returns when `on_timer` has something to do, in seconds of this process's clock."""
         ...
 
     def on_timer(self, now: float) -> list[QuotaEnd]:
-        """Decides here what was not answered in time."""
+        """Ends requests whose decision is overdue."""
         ...
 
 
 class NoQuota:
     """Quota of a daemon that counts nothing."""
 
-    def take(self, now: float, token: int, tenant: Tenant) -> QuotaMessage | None:
+    def take(self, now: float, token: int, tenant: Tenant) -> QuotaResult | None:
         """Allows everything."""
         return UNLIMITED
 
     def withdraw(self, token: int) -> None:
         """Has nothing to forget."""
 
-    def on_ask(self, now: float, ask: QuotaRequest) -> None:
-        """Does not answer: the peer decides by itself."""
+    def on_request(self, now: float, request: QuotaRequest) -> None:
+        """Does not reply: the peer decides alone."""
 
-    def on_answer(self, now: float, answer: QuotaDecision) -> list[QuotaEnd]:
-        """Awaits no answer."""
+    def on_decision(self, now: float, decision: QuotaDecision) -> list[QuotaEnd]:
+        """Awaits no decision."""
         return []
 
     def next_due(self) -> float:
--- a/src/troutswitch/decisions/tenants/ledger.py
+++ b/src/troutswitch/decisions/tenants/quota_ledger.py
@@ -1,4 +1,21 @@
-"""Counts what tenants have sent, as the one daemon that counts for all."""
+"""Decides how many of a tenant's requests are inside its quota, as the one daemon that counts.
+
+Inputs: the limit in the newest configuration that any daemon reported, in requests a second and
+requests of burst; the requests taken so far; when this daemon began to count for the tenant, in
+seconds of its clock.
+
+Rule: a token bucket for each tenant, filled at the rate. It holds the burst and a tolerance, which
+is `TOLERANCE_SHARE` of what users let pass above a quota (`QuotaBounds`). A daemon that has counted
+for less than one window begins with the tolerance alone. Requests that were admitted without a
+coordinator are taken off afterwards, into debt if needed. A request that is refused is told when
+there is quota for it, one caller after the other, at most `RETRY_MOST_SECONDS` later.
+
+Why: in any window no more than rate x window + burst passes, and the tolerance, so a caller at the
+limit is not refused for a request that is counted late. The rest of what may pass is for two
+daemons that both count for a while. Callers that are given distinct times don't all return at once.
+
+Measured in docs/design/tenants.md.
+"""
 
 from dataclasses import dataclass
 
@@ -6,16 +23,17 @@
 from troutswitch.decisions.tenants.types import QuotaBounds
 
 TOLERANCE_SHARE = 0.4
-"""Part of what may pass above a quota that is allowed on purpose, so that a caller at the limit is
-not refused for a request counted late. The rest is for two daemons that both count for a while:
-a new one begins with the tolerance alone."""
-WAIT_MOST_SECONDS = 30.0
-"""Longest time after which a caller is asked to come back."""
+"""Part of what may pass above a quota that a coordinator allows."""
+RETRY_MOST_SECONDS = 30.0
+"""Longest time after which a caller is told to retry."""
 
 
 @dataclass(frozen=True, slots=True)
 class QuotaLimit:
-    """A tenant's limit as one version of the configuration has it; of two, the newer holds."""
+    """A tenant's limit in one version of the configuration; of two, the newer is in force.
+
+    `rate` is in requests a second, `burst` in requests.
+    """
 
     rate: float
     burst: float
@@ -24,7 +42,7 @@
 
 @dataclass(frozen=True, slots=True)
 class QuotaGrant:
-    """How many requests may go, and where none may, when there is room for one, in seconds."""
+    """How many requests are granted; if none, the seconds until there is quota for one."""
 
     granted: int
     wait: float
@@ -32,7 +50,7 @@
 
 @dataclass(slots=True)
 class _Account:
-    """What one tenant has left. `promised` counts callers that were told when to come back."""
+    """What one tenant has left. `promised` counts callers that were told when to retry."""
 
     limit: QuotaLimit
     bucket: TokenBucket
@@ -40,35 +58,31 @@
 
 
 class QuotaLedger:
-    """The accounts of tenants; one that nobody asks for is as good as full and is dropped.
-
-    A token bucket: in any window of the bounds it allows no more than rate x window + burst, and
-    the tolerance.
-    """
+    """The accounts of tenants. One that nobody uses fills up, and is dropped then."""
 
     def __init__(self, bounds: QuotaBounds) -> None:
-        self.bounds = bounds
+        self._bounds = bounds
         self._accounts: dict[str, _Account] = {}
-        self._forget_at = float("-inf")
+        self._checked_at = float("-inf")
 
     def __len__(self) -> int:
         return len(self._accounts)
 
     def tolerance(self, limit: QuotaLimit) -> float:
         """Returns the requests above the limit that are allowed in a window."""
-        in_window = limit.rate * self.bounds.window + limit.burst
-        return TOLERANCE_SHARE * (self.bounds.overshoot * in_window + self.bounds.slack)
+        in_window = limit.rate * self._bounds.window + limit.burst
+        return TOLERANCE_SHARE * (self._bounds.overshoot * in_window + self._bounds.slack)
 
     def _depth(self, limit: QuotaLimit) -> float:
+        """Returns the requests that a full account allows at once."""
         return max(1.0, limit.burst + self.tolerance(limit))
 
     def take(
         self, now: float, tenant: str, limit: QuotaLimit, count: int, counts_since: float
     ) -> QuotaGrant:
-        """Takes up to `count` requests, at least one if there is room.
+        """Takes up to `count` requests, at least one if there is quota.
 
-        `counts_since` is when this daemon began to count for the tenant: what went before is not
-        known for a window.
+        `counts_since` is when this daemon began to count for the tenant, in seconds of its clock.
         """
         account = self._account(now, tenant, limit, counts_since)
         rate, depth = account.limit.rate, self._depth(account.limit)
@@ -79,17 +93,17 @@
             granted = min(count, int(left))
             account.bucket.tokens -= granted
             return QuotaGrant(granted, 0.0)
-        wait = min(WAIT_MOST_SECONDS, (1.0 - left + account.promised) / rate)
+        wait = min(RETRY_MOST_SECONDS, (1.0 - left + account.promised) / rate)
         account.promised += 1.0
         return QuotaGrant(0, wait)
 
     def debit(
         self, now: float, tenant: str, limit: QuotaLimit, spent: int, counts_since: float
     ) -> None:
-        """Takes off what went while this daemon was not heard; an account may run into debt.
+        """Takes off requests that a daemon admitted while it had no coordinator.
 
-        Without it, what went meanwhile came on top of what had gathered here: 1.04 of what users
-        allow in a window after two seconds of silence (`tests/worlds/quota_world.py`).
+        Otherwise they would come on top of what the account has gathered meanwhile. The account
+        may run into debt, at most as deep as it is when full.
         """
         if spent > 0:
             account = self._account(now, tenant, limit, counts_since)
@@ -105,7 +119,7 @@
     def _account(self, now: float, tenant: str, limit: QuotaLimit, counts_since: float) -> _Account:
         account = self._accounts.get(tenant)
         if account is None:
-            is_new_here = now - counts_since < self.bounds.window
+            is_new_here = now - counts_since < self._bounds.window
             tokens = max(1.0, self.tolerance(limit)) if is_new_here else self._depth(limit)
             account = self._accounts[tenant] = _Account(limit, TokenBucket(tokens, now))
         elif limit.version > account.limit.version:
@@ -113,10 +127,10 @@
         return account
 
     def forget_idle(self, now: float) -> None:
-        """Drops accounts that have filled up again; looks once in a window."""
-        if now < self._forget_at + self.bounds.window:
+        """Drops accounts that have filled up again; checks once in a window."""
+        if now < self._checked_at + self._bounds.window:
             return
-        self._forget_at = now
+        self._checked_at = now
         for tenant, account in list(self._accounts.items()):
             depth = self._depth(account.limit)
             if account.bucket.refill(now, account.limit.rate, depth) >= depth:
--- a/src/troutswitch/decisions/tenants/callers.py
+++ b/src/troutswitch/decisions/tenants/tenant_keys.py
@@ -1,4 +1,15 @@
-"""Tells whose key a caller shows, by the newest configuration in force."""
+"""Decides which tenant a caller belongs to, by the API key that it shows.
+
+Inputs: the digest of the key; the tenants of the configuration in force on this daemon; whether
+this daemon knows that a newer configuration may exist.
+
+Rule: a caller without a key is let in on a route that needs none, and refused with 401 otherwise.
+A key of a tenant identifies it. An unknown key is refused with 401, which is final, or, while the
+configuration may be old, with a time to retry. A configuration without a list of tenants lets
+everybody in.
+
+Why: a key that was just added must not get a final refusal from a daemon that has not read it yet.
+"""
 
 from dataclasses import dataclass
 
@@ -9,8 +20,8 @@
 
 UNAUTHORIZED = 401
 BEHIND_RETRY_SECONDS = 0.5
-"""Time after which a caller with an unknown key comes back to a daemon that knows it is behind:
-it asks a peer each half second."""
+"""Time after which a caller with an unknown key is told to retry at a daemon whose configuration
+may be old: as often as such a daemon requests a newer one from a peer."""
 ANONYMOUS = Tenant(NO_TENANT, frozenset())
 """Stands for callers without a tenant, who have no quota."""
 
@@ -28,12 +39,12 @@
 
     def __init__(self, routes: RouteTable) -> None:
         self.is_behind = False
-        """Whether this daemon knows that it may lack the newest configuration."""
+        """Whether a newer configuration may exist than the one in force here."""
         self._routes = routes
         self._known: _Known | None = None
 
     def _by_key(self) -> dict[str, Tenant] | None:
-        """Returns tenants by key; None if the configuration knows no tenants."""
+        """Returns tenants by key; None if the configuration has no list of tenants."""
         configuration = self._routes.configuration
         if configuration is None or configuration.tenants is None:
             return None
@@ -43,13 +54,13 @@
         return self._known.by_key
 
     def identify(self, key: str, route: Route) -> Tenant | NotRun:
-        """Returns a caller's tenant, or the refusal of its request."""
+        """Returns the tenant of a request's caller, or the request's refusal."""
         if key == NO_KEY and route.allows_anonymous:
             return ANONYMOUS
         return self.owner_of(key)
 
     def identify_for_jobs(self, key: str) -> Tenant | NotRun:
-        """Returns the tenant of a call about a job, of which no route is known yet."""
+        """Returns the tenant of a call about a job, whose route is not known yet."""
         configuration = self._routes.configuration
         routes = configuration.routes if configuration is not None else ()
         if key == NO_KEY and any(r.is_for_jobs and r.allows_anonymous for r in routes):
@@ -57,10 +68,7 @@
         return self.owner_of(key)
 
     def owner_of(self, key: str) -> Tenant | NotRun:
-        """Returns the tenant that holds a key, or the refusal.
-
-        A daemon that knows it is behind asks the caller to come back, as a 401 is final for it.
-        """
+        """Returns the tenant that has a key, or the refusal of whoever shows it."""
         by_key = self._by_key()
         if by_key is None:
             return ANONYMOUS
--- a/src/troutswitch/decisions/tenants/types.py
+++ b/src/troutswitch/decisions/tenants/types.py
@@ -1,4 +1,4 @@
-"""Types of tenants, their keys and their quotas, in the product's own terms."""
+"""Types of tenants, their keys and their quotas."""
 
 import hashlib
 from dataclasses import dataclass
@@ -6,13 +6,14 @@
 NO_KEY = ""
 """Stands for a caller that shows no key."""
 NO_TENANT = ""
-"""Stands for nobody: the tenant of a caller without a key on a route that needs none."""
+"""The tenant of a caller without a key, on a route that needs none."""
 
 
 def key_digest(key: str) -> str:
-    """Returns the name of an API key, SHA-256 in hexadecimal; empty for no key.
+    """Returns the digest that names an API key, SHA-256 in hexadecimal; empty for no key.
 
-    Only digests pass the boundary, so that no key reaches a log line, a record or a peer.
+    Callers' keys are turned into digests where requests come in, so that no key reaches a log
+    line, a record or a peer.
     """
     return hashlib.sha256(key.encode()).hexdigest() if key else NO_KEY
 
@@ -22,7 +23,7 @@
     """One tenant.
 
     `keys` are digests. `rate` is in requests a second, over all daemons, with `burst` requests on
-    top; a rate of 0 is no limit. `priority` goes before a route's; None leaves that in force.
+    top; a rate of 0 is no limit. `priority` overrides a route's, unless it is None.
     """
 
     name: str
@@ -41,7 +42,7 @@
 class QuotaBounds:
     """How exactly quotas are to be kept: what may pass above them in any `window` seconds.
 
-    That is `overshoot` (a share) of what the window allows, and `slack` requests.
+    That is the share `overshoot` of what the window allows, and `slack` requests.
     """
 
     window: float = 5.0
--- /dev/null
+++ b/src/troutswitch/decisions/tenants/uncoordinated_quota.py
@@ -0,0 +1,72 @@
+"""Decides whether a request is admitted while no coordinator counts for its tenant.
+
+Inputs: the decisions of coordinators on the tenant's requests from this daemon, of the last
+`DECISIONS_SECONDS`; this daemon's equal share of the quota (`equal_shares.py`).
+
+Rule: if some of the tenant's recent requests were refused, a request is refused with the
+probability of the refused part. What remains is admitted up to `UNCOORDINATED_FACTOR` times the
+equal share.
+
+Why: without the first step, each daemon would admit a tenant that is far above its quota up to its
+share of the full rate. The factor allows for callers that are spread over daemons unevenly.
+Measured in docs/design/tenants.md.
+"""
+
+import random
+from collections.abc import Callable
+from dataclasses import dataclass
+
+from troutswitch.decisions.tenants.equal_shares import EqualShares
+from troutswitch.decisions.tenants.quota import QuotaResult
+from troutswitch.decisions.tenants.types import Tenant
+
+UNCOORDINATED_FACTOR = 1.5
+"""How many times its equal share a daemon may admit."""
+SHARE_LEAST = 1.0
+"""Least requests at once of a share."""
+DECISIONS_SECONDS = 5.0
+"""Time for which coordinators' decisions show how much of a tenant's requests to admit."""
+
+
+@dataclass(slots=True)
+class _Decisions:
+    """Recent decisions of coordinators on one tenant's requests."""
+
+    newest_at: float
+    allowed: float = 0.0
+    refused: float = 0.0
+
+
+class UncoordinatedQuota:
+    """Decides alone: the part that was admitted recently, at most a share of the quota."""
+
+    def __init__(self, daemons: Callable[[], int], rng: random.Random) -> None:
+        self._shares = EqualShares(daemons, UNCOORDINATED_FACTOR, SHARE_LEAST)
+        self._rng = rng
+        self._decisions: dict[str, _Decisions] = {}
+
+    def on_decision(self, now: float, tenant: str, is_allowed: bool) -> None:
+        """Notes a coordinator's decision on one request."""
+        decisions = self._decisions.get(tenant)
+        if decisions is None or now - decisions.newest_at > DECISIONS_SECONDS:
+            decisions = self._decisions[tenant] = _Decisions(now)
+        decisions.newest_at = now
+        if is_allowed:
+            decisions.allowed += 1.0
+        else:
+            decisions.refused += 1.0
+
+    def take(self, now: float, tenant: Tenant) -> QuotaResult:
+        """Decides on one request of a tenant that has a quota."""
+        decisions = self._recent(now, tenant.name)
+        if decisions is not None and decisions.refused:
+            admitted_part = decisions.allowed / (decisions.allowed + decisions.refused)
+            if self._rng.random() >= admitted_part:
+                return QuotaResult(False, 1.0 / tenant.rate, "recent decisions")
+        return self._shares.take(now, 0, tenant)
+
+    def _recent(self, now: float, tenant: str) -> _Decisions | None:
+        decisions = self._decisions.get(tenant)
+        if decisions is None or now - decisions.newest_at > DECISIONS_SECONDS:
+            return None
+        return decisions
--- a/tests/decisions/forwarding/test_arrivals.py
+++ b/tests/decisions/forwarding/test_arrivals.py
@@ -15,7 +15,7 @@
     PlacementRequest,
 )
 from troutswitch.decisions.forwarding.types import Route
-from troutswitch.decisions.tenants.quota import NoQuota, QuotaEnd, QuotaMessage
+from troutswitch.decisions.tenants.quota import NoQuota, QuotaEnd, QuotaResult
 from troutswitch.decisions.tenants.types import Tenant, key_digest
 from troutswitch.outcomes import NotRun
 
@@ -102,7 +102,7 @@
     def __init__(self) -> None:
         self.withdrawn: list[int] = []
 
-    def take(self, now: float, token: int, tenant: Tenant) -> QuotaMessage | None:
+    def take(self, now: float, token: int, tenant: Tenant) -> QuotaResult | None:
         return None
 
     def withdraw(self, token: int) -> None:
@@ -113,7 +113,7 @@
     world = tenant_world()
     world.requests.arrivals.quota = LateQuota()
     assert not world.requests.on_arrived(0.0, replace(arrival(1), caller_key=KEY))
-    allowed = QuotaEnd(1, QuotaMessage(True, 0.0, "peer"))
+    allowed = QuotaEnd(1, QuotaResult(True, 0.0, "peer"))
     made = world.requests.on_counted(0.01, allowed)
     assert [m.tenant for m in made if isinstance(m, SendRequest)] == ["ours"]
     assert world.requests.on_counted(0.02, allowed) == []
@@ -123,7 +123,7 @@
     world = tenant_world()
     world.requests.arrivals.quota = LateQuota()
     world.requests.on_arrived(0.0, replace(arrival(1), caller_key=KEY))
-    made = world.requests.on_counted(0.01, QuotaEnd(1, QuotaMessage(False, 0.7, "peer")))
+    made = world.requests.on_counted(0.01, QuotaEnd(1, QuotaResult(False, 0.7, "peer")))
     finish = made[0]
     assert status(finish) == 429
     assert isinstance(finish, FinishRequest)
@@ -136,7 +136,7 @@
     world.requests.arrivals.quota = LateQuota()
     world.requests.on_arrived(0.0, replace(arrival(1), caller_key=KEY))
     put(world, 3, Tenant("ours", frozenset({OTHER})))
-    made = world.requests.on_counted(0.01, QuotaEnd(1, QuotaMessage(True, 0.0, "peer")))
+    made = world.requests.on_counted(0.01, QuotaEnd(1, QuotaResult(True, 0.0, "peer")))
     assert status(made[0]) == 401
 
 
--- a/tests/decisions/tenants/test_coordinated_quota.py
+++ b/tests/decisions/tenants/test_coordinated_quota.py
@@ -5,19 +5,22 @@
 import pytest
 
 from tests.decisions.forwarding.worlds import engine
+from tests.worlds.quota_world import FixedFleet
 from troutswitch.common import Address
 from troutswitch.daemons import datagram
+from troutswitch.daemons.identity import DaemonIdentity
 from troutswitch.daemons.messages import QuotaDecision, QuotaRequest
 from troutswitch.decisions.slots.coordinator_claims import Claim, CoordinatorClaims
 from troutswitch.decisions.slots.groups import EngineGroups
 from troutswitch.decisions.slots.messages import SendToPeers
 from troutswitch.decisions.storage.follower import CallNumbers
 from troutswitch.decisions.tenants.coordinated_quota import (
-    AGAIN_SECONDS,
-    ANSWER_SECONDS,
+    DECISION_SECONDS,
+    RESEND_SECONDS,
     CoordinatedQuota,
 )
-from troutswitch.decisions.tenants.quota import QuotaMessage
+from troutswitch.decisions.tenants.quota import QuotaResult
+from troutswitch.decisions.tenants.quota_groups import QuotaGroups
 from troutswitch.decisions.tenants.types import QuotaBounds, Tenant
 
 TENANT = Tenant("t", frozenset(), rate=2.0, burst=2.0)
@@ -40,14 +43,10 @@
             name, "z", address, groups, CallNumbers(), rng, lambda event, **fields: None
         )
         self.quota = CoordinatedQuota(
-            name,
-            address,
+            DaemonIdentity(name, "z", address, 1),
             QuotaBounds(),
-            groups,
-            self.claims,
-            self.coordinated,
-            lambda: 1,
-            lambda: 10,
+            QuotaGroups(groups, self.claims, self.coordinated),
+            FixedFleet(10),
             self._emit,
             rng,
             leases=leases,
@@ -77,18 +76,18 @@
     return asking, counting
 
 
-def ask(now: float, token: int, asking: Daemon, counting: Daemon) -> QuotaMessage:
+def ask(now: float, token: int, asking: Daemon, counting: Daemon) -> QuotaResult:
     grant = asking.quota.take(now, token, TENANT)
     if grant is not None:
         return grant
     question = asking.message()
     assert isinstance(question, QuotaRequest)
-    counting.quota.on_ask(now, question)
+    counting.quota.on_request(now, question)
     answer = counting.message()
     assert isinstance(answer, QuotaDecision)
-    ended = asking.quota.on_answer(now, answer)
+    ended = asking.quota.on_decision(now, answer)
     assert [end.token for end in ended] == [token]
-    return ended[0].grant
+    return ended[0].result
 
 
 def test_a_tenant_without_a_limit_costs_no_message() -> None:
@@ -119,12 +118,12 @@
     asking, _ = pair()
     assert asking.quota.take(0.0, 1, TENANT) is None
     asking.sent.clear()
-    assert asking.quota.next_due() == AGAIN_SECONDS
-    assert asking.quota.on_timer(AGAIN_SECONDS) == []
+    assert asking.quota.next_due() == RESEND_SECONDS
+    assert asking.quota.on_timer(RESEND_SECONDS) == []
     assert len(asking.sent) == 1, "an ask is sent once more"
-    assert asking.quota.next_due() == ANSWER_SECONDS
-    ended = asking.quota.on_timer(ANSWER_SECONDS)
-    assert [(end.token, end.grant.is_allowed) for end in ended] == [(1, True)]
+    assert asking.quota.next_due() == DECISION_SECONDS
+    ended = asking.quota.on_timer(DECISION_SECONDS)
+    assert [(end.token, end.result.is_allowed) for end in ended] == [(1, True)]
     asking.quota.take(0.1, 2, TENANT)
     asking.quota.on_timer(0.2)
     assert asking.claims.coordinator(0.2, asking.group) is None
@@ -136,11 +135,11 @@
     asking.quota.take(0.0, 1, TENANT)
     question = asking.message()
     assert isinstance(question, QuotaRequest)
-    counting.quota.on_ask(0.0, question)
+    counting.quota.on_request(0.0, question)
     asking.quota.on_timer(1.0)
     answer = counting.message()
     assert isinstance(answer, QuotaDecision)
-    assert asking.quota.on_answer(1.0, answer) == []
+    assert asking.quota.on_decision(1.0, answer) == []
 
 
 def test_a_withdrawn_request_gets_no_word() -> None:
@@ -186,7 +185,7 @@
 @pytest.mark.parametrize("rate", [0.0, -1.0])
 def test_an_ask_with_a_senseless_rate_is_answered(rate: float) -> None:
     _, counting = pair()
-    counting.quota.on_ask(0.0, QuotaRequest("a", HERE, 1, counting.group, "t", rate, 1.0, 1, 1))
+    counting.quota.on_request(0.0, QuotaRequest("a", HERE, 1, counting.group, "t", rate, 1.0, 1, 1))
     answer = counting.message()
     assert isinstance(answer, QuotaDecision)
     assert answer.granted == 0
--- a/tests/decisions/tenants/test_machine.py
+++ b/tests/decisions/tenants/test_machine.py
@@ -12,17 +12,20 @@
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
 
 from tests.decisions.forwarding.worlds import engine
+from tests.worlds.quota_world import FixedFleet
 from troutswitch.common import Address
+from troutswitch.daemons.identity import DaemonIdentity
 from troutswitch.daemons.messages import QuotaDecision, QuotaRequest
 from troutswitch.decisions.slots.coordinator_claims import Claim, CoordinatorClaims
 from troutswitch.decisions.slots.groups import EngineGroups
 from troutswitch.decisions.slots.messages import SendToPeers
 from troutswitch.decisions.storage.follower import CallNumbers
 from troutswitch.decisions.tenants.coordinated_quota import CoordinatedQuota
-from troutswitch.decisions.tenants.ledger import QuotaLimit
 from troutswitch.decisions.tenants.quota import QuotaEnd
-from troutswitch.decisions.tenants.shares import ALONE_FACTOR, SHARE_LEAST
+from troutswitch.decisions.tenants.quota_groups import QuotaGroups
+from troutswitch.decisions.tenants.quota_ledger import QuotaLimit
 from troutswitch.decisions.tenants.types import QuotaBounds, Tenant
+from troutswitch.decisions.tenants.uncoordinated_quota import SHARE_LEAST, UNCOORDINATED_FACTOR
 
 DAEMONS = 4
 BOUNDS = QuotaBounds(window=5.0, overshoot=0.1, slack=4.0)
@@ -69,14 +72,10 @@
                 self.on_the_way += [(address.port, made.message) for address in made.addresses]
 
         return CoordinatedQuota(
-            f"d{number}",
-            Address("10.0.0.1", number),
+            DaemonIdentity(f"d{number}", "z", Address("10.0.0.1", number), 1),
             BOUNDS,
-            groups,
-            self.claims[number],
-            self.coordinated[number],
-            lambda: 1,
-            lambda: DAEMONS,
+            QuotaGroups(groups, self.claims[number], self.coordinated[number]),
+            FixedFleet(DAEMONS),
             emit,
             random.Random(number),
         )
@@ -115,9 +114,9 @@
         if fate == "lost":
             return
         if isinstance(message, QuotaRequest):
-            self.quotas[number].on_ask(self.now, message)
+            self.quotas[number].on_request(self.now, message)
         else:
-            self.end(number, self.quotas[number].on_answer(self.now, message))
+            self.end(number, self.quotas[number].on_decision(self.now, message))
 
     @rule(seconds=st.sampled_from([0.001, 0.012, 0.03, 0.5, 2.0]))
     def let_pass(self, seconds: float) -> None:
@@ -129,18 +128,18 @@
         for end in ended:
             assert end.token in self.waiting[number], "a request has two words"
             self.waiting[number].discard(end.token)
-            if end.grant.is_allowed:
+            if end.result.is_allowed:
                 self.allowed.append(self.now)
 
     @invariant()
     def no_window_has_too_many(self) -> None:
-        ledger = self.quotas[0].ledger
+        ledger = self.quotas[0].coordinator.ledger
         since = self.now - BOUNDS.window
         in_window = sum(at > since for at in self.allowed)
         counted = TENANT.rate * BOUNDS.window + TENANT.burst + ledger.tolerance(LIMIT)
         begun = sum(at > since - BOUNDS.window for at in self.begun) - 1
         anew = max(0, begun) * max(1.0, ledger.tolerance(LIMIT), TENANT.burst)
-        alone = ALONE_FACTOR * (TENANT.rate * BOUNDS.window + TENANT.burst)
+        alone = UNCOORDINATED_FACTOR * (TENANT.rate * BOUNDS.window + TENANT.burst)
         assert in_window <= counted + anew + alone + DAEMONS * SHARE_LEAST
 
     @invariant()
--- a/tests/forms/samples.py
+++ b/tests/forms/samples.py
@@ -63,7 +63,7 @@
     StoreCall,
     WriterStamp,
 )
-from troutswitch.decisions.tenants.callers import TenantKeys
+from troutswitch.decisions.tenants.tenant_keys import TenantKeys
 from troutswitch.decisions.tenants.types import key_digest
 from troutswitch.gateway.callers.application import CallerApplication, final_answer
 from troutswitch.gateway.daemons.peer_state import PEER_STATE_PATH
--- a/tests/worlds/quota_world.py
+++ b/tests/worlds/quota_world.py
@@ -8,6 +8,7 @@
 
 from troutswitch.common import Address
 from troutswitch.daemons.datagram import encode
+from troutswitch.daemons.identity import DaemonIdentity
 from troutswitch.daemons.messages import QuotaDecision, QuotaRequest
 from troutswitch.decisions.forwarding.types import EngineRecord
 from troutswitch.decisions.limits import TokenBucket
@@ -16,8 +17,9 @@
 from troutswitch.decisions.slots.messages import SendToPeers
 from troutswitch.decisions.storage.follower import CallNumbers
 from troutswitch.decisions.tenants.coordinated_quota import CoordinatedQuota
-from troutswitch.decisions.tenants.quota import Quota, QuotaEnd, QuotaMessage
-from troutswitch.decisions.tenants.shares import EqualShares
+from troutswitch.decisions.tenants.equal_shares import EqualShares
+from troutswitch.decisions.tenants.quota import Quota, QuotaEnd, QuotaResult
+from troutswitch.decisions.tenants.quota_groups import QuotaGroups
 from troutswitch.decisions.tenants.types import QuotaBounds, Tenant
 
 MESSAGE_SECONDS = (0.001, 0.004)
@@ -60,6 +62,15 @@
     silent_until: float = float("-inf")
 
 
+class FixedFleet:
+    """A fleet of some daemons, with one configuration in force."""
+
+    configuration_version = 1
+
+    def __init__(self, daemons: int) -> None:
+        self.daemons = daemons
+
+
 class QuotaWorld:
     """Daemons, one tenant's callers, and messages that take time or are lost."""
 
@@ -93,14 +104,10 @@
         if self._policy == "equal_shares":
             return _Daemon(f"d{number}", EqualShares(lambda: count), claims, coordinated)
         quota = CoordinatedQuota(
-            f"d{number}",
-            address,
+            DaemonIdentity(f"d{number}", "z", address, 1),
             self.bounds,
-            groups,
-            claims,
-            coordinated,
-            lambda: 1,
-            lambda: count,
+            QuotaGroups(groups, claims, coordinated),
+            FixedFleet(count),
             lambda made: self._send(number, made),
             self._rng,
             leases=self._policy == "leased",
@@ -146,9 +153,9 @@
         if self.now < daemon.silent_until:
             return
         if isinstance(message, QuotaRequest):
-            daemon.quota.on_ask(self.now, message)
+            daemon.quota.on_request(self.now, message)
         elif isinstance(message, QuotaDecision):
-            self._end(daemon.quota.on_answer(self.now, message))
+            self._end(daemon.quota.on_decision(self.now, message))
 
     def run(self, seconds: float) -> None:
         """Lets time pass."""
@@ -195,9 +202,9 @@
 
     def _end(self, ended: list[QuotaEnd]) -> None:
         for end in ended:
-            self._note(end.token, end.grant)
+            self._note(end.token, end.result)
 
-    def _note(self, token: int, grant: QuotaMessage) -> None:
+    def _note(self, token: int, grant: QuotaResult) -> None:
         if grant.is_allowed:
             self.figures.allowed_at.append(self.now)
         elif token in self._owed:
