--- a/src/troutswitch/daemons/identity.py
+++ b/src/troutswitch/daemons/identity.py
@@ -10,7 +10,7 @@
     """One run of a daemon's process.
 
     `address` is where it receives datagrams. `incarnation` is drawn at random when the process
-    starts, and tells it from an earlier process of the same name.
+    starts, and distinguishes it from an earlier process of the same name.
     """
 
     name: str
--- a/src/troutswitch/daemons/peer_state.py
+++ b/src/troutswitch/daemons/peer_state.py
@@ -1,6 +1,7 @@
-"""What a daemon knows of the store's state, told to a peer that cannot read the store.
+"""What one daemon sends a peer that can't read the store: configuration and engine list.
 
-The records are told as the store holds them: the receiver decodes and judges them itself.
+The records go as the store has them, so the receiver decodes and checks them as if it had read
+them itself. The state is encoded as a CBOR array of a version and the fields in order.
 """
 
 from dataclasses import dataclass
@@ -9,6 +10,7 @@
 import cbor2
 
 VERSION = 1
+"""Version of the encoding."""
 
 
 class PeerStateError(ValueError):
@@ -17,7 +19,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StoredRecord:
-    """A record as the store holds it."""
+    """A record as the store has it."""
 
     key: str
     value: bytes
@@ -25,9 +27,10 @@
 
 @dataclass(frozen=True, slots=True)
 class PeerState:
-    """The newest configuration that a daemon acts on, and its list of engines.
+    """The configuration in force at a daemon, and the engine list that it read last.
 
-    `engines_age` is the time since the list was read, in seconds; None where it has none.
+    `configuration` is None if the receiver has one as new. `engines_age` is the time since the
+    list was read, in seconds; None if the daemon has read none.
     """
 
     configuration: StoredRecord | None
@@ -37,8 +40,8 @@
 
 def encode_state(state: PeerState) -> bytes:
     """Encodes a daemon's state."""
-    held = state.configuration
-    configuration = [held.key, held.value] if held is not None else None
+    record = state.configuration
+    configuration = [record.key, record.value] if record is not None else None
     engines = [[row.key, row.value] for row in state.engines]
     return cbor2.dumps([VERSION, configuration, engines, state.engines_age])
 
--- a/src/troutswitch/decisions/slots/batch_coordination.py
+++ b/src/troutswitch/decisions/slots/batch_coordination.py
@@ -1,7 +1,8 @@
 """Decides whether batch items wait for a coordinator's grants, or start from the local view.
 
-Inputs: when each group's coordinator last sent a message, and when this was last asked, in seconds
-of this process's clock; the coordinator's newest digest, at most `DIGEST_FRESH_SECONDS` old.
+Inputs: when each group's coordinator last sent a message, and when items last needed slots there,
+in seconds of this process's clock; the coordinator's newest digest, at most
+`DIGEST_FRESH_SECONDS` old.
 
 Rule: items at a group's engines start only by its coordinator's grants, until it has sent nothing
 for `UNCOORDINATED_SECONDS`; then they start from the local counts. The silence counts only while
@@ -11,7 +12,8 @@
 coordinates, for example while the store can't be written. Another daemon takes the group over
 sooner than that if it can (`coordinator_claims.py`).
 
-Measured in docs/POLICY.md, "Rounds with coordinators of slots".
+docs/SLOTS.md, "When the other side is silent", has the cases; `tests/decisions/slots/test_fleet.py`
+holds them.
 """
 
 from dataclasses import dataclass
@@ -54,7 +56,8 @@
         self._digests: dict[str, _ReceivedDigest] = {}
         self._active_at: dict[str, float] = {}
         """When each group's coordinator sent a message, or last had nothing to send."""
-        self._asked_at: dict[str, float] = {}
+        self._needed_at: dict[str, float] = {}
+        """When items last needed slots of each group."""
 
     def on_activity(self, now: float, group: str) -> None:
         """The coordinator of a group sent a message."""
@@ -72,9 +75,9 @@
             return False
         if self._coordinator.coordinates(group.name):
             return True
-        asked_at = self._asked_at.get(group.name, float("-inf"))
-        self._asked_at[group.name] = now
-        if now - asked_at > UNCOORDINATED_SECONDS:
+        needed_at = self._needed_at.get(group.name, float("-inf"))
+        self._needed_at[group.name] = now
+        if now - needed_at > UNCOORDINATED_SECONDS:
             self._active_at[group.name] = now  # no slots were needed, so it had nothing to send
         return now - self._active_at[group.name] <= UNCOORDINATED_SECONDS
 
--- a/src/troutswitch/decisions/slots/batch_slots.py
+++ b/src/troutswitch/decisions/slots/batch_slots.py
@@ -1,6 +1,6 @@
 """Decides which daemons get the free slots of a group of engines for their batch items.
 
-The coordinator of the group asks this each `ASSIGN_SECONDS` while items wait anywhere.
+The coordinator of the group uses this each `ASSIGN_SECONDS` while items wait anywhere.
 
 Inputs: free slots by the coordinator's counts (some 10 ms old) and the policy for batch capacity;
 for each daemon, its items that could start now and meet their job's objective, and those that
@@ -15,7 +15,9 @@
 Why: late items come second, as an objective that is missed is not met by haste, but their turn
 keeps them from starving. Drawing by number lets jobs of all daemons progress alike.
 
-Measured in docs/POLICY.md, "Rounds with coordinators of slots".
+Measured in docs/POLICY.md: late items second in "Rounds" (round 7), coordinators as a whole in
+"Rounds with coordinators of slots" and "Ablation". `tests/proofs/test_starvation.py` shows that
+late items finish.
 """
 
 import random
@@ -65,7 +67,7 @@
 
 
 class BatchSlotAssigner:
-    """Assigns free slots to daemons; who is told how is the coordinator's part."""
+    """Assigns free slots to daemons; the coordinator sends the grants."""
 
     def __init__(
         self,
--- a/src/troutswitch/decisions/slots/coordinator_claims.py
+++ b/src/troutswitch/decisions/slots/coordinator_claims.py
@@ -17,10 +17,11 @@
 they agree once they have read it. The delay lets one claim and the others read. Until then two
 daemons may both act as coordinator; each grants by the reports that it receives, and its peers
 use only the grants of the one whose claim they know. While the store is away, or nobody replies,
-daemons place requests from their local view (`local_placement.py`).
+daemons choose engines from their local view (`local_placement.py`).
 
-It owns the claims that this daemon knows, and its own claims under way. Measured in
-docs/POLICY.md, "Rounds with coordinators of slots"; docs/SLOTS.md lists what fails how.
+It owns the claims that this daemon knows, and its own claims under way. docs/SLOTS.md, "When the
+other side is silent", has the cases; `tests/proofs/test_slots.py` plays a silent coordinator, a dead
+one, and two at once.
 """
 
 import random
@@ -30,6 +31,7 @@
 import cbor2
 
 from troutswitch.common import Address, stable_hash
+from troutswitch.daemons.identity import DaemonIdentity
 from troutswitch.daemons.messages import KnownClaim
 from troutswitch.decisions.slots.coordinator_health import NEVER, CoordinatorHealth
 from troutswitch.decisions.slots.groups import EngineGroups, Group
@@ -86,9 +88,7 @@
 
     def __init__(
         self,
-        name: str,
-        zone: str,
-        address: Address,
+        identity: DaemonIdentity,
         groups: EngineGroups,
         numbers: CallNumbers,
         rng: random.Random,
@@ -97,10 +97,8 @@
         self.is_draining = False
         """Whether this daemon drains: it then coordinates and claims nothing."""
         self.changes = 0
-        """Changes of who coordinates what, to tell whether reports go elsewhere."""
-        self._name = name
-        self._zone = zone
-        self._address = address
+        """Number of changes of who coordinates what, so that reports follow them."""
+        self._identity = identity
         self._groups = groups
         self._numbers = numbers
         self._log = log
@@ -129,7 +127,7 @@
     def is_own(self, group: str) -> bool:
         """Returns whether this daemon coordinates a group, by the newest claim known here."""
         claim = self._claims.get(group)
-        return claim is not None and claim.daemon == self._name and not self.is_draining
+        return claim is not None and claim.daemon == self._identity.name and not self.is_draining
 
     def coordinator(self, now: float, group: str) -> Claim | None:
         """Returns the claim of a group's coordinator, unless it is suspected."""
@@ -223,8 +221,8 @@
 
     def _claim_delay(self, group: Group) -> float:
         """Returns how long this daemon leaves a claim to others; it differs between daemons."""
-        part = (stable_hash(group.name, self._name) % 1000) / 1000
-        is_near = group.zone in ("", self._zone)
+        part = (stable_hash(group.name, self._identity.name) % 1000) / 1000
+        is_near = group.zone in ("", self._identity.zone)
         return part * CLAIM_SPREAD_SECONDS + (0.0 if is_near else OTHER_ZONE_SECONDS)
 
     def _plan(self) -> None:
@@ -253,7 +251,8 @@
         self._claimed_at[group] = now
         call = self._numbers.next()
         self._own_claims[call] = _OwnClaim(group, now)
-        value = cbor2.dumps([self._name, self._address.host, self._address.port])
+        address = self._identity.address
+        value = cbor2.dumps([self._identity.name, address.host, address.port])
         record = KeyedRecord(group, value)
         end = self._follower.next_offset
         return AppendRecords(call, Partition(CLAIMS_TOPIC), (record,), expected_end=end)
@@ -280,7 +279,7 @@
             return
         group = self._own_claims.pop(call).group
         if isinstance(outcome, Appended):
-            self.take(Claim(group, self._name, self._address, outcome.offset))
+            self.take(Claim(group, self._identity.name, self._identity.address, outcome.offset))
             return
         if isinstance(outcome, EndMoved):
             self._claimed_at[group] = now - CLAIM_INTERVAL_SECONDS + CONFLICT_RETRY_SECONDS
--- a/src/troutswitch/decisions/slots/coordinator_health.py
+++ b/src/troutswitch/decisions/slots/coordinator_health.py
@@ -1,4 +1,4 @@
-"""Decides whether a group's coordinator is suspected to be gone.
+"""Decides whether a group's coordinator is suspected to have failed.
 
 Inputs: whether the coordinator replied to this daemon's own requests, known at once or when the
 time for a reply is over; any message that it sent.
@@ -11,7 +11,7 @@
 Why: one missing reply is a lost datagram more often than a failed daemon. A suspected coordinator
 is tried again, as it may only have been suspended or cut off.
 
-Measured in docs/POLICY.md, "Rounds with coordinators of slots".
+docs/SLOTS.md, "When the other side is silent", has the cases.
 """
 
 from dataclasses import dataclass
--- a/src/troutswitch/decisions/slots/fleet.py
+++ b/src/troutswitch/decisions/slots/fleet.py
@@ -69,12 +69,11 @@
         emit: Callable[[SlotInstruction], None],
         rng: random.Random,
     ) -> None:
-        name, zone, address = identity.name, identity.zone, identity.address
         self._engines = engines
         self._emit = emit
         self._list_changes = -1
         self.groups = EngineGroups()
-        self.claims = CoordinatorClaims(name, zone, address, self.groups, numbers, rng, self._log)
+        self.claims = CoordinatorClaims(identity, self.groups, numbers, rng, self._log)
         self.ledger = SlotLedger(engines, identity.incarnation)
         self.coordinator = SlotCoordinator(
             identity,
@@ -89,12 +88,12 @@
         self.batch = BatchCoordination(self.groups, self.coordinator, self.ledger, own_items)
         self.reports = HoldingsReports(identity, engines, self.groups, self.claims, own_items)
         self.requests = SlotRequests(
-            zone,
+            identity.zone,
             self.groups,
             self.claims,
             self.coordinator,
             self.reports,
-            LocalPlacement(zone, engines, requests, policies.homes, rng),
+            LocalPlacement(identity.zone, engines, requests, policies.homes, rng),
             emit,
             rng,
         )
--- a/src/troutswitch/decisions/slots/group_search.py
+++ b/src/troutswitch/decisions/slots/group_search.py
@@ -1,4 +1,4 @@
-"""Decides which coordinator is asked next for a request's slot, and which wait is accepted.
+"""Decides which group is tried next for a request's slot, and which wait is accepted there.
 
 Inputs: the groups of the request's service, from the engine list that this daemon read last; the
 waits that coordinators replied within this search, in seconds, each some milliseconds old; the
@@ -6,20 +6,20 @@
 
 Rule:
 
-1. At most `GROUPS_ASKED_MOST` groups are asked, one after the other in random order; those that
+1. At most `GROUPS_TRIED_MOST` groups are tried, one after the other in random order; those that
    span zones or are of this daemon's zone come first.
 2. A group is accepted only if the wait there is `NEAR_WAIT_SECONDS` at most, as long as there is
-   another group to ask, or one that replied. If there is none, its wait is accepted up to the
+   another group to try, or one was tried before. If there is none, its wait is accepted up to the
    request's own bound.
-3. If no group was accepted, the one with the shortest wait is asked again, and takes the request
+3. If no group was accepted, the one with the shortest wait is tried again, and takes the request
    to its queue. If that wait is longer than the request accepts, there is no slot in time.
 
-Why: a free slot in another zone is worth one more message of a few milliseconds, but asking every
+Why: a free slot in another zone is worth one more message of a few milliseconds, but trying every
 group would cost more than the wait that it saves. The order is random so that daemons which send
 at the same time spread over the groups.
 
-Measured in docs/POLICY.md, "Rounds with coordinators of slots"; ways that were weighed are in
-docs/SLOTS.md.
+Measured: coordinators as a whole, in docs/POLICY.md, "Rounds with coordinators of slots" and
+"Ablation". Other ways that were weighed are in docs/SLOTS.md.
 """
 
 import random
@@ -29,10 +29,11 @@
 from troutswitch.decisions.forwarding.wait_estimate import Estimate
 from troutswitch.decisions.slots.groups import Group
 
-GROUPS_ASKED_MOST = 3
-"""Groups that are asked for one request before it joins the shortest queue."""
+GROUPS_TRIED_MOST = 3
+"""Groups that are tried for one request before it joins the shortest queue."""
 NEAR_WAIT_SECONDS = 0.02
-"""Wait for a slot up to which no other group is asked: about what another request costs."""
+"""Wait for a slot up to which no other group is tried: about what a message and its reply
+take."""
 
 
 def groups_in_order(groups: list[Group], zone: str, rng: random.Random) -> list[Group]:
@@ -40,7 +41,7 @@
     ordered = list(groups)
     rng.shuffle(ordered)
     ordered.sort(key=lambda group: group.zone not in ("", zone))
-    return ordered[:GROUPS_ASKED_MOST]
+    return ordered[:GROUPS_TRIED_MOST]
 
 
 @dataclass(frozen=True, slots=True)
@@ -57,20 +58,20 @@
     def __init__(self, request: PlacementRequest, groups: list[Group]) -> None:
         self.request = request
         self.group: Group | None = None
-        """The group that was asked last."""
+        """The group that was tried last."""
         self._groups = list(groups)
         self._shortest: _GroupWait | None = None
         self._joins_queue = False
 
     def next_group(self) -> Group | None:
-        """Moves to the next group and returns it; None when all were asked."""
+        """Moves to the next group and returns it; None when all were tried."""
         if not self._groups:
             return None
         self.group = self._groups.pop(0)
         return self.group
 
     def accepted_wait(self) -> float:
-        """Returns the longest wait to accept of the group that is asked now, in seconds."""
+        """Returns the longest wait to accept of the group that is tried now, in seconds."""
         has_alternative = bool(self._groups) or self._shortest is not None
         if self._joins_queue or not has_alternative:
             return self.request.longest_wait
--- a/src/troutswitch/decisions/slots/groups.py
+++ b/src/troutswitch/decisions/slots/groups.py
@@ -1,9 +1,17 @@
-"""Deals engines into groups, each of which has one coordinator that counts its slots.
+"""Decides which engines form a group, whose slots one coordinator counts.
 
-A group is as large as one daemon can count: the larger it is, the more seldom a slot is free
-in one group while requests wait in another. The deal follows from the list of engines alone,
-so daemons with the same list agree without a word; with different lists they disagree on a
-few engines, whose counts are then short until the next report.
+Inputs: the engines of this daemon's list that have not begun to leave, with service and zone.
+
+Rule: the engines of a service form one group if they are `WHOLE_SERVICE_MOST` at most. If they
+are more, those of each zone form one group, or several of about equal size by a hash of the
+engine's id, none meant to be larger than `GROUP_ENGINES_MOST`.
+
+Why: a group is as large as one daemon can count. The larger it is, the more seldom a slot is free
+in one group while requests wait in another. The groups follow from the list alone, so daemons with
+the same list agree without a message. With different lists they disagree on a few engines, whose
+counts are too low until the next report.
+
+docs/SLOTS.md has what a group costs its coordinator.
 """
 
 from collections.abc import Iterable
@@ -13,8 +21,7 @@
 from troutswitch.decisions.forwarding.types import EngineRecord
 
 WHOLE_SERVICE_MOST = 16
-"""Engines of a service up to which they form one group, wherever they are: at 2 to 3 requests
-a second and slot, some 300 asks a second, a few hundredths of a core."""
+"""Engines of a service up to which they form one group, in whatever zones they are."""
 GROUP_ENGINES_MOST = 32
 """Engines of a service and zone up to which they form one group."""
 
@@ -39,8 +46,8 @@
     for record in records:
         by_service.setdefault(record.service, []).append(record)
     groups: dict[str, Group] = {}
-    for service, held in by_service.items():
-        groups |= _assign_service(service, held)
+    for service, of_service in by_service.items():
+        groups |= _assign_service(service, of_service)
     return groups
 
 
@@ -51,26 +58,26 @@
     for record in records:
         by_zone.setdefault(record.zone, []).append(record)
     groups: dict[str, Group] = {}
-    for zone, held in by_zone.items():
-        parts = -(-len(held) // GROUP_ENGINES_MOST)
-        for record in held:
-            number = stable_hash("group", record.engine_id) % parts
+    for zone, of_zone in by_zone.items():
+        group_count = -(-len(of_zone) // GROUP_ENGINES_MOST)
+        for record in of_zone:
+            number = stable_hash("group", record.engine_id) % group_count
             groups[record.engine_id] = Group(service, zone, number)
     return groups
 
 
 class EngineGroups:
-    """The groups of all engines that have not begun to leave, as this daemon's list has them."""
+    """The groups of all engines that have not begun to leave, by this daemon's list."""
 
     def __init__(self) -> None:
         self.changes = 0
-        """Deals so far, to tell whether what follows from them is to be worked out anew."""
+        """Number of updates, so that what follows from the groups is worked out again."""
         self._groups: dict[str, Group] = {}
         self._members: dict[str, list[str]] = {}
         self._by_name: dict[str, Group] = {}
 
     def update(self, records: Iterable[EngineRecord]) -> None:
-        """Deals the groups anew."""
+        """Groups the engines of a new list."""
         self.changes += 1
         self._groups = assign_groups(records)
         self._members = {}
@@ -84,11 +91,11 @@
         return self._groups.get(engine_id)
 
     def named(self, name: str) -> Group | None:
-        """Returns a group by its name."""
+        """Returns a group by its name, or None if there is none of that name."""
         return self._by_name.get(name)
 
     def members(self, name: str) -> list[str]:
-        """Returns the ids of a group's engines."""
+        """Returns the ids of the engines in the group of a name."""
         return self._members.get(name, [])
 
     def all(self) -> list[Group]:
--- a/src/troutswitch/decisions/slots/local_placement.py
+++ b/src/troutswitch/decisions/slots/local_placement.py
@@ -16,8 +16,8 @@
 Why two choices: while no coordinator replies, the local view is old, and daemons that all took
 the best engine would take the same one.
 
-Measured in docs/POLICY.md, "Rounds with coordinators of slots". A daemon that uses no coordinators
-at all (policy `own_counts`) places with `forwarding/placer.py` instead.
+Measured: homes in docs/POLICY.md, "Rounds with coordinators of slots" (round 16). A daemon that
+uses no coordinators at all (policy `own_counts`) decides in `forwarding/placer.py` instead.
 """
 
 import random
--- a/src/troutswitch/decisions/slots/preemption.py
+++ b/src/troutswitch/decisions/slots/preemption.py
@@ -10,7 +10,8 @@
 Why: engines admit in the order of arrival and know no priorities, so an item gives up its slot
 only by being stopped. Drawing by the number of items lets all daemons lose alike.
 
-Measured in docs/POLICY.md, "Rounds with coordinators of slots".
+Measured in docs/POLICY.md: "Rounds" (round 1); a slot that stays free for a while afterwards was
+worse ("Rounds with coordinators of slots", round 15).
 """
 
 import random
--- a/src/troutswitch/decisions/slots/reports.py
+++ b/src/troutswitch/decisions/slots/reports.py
@@ -4,8 +4,9 @@
 repeatedly while anything is in flight or waits. A daemon without work sends none, so the number of
 reports follows the number of requests, not of daemons.
 
-It owns what each coordinator was last told, the number of its newest grant that came here, and the
-sequence number of this daemon's reports. It relies on the claims for who coordinates which group.
+It owns what each coordinator was last sent, the number of its newest grant that was received, and
+the sequence number of this daemon's reports. It relies on the claims for who coordinates which
+group.
 """
 
 from collections.abc import Iterator
@@ -58,12 +59,12 @@
     last_grant_seen: int = 0
     has_unacknowledged: bool = False
     has_unused_grant: bool = False
-    """Whether it granted a slot to a request that is gone."""
+    """Whether it granted a slot to a request that no longer needs it."""
 
 
 @dataclass(frozen=True, slots=True)
 class _State:
-    """All that holdings follow from, to tell whether they are to be worked out again."""
+    """What holdings follow from; they are worked out again when it differs."""
 
     engine_changes: int
     claim_changes: int
@@ -108,7 +109,7 @@
         return True
 
     def on_unused_grant(self, claim: Claim) -> None:
-        """Gives a slot back with the next report, as the request it was granted to is gone.
+        """Gives a slot back with the next report: the request no longer needs it.
 
         Otherwise the slot would stay empty until the next acknowledgement.
         """
--- a/src/troutswitch/decisions/slots/slot_choice.py
+++ b/src/troutswitch/decisions/slots/slot_choice.py
@@ -1,10 +1,10 @@
 """Decides which engine of a group an online request gets, and when it gets none.
 
-The coordinator of the group asks this, for its own requests and for those of its peers.
+The coordinator of the group uses this, for its own requests and for those of its peers.
 
 Inputs: online requests and batch items at each engine, exact but for reports in flight (some
 10 ms); engines that daemons cannot use at present, as last reported (0.5 s); for how long a
-request of the service holds its slot, averaged; the longest wait that the request accepts, in
+request of the service uses its slot, averaged; the longest wait that the request accepts, in
 seconds.
 
 Rule:
@@ -20,7 +20,8 @@
 Why: batch items count little, since they yield at once, but a free slot is better than one that
 an item must give up: the item's work since its last event is lost.
 
-Measured in docs/POLICY.md, "Rounds with coordinators of slots".
+Measured in docs/POLICY.md: the cost in "Rounds" (round 6) and "Ablation" (`placement`), exact
+counts in "Rounds with coordinators of slots" (round 14).
 """
 
 import random
@@ -44,7 +45,7 @@
     """An online request of this daemon or a peer that needs a slot.
 
     `zone` is the zone of the daemon that has the request, `longest_wait` is in seconds, and
-    `excluded` holds keys of engines that the request may not be sent to.
+    `excluded` has the keys of engines that the request may not be sent to.
     """
 
     group: Group
--- a/src/troutswitch/decisions/slots/slot_requests.py
+++ b/src/troutswitch/decisions/slots/slot_requests.py
@@ -9,8 +9,8 @@
 A group that this daemon coordinates itself is decided at once, without a message.
 
 It owns the searches that await a reply. Which group comes next and which wait is accepted is
-decided in `group_search.py`, placements without a coordinator in `local_placement.py`. It tells
-the claims whether coordinators reply, so that a silent one is replaced.
+decided in `group_search.py`, placements without a coordinator in `local_placement.py`. It reports
+to the claims whether coordinators reply, so that a silent one is replaced.
 """
 
 import enum
@@ -241,12 +241,12 @@
 
     def next_due(self) -> float:
         """Returns when `on_timer` has something to do, in seconds of this process's clock."""
-        return min((held.due_at for held in self._open.values()), default=float("inf"))
+        return min((search.due_at for search in self._open.values()), default=float("inf"))
 
     def on_timer(self, now: float) -> list[PlacementFound]:
         """Ends the searches whose reply is overdue."""
-        overdue = [held for held in self._open.values() if now >= held.due_at]
-        return [self._end_overdue(now, held) for held in overdue]
+        overdue = [search for search in self._open.values() if now >= search.due_at]
+        return [self._end_overdue(now, search) for search in overdue]
 
     def _end_overdue(self, now: float, overdue: _OpenSearch) -> PlacementFound:
         search = overdue.search
@@ -261,5 +261,5 @@
 
 
 def _estimate(reply: SlotReply) -> Estimate:
-    """Returns the wait that a coordinator replied; how long a slot is held is not replied."""
+    """Returns the wait in a reply, which doesn't state how long requests use their slots."""
     return Estimate(reply.wait_ms / 1000, reply.queued, reply.slots, 0.0)
--- a/src/troutswitch/decisions/tenants/quota_ledger.py
+++ b/src/troutswitch/decisions/tenants/quota_ledger.py
@@ -4,11 +4,11 @@
 requests of burst; the requests taken so far; when this daemon began to count for the tenant, in
 seconds of its clock.
 
-Rule: a token bucket for each tenant, filled at the rate. It holds the burst and a tolerance, which
-is `TOLERANCE_SHARE` of what users let pass above a quota (`QuotaBounds`). A daemon that has counted
+Rule: a token bucket for each tenant, filled at the rate. Its depth is the burst and a tolerance:
+`TOLERANCE_SHARE` of what users let pass above a quota (`QuotaBounds`). A daemon that has counted
 for less than one window begins with the tolerance alone. Requests that were admitted without a
-coordinator are taken off afterwards, into debt if needed. A request that is refused is told when
-there is quota for it, one caller after the other, at most `RETRY_MOST_SECONDS` later.
+coordinator are taken off afterwards, into debt if needed. A refusal states when
+there is quota for the caller, one after the other, at most `RETRY_MOST_SECONDS` later.
 
 Why: in any window no more than rate x window + burst passes, and the tolerance, so a caller at the
 limit is not refused for a request that is counted late. The rest of what may pass is for two
@@ -25,7 +25,7 @@
 TOLERANCE_SHARE = 0.4
 """Part of what may pass above a quota that a coordinator allows."""
 RETRY_MOST_SECONDS = 30.0
-"""Longest time after which a caller is told to retry."""
+"""Longest time after which a caller is to retry."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -50,7 +50,7 @@
 
 @dataclass(slots=True)
 class _Account:
-    """What one tenant has left. `promised` counts callers that were told when to retry."""
+    """What one tenant has left. `promised` counts callers that got a time to retry."""
 
     limit: QuotaLimit
     bucket: TokenBucket
--- a/src/troutswitch/decisions/tenants/quota_policies.py
+++ b/src/troutswitch/decisions/tenants/quota_policies.py
@@ -1,4 +1,4 @@
-"""Makes the quota that a policy names; docs/OPERATIONS.md tells what each policy does."""
+"""Makes the quota that a policy names; docs/OPERATIONS.md says what each policy does."""
 
 import random
 from collections.abc import Callable
--- a/src/troutswitch/decisions/tenants/tenant_keys.py
+++ b/src/troutswitch/decisions/tenants/tenant_keys.py
@@ -20,7 +20,7 @@
 
 UNAUTHORIZED = 401
 BEHIND_RETRY_SECONDS = 0.5
-"""Time after which a caller with an unknown key is told to retry at a daemon whose configuration
+"""Time after which a caller with an unknown key is to retry at a daemon whose configuration
 may be old: as often as such a daemon requests a newer one from a peer."""
 ANONYMOUS = Tenant(NO_TENANT, frozenset())
 """Stands for callers without a tenant, who have no quota."""
--- a/tests/daemons/test_datagram.py
+++ b/tests/daemons/test_datagram.py
@@ -1,4 +1,4 @@
-"""Datagrams between daemons come back as they went, or are refused."""
+"""Datagrams between daemons are decoded as they were encoded, or refused."""
 
 import cbor2
 import pytest
@@ -61,7 +61,7 @@
 
 @DETERMINISTIC
 @given(MESSAGES)
-def test_a_message_comes_back_as_it_went(message: PeerMessage) -> None:
+def test_a_message_is_decoded_as_it_was_encoded(message: PeerMessage) -> None:
     assert decode(encode(message)) == message
 
 
@@ -88,7 +88,7 @@
         decode(cbor2.dumps(fields))
 
 
-def test_an_ask_of_a_busy_daemon_fits_one_packet() -> None:
+def test_a_slot_request_of_a_busy_daemon_fits_one_packet() -> None:
     address = Address("10.255.255.255", 65535)
     shares = tuple(EngineShare(2**32 - n, 99, 99, 999) for n in range(1, 33))
     report = HoldingsReport("edge-guediawaye-31", "guediawaye", address, 2**31, 9999, shares)
@@ -96,7 +96,7 @@
     assert len(encode(ask)) < ETHERNET_PAYLOAD
 
 
-def test_few_prompt_tokens_are_not_told_and_many_are_rounded_up() -> None:
+def test_few_prompt_tokens_are_not_reported_and_many_are_rounded_up() -> None:
     assert prefill_units(PREFILL_REPORTED_TOKENS - 1) == 0
     assert prefill_units(9 * PREFILL_UNIT_TOKENS + 1) == 10
 
--- a/tests/decisions/slots/test_coordinator.py
+++ b/tests/decisions/slots/test_coordinator.py
@@ -1,4 +1,4 @@
-"""The coordinator grants places by exact counts."""
+"""The coordinator grants slots by exact counts."""
 
 import random
 
@@ -32,23 +32,23 @@
     return first, second
 
 
-def ask(number: int = 1, longest_wait_ms: int = -1, **held: int) -> SlotRequest:
+def slot_request(number: int = 1, longest_wait_ms: int = -1, **held: int) -> SlotRequest:
     return SlotRequest(report("peer", number, **held), number, GROUP, 0, longest_wait_ms)
 
 
-def places(daemon: SlotsOf) -> list[BatchSlotGrant]:
+def batch_grants(daemon: SlotsOf) -> list[BatchSlotGrant]:
     return [made for made in daemon.messages() if isinstance(made, BatchSlotGrant)]
 
 
-def answers(daemon: SlotsOf) -> list[SlotReply]:
+def replies(daemon: SlotsOf) -> list[SlotReply]:
     return [made for made in daemon.messages() if isinstance(made, SlotReply)]
 
 
 def test_each_grant_counts_before_the_next_one_is_made() -> None:
     first, _ = pair()
     for number in range(1, 5):
-        first.take(NOW, ask(number))
-    keys = [answer.engine_key for answer in answers(first)]
+        first.take(NOW, slot_request(number))
+    keys = [reply.engine_key for reply in replies(first)]
     assert sorted(keys) == sorted([engine_key("s0"), engine_key("s1")] * 2)
 
 
@@ -56,18 +56,18 @@
     first, _ = pair(engines=2, slots=4)
     first.take(NOW, report("other", 1, s0=4))
     for number in range(1, 5):
-        first.take(NOW, ask(number))
+        first.take(NOW, slot_request(number))
     granted = [made for made in first.messages()]
-    assert [a.engine_key for a in granted if isinstance(a, SlotReply)] == [engine_key("s1")] * 4
+    assert [r.engine_key for r in granted if isinstance(r, SlotReply)] == [engine_key("s1")] * 4
     assert not [made for made in granted if isinstance(made, BatchSlotGrant)]
 
 
-def test_an_item_is_told_to_yield_in_the_step_of_the_grant() -> None:
+def test_an_item_is_stopped_in_the_step_of_the_grant() -> None:
     first, _ = pair(engines=1, slots=2)
     first.take(NOW, report("other", 1, s0=2))
-    first.take(NOW, ask())
-    (told,) = places(first)
-    assert (told.engine_key, told.count) == (engine_key("s0"), -1)
+    first.take(NOW, slot_request())
+    (retracted,) = batch_grants(first)
+    assert (retracted.engine_key, retracted.count) == (engine_key("s0"), -1)
     assert first.engine("s0").batch() == 1
 
 
@@ -76,7 +76,7 @@
     first.waiting = 2
     first.tick(SETTLED)
     assert len(first.items) == 2
-    first.take(SETTLED, ask())
+    first.take(SETTLED, slot_request())
     assert len(first.items) == 1
 
 
@@ -85,28 +85,28 @@
     share = EngineShare(engine_key("s0"), 2, 4, 0)
     first.take(SETTLED, HoldingsReport("other", "z", address_of("other"), 1, 1, (share,)))
     first.tick(SETTLED + ASSIGN_SECONDS)
-    assert [(made.count, made.grant_number) for made in places(first)] == [(-1, 1), (-1, 2)]
+    assert [(made.count, made.grant_number) for made in batch_grants(first)] == [(-1, 1), (-1, 2)]
     first.tick(SETTLED + 3 * ASSIGN_SECONDS)
-    assert places(first) == []
+    assert batch_grants(first) == []
 
 
-def test_a_request_that_takes_no_wait_gets_the_wait_told() -> None:
+def test_a_request_that_accepts_no_wait_gets_the_wait_in_the_reply() -> None:
     first, _ = pair(engines=1, slots=1)
     first.times.on_completed("service", 0.06, 0.6, waited=False)
-    first.take(NOW, ask(1, longest_wait_ms=0))
-    first.take(NOW, ask(2, longest_wait_ms=0))
-    granted, refused = answers(first)
+    first.take(NOW, slot_request(1, longest_wait_ms=0))
+    first.take(NOW, slot_request(2, longest_wait_ms=0))
+    granted, refused = replies(first)
     assert granted.grant_number > 0
     assert refused.grant_number == 0
     assert refused.engine_key == 0
     assert 300 < refused.wait_ms <= 600
 
 
-def test_who_does_not_coordinate_says_so() -> None:
+def test_a_daemon_that_does_not_coordinate_replies_so() -> None:
     _, second = pair()
-    second.take(NOW, ask())
-    (answer,) = answers(second)
-    assert not answer.is_coordinator
+    second.take(NOW, slot_request())
+    (reply,) = replies(second)
+    assert not reply.is_coordinator
 
 
 def test_free_slots_go_to_those_whose_items_wait() -> None:
@@ -140,10 +140,10 @@
     deliver(SETTLED, first, second)
     for tick in range(1, 6):
         first.tick(SETTLED + tick * ASSIGN_SECONDS)
-    return sum(made.count for made in places(first))
+    return sum(made.count for made in batch_grants(first))
 
 
-def test_what_was_granted_counts_although_no_report_tells_of_it_yet() -> None:
+def test_a_grant_counts_before_a_report_includes_it() -> None:
     assert granted_before_a_report_comes() == 2
 
 
@@ -154,7 +154,7 @@
     assert granted_before_a_report_comes() > 2
 
 
-def test_a_new_coordinator_grants_no_places_before_holders_could_report() -> None:
+def test_a_new_coordinator_grants_no_batch_slots_before_holders_could_report() -> None:
     first, _ = pair()
     first.waiting = 4
     first.tick(NOW + GRACE_SECONDS / 2)
@@ -181,9 +181,9 @@
     second.late = 1
     first.waiting = 10 * LATE_TURN
     now = SETTLED
-    places_given = 0
-    while places_given < 2 * LATE_TURN:
-        places_given += 1
+    slots_given = 0
+    while slots_given < 2 * LATE_TURN:
+        slots_given += 1
         now += 1.0
         second.tick(now)
         deliver(now, first, second)
@@ -193,7 +193,7 @@
             break
         first.end_item(now, "s0")
     assert second.items
-    assert places_given <= LATE_TURN
+    assert slots_given <= LATE_TURN
 
 
 def test_without_turns_it_would_wait_on() -> None:
@@ -211,7 +211,7 @@
         first.end_item(now, "s0")
 
 
-def test_those_with_work_hear_how_full_the_group_is() -> None:
+def test_daemons_with_work_receive_digests() -> None:
     first, second = pair(engines=2, slots=4)
     second.waiting = 3
     second.tick(SETTLED)
@@ -223,10 +223,10 @@
     assert second.fleet.share(SETTLED + 0.6).free_slots > 7
 
 
-def test_engines_that_fail_are_not_granted_while_others_are_sound() -> None:
+def test_engines_that_fail_are_not_chosen_while_others_are_usable() -> None:
     first, _ = pair(engines=2, slots=4)
     first.engine("s0").ejected_until = NOW + 9.0
     rng = random.Random(1)
     for number in range(1, 4):
-        first.take(NOW + rng.random(), ask(number))
-    assert {answer.engine_key for answer in answers(first)} == {engine_key("s1")}
+        first.take(NOW + rng.random(), slot_request(number))
+    assert {reply.engine_key for reply in replies(first)} == {engine_key("s1")}
--- a/tests/decisions/slots/test_coordinator_claims.py
+++ b/tests/decisions/slots/test_coordinator_claims.py
@@ -5,6 +5,7 @@
 import cbor2
 
 from tests.decisions.slots.worlds import GROUP, ZONE, address_of, record
+from troutswitch.daemons.identity import DaemonIdentity
 from troutswitch.daemons.messages import KnownClaim
 from troutswitch.decisions.slots.coordinator_claims import (
     CLAIM_SPREAD_SECONDS,
@@ -36,9 +37,7 @@
         )
         self.lines: list[str] = []
         self.claims = CoordinatorClaims(
-            name,
-            zone,
-            address_of(name),
+            DaemonIdentity(name, zone, address_of(name), 1),
             groups,
             CallNumbers(),
             random.Random(1),
@@ -76,7 +75,7 @@
     assert store.claims.is_own(GROUP)
 
 
-def test_who_comes_second_takes_the_other_s_claim() -> None:
+def test_a_claim_that_comes_second_is_not_in_force() -> None:
     store = Store()
     store.appends(0.0)
     (claim,) = store.appends(CLAIM_SPREAD_SECONDS + 0.01)
@@ -99,7 +98,7 @@
     assert len(far.appends(OTHER_ZONE_SECONDS + CLAIM_SPREAD_SECONDS + 0.01)) == 1
 
 
-def test_the_newest_claim_holds_in_whatever_order_they_come() -> None:
+def test_the_newest_claim_is_in_force_in_whatever_order_they_come() -> None:
     store = Store()
     store.claims.take_claims((told("new", 5), told("old", 2)))
     store.claims.take_claims((told("older", 1),))
@@ -120,7 +119,7 @@
     assert store.claims.is_own(GROUP)
 
 
-def test_a_coordinator_that_is_heard_again_is_no_longer_suspected() -> None:
+def test_a_coordinator_that_sends_a_message_is_no_longer_suspected() -> None:
     store = Store()
     store.claims.take_claims((told("other", 0),))
     for _ in range(SUSPECT_MISSES):
@@ -130,7 +129,7 @@
     assert store.appends(9.0) == []
 
 
-def test_a_suspected_one_is_asked_again_after_a_while() -> None:
+def test_a_suspected_coordinator_is_tried_again_after_a_while() -> None:
     store = Store()
     store.claims.take_claims((told("other", 0),))
     for _ in range(SUSPECT_MISSES):
@@ -146,7 +145,7 @@
     assert store.appends(0.35) == []
 
 
-def test_one_that_stops_gives_up_what_it_had() -> None:
+def test_a_daemon_that_drains_coordinates_nothing() -> None:
     store = Store()
     store.claims.take_claims((told("me", 3),))
     assert store.claims.is_own(GROUP)
--- a/tests/decisions/slots/test_groups.py
+++ b/tests/decisions/slots/test_groups.py
@@ -1,4 +1,4 @@
-"""Engines are dealt into groups, the same on all daemons with the same list."""
+"""Engines are grouped, the same on all daemons with the same list."""
 
 import random
 
@@ -33,7 +33,7 @@
     assert max(sizes) < 2 * GROUP_ENGINES_MOST
 
 
-def test_the_deal_does_not_depend_on_the_order_of_the_list() -> None:
+def test_groups_do_not_depend_on_the_order_of_the_list() -> None:
     records = [record(f"s{n}", zone=f"z{n % 2}") for n in range(90)]
     shuffled = records[:]
     random.Random(1).shuffle(shuffled)
--- a/tests/decisions/slots/test_ledger.py
+++ b/tests/decisions/slots/test_ledger.py
@@ -1,4 +1,4 @@
-"""The coordinator's counts follow reports and its own words."""
+"""The coordinator's counts follow reports and its own grants."""
 
 from msgspec.structs import replace
 
@@ -7,7 +7,7 @@
 from troutswitch.decisions.forwarding.engines import EngineRegistry
 from troutswitch.decisions.slots.ledger import GRANT_EXPIRY_SECONDS, SILENT_SECONDS, SlotLedger
 
-LIFE = 77
+INCARNATION = 77
 A = engine_key("a")
 ONE_ITEM = EngineShare(A, 0, 1, 0)
 
@@ -15,7 +15,7 @@
 def ledger() -> tuple[SlotLedger, EngineRegistry]:
     engines = EngineRegistry()
     engines.on_list(0.0, [record("a"), record("b")])
-    return SlotLedger(engines, LIFE), engines
+    return SlotLedger(engines, INCARNATION), engines
 
 
 def batch(engines: EngineRegistry, name: str = "a") -> int:
@@ -36,7 +36,7 @@
     assert batch(engines) == 3
 
 
-def test_a_new_life_begins_its_sequence_anew_and_knows_no_words() -> None:
+def test_a_new_incarnation_begins_its_sequence_again_and_has_no_grants() -> None:
     held, engines = ledger()
     held.on_report(0.0, report(sequence=50, a=3))
     held.grant(0.0, "peer", ONE_ITEM)
@@ -44,7 +44,7 @@
     assert batch(engines) == 1
 
 
-def test_a_word_counts_from_when_it_is_told() -> None:
+def test_a_grant_counts_from_when_it_is_sent() -> None:
     held, engines = ledger()
     held.on_report(0.0, report(sequence=1, a=1))
     held.grant(0.0, "peer", ONE_ITEM)
@@ -53,27 +53,27 @@
     assert batch(engines) == 1
 
 
-def test_a_report_made_before_a_word_came_does_not_undo_it() -> None:
+def test_a_report_made_before_a_grant_was_received_does_not_undo_it() -> None:
     held, engines = ledger()
     held.on_report(0.0, report(sequence=1, a=1))
     grant = held.grant(0.0, "peer", ONE_ITEM)
     held.on_report(0.01, report(sequence=2, a=1))
     assert batch(engines) == 2
-    told = report(sequence=3, a=2)
-    held.on_report(0.02, replace(told, coordinator_incarnation=LIFE, last_grant_seen=grant))
+    newer = report(sequence=3, a=2)
+    held.on_report(0.02, replace(newer, coordinator_incarnation=INCARNATION, last_grant_seen=grant))
     assert batch(engines) == 2
 
 
-def test_words_of_an_earlier_life_of_this_daemon_do_not_count_as_seen() -> None:
+def test_grants_of_an_earlier_incarnation_of_this_daemon_do_not_count_as_seen() -> None:
     held, engines = ledger()
     held.on_report(0.0, report(sequence=1))
     held.grant(0.0, "peer", ONE_ITEM)
-    told = report(sequence=2)
-    held.on_report(0.01, replace(told, coordinator_incarnation=5, last_grant_seen=99))
+    newer = report(sequence=2)
+    held.on_report(0.01, replace(newer, coordinator_incarnation=5, last_grant_seen=99))
     assert batch(engines) == 1
 
 
-def test_a_word_that_is_never_reported_lapses() -> None:
+def test_a_grant_that_is_never_reported_expires() -> None:
     held, engines = ledger()
     held.on_report(0.0, report(sequence=1))
     held.grant(0.0, "peer", ONE_ITEM)
@@ -92,7 +92,7 @@
     assert held.holders["peer"].waiting_items == 0
 
 
-def test_engines_that_come_later_are_counted_anew() -> None:
+def test_engines_that_join_later_are_counted_again() -> None:
     held, engines = ledger()
     held.on_report(0.0, report(sequence=1, a=2, c=3))
     engines.on_list(1.0, [record("a"), record("b"), record("c")])
@@ -104,6 +104,6 @@
     held, _ = ledger()
     for number, name in enumerate(("p", "q")):
         assert not held.is_avoided(A)
-        told = report(sender=name, sequence=number)
-        held.on_report(0.0, replace(told, unusable=(A,)))
+        newer = report(sender=name, sequence=number)
+        held.on_report(0.0, replace(newer, unusable=(A,)))
     assert held.is_avoided(A)
--- a/tests/decisions/slots/test_machine.py
+++ b/tests/decisions/slots/test_machine.py
@@ -1,8 +1,8 @@
 """Coordinator and holders under joins, deaths, pauses, and lost, doubled and late messages.
 
 Truth is what the holders have at engines; the coordinator counts it by their reports and its
-own words. Its count of batch items is never below the truth while words arrive before they
-lapse, so it never grants a place that is not free; after messages were lost it is right again
+own grants. Its count of batch items is never below the truth while grants arrive before they
+expire, so it never grants a slot that is not free; after messages were lost it is right again
 once holders have refreshed, and what a dead holder had is free after its silence.
 """
 
@@ -23,7 +23,7 @@
 from troutswitch.daemons.messages import HoldingsReport, PeerMessage
 from troutswitch.decisions.slots import ledger
 from troutswitch.decisions.slots.coordinator import GRACE_SECONDS
-from troutswitch.decisions.slots.group_search import GROUPS_ASKED_MOST
+from troutswitch.decisions.slots.group_search import GROUPS_TRIED_MOST
 from troutswitch.decisions.slots.ledger import CHECK_SECONDS, GRANT_EXPIRY_SECONDS, SILENT_SECONDS
 from troutswitch.decisions.slots.reports import REFRESH_SECONDS
 from troutswitch.decisions.slots.slot_requests import REPLY_SECONDS
@@ -32,8 +32,8 @@
 SLOTS = 3
 HOLDERS = ("h1", "h2", "h3")
 SETTLE_SECONDS = SILENT_SECONDS + GRANT_EXPIRY_SECONDS + REFRESH_SECONDS + 2 * CHECK_SECONDS
-SEARCH_SECONDS_MOST = (GROUPS_ASKED_MOST + 1) * REPLY_SECONDS
-"""Longest time for which a request may wait for its place."""
+SEARCH_SECONDS_MOST = (GROUPS_TRIED_MOST + 1) * REPLY_SECONDS
+"""Longest time for which a request may wait for its slot."""
 PLACES = st.integers(0, 10_000)
 
 
@@ -129,22 +129,22 @@
 
     @rule()
     def wait_long(self) -> None:
-        """Words that are on the way may lapse before they come."""
+        """Grants that are on the way may expire before they are received."""
         self.has_lost = True
         self.pass_time(GRANT_EXPIRY_SECONDS)
 
     @rule(place=PLACES)
     def die(self, place: int) -> None:
-        """A holder ends with all that it had, and begins anew with another life."""
+        """A holder ends with all that it had, and begins again as another incarnation."""
         name = HOLDERS[place % len(HOLDERS)]
         records = [engine.record for engine in self.daemons[name].engines.engines.values()]
         claim = self.daemons["c"].fleet.claims.known_claims()
         self.incarnations += 1
         incarnation = incarnation_of(name) + 1000 * self.incarnations
-        anew = SlotsOf(name, records, incarnation=incarnation)
-        anew.fleet.claims.take_claims(claim)
-        self.daemons[name] = anew
-        anew.tick(self.now)
+        restarted = SlotsOf(name, records, incarnation=incarnation)
+        restarted.fleet.claims.take_claims(claim)
+        self.daemons[name] = restarted
+        restarted.tick(self.now)
         for token in [t for t in self.wanted if t not in self.alive_tokens()]:
             del self.wanted[token]
 
@@ -157,8 +157,8 @@
         return sum(daemon.items.count(engine_id) for daemon in self.daemons.values())
 
     @invariant()
-    def a_place_is_granted_only_where_one_is_free(self) -> None:
-        """Without words later than their lapse, items never exceed what an engine has."""
+    def a_slot_is_granted_only_where_one_is_free(self) -> None:
+        """Without grants received after they expired, items never exceed what an engine has."""
         if self.has_lost:
             return
         for number in range(ENGINES):
@@ -166,12 +166,12 @@
 
     @invariant()
     def a_bound_holds_also_when_reports_are_lost(self) -> None:
-        """What a holder has that is not heard is granted once more, for each such holder."""
+        """What a silent holder has is granted once more, for each such holder."""
         for number in range(ENGINES):
             assert self.batch_truth(f"s{number}") <= SLOTS * (1 + len(HOLDERS))
 
     @invariant()
-    def no_request_waits_for_its_place_beyond_the_stated_time(self) -> None:
+    def no_request_waits_for_its_slot_beyond_the_stated_time(self) -> None:
         for token, since in self.wanted.items():
             if token in self.alive_tokens():
                 assert self.now - since <= SEARCH_SECONDS_MOST + GRANT_EXPIRY_SECONDS
--- a/tests/decisions/slots/test_reports.py
+++ b/tests/decisions/slots/test_reports.py
@@ -1,4 +1,4 @@
-"""Coordinators hear what changed, soon; who holds nothing tells nothing."""
+"""Coordinators get reports of changes soon; a daemon without work sends none."""
 
 from tests.decisions.slots.worlds import SlotsOf, deliver, record
 from troutswitch.daemons.messages import HoldingsReport
@@ -22,12 +22,12 @@
     return [made for made in daemon.messages() if isinstance(made, HoldingsReport)]
 
 
-def test_a_daemon_without_work_tells_nothing() -> None:
+def test_a_daemon_without_work_reports_nothing() -> None:
     _, second = fleet()
     assert [reports(second, NOW + tick) for tick in range(10)] == [[]] * 10
 
 
-def test_a_change_is_told_at_once_and_refreshed_while_something_is_held() -> None:
+def test_a_change_is_reported_at_once_and_repeated_while_something_is_in_flight() -> None:
     _, second = fleet()
     second.engines.on_sent(NOW, "s0", True, NO_SIZE)
     (told,) = reports(second, NOW)
@@ -40,7 +40,7 @@
     assert reports(second, NOW + 9.0) == []
 
 
-def test_changes_that_come_together_are_told_together() -> None:
+def test_changes_that_come_together_are_reported_together() -> None:
     _, second = fleet()
     second.engines.on_sent(NOW, "s0", True, NO_SIZE)
     assert len(reports(second, NOW)) == 1
@@ -51,7 +51,7 @@
     assert sorted(share.batch for share in told.shares) == [1, 5]
 
 
-def test_what_was_granted_is_told_later_with_the_word_that_granted_it() -> None:
+def test_what_was_granted_is_reported_later_with_the_number_of_the_grant() -> None:
     first, second = fleet()
     second.want(NOW, 1)
     known = second.fleet.claims.claim_of("service||0")
@@ -64,8 +64,8 @@
     assert [share.online for share in told.shares] == [1]
 
 
-def test_a_place_granted_to_a_caller_that_left_is_given_back_at_once() -> None:
-    """A caller left while a coordinator was asked for its place. The place came, nobody took
+def test_a_slot_granted_to_a_caller_that_left_is_given_back_at_once() -> None:
+    """A caller left while a slot request was on its way. The slot was granted, nobody used
     it, and the coordinator counted it as taken for `ACKNOWLEDGE_SECONDS`, 20 times as long."""
     first, second = fleet()
     second.want(NOW, 1)
@@ -75,7 +75,7 @@
     assert (told.last_grant_seen, told.shares) == (1, ())
 
 
-def test_items_that_wait_are_told_to_every_coordinator() -> None:
+def test_items_that_wait_are_reported_to_every_coordinator() -> None:
     records = [record(f"a{n}", zone="a") for n in range(9)]
     records += [record(f"b{n}", zone="b") for n in range(9)]
     daemon = SlotsOf("daemon", records, "a")
@@ -87,7 +87,7 @@
     assert [report.waiting_items for report in told] == [3, 3]
 
 
-def test_engines_that_cannot_be_used_are_told() -> None:
+def test_engines_that_cannot_be_used_are_reported() -> None:
     _, second = fleet()
     second.engine("s0").ejected_until = NOW + 1.0
     second.engines.on_sent(NOW, "s1", True, NO_SIZE)
--- a/tests/decisions/slots/test_slot_requests.py
+++ b/tests/decisions/slots/test_slot_requests.py
@@ -1,4 +1,4 @@
-"""A request's place is sought at one group after another, and never waits on a silent daemon."""
+"""A request's slot is sought in one group after another, and never waits on a silent daemon."""
 
 import pytest
 
@@ -22,13 +22,13 @@
     return [placing.found_by for _, placing in daemon.ended if isinstance(placing, Assignment)]
 
 
-def test_the_coordinator_itself_places_at_once() -> None:
+def test_the_coordinator_assigns_its_own_requests_at_once() -> None:
     first, _ = fleet()
     first.want(NOW, 1)
     assert found_by(first) == [AssignedBy.COORDINATOR]
 
 
-def test_others_ask_and_are_answered() -> None:
+def test_other_daemons_send_a_request_and_get_a_reply() -> None:
     first, second = fleet()
     second.want(NOW, 1)
     assert second.ended == []
@@ -45,7 +45,7 @@
     assert found_by(second) == [AssignedBy.FALLBACK]
 
 
-def test_a_coordinator_that_is_silent_again_and_again_is_not_asked_for_a_while() -> None:
+def test_a_coordinator_that_stays_silent_is_sent_no_requests_for_a_while() -> None:
     _, second = fleet()
     now = NOW
     for token in (1, 2):
@@ -60,7 +60,7 @@
     assert any(isinstance(made, SlotRequest) for made in second.messages())
 
 
-def test_an_answer_that_comes_too_late_places_nothing() -> None:
+def test_a_reply_that_comes_too_late_assigns_nothing() -> None:
     first, second = fleet()
     second.want(NOW, 1)
     second.tick(NOW + REPLY_SECONDS)
@@ -92,7 +92,7 @@
     assert placed.waits
 
 
-def test_without_an_engine_there_is_no_place() -> None:
+def test_without_an_engine_there_is_no_assignment() -> None:
     _, second = fleet(engines=1)
     second.want(NOW, 1)
     second.engines.mark_draining("s0")
@@ -100,7 +100,7 @@
     assert isinstance(second.ended[0][1], NoEngine)
 
 
-def test_an_engine_that_leaves_here_is_not_used_though_it_is_granted() -> None:
+def test_an_engine_that_left_is_not_used_though_it_is_granted() -> None:
     first, second = fleet(engines=2)
     second.want(NOW, 1)
     second.engines.mark_draining("s0")
@@ -136,7 +136,7 @@
     assert asker.online[99]
 
 
-def test_one_that_does_not_coordinate_any_more_is_not_asked_again() -> None:
+def test_a_former_coordinator_is_not_sent_another_request() -> None:
     first, second = fleet()
     first.fleet.drain()
     first.tick(NOW)
--- a/tests/decisions/slots/worlds.py
+++ b/tests/decisions/slots/worlds.py
@@ -110,18 +110,18 @@
             case _:
                 assert_never(instruction)
 
-    def _start_items(self, places: StartItems) -> None:
-        for _ in range(max(0, places.count)):
+    def _start_items(self, grant: StartItems) -> None:
+        for _ in range(max(0, grant.count)):
             if self.waiting + self.late == 0:
                 return
             if self.waiting:
                 self.waiting -= 1
             else:
                 self.late -= 1
-            self.items.append(places.engine_id)
-            self.engines.on_sent(0.0, places.engine_id, True, NO_SIZE)
-        for _ in range(max(0, -places.count)):
-            self.end_item(0.0, places.engine_id)
+            self.items.append(grant.engine_id)
+            self.engines.on_sent(0.0, grant.engine_id, True, NO_SIZE)
+        for _ in range(max(0, -grant.count)):
+            self.end_item(0.0, grant.engine_id)
 
     def end_item(self, now: float, engine_id: str) -> None:
         if engine_id in self.items:
@@ -143,9 +143,9 @@
             self._take(now, one.token, one.placement)
 
     def want(self, now: float, token: int, longest_wait: float = float("inf")) -> None:
-        """Seeks a place for a request."""
-        wish = PlacementRequest(token, SERVICE, PromptShape(), longest_wait)
-        placing = self.fleet.requests.place(now, wish, self.engines.usable(now, SERVICE))
+        """Seeks a slot for a request."""
+        request = PlacementRequest(token, SERVICE, PromptShape(), longest_wait)
+        placing = self.fleet.requests.place(now, request, self.engines.usable(now, SERVICE))
         if placing is not None:
             self._take(now, token, placing)
 
@@ -171,7 +171,7 @@
         return self.engines.engines[name]
 
     def messages(self) -> list[PeerMessage]:
-        """Returns what was sent since the last look."""
+        """Returns what was sent since the last call."""
         sent, self.out = self.out, []
         return [made.message for made in sent]
 
--- a/tests/decisions/tenants/test_coordinated_quota.py
+++ b/tests/decisions/tenants/test_coordinated_quota.py
@@ -1,4 +1,4 @@
-"""Quotas that coordinators count: asks, answers, silence, and changes of who counts."""
+"""Quotas that coordinators count: requests, decisions, silence, and changes of who counts."""
 
 import random
 
@@ -38,12 +38,13 @@
         groups = EngineGroups()
         groups.update([engine("s0"), engine("s1")])
         self.group = groups.all()[0].name
+        identity = DaemonIdentity(name, "z", address, 1)
         rng = random.Random(1)
         self.claims = CoordinatorClaims(
-            name, "z", address, groups, CallNumbers(), rng, lambda event, **fields: None
+            identity, groups, CallNumbers(), rng, lambda event, **fields: None
         )
         self.quota = CoordinatedQuota(
-            DaemonIdentity(name, "z", address, 1),
+            identity,
             QuotaBounds(),
             QuotaGroups(groups, self.claims, self.coordinated),
             FixedFleet(10),
@@ -106,7 +107,7 @@
     assert not words[-1]
 
 
-def test_a_refusal_tells_when_there_is_room() -> None:
+def test_a_refusal_states_when_there_is_quota() -> None:
     asking, counting = pair()
     while (grant := ask(0.0, 1, asking, counting)).is_allowed:
         pass
@@ -130,7 +131,7 @@
     assert asking.quota.take(0.3, 3, TENANT) is not None
 
 
-def test_a_late_answer_changes_nothing() -> None:
+def test_a_late_decision_changes_nothing() -> None:
     asking, counting = pair()
     asking.quota.take(0.0, 1, TENANT)
     question = asking.message()
@@ -142,7 +143,7 @@
     assert asking.quota.on_decision(1.0, answer) == []
 
 
-def test_a_withdrawn_request_gets_no_word() -> None:
+def test_a_withdrawn_request_gets_no_result() -> None:
     asking, counting = pair()
     asking.quota.take(0.0, 1, TENANT)
     asking.quota.withdraw(1)
@@ -150,7 +151,7 @@
     assert counting.quota.next_due() == float("inf")
 
 
-def test_a_daemon_that_does_not_count_says_so_and_the_asker_decides() -> None:
+def test_a_daemon_that_does_not_count_replies_so_and_the_sender_decides() -> None:
     asking, counting = pair()
     counting.coordinated.clear()
     grant = ask(0.0, 1, asking, counting)
@@ -158,7 +159,7 @@
     assert asking.claims.coordinator(0.0, asking.group) is None
 
 
-def test_while_nobody_counts_a_tenant_gets_as_large_a_part_as_before() -> None:
+def test_without_a_coordinator_a_tenant_gets_as_large_a_part_as_before() -> None:
     """Else each of many daemons would allow the tenant's whole rate for as long as that lasts."""
     asking, counting = pair()
     for number in range(200):
@@ -175,7 +176,7 @@
     assert [grant.decided_by for grant in words] == ["counted by b"] * 2 + ["lease"] * 4
 
 
-def test_a_lease_lapses() -> None:
+def test_a_lease_expires() -> None:
     asking, counting = pair(leases=True)
     ask(0.0, 1, asking, counting)
     ask(0.0, 2, asking, counting)
@@ -183,7 +184,7 @@
 
 
 @pytest.mark.parametrize("rate", [0.0, -1.0])
-def test_an_ask_with_a_senseless_rate_is_answered(rate: float) -> None:
+def test_a_request_with_a_senseless_rate_gets_a_decision(rate: float) -> None:
     _, counting = pair()
     counting.quota.on_request(0.0, QuotaRequest("a", HERE, 1, counting.group, "t", rate, 1.0, 1, 1))
     answer = counting.message()
--- a/tests/decisions/tenants/test_machine.py
+++ b/tests/decisions/tenants/test_machine.py
@@ -34,6 +34,10 @@
 NUMBERS = st.integers(0, DAEMONS - 1)
 
 
+def identity_of(number: int) -> DaemonIdentity:
+    return DaemonIdentity(f"d{number}", "z", Address("10.0.0.1", number), 1)
+
+
 class QuotaMachine(RuleBasedStateMachine):
     """Four daemons and one tenant."""
 
@@ -51,9 +55,7 @@
         self.coordinated: list[dict[str, float]] = [{} for _ in range(DAEMONS)]
         self.claims = [
             CoordinatorClaims(
-                f"d{n}",
-                "z",
-                Address("10.0.0.1", n),
+                identity_of(n),
                 groups,
                 CallNumbers(),
                 random.Random(n),
@@ -72,7 +74,7 @@
                 self.on_the_way += [(address.port, made.message) for address in made.addresses]
 
         return CoordinatedQuota(
-            DaemonIdentity(f"d{number}", "z", Address("10.0.0.1", number), 1),
+            identity_of(number),
             BOUNDS,
             QuotaGroups(groups, self.claims[number], self.coordinated[number]),
             FixedFleet(DAEMONS),
--- a/tests/decisions/tenants/test_quota_ledger.py
+++ b/tests/decisions/tenants/test_quota_ledger.py
@@ -75,7 +75,7 @@
     assert taken <= low.burst + book.tolerance(low) + 1
 
 
-def test_callers_above_the_limit_are_told_to_come_one_after_the_other() -> None:
+def test_callers_above_the_limit_get_times_to_retry_one_after_the_other() -> None:
     book, limit = ledger(), QuotaLimit(2.0, 0.0, 1)
     while book.take(0.0, "t", limit, 1, LONG_AGO).granted:
         pass
--- a/tests/forms/samples.py
+++ b/tests/forms/samples.py
@@ -21,6 +21,7 @@
 from troutswitch.common import Address, rendezvous_order, stable_hash
 from troutswitch.daemons import datagram, peer_state
 from troutswitch.daemons import messages as peer_messages
+from troutswitch.daemons.identity import DaemonIdentity
 from troutswitch.decisions import gateway
 from troutswitch.decisions.crashes import shared as shared_module
 from troutswitch.decisions.crashes.content import content_key
@@ -448,7 +449,11 @@
     groups = EngineGroups()
     groups.update([EngineRecord("i-1", service, HOST, "z1", 4, False)])
     return CoordinatorClaims(
-        daemon, "z1", address, groups, CallNumbers(), random.Random(1), _no_log
+        DaemonIdentity(daemon, "z1", address, 1),
+        groups,
+        CallNumbers(),
+        random.Random(1),
+        _no_log,
     )
 
 
--- a/tests/worlds/quota_world.py
+++ b/tests/worlds/quota_world.py
@@ -96,15 +96,13 @@
         groups = EngineGroups()
         groups.update([EngineRecord("s", "service", Address("10.0.0.1", 1), "z", 8, False)])
         self.group = groups.all()[0].name
-        address = Address("10.0.0.2", number)
-        claims = CoordinatorClaims(
-            f"d{number}", "z", address, groups, CallNumbers(), self._rng, _log_nothing
-        )
+        identity = DaemonIdentity(f"d{number}", "z", Address("10.0.0.2", number), 1)
+        claims = CoordinatorClaims(identity, groups, CallNumbers(), self._rng, _log_nothing)
         coordinated: dict[str, float] = {}
         if self._policy == "equal_shares":
             return _Daemon(f"d{number}", EqualShares(lambda: count), claims, coordinated)
         quota = CoordinatedQuota(
-            DaemonIdentity(f"d{number}", "z", address, 1),
+            identity,
             self.bounds,
             QuotaGroups(groups, claims, coordinated),
             FixedFleet(count),
