--- a/src/troutswitch/decisions/forwarding/arrivals.py
+++ b/src/troutswitch/decisions/forwarding/arrivals.py
@@ -26,8 +26,8 @@
 from troutswitch.decisions.forwarding.messages import RequestArrived
 from troutswitch.decisions.forwarding.routes import RouteTable
 from troutswitch.decisions.forwarding.types import Route
-from troutswitch.decisions.tenants.callers import TenantKeys
-from troutswitch.decisions.tenants.quota import NoQuota, Quota, QuotaEnd, QuotaMessage
+from troutswitch.decisions.tenants.quota import NoQuota, Quota, QuotaEnd, QuotaResult
+from troutswitch.decisions.tenants.tenant_keys import TenantKeys
 from troutswitch.decisions.tenants.types import NO_TENANT, Tenant
 from troutswitch.outcomes import NotRun, Step
 
@@ -107,10 +107,10 @@
         tenant = self.callers.identify(waiting.arrival.caller_key, waiting.route)
         if isinstance(tenant, NotRun):
             return Refused(waiting.arrival, tenant)
-        return self._decided(_AwaitingQuota(waiting.arrival, waiting.route, tenant), end.grant)
+        return self._decided(_AwaitingQuota(waiting.arrival, waiting.route, tenant), end.result)
 
     @staticmethod
-    def _decided(waiting: _AwaitingQuota, decision: QuotaMessage) -> Admitted | Refused:
+    def _decided(waiting: _AwaitingQuota, decision: QuotaResult) -> Admitted | Refused:
         arrival, tenant = waiting.arrival, waiting.tenant
         if decision.is_allowed:
             return Admitted(arrival, waiting.route, tenant, decision.decided_by)
--- a/src/troutswitch/decisions/forwarding/placing.py
+++ b/src/troutswitch/decisions/forwarding/placing.py
@@ -30,7 +30,7 @@
 from troutswitch.decisions.forwarding.retry import has_time_to_send
 from troutswitch.decisions.forwarding.routes import RouteTable
 from troutswitch.decisions.invariants import ensure
-from troutswitch.decisions.tenants.callers import TenantKeys
+from troutswitch.decisions.tenants.tenant_keys import TenantKeys
 from troutswitch.outcomes import NotRun, Step
 
 
--- a/src/troutswitch/decisions/gateway.py
+++ b/src/troutswitch/decisions/gateway.py
@@ -7,6 +7,7 @@
 import random
 from dataclasses import replace
 
+from troutswitch.daemons.identity import DaemonIdentity
 from troutswitch.daemons.messages import (
     CrashReport,
     EngineDrainNotice,
@@ -56,8 +57,8 @@
 from troutswitch.decisions.peers.heartbeats import Peers
 from troutswitch.decisions.peers.peer_registry import PeerRegistry, PeerRegistryEntry
 from troutswitch.decisions.policies import Policies
-from troutswitch.decisions.slots.fleet import FleetSlots
-from troutswitch.decisions.slots.messages import PeerMessageReceived, StartItems
+from troutswitch.decisions.slots.fleet import FleetSlots, SlotPolicies
+from troutswitch.decisions.slots.messages import PeerMessageReceived, StartItems, WaitingItems
 from troutswitch.decisions.slots.slot_requests import PlacementFound
 from troutswitch.decisions.storage.follower import CallNumbers, PartitionFollower
 from troutswitch.decisions.storage.messages import (
@@ -67,8 +68,9 @@
     StoreCall,
     StoreOutcome,
 )
-from troutswitch.decisions.tenants.choice import make_quota
 from troutswitch.decisions.tenants.quota import Quota, QuotaEnd
+from troutswitch.decisions.tenants.quota_groups import QuotaGroups
+from troutswitch.decisions.tenants.quota_policies import make_quota
 
 CONFIGURATION_TOPIC = "configuration"
 CONFIGURATION_WAIT_SHARE = 0.35
@@ -87,6 +89,36 @@
 Instruction = object
 
 
+class _OwnItems:
+    """The batch items of a core's job owner, which is made after the decisions on slots."""
+
+    def __init__(self, core: "GatewayCore") -> None:
+        self._core = core
+
+    @property
+    def waiting(self) -> WaitingItems:
+        return self._core.jobs.owner.waiting
+
+    @property
+    def open_items(self) -> int:
+        return self._core.jobs.owner.open_items
+
+
+class _FleetState:
+    """What quotas need to know of a core's routes and peers; the peers are made after them."""
+
+    def __init__(self, core: "GatewayCore") -> None:
+        self._core = core
+
+    @property
+    def configuration_version(self) -> int:
+        return self._core.routes.version
+
+    @property
+    def daemons(self) -> int:
+        return 1 + len(self._core.peers.peers)
+
+
 class GatewayCore:
     """All decisions of one gateway daemon."""
 
@@ -140,31 +172,30 @@
         self._configuration_record: StoredRecord | None = None
         self._listing: tuple[tuple[StoredRecord, ...], float] | None = None
         incarnation = rng.getrandbits(31)
+        peer_identity = DaemonIdentity(
+            identity.name, identity.zone, identity.peer_address, incarnation
+        )
         self.slots = FleetSlots(
-            identity.name,
-            identity.zone,
-            identity.peer_address,
-            incarnation,
+            peer_identity,
             self.engines,
             self.requests.times,
-            home_policy(policies.placement),
-            BATCH_CAPACITY_POLICIES[policies.batch.room](),
+            SlotPolicies(
+                home_policy(policies.placement), BATCH_CAPACITY_POLICIES[policies.batch.room]()
+            ),
+            _OwnItems(self),
+            self.requests,
             self.numbers,
-            lambda: self.jobs.owner.waiting,
-            lambda: self.jobs.owner.open_items,
-            self.requests.candidates,
             self._emit,
-            self._log,
             rng,
         )
         if policies.places == "coordinators":
-            self.requests.placer = self.slots.asks
+            self.requests.placer = self.slots.requests
         self.quota: Quota = make_quota(
             policies.quota,
-            identity,
-            self.slots,
-            lambda: self.routes.version,
-            lambda: 1 + len(self.peers.peers),
+            peer_identity,
+            identity.quota_bounds,
+            QuotaGroups(self.slots.groups, self.slots.claims, self.slots.coordinator.coordinated),
+            _FleetState(self),
             self._emit,
             rng,
         )
@@ -195,7 +226,7 @@
             identity.peer_address,
             incarnation,
             lambda: self.routes.version,
-            self.slots.claims.told,
+            self.slots.claims.known_claims,
             rng,
         )
         self.leaving = DrainNotices(
@@ -311,10 +342,10 @@
             self._on_engines_leaving(now, message)
             return
         if isinstance(message, QuotaRequest):
-            self.quota.on_ask(now, message)
+            self.quota.on_request(now, message)
             return
         if isinstance(message, QuotaDecision):
-            self._counted(now, self.quota.on_answer(now, message))
+            self._counted(now, self.quota.on_decision(now, message))
             return
         claim = None
         if isinstance(message, SlotReply):
@@ -338,7 +369,7 @@
 
     def _place_found(self, now: float, ended: list[PlacementFound]) -> None:
         for found in ended:
-            self._instructions += self.requests.on_placed(now, found.token, found.placing)
+            self._instructions += self.requests.on_placed(now, found.token, found.placement)
 
     def _on_process_resumed(self, now: float, event: ProcessResumed) -> None:
         """Reads again what others changed meanwhile; reads in flight are of before.
--- a/src/troutswitch/decisions/jobs/dependencies.py
+++ b/src/troutswitch/decisions/jobs/dependencies.py
@@ -18,7 +18,7 @@
 from troutswitch.decisions.slots.messages import FleetShare
 from troutswitch.decisions.storage.follower import CallNumbers
 from troutswitch.decisions.storage.messages import StoreCall
-from troutswitch.decisions.tenants.callers import TenantKeys
+from troutswitch.decisions.tenants.tenant_keys import TenantKeys
 
 JobInstruction = StoreCall | RunItem | StopItem | AnswerJobCall | LogLine
 """What the batch jobs have the daemon do."""
--- a/tests/decisions/tenants/test_coordinated_quota.py
+++ b/tests/decisions/tenants/test_coordinated_quota.py
@@ -1,23 +1,26 @@
-"""Quotas that coordinators count: asks, answers, silence, and changes of who counts."""
+"""Quotas that coordinators count: requests, decisions, silence, and changes of who counts."""
 
 import random
 
 import pytest
 
 from tests.decisions.forwarding.worlds import engine
+from tests.worlds.quota_world import FixedFleet
 from troutswitch.common import Address
 from troutswitch.daemons import datagram
+from troutswitch.daemons.identity import DaemonIdentity
 from troutswitch.daemons.messages import QuotaDecision, QuotaRequest
-from troutswitch.decisions.slots.claims import Claim, CoordinatorClaims
+from troutswitch.decisions.slots.coordinator_claims import Claim, CoordinatorClaims
 from troutswitch.decisions.slots.groups import EngineGroups
 from troutswitch.decisions.slots.messages import SendToPeers
 from troutswitch.decisions.storage.follower import CallNumbers
 from troutswitch.decisions.tenants.coordinated_quota import (
-    AGAIN_SECONDS,
-    ANSWER_SECONDS,
+    DECISION_SECONDS,
+    RESEND_SECONDS,
     CoordinatedQuota,
 )
-from troutswitch.decisions.tenants.quota import QuotaMessage
+from troutswitch.decisions.tenants.quota import QuotaResult
+from troutswitch.decisions.tenants.quota_groups import QuotaGroups
 from troutswitch.decisions.tenants.types import QuotaBounds, Tenant
 
 TENANT = Tenant("t", frozenset(), rate=2.0, burst=2.0)
@@ -35,19 +38,16 @@
         groups = EngineGroups()
         groups.update([engine("s0"), engine("s1")])
         self.group = groups.all()[0].name
+        identity = DaemonIdentity(name, "z", address, 1)
         rng = random.Random(1)
         self.claims = CoordinatorClaims(
-            name, "z", address, groups, CallNumbers(), rng, lambda event, **fields: None
+            identity, groups, CallNumbers(), rng, lambda event, **fields: None
         )
         self.quota = CoordinatedQuota(
-            name,
-            address,
+            identity,
             QuotaBounds(),
-            groups,
-            self.claims,
-            self.coordinated,
-            lambda: 1,
-            lambda: 10,
+            QuotaGroups(groups, self.claims, self.coordinated),
+            FixedFleet(10),
             self._emit,
             rng,
             leases=leases,
@@ -77,18 +77,18 @@
     return asking, counting
 
 
-def ask(now: float, token: int, asking: Daemon, counting: Daemon) -> QuotaMessage:
+def ask(now: float, token: int, asking: Daemon, counting: Daemon) -> QuotaResult:
     grant = asking.quota.take(now, token, TENANT)
     if grant is not None:
         return grant
     question = asking.message()
     assert isinstance(question, QuotaRequest)
-    counting.quota.on_ask(now, question)
+    counting.quota.on_request(now, question)
     answer = counting.message()
     assert isinstance(answer, QuotaDecision)
-    ended = asking.quota.on_answer(now, answer)
+    ended = asking.quota.on_decision(now, answer)
     assert [end.token for end in ended] == [token]
-    return ended[0].grant
+    return ended[0].result
 
 
 def test_a_tenant_without_a_limit_costs_no_message() -> None:
@@ -107,7 +107,7 @@
     assert not words[-1]
 
 
-def test_a_refusal_tells_when_there_is_room() -> None:
+def test_a_refusal_states_when_there_is_quota() -> None:
     asking, counting = pair()
     while (grant := ask(0.0, 1, asking, counting)).is_allowed:
         pass
@@ -119,31 +119,31 @@
     asking, _ = pair()
     assert asking.quota.take(0.0, 1, TENANT) is None
     asking.sent.clear()
-    assert asking.quota.next_due() == AGAIN_SECONDS
-    assert asking.quota.on_timer(AGAIN_SECONDS) == []
+    assert asking.quota.next_due() == RESEND_SECONDS
+    assert asking.quota.on_timer(RESEND_SECONDS) == []
     assert len(asking.sent) == 1, "an ask is sent once more"
-    assert asking.quota.next_due() == ANSWER_SECONDS
-    ended = asking.quota.on_timer(ANSWER_SECONDS)
-    assert [(end.token, end.grant.is_allowed) for end in ended] == [(1, True)]
+    assert asking.quota.next_due() == DECISION_SECONDS
+    ended = asking.quota.on_timer(DECISION_SECONDS)
+    assert [(end.token, end.result.is_allowed) for end in ended] == [(1, True)]
     asking.quota.take(0.1, 2, TENANT)
     asking.quota.on_timer(0.2)
     assert asking.claims.coordinator(0.2, asking.group) is None
     assert asking.quota.take(0.3, 3, TENANT) is not None
 
 
-def test_a_late_answer_changes_nothing() -> None:
+def test_a_late_decision_changes_nothing() -> None:
     asking, counting = pair()
     asking.quota.take(0.0, 1, TENANT)
     question = asking.message()
     assert isinstance(question, QuotaRequest)
-    counting.quota.on_ask(0.0, question)
+    counting.quota.on_request(0.0, question)
     asking.quota.on_timer(1.0)
     answer = counting.message()
     assert isinstance(answer, QuotaDecision)
-    assert asking.quota.on_answer(1.0, answer) == []
+    assert asking.quota.on_decision(1.0, answer) == []
 
 
-def test_a_withdrawn_request_gets_no_word() -> None:
+def test_a_withdrawn_request_gets_no_result() -> None:
     asking, counting = pair()
     asking.quota.take(0.0, 1, TENANT)
     asking.quota.withdraw(1)
@@ -151,7 +151,7 @@
     assert counting.quota.next_due() == float("inf")
 
 
-def test_a_daemon_that_does_not_count_says_so_and_the_asker_decides() -> None:
+def test_a_daemon_that_does_not_count_replies_so_and_the_sender_decides() -> None:
     asking, counting = pair()
     counting.coordinated.clear()
     grant = ask(0.0, 1, asking, counting)
@@ -159,7 +159,7 @@
     assert asking.claims.coordinator(0.0, asking.group) is None
 
 
-def test_while_nobody_counts_a_tenant_gets_as_large_a_part_as_before() -> None:
+def test_without_a_coordinator_a_tenant_gets_as_large_a_part_as_before() -> None:
     """Else each of many daemons would allow the tenant's whole rate for as long as that lasts."""
     asking, counting = pair()
     for number in range(200):
@@ -176,7 +176,7 @@
     assert [grant.decided_by for grant in words] == ["counted by b"] * 2 + ["lease"] * 4
 
 
-def test_a_lease_lapses() -> None:
+def test_a_lease_expires() -> None:
     asking, counting = pair(leases=True)
     ask(0.0, 1, asking, counting)
     ask(0.0, 2, asking, counting)
@@ -184,9 +184,9 @@
 
 
 @pytest.mark.parametrize("rate", [0.0, -1.0])
-def test_an_ask_with_a_senseless_rate_is_answered(rate: float) -> None:
+def test_a_request_with_a_senseless_rate_gets_a_decision(rate: float) -> None:
     _, counting = pair()
-    counting.quota.on_ask(0.0, QuotaRequest("a", HERE, 1, counting.group, "t", rate, 1.0, 1, 1))
+    counting.quota.on_request(0.0, QuotaRequest("a", HERE, 1, counting.group, "t", rate, 1.0, 1, 1))
     answer = counting.message()
     assert isinstance(answer, QuotaDecision)
     assert answer.granted == 0
--- a/tests/forms/samples.py
+++ b/tests/forms/samples.py
@@ -21,6 +21,7 @@
 from troutswitch.common import Address, rendezvous_order, stable_hash
 from troutswitch.daemons import datagram, peer_state
 from troutswitch.daemons import messages as peer_messages
+from troutswitch.daemons.identity import DaemonIdentity
 from troutswitch.decisions import gateway
 from troutswitch.decisions.crashes import shared as shared_module
 from troutswitch.decisions.crashes.content import content_key
@@ -46,8 +47,8 @@
 from troutswitch.decisions.jobs.shard import JobContent
 from troutswitch.decisions.peers import peer_registry as peer_registry
 from troutswitch.decisions.peers.peer_registry import PeerRegistryEntry, decode_entry, encode_entry
-from troutswitch.decisions.slots import claims as claims_module
-from troutswitch.decisions.slots.claims import CoordinatorClaims
+from troutswitch.decisions.slots import coordinator_claims as claims_module
+from troutswitch.decisions.slots.coordinator_claims import CoordinatorClaims
 from troutswitch.decisions.slots.groups import EngineGroups, assign_groups
 from troutswitch.decisions.storage.follower import CallNumbers
 from troutswitch.decisions.storage.messages import (
@@ -63,7 +64,7 @@
     StoreCall,
     WriterStamp,
 )
-from troutswitch.decisions.tenants.callers import TenantKeys
+from troutswitch.decisions.tenants.tenant_keys import TenantKeys
 from troutswitch.decisions.tenants.types import key_digest
 from troutswitch.gateway.callers.application import CallerApplication, final_answer
 from troutswitch.gateway.daemons.peer_state import PEER_STATE_PATH
@@ -103,8 +104,8 @@
     waiting_items=7,
     late_items=8,
     open_items=9,
-    grant_incarnation=LARGE + 1,
-    grant_seen=12,
+    coordinator_incarnation=LARGE + 1,
+    last_grant_seen=12,
     unusable=(21, 22, 23),
 )
 
@@ -127,8 +128,8 @@
             number=31,
             group="s|z|0",
             prefill_units=4,
-            wait_most_ms=1500,
-            avoid=(41, 42),
+            longest_wait_ms=1500,
+            excluded=(41, 42),
         )
     ),
     "answer with a place, defaults": _peer_message(
@@ -140,7 +141,7 @@
             incarnation=6,
             number=31,
             group="s|z|0",
-            grant=0,
+            grant_number=0,
             engine_key=0,
             wait_ms=0,
             queued=0,
@@ -153,7 +154,7 @@
     ),
     "places for batch items, taken back": _peer_message(
         peer_messages.BatchSlotGrant(
-            sender="d-2", incarnation=6, group="s|z|0", grant=61, engine_key=62, count=-3
+            sender="d-2", incarnation=6, group="s|z|0", grant_number=61, engine_key=62, count=-3
         )
     ),
     "digest of a group, empty": _peer_message(
@@ -448,7 +449,11 @@
     groups = EngineGroups()
     groups.update([EngineRecord("i-1", service, HOST, "z1", 4, False)])
     return CoordinatorClaims(
-        daemon, "z1", address, groups, CallNumbers(), random.Random(1), _no_log
+        DaemonIdentity(daemon, "z1", address, 1),
+        groups,
+        CallNumbers(),
+        random.Random(1),
+        _no_log,
     )
 
 
@@ -475,7 +480,7 @@
     (read,) = (call for call in claims.on_timer(0.0) if isinstance(call, ReadNewest))
     page = NewestPage((KeyedRecord(held.key, held.value, 7),), False, 8)
     claims.on_answer(0.1, read.call, page)
-    ((group, daemon, address, offset),) = (plain(told) for told in claims.told())
+    ((group, daemon, address, offset),) = (plain(told) for told in claims.known_claims())
     assert offset == 7
     return claim_records(daemon, Address(*address), group.partition("|")[0])
 
--- a/tests/worlds/quota_world.py
+++ b/tests/worlds/quota_world.py
@@ -8,16 +8,18 @@
 
 from troutswitch.common import Address
 from troutswitch.daemons.datagram import encode
+from troutswitch.daemons.identity import DaemonIdentity
 from troutswitch.daemons.messages import QuotaDecision, QuotaRequest
 from troutswitch.decisions.forwarding.types import EngineRecord
 from troutswitch.decisions.limits import TokenBucket
-from troutswitch.decisions.slots.claims import Claim, CoordinatorClaims
+from troutswitch.decisions.slots.coordinator_claims import Claim, CoordinatorClaims
 from troutswitch.decisions.slots.groups import EngineGroups
 from troutswitch.decisions.slots.messages import SendToPeers
 from troutswitch.decisions.storage.follower import CallNumbers
 from troutswitch.decisions.tenants.coordinated_quota import CoordinatedQuota
-from troutswitch.decisions.tenants.quota import Quota, QuotaEnd, QuotaMessage
-from troutswitch.decisions.tenants.shares import EqualShares
+from troutswitch.decisions.tenants.equal_shares import EqualShares
+from troutswitch.decisions.tenants.quota import Quota, QuotaEnd, QuotaResult
+from troutswitch.decisions.tenants.quota_groups import QuotaGroups
 from troutswitch.decisions.tenants.types import QuotaBounds, Tenant
 
 MESSAGE_SECONDS = (0.001, 0.004)
@@ -60,6 +62,15 @@
     silent_until: float = float("-inf")
 
 
+class FixedFleet:
+    """A fleet of some daemons, with one configuration in force."""
+
+    configuration_version = 1
+
+    def __init__(self, daemons: int) -> None:
+        self.daemons = daemons
+
+
 class QuotaWorld:
     """Daemons, one tenant's callers, and messages that take time or are lost."""
 
@@ -85,22 +96,16 @@
         groups = EngineGroups()
         groups.update([EngineRecord("s", "service", Address("10.0.0.1", 1), "z", 8, False)])
         self.group = groups.all()[0].name
-        address = Address("10.0.0.2", number)
-        claims = CoordinatorClaims(
-            f"d{number}", "z", address, groups, CallNumbers(), self._rng, _log_nothing
-        )
+        identity = DaemonIdentity(f"d{number}", "z", Address("10.0.0.2", number), 1)
+        claims = CoordinatorClaims(identity, groups, CallNumbers(), self._rng, _log_nothing)
         coordinated: dict[str, float] = {}
         if self._policy == "equal_shares":
             return _Daemon(f"d{number}", EqualShares(lambda: count), claims, coordinated)
         quota = CoordinatedQuota(
-            f"d{number}",
-            address,
+            identity,
             self.bounds,
-            groups,
-            claims,
-            coordinated,
-            lambda: 1,
-            lambda: count,
+            QuotaGroups(groups, claims, coordinated),
+            FixedFleet(count),
             lambda made: self._send(number, made),
             self._rng,
             leases=self._policy == "leased",
@@ -146,9 +151,9 @@
         if self.now < daemon.silent_until:
             return
         if isinstance(message, QuotaRequest):
-            daemon.quota.on_ask(self.now, message)
+            daemon.quota.on_request(self.now, message)
         elif isinstance(message, QuotaDecision):
-            self._end(daemon.quota.on_answer(self.now, message))
+            self._end(daemon.quota.on_decision(self.now, message))
 
     def run(self, seconds: float) -> None:
         """Lets time pass."""
@@ -195,9 +200,9 @@
 
     def _end(self, ended: list[QuotaEnd]) -> None:
         for end in ended:
-            self._note(end.token, end.grant)
+            self._note(end.token, end.result)
 
-    def _note(self, token: int, grant: QuotaMessage) -> None:
+    def _note(self, token: int, grant: QuotaResult) -> None:
         if grant.is_allowed:
             self.figures.allowed_at.append(self.now)
         elif token in self._owed:
