--- a/src/troutswitch/gateway/callers/application.py
+++ b/src/troutswitch/gateway/callers/application.py
@@ -1,4 +1,8 @@
-"""WSGI application for callers on the users' platform."""
+"""WSGI application for callers on the users' platform.
+
+It owns a request from its first step to the last byte of its answer, on a thread of the listener.
+It relies on `JobCalls` for calls about batch jobs and on `Relay` for all others.
+"""
 
 from collections.abc import Callable, Iterable, Iterator
 
@@ -7,8 +11,8 @@
 from troutswitch.gateway.callers.listener import CONNECTION
 from troutswitch.gateway.callers.relay import Relay, WholeAnswer
 from troutswitch.gateway.callers.relay_registry import Relays
+from troutswitch.gateway.engines.connection_pool import EngineConnections
 from troutswitch.gateway.engines.engine_activity import EngineActivityReporter
-from troutswitch.gateway.engines.exchange import EngineConnections
 from troutswitch.outcomes import Cut, MayHaveRun, NotRun
 from troutswitch.platform import names
 from troutswitch.platform.requests import Environ, IncomingRequest, read_request
@@ -20,7 +24,8 @@
 class AnswerCut(ConnectionError):
     """A streamed answer cannot be completed: its connection is closed without an end.
 
-    waitress takes an `OSError` for a lost connection and closes it without another word.
+    So the caller never takes a part for the whole. waitress takes an `OSError` for a lost
+    connection, and closes it without sending anything more.
     """
 
 
@@ -31,7 +36,7 @@
         relays: the requests in progress.
         connections: connections to engines.
         post: hands an event to the loop.
-        pulse: notes signs of life of engines.
+        engine_activity: notes from which engines bytes come.
         handle_job: answers calls about batch jobs, or returns None for other requests.
     """
 
@@ -61,7 +66,7 @@
         return self._forward(environ, request, body, start_response)
 
     def on_unserved(self, headers: dict[str, str], age: float) -> None:
-        """Tells of a request whose caller left before it was served."""
+        """Reports a request whose caller left `age` seconds ago, before it was served."""
         request_id = headers.get(names.REQUEST_ID.upper().replace("-", "_"), "")
         self._post(RequestUnserved(request_id, age))
 
@@ -72,6 +77,7 @@
         body: bytes,
         start_response: StartResponse,
     ) -> Iterable[bytes]:
+        """Relays a request; its answer is a stream once a first event came."""
         token = self._relays.next_token()
         relay = Relay(
             token, request, body, self._relays, self._connections, self._post, self._engine_activity
@@ -85,12 +91,12 @@
             raise
         if first is None:
             self._relays.end(token)
-            return self._whole(relay, start_response)
+            return self._send_whole(relay, start_response)
         assert relay.head is not None
         start_response(status_line(relay.head.status), relay.head.headers)
         return self._stream(relay, first, chunks)
 
-    def _whole(self, relay: Relay, start_response: StartResponse) -> Iterable[bytes]:
+    def _send_whole(self, relay: Relay, start_response: StartResponse) -> Iterable[bytes]:
         finish = relay.finish
         if finish is not None and not finish.passes_on:
             return send(final_answer(finish.outcome, relay.request.request_id), start_response)
@@ -112,7 +118,7 @@
 
 
 def final_answer(outcome: NotRun | MayHaveRun | Cut, request_id: str) -> Response:
-    """Returns the answer of a request that is given up."""
+    """Returns the answer of a request that ends without an engine's answer."""
     status = outcome.status if isinstance(outcome, NotRun | MayHaveRun) else 502
     headers = [(names.REQUEST_ID, request_id)] if request_id else []
     if isinstance(outcome, NotRun) and outcome.retry_after is not None:
--- a/src/troutswitch/gateway/callers/caller_watch.py
+++ b/src/troutswitch/gateway/callers/caller_watch.py
@@ -1,15 +1,9 @@
 """Watches the connections of callers whose requests are in progress, on a thread of its own.
 
-The kernel tells of a close or a reset by itself (`EPOLLRDHUP`), whatever else goes on: while
-waitress has no reason to read the connection (an answer waits for the caller's window, or
-requests are queued on it), and while the loop is busy. With the watch taken out those states
-are seen by nobody: tests/gateway/callers/test_caller_gone.py holds one test for each.
-
-Gained: from a caller's close until its engine saw the end, 98 ms for the 99th part in 100
-(median 3.8 ms, most 179 ms) against 1,723 ms (median 85.9 ms, most 1,837 ms) with looks of
-the loop each 100 ms. Measured on one daemon before one engine by 48 callers at once who left
-559 and 506 requests, half of them streams, at random times; the machine's load was 40 on 16
-processors in both runs.
+It owns the watch of a connection from `add` to the caller's close or `remove`; the connection
+itself is waitress's. It relies on the kernel, which reports a close or a reset (`EPOLLRDHUP`) also
+while waitress has no reason to read the connection (an answer waits for the caller's window, or
+requests are queued on it), and while the loop is busy. Nothing else sees a close in these states.
 """
 
 import contextlib
@@ -42,20 +36,20 @@
     """Returns how long ago the other end's close arrived, in seconds; 0 after a reset.
 
     The close is the last thing that the other end sends, so its age is that of the last
-    acknowledgement. It counts from the arrival even if this process stood still since.
+    acknowledgement. It counts from the arrival even if this process was suspended since.
     """
     try:
-        told = connection.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, TCP_INFO_BYTES)
+        info = connection.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, TCP_INFO_BYTES)
     except OSError:
         return 0.0  # waitress closed it meanwhile
-    if told[STATE_OFFSET] != STATE_CLOSE_WAIT:
+    if info[STATE_OFFSET] != STATE_CLOSE_WAIT:
         return 0.0
-    (milliseconds,) = struct.unpack_from("=I", told, LAST_ACKNOWLEDGEMENT_OFFSET)
+    (milliseconds,) = struct.unpack_from("=I", info, LAST_ACKNOWLEDGEMENT_OFFSET)
     return float(milliseconds) / 1000
 
 
 class CallerWatch:
-    """Tells of each watched connection once that its caller closed it.
+    """Reports each watched connection once when its caller closes it.
 
     Args:
         on_gone: called on the watch's thread with a request's token and the close's age.
@@ -73,7 +67,7 @@
         self._thread.start()
 
     def add(self, token: int, connection: socket.socket) -> None:
-        """Watches a request's connection; one that is closed already is told of at once."""
+        """Watches a request's connection; one that is closed already is reported at once."""
         with self._lock:
             descriptor = connection.fileno()
             if descriptor >= 0:
@@ -92,20 +86,20 @@
         """Ends the watch of a request's connection, which may be closed already."""
         with self._lock:
             descriptor = connection.fileno()
-            held = self._watched.get(descriptor)
-            if held is not None and held[0] == token:
+            watched = self._watched.get(descriptor)
+            if watched is not None and watched[0] == token:
                 self._forget(descriptor)
 
     def before_close(self, connection: socket.socket) -> None:
-        """Tells of a connection that this process closes now, if it is watched."""
+        """Reports a watched connection that this process closes now."""
         with self._lock:
             descriptor = connection.fileno()
-            held = self._watched.get(descriptor)
-            if held is None:
+            watched = self._watched.get(descriptor)
+            if watched is None:
                 return
             self._forget(descriptor)
             age = close_age(connection)
-        self._on_gone(held[0], age)
+        self._on_gone(watched[0], age)
 
     def _forget(self, descriptor: int) -> None:
         del self._watched[descriptor]
@@ -115,15 +109,15 @@
     def _run(self) -> None:
         while True:
             for descriptor, _ in self._epoll.poll():
-                self._tell(descriptor)
+                self._report(descriptor)
 
-    def _tell(self, descriptor: int) -> None:
+    def _report(self, descriptor: int) -> None:
         with self._lock:
-            held = self._watched.get(descriptor)
-            if held is None or not is_closed(held[1]):
+            watched = self._watched.get(descriptor)
+            if watched is None or not is_closed(watched[1]):
                 return  # its watch ended meanwhile, and the number names another connection
             self._forget(descriptor)
-            token, connection = held
+            token, connection = watched
             age = close_age(connection)
         self._on_gone(token, age)
         with contextlib.suppress(OSError):  # waitress closed it meanwhile
--- a/src/troutswitch/gateway/callers/dispatcher.py
+++ b/src/troutswitch/gateway/callers/dispatcher.py
@@ -1,7 +1,7 @@
 """Threads for callers' requests that start only when they are needed.
 
-waitress starts all of its threads at once. Most daemons need few of them at a time, and
-many daemons on one machine (tests, benches) would use up its threads.
+waitress starts all of its threads at once. Most daemons need few of them at a time, and many
+daemons on one machine would use up its threads. It owns the threads; waitress owns the tasks.
 """
 
 from typing import Any
@@ -9,7 +9,7 @@
 import waitress.task
 
 THREADS_FIRST = 4
-"""Threads that stand ready from the start."""
+"""Threads that run from the start."""
 
 
 class GrowingDispatcher(waitress.task.ThreadedTaskDispatcher):  # type: ignore[misc]
--- a/src/troutswitch/gateway/callers/job_calls.py
+++ b/src/troutswitch/gateway/callers/job_calls.py
@@ -1,4 +1,8 @@
-"""Calls about batch jobs on a caller's thread: read the form, ask the loop, answer."""
+"""Calls about batch jobs, on their callers' threads.
+
+A call is decoded, posted as an event, and answered as the loop decides. It owns the calls in
+progress by token; the loop owns all about the jobs.
+"""
 
 import itertools
 import threading
@@ -27,7 +31,12 @@
 
 
 class JobCalls:
-    """Calls about jobs between callers' threads and the loop."""
+    """Calls in progress between callers' threads and the loop.
+
+    Args:
+        routes: tells which requests submit a job.
+        post: hands an event to the loop.
+    """
 
     def __init__(self, routes: RouteTable, post: Callable[[GatewayEvent], None]) -> None:
         self._routes = routes
@@ -50,10 +59,10 @@
         token = next(self._tokens)
         try:
             if target is not None:
-                return self._ask(token, read_call(token, request, target))
+                return self._decide(token, read_call(token, request, target))
             if not request.request_id:
                 raise JobFormatError(f"missing {names.REQUEST_ID}")
-            return self._ask(token, read_submission(token, request, body))
+            return self._decide(token, read_submission(token, request, body))
         except JobFormatError as error:
             return Response(400, f"{error}\n".encode(), "text/plain")
 
@@ -61,7 +70,8 @@
         route = self._routes.match(request.host, request.path)
         return request.method == "POST" and route is not None and route.kind is RouteKind.JOBS
 
-    def _ask(self, token: int, event: JobEvent) -> Response:
+    def _decide(self, token: int, event: JobEvent) -> Response:
+        """Posts a call and waits for the loop's answer."""
         future: Future[JobAnswer] = Future()
         with self._lock:
             self._answers[token] = future
--- a/src/troutswitch/gateway/callers/listener.py
+++ b/src/troutswitch/gateway/callers/listener.py
@@ -1,4 +1,9 @@
-"""The waitress server for callers, which tells kept connections to close while draining."""
+"""The HTTP listener: a waitress server on a port, with its own threads.
+
+It owns the port and callers' connections. While it drains, each answer asks its caller to close the
+connection. It relies on the application to answer, and reports closes of connections to the caller
+watch and requests whose callers left before they were served.
+"""
 
 import logging
 import socket
@@ -17,18 +22,22 @@
 from troutswitch.runtime.http import WsgiApplication
 
 THREAD_STACK_BYTES = 256 * 1024
+"""Small, as most threads only wait."""
 BACKLOG = 1024
-CHANNEL_SECONDS = 60
-"""Idle time after which a caller's connection is closed; well above what callers use."""
+"""Connections that the kernel holds until they are accepted."""
+CONNECTION_IDLE_SECONDS = 60
+"""Least idle time after which a caller's connection is closed."""
 LOOKAHEAD = 1
-"""Requests read ahead of the one in progress, which lets a close be seen at once."""
+"""Requests read ahead of the one in progress, so that waitress reads on and sees a close."""
+CLEANUP_SECONDS = 10
+"""Interval between checks for idle connections."""
 
 CONNECTION = "troutswitch.connection"
-"""Key of a request's environment under which its connection's socket stands."""
+"""Key of the WSGI environment that holds the socket of a request's connection."""
 
 
 class _Task(waitress.task.WSGITask):  # type: ignore[misc]
-    """A request whose answer says `Connection: close` while the server drains."""
+    """A request whose answer says `Connection: close` while the listener drains."""
 
     def build_response_header(self) -> bytes:
         """Returns the answer's head."""
@@ -53,15 +62,15 @@
         super().__init__(server, connection, *rest, **named)
 
     def handle_close(self) -> None:
-        """Closes the connection, after its watch was told."""
+        """Closes the connection, after its watch learnt of it."""
         self.server.before_close(self.connection)
         super().handle_close()
 
     def service(self) -> None:
         """Serves a request, unless its caller left while it waited to be read or for a thread.
 
-        Without it a daemon that stood still sent such requests to servers, and read only then
-        that their callers were gone.
+        Without this check a daemon that was suspended sent such requests to engines, and read
+        only then that their callers were gone.
         """
         if is_closed(self.connection):
             self.server.on_unserved(self.requests[0].headers, close_age(self.connection))
@@ -70,7 +79,18 @@
 
 
 class HttpListener:
-    """A waitress server with its own threads."""
+    """A waitress server with its own threads.
+
+    Args:
+        threads: requests that are served at once; more wait.
+        connections_most: connections that are open at once; more wait to be accepted.
+        before_close: called with a connection's socket before this process closes it.
+        on_unserved: called with the headers of a request whose caller left before it was
+            served, and the age of the caller's close in seconds.
+
+    Raises:
+        OSError: the address cannot be bound.
+    """
 
     def __init__(
         self,
@@ -94,8 +114,8 @@
             backlog=BACKLOG,
             asyncore_use_poll=True,
             connection_limit=connections_most,
-            channel_timeout=CHANNEL_SECONDS,
-            cleanup_interval=10,
+            channel_timeout=CONNECTION_IDLE_SECONDS,
+            cleanup_interval=CLEANUP_SECONDS,
             channel_request_lookahead=LOOKAHEAD,
             max_request_header_size=RequestLimits().header_bytes,
             max_request_body_size=RequestLimits().body_bytes,
@@ -114,17 +134,13 @@
         self._thread.start()
 
     def set_limits(self, limits: RequestLimits) -> None:
-        """Puts the limits of the configuration in force for requests read from now on."""
+        """Sets the configuration's limits for requests read from now on."""
         self._server.adj.max_request_header_size = limits.header_bytes
         self._server.adj.max_request_body_size = limits.body_bytes
-        self._server.adj.channel_timeout = max(CHANNEL_SECONDS, 2 * limits.idle_seconds)
-
-    def open_channels(self) -> list[Any]:
-        """Returns the connections that are open."""
-        return list(self._server.active_channels.values())
+        self._server.adj.channel_timeout = max(CONNECTION_IDLE_SECONDS, 2 * limits.idle_seconds)
 
     def drain(self) -> None:
-        """Tells callers from now on to close their connections."""
+        """Asks callers from now on to close their connections."""
         self._server.is_draining = True
 
     def _run(self) -> None:
--- a/src/troutswitch/gateway/callers/relay.py
+++ b/src/troutswitch/gateway/callers/relay.py
@@ -1,4 +1,8 @@
-"""Relays one forwarded request: the caller's thread, the loop's decisions, an engine's bytes."""
+"""Relays one forwarded request between its caller and engines, on the caller's thread.
+
+It owns the request's body, the attempt in progress and what was delivered. The loop decides: it
+gives the directives, each to make an attempt or to finish, and is told of each step by an event.
+"""
 
 from collections.abc import Callable, Iterator
 from dataclasses import dataclass, field, replace
@@ -15,11 +19,11 @@
 )
 from troutswitch.decisions.gateway_interface import GatewayEvent
 from troutswitch.gateway.callers.relay_registry import Relays
+from troutswitch.gateway.engines.connection_pool import EngineConnections
 from troutswitch.gateway.engines.engine_activity import EngineActivityReporter
 from troutswitch.gateway.engines.event_stream import BrokenEvents, EventSplitter
 from troutswitch.gateway.engines.exchange import (
     AnswerLost,
-    EngineConnections,
     Exchange,
     NotConnected,
     OutgoingRequest,
@@ -30,9 +34,6 @@
 
 DIRECTIVE_SECONDS = 60.0
 """Longest wait for the loop's next directive; beyond it the loop is taken for dead."""
-MISDIRECTED = 421
-
-Post = Callable[[GatewayEvent], None]
 
 
 @dataclass(frozen=True, slots=True)
@@ -45,10 +46,13 @@
 
 @dataclass
 class Relay:
-    """One request. After `begin`, `head` is set or `finish` tells the final answer.
+    """One request.
+
+    `run` yields the bytes of a streamed answer. Once it has ended, `finish` is set if the loop gave
+    the final answer; without it `whole` is the engine's answer, or the stream was completed.
 
-    `events` then yields the bytes of a streamed answer; it raises `AnswerCut` if the
-    stream cannot be completed, so that the caller never takes a part for the whole.
+    Args:
+        post: hands an event to the loop.
     """
 
     token: int
@@ -56,9 +60,10 @@
     body: bytes
     relays: Relays
     connections: EngineConnections
-    post: Post
+    post: Callable[[GatewayEvent], None]
     engine_activity: EngineActivityReporter
     head: AnswerHead | None = None
+    """The head of the answer that is streamed to the caller."""
     whole: WholeAnswer | None = None
     finish: FinishRequest | None = None
     _splitter: EventSplitter = field(default_factory=EventSplitter)
@@ -67,7 +72,11 @@
     _longest_gap: float = 0.0
 
     def run(self) -> Iterator[bytes]:
-        """Yields the answer's bytes; `head` stands before the first, `finish` after the last."""
+        """Yields the answer's bytes; `head` is set before the first, `finish` after the last.
+
+        Raises:
+            TimeoutError: the loop gave no directive.
+        """
         channel = self.relays.open(self.token)
         self._splitter = EventSplitter(self.request.last_event_id)
         try:
@@ -103,11 +112,11 @@
     def _attempt(self, decided: SendRequest) -> Iterator[bytes]:
         """Makes one attempt, with what is left of its time.
 
-        Guards against a machine that stood still between decision and sending: the engine was
+        Guards against a process that was suspended between decision and sending: the engine was
         given seconds more than the caller waits.
         """
-        process_resumed = max(0.0, steady_seconds() - decided.decided_at)
-        time_left = decided.time_left - process_resumed
+        delay = max(0.0, steady_seconds() - decided.decided_at)
+        time_left = decided.time_left - delay
         directive = replace(decided, time_left=time_left)
         if time_left <= 0:
             self._end(directive, AttemptKind.UNREACHABLE, "time ran out before it was sent")
@@ -129,8 +138,8 @@
     def _resume_after(self, directive: SendRequest) -> str:
         """Returns the event after which an attempt goes on.
 
-        What this thread gave to the caller counts, not what the loop has heard of: it may
-        have left an engine before it took the word that events had come.
+        What this thread gave to the caller counts, not what the loop knows of: it may have
+        left an engine before it took the report that events had come.
         """
         return self._splitter.last_id if self._delivered else directive.resume_after
 
@@ -158,7 +167,7 @@
             if head.status == 200 and head.is_event_stream:
                 yield from self._stream(directive, exchange, head)
             else:
-                self._take_whole(directive, head, exchange.body())
+                self._take_whole_answer(directive, head, exchange.body())
         except (AnswerLost, BrokenEvents) as error:
             self._end(directive, AttemptKind.CUT, str(error), head)
 
@@ -169,7 +178,7 @@
         self._splitter = splitter
         event_at = steady_seconds()
         for data in exchange.chunks():
-            self.engine_activity.beat(directive.engine_id)
+            self.engine_activity.note(directive.engine_id)
             events = splitter.feed(data)
             if not events:
                 continue
@@ -180,13 +189,13 @@
             self.head = self.head or head
             self._delivered += len(events)
             yield b"".join(event.raw for event in events)
-        if not splitter.is_between_events:
-            raise AnswerLost("the stream ended inside an event")
+        splitter.check_ended()
         self.head = self.head or head
         self._is_completed = True
         self._end(directive, AttemptKind.COMPLETED, "", head)
 
-    def _take_whole(self, directive: SendRequest, head: AnswerHead, body: bytes) -> None:
+    def _take_whole_answer(self, directive: SendRequest, head: AnswerHead, body: bytes) -> None:
+        """Takes an answer that is no stream; a failure is kept, should no attempt do better."""
         if head.not_run:
             reason = f"server said not run, status {head.status}"
             self._end(directive, AttemptKind.REFUSED, reason, head)
@@ -211,7 +220,7 @@
         head: AnswerHead | None = None,
         has_answer: bool = False,
     ) -> None:
-        """Tells the loop, unless the caller left: then the attempt ended for that reason."""
+        """Reports an attempt's end, unless the caller left: then it ended for that reason."""
         if self.relays.is_gone(self.token):
             return
         self.post(
@@ -225,7 +234,7 @@
                 head.status if head is not None else 0,
                 head.load if head is not None else None,
                 head.retry_after if head is not None else None,
-                head is not None and head.status == MISDIRECTED,
+                head is not None and head.is_wrong_instance,
                 has_answer,
                 self._longest_gap,
             )
--- a/src/troutswitch/gateway/callers/relay_registry.py
+++ b/src/troutswitch/gateway/callers/relay_registry.py
@@ -1,4 +1,8 @@
-"""Registers the relays in progress, between their threads and the loop's thread."""
+"""The requests in progress, known by token to the loop's thread and to their own.
+
+It owns the channel on which each request gets its directives, and knows the caller's connection
+and the exchange of the attempt in progress. It relies on `CallerWatch` for callers' closes.
+"""
 
 import itertools
 import socket
@@ -23,6 +27,8 @@
 
 @dataclass(slots=True)
 class _Entry:
+    """One request; `attempt` and `exchange` are those of the attempt in progress."""
+
     channel: Channel[Directive]
     attempt: int = 0
     exchange: Exchange | None = None
@@ -59,10 +65,10 @@
         self._callers[token] = connection
 
     def watch(self, token: int) -> None:
-        """Tells the loop from now on of the caller's close.
+        """Reports the caller's close from now on.
 
-        The loop must have been told of the request before, or it would not know whose
-        close it is told of.
+        The request's arrival must have been posted before, or the loop would not know whose
+        close it is.
         """
         connection = self._callers.get(token)
         if connection is not None:
@@ -81,7 +87,7 @@
             return entry is not None and entry.is_gone
 
     def _on_gone(self, token: int, age: float) -> None:
-        """Leaves the request's engine at once, without waiting for the loop, and tells it.
+        """Aborts the attempt at once, and reports the close, which was `age` seconds ago.
 
         Guards against a loop that is busy or late: the engine was freed only after it.
         """
@@ -113,7 +119,7 @@
         """Registers the exchange of an attempt, so that it can be aborted.
 
         It is aborted before anything is sent if its caller left, even if the watch has not
-        told of it yet: a process that stood still wakes with its threads in any order.
+        reported that yet: a process that was suspended wakes with its threads in any order.
         """
         with self._lock:
             entry = self._entries.get(token)
@@ -124,7 +130,7 @@
             return
         entry.is_gone |= self._has_closed(token)
         if entry.is_gone or entry.aborted_attempt == attempt:
-            exchange.abort()  # the word came before the exchange was known
+            exchange.abort()  # the abort came before the exchange was known
 
     def end_attempt(self, token: int) -> None:
         """Forgets the exchange of an attempt that ended."""
--- a/src/troutswitch/gateway/callers/stop_gate.py
+++ b/src/troutswitch/gateway/callers/stop_gate.py
@@ -1,4 +1,8 @@
-"""The last part of a planned stop: new requests are refused, those taken in are finished."""
+"""The last part of a planned stop: new requests are refused, those taken in are finished.
+
+It owns the count of requests inside the application, from their first step until the server has
+taken the whole answer.
+"""
 
 import threading
 from collections.abc import Callable, Iterable, Iterator
@@ -7,14 +11,13 @@
 from troutswitch.runtime.http import Environ, Response, StartResponse, WsgiApplication, send
 
 RETRY_SECONDS = 0.05
-"""When a refused caller may come back: at once, since another daemon takes its connection."""
+"""Retry-After of a refusal: at once, since another daemon takes the connection."""
 
 
 class StopGate:
-    """Stands before the callers' application and counts the requests that are inside.
+    """Wraps the callers' application, counts the requests inside, and refuses new ones once closed.
 
-    A request counts from its first step until the server has taken its whole answer, so none
-    can be read and left out between two looks.
+    Entering and closing take one lock, so no request is let in uncounted.
     """
 
     def __init__(self, application: WsgiApplication) -> None:
@@ -34,7 +37,7 @@
         return self._inside
 
     def __call__(self, environ: Environ, start_response: StartResponse) -> Iterable[bytes]:
-        """Lets a request in, or refuses it without it having run."""
+        """Lets a request in, or refuses it before anything ran."""
         if not self._enter():
             return send(_refusal(environ), start_response)
         try:
@@ -57,7 +60,7 @@
 
 
 class _CountedList(list[bytes]):
-    """A whole answer, whose length the server looks at."""
+    """A whole answer; a list, as the server takes its length from it."""
 
     def __init__(self, chunks: list[bytes], on_close: Callable[[], None]) -> None:
         super().__init__(chunks)
--- a/src/troutswitch/gateway/daemons/__init__.py
+++ b/src/troutswitch/gateway/daemons/__init__.py
@@ -1,1 +1,1 @@
-"""Sends and receives the messages of peer daemons."""
+"""The transport between daemons: datagrams, and state over HTTP."""
--- a/src/troutswitch/gateway/daemons/peer_socket.py
+++ b/src/troutswitch/gateway/daemons/peer_socket.py
@@ -1,4 +1,8 @@
-"""The UDP socket on which daemons ask for slots and tell each other what they hold."""
+"""The UDP socket on which daemons exchange messages.
+
+It owns the socket and the thread that receives. Datagrams may be lost, repeated or reordered: the
+decisions rely on none of them.
+"""
 
 import socket
 import threading
@@ -10,10 +14,19 @@
 from troutswitch.decisions.slots.messages import PeerMessageReceived, SendToPeers
 
 DATAGRAM_BYTES_MOST = 8192
+"""Longest datagram that is received whole."""
 
 
 class PeerSocket:
-    """Sends messages to peers without blocking, and receives theirs on a thread."""
+    """Sends messages to peers without blocking, and receives theirs on a thread.
+
+    Args:
+        address: where this daemon takes messages; port 0 takes a free one.
+        post: hands an event to the loop.
+
+    Raises:
+        OSError: the address cannot be bound.
+    """
 
     def __init__(self, address: Address, post: Callable[[GatewayEvent], None]) -> None:
         self._socket = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
--- a/src/troutswitch/gateway/daemons/peer_state.py
+++ b/src/troutswitch/gateway/daemons/peer_state.py
@@ -1,4 +1,7 @@
-"""Asks a peer for its state, and answers peers that ask, over HTTP at an internal port."""
+"""Requests a peer's state, and answers peers' requests, over HTTP at the internal port.
+
+It owns nothing; the core gives the state, and decides when which peer is asked.
+"""
 
 import http.client
 from collections.abc import Callable, Iterable
@@ -22,7 +25,10 @@
 
 
 def request_peer_state(port: int, instruction: RequestPeerState) -> PeerStateReceived:
-    """Asks one peer; one that does not answer in time counts as knowing nothing."""
+    """Requests one peer's state; blocks for `instruction.timeout` seconds a step at most.
+
+    A peer that doesn't answer in time, or not well-formed, gives no state.
+    """
     connection = http.client.HTTPConnection(instruction.host, port, timeout=instruction.timeout)
     try:
         connection.request("GET", f"{PEER_STATE_PATH}?version={instruction.version}")
@@ -39,8 +45,8 @@
 def answer_peer(
     share_state: ShareState, environ: Environ, start_response: StartResponse
 ) -> Iterable[bytes]:
-    """Answers a peer that asks."""
-    told = parse_qs(str(environ.get("QUERY_STRING", ""))).get("version", [""])[0]
-    version = int(told) if told.isdigit() else -1
+    """Answers a peer's request for this daemon's state."""
+    version_text = parse_qs(str(environ.get("QUERY_STRING", ""))).get("version", [""])[0]
+    version = int(version_text) if version_text.isdigit() else -1
     state = share_state(steady_seconds(), version)
     return send(Response(200, encode_state(state), CONTENT_TYPE), start_response)
--- a/src/troutswitch/gateway/engines/engine_activity.py
+++ b/src/troutswitch/gateway/engines/engine_activity.py
@@ -1,4 +1,7 @@
-"""Tells the loop, a few times a second, which engines send bytes."""
+"""Reports to the loop which engines send bytes, a few times a second at most.
+
+It relies on the threads that read engines' answers to note what comes.
+"""
 
 from collections.abc import Callable
 
@@ -7,18 +10,23 @@
 from troutswitch.decisions.gateway_interface import GatewayEvent
 
 ACTIVITY_REPORT_SECONDS = 0.2
+"""Least interval between two reports of one engine."""
 
 
 class EngineActivityReporter:
-    """Signs of life of engines, from the threads that read their answers."""
+    """Notes from which engines bytes came, for all threads that read answers.
+
+    Args:
+        post: hands an event to the loop.
+    """
 
     def __init__(self, post: Callable[[GatewayEvent], None]) -> None:
         self._post = post
-        self._told_at: dict[str, float] = {}
+        self._reported_at: dict[str, float] = {}
 
-    def beat(self, engine_id: str) -> None:
-        """Notes that bytes came; two threads at once may tell it twice, which does no harm."""
+    def note(self, engine_id: str) -> None:
+        """Notes that bytes came; two threads at once may report it twice, which does no harm."""
         now = steady_seconds()
-        if now - self._told_at.get(engine_id, float("-inf")) >= ACTIVITY_REPORT_SECONDS:
-            self._told_at[engine_id] = now
+        if now - self._reported_at.get(engine_id, float("-inf")) >= ACTIVITY_REPORT_SECONDS:
+            self._reported_at[engine_id] = now
             self._post(EngineActivity(engine_id))
--- a/src/troutswitch/gateway/engines/engine_check.py
+++ b/src/troutswitch/gateway/engines/engine_check.py
@@ -1,4 +1,7 @@
-"""Finds out whether an engine still takes connections, after one to it was lost."""
+"""Checks whether an engine still takes connections, after an answer of it was lost.
+
+It relies on the engine's port alone: nothing is sent, so nothing runs.
+"""
 
 import socket
 
@@ -10,11 +13,11 @@
 
 
 def check_engine(check: CheckEngine) -> EngineChecked:
-    """Connects and closes; nothing is sent."""
-    return EngineChecked(check.engine_id, _find(check.address))
+    """Connects to an engine and closes at once; blocks for `CHECK_SECONDS` at most."""
+    return EngineChecked(check.engine_id, _connect(check.address))
 
 
-def _find(address: Address) -> EngineFound:
+def _connect(address: Address) -> EngineFound:
     try:
         socket.create_connection(address, CHECK_SECONDS).close()
     except ConnectionRefusedError:
--- a/src/troutswitch/gateway/engines/event_stream.py
+++ b/src/troutswitch/gateway/engines/event_stream.py
@@ -1,7 +1,7 @@
 """Splits a stream of server-sent events into whole events.
 
-Source: the HTML standard, section "Server-sent events". Half an event is held back
-until it is whole, so an answer that breaks off never delivers a part of one.
+Source: the HTML standard, section "Server-sent events". A part of an event is kept until the event
+is whole, so an answer that breaks off never delivers a part of one.
 """
 
 from dataclasses import dataclass
@@ -23,7 +23,10 @@
 
 
 class EventSplitter:
-    """Collects bytes into events, and checks that their ids rise by one."""
+    """Collects bytes into events, and checks that their ids rise by one.
+
+    `last_id` is the id of the last whole event, at first that after which the stream goes on.
+    """
 
     def __init__(self, last_id: str = "") -> None:
         self.last_id = last_id
@@ -31,7 +34,7 @@
 
     @property
     def is_between_events(self) -> bool:
-        """Whether no part of an event is held back."""
+        """Whether no part of an event is left."""
         return not self._rest.strip()
 
     def feed(self, data: bytes) -> list[StreamEvent]:
@@ -50,6 +53,15 @@
             raise BrokenEvents("an event is too long")
         return events
 
+    def check_ended(self) -> None:
+        """Checks that the stream ended between two events.
+
+        Raises:
+            BrokenEvents: a part of an event is left.
+        """
+        if not self.is_between_events:
+            raise BrokenEvents("the stream ended inside an event")
+
     def _event(self, raw: bytes) -> StreamEvent:
         event_id = ""
         data: list[str] = []
--- a/src/troutswitch/gateway/engines/item_runs.py
+++ b/src/troutswitch/gateway/engines/item_runs.py
@@ -1,8 +1,13 @@
-"""Runs batch items at engines, one blocking call a thread."""
+"""Runs batch items at engines, each on a thread of its own.
+
+It owns the threads and the exchanges of the runs in progress; the loop owns everything else about
+an item, and learns of a run by the events that are posted here.
+"""
 
 import threading
 from collections.abc import Callable
 from concurrent.futures import ThreadPoolExecutor
+from dataclasses import dataclass, field
 
 import structlog
 
@@ -16,11 +21,11 @@
     RunItem,
     StopItem,
 )
+from troutswitch.gateway.engines.connection_pool import EngineConnections
 from troutswitch.gateway.engines.engine_activity import EngineActivityReporter
 from troutswitch.gateway.engines.event_stream import BrokenEvents, EventSplitter
 from troutswitch.gateway.engines.exchange import (
     AnswerLost,
-    EngineConnections,
     Exchange,
     NotConnected,
     OutgoingRequest,
@@ -30,13 +35,17 @@
 from troutswitch.platform.requests import AnswerHead, item_headers, read_head
 
 ITEM_THREADS = 64
-MISDIRECTED = 421
-TELL_SECONDS = 0.4
-"""Interval in which a run tells what came."""
+"""Runs at once."""
+PROGRESS_SECONDS = 0.4
+"""Least interval between two reports of a run's progress."""
 
 
 class ItemRuns:
-    """The runs in progress."""
+    """The runs in progress.
+
+    Args:
+        post: hands an event to the loop.
+    """
 
     def __init__(
         self,
@@ -51,15 +60,16 @@
         self._logger = logger
         self._exchanges: dict[int, Exchange] = {}
         self._stopped: set[int] = set()
+        """Runs that were stopped before their exchange began."""
         self._lock = threading.Lock()
         self._executor = ThreadPoolExecutor(ITEM_THREADS, "items")
 
     def start(self, instruction: RunItem) -> None:
-        """Starts a run."""
+        """Starts a run; an `ItemRunEnded` tells its end."""
         try:
-            self._executor.submit(self._run_safely, instruction)
+            self._executor.submit(self._run, instruction)
         except RuntimeError:
-            return  # stopping
+            return  # the process stops
 
     def stop(self, instruction: StopItem) -> None:
         """Closes the connection of a run."""
@@ -78,58 +88,27 @@
         for exchange in exchanges:
             exchange.abort()
 
-    def _run_safely(self, instruction: RunItem) -> None:
-        splitter = EventSplitter(instruction.resume_after)
-        events: list[OutputEvent] = []
+    def _run(self, instruction: RunItem) -> None:
+        """Runs an item; an error of ours ends the run too, or it would be in flight for good."""
+        run = _ItemRun(instruction, self._post, self._engine_activity)
         try:
-            ended = self._run(instruction, splitter, events)
+            ended = run.play(self._open(instruction))
         except Exception as error:
             self._logger.exception("item run failed")
-            reason = f"{type(error).__name__}: {error}"
-            ended = _ended(instruction, AttemptKind.CUT, reason, None, events)
+            ended = run.ended(AttemptKind.CUT, f"{type(error).__name__}: {error}")
         finally:
             with self._lock:
                 self._exchanges.pop(instruction.run, None)
                 self._stopped.discard(instruction.run)
         self._post(ended)
 
-    def _run(
-        self, instruction: RunItem, splitter: EventSplitter, events: list[OutputEvent]
-    ) -> ItemRunEnded:
-        exchange = self._open(instruction)
-        try:
-            head = read_head(exchange.open(instruction.first_wait))
-        except NotConnected as error:
-            return _ended(instruction, AttemptKind.UNREACHABLE, str(error))
-        except AnswerLost as error:
-            return _ended(instruction, AttemptKind.CUT, str(error))
-        try:
-            if head.status != 200 or not head.is_event_stream:
-                return self._refused(instruction, exchange, head)
-            self._post(ItemBegun(instruction.run))
-            self._read(instruction, exchange, splitter, events)
-        except (AnswerLost, BrokenEvents) as error:
-            return _ended(instruction, AttemptKind.CUT, str(error), head, events)
-        finally:
-            exchange.close()
-        return _ended(instruction, AttemptKind.COMPLETED, "", head, events)
-
     def _open(self, instruction: RunItem) -> Exchange:
-        item = instruction.item
-        headers = item_headers(
-            instruction.host,
-            item.item_id,
-            dict(item.headers),
-            instruction.engine_id,
-            instruction.resume_after,
-            instruction.tenant,
-        )
-        request = OutgoingRequest(item.item_id, "POST", item.path, headers, item.body)
+        """Registers a run's exchange, so that it can be stopped."""
         exchange = Exchange(
             self._connections,
             instruction.engine_id,
             instruction.address,
-            request,
+            _outgoing(instruction),
             names.REQUEST_ID,
         )
         with self._lock:
@@ -138,48 +117,77 @@
                 exchange.is_aborted = True
         return exchange
 
-    def _read(
-        self,
-        instruction: RunItem,
-        exchange: Exchange,
-        splitter: EventSplitter,
-        events: list[OutputEvent],
-    ) -> None:
-        """Reads the stream, and tells what came from time to time."""
-        told_at = steady_seconds()
+
+@dataclass
+class _ItemRun:
+    """One run; `events` are those not yet reported."""
+
+    instruction: RunItem
+    post: Callable[[GatewayEvent], None]
+    engine_activity: EngineActivityReporter
+    events: list[OutputEvent] = field(default_factory=list)
+
+    def play(self, exchange: Exchange) -> ItemRunEnded:
+        """Makes the exchange, and returns how it ended."""
+        try:
+            head = read_head(exchange.open(self.instruction.first_wait))
+        except NotConnected as error:
+            return self.ended(AttemptKind.UNREACHABLE, str(error))
+        except AnswerLost as error:
+            return self.ended(AttemptKind.CUT, str(error))
+        try:
+            if head.status != 200 or not head.is_event_stream:
+                return self._refused(exchange, head)
+            self.post(ItemBegun(self.instruction.run))
+            self._read(exchange)
+        except (AnswerLost, BrokenEvents) as error:
+            return self.ended(AttemptKind.CUT, str(error), head)
+        finally:
+            exchange.close()
+        return self.ended(AttemptKind.COMPLETED, "", head)
+
+    def _read(self, exchange: Exchange) -> None:
+        """Reads the stream, and reports its events from time to time."""
+        splitter = EventSplitter(self.instruction.resume_after)
+        reported_at = steady_seconds()
         for data in exchange.chunks():
-            self._engine_activity.beat(instruction.engine_id)
-            came = splitter.feed(data)
-            if came:
-                exchange.set_wait(instruction.gap_wait)
-            events.extend(OutputEvent(event.event_id, event.data) for event in came)
-            if events and steady_seconds() - told_at >= TELL_SECONDS:
-                told_at = steady_seconds()
-                self._post(ItemProgressed(instruction.run, tuple(events)))
-                events.clear()
-        if not splitter.is_between_events:
-            raise AnswerLost("the stream ended inside an event")
-
-    @staticmethod
-    def _refused(instruction: RunItem, exchange: Exchange, head: AnswerHead) -> ItemRunEnded:
+            self.engine_activity.note(self.instruction.engine_id)
+            events = splitter.feed(data)
+            if events:
+                exchange.set_wait(self.instruction.gap_wait)
+            self.events.extend(OutputEvent(event.event_id, event.data) for event in events)
+            if self.events and steady_seconds() - reported_at >= PROGRESS_SECONDS:
+                reported_at = steady_seconds()
+                self.post(ItemProgressed(self.instruction.run, tuple(self.events)))
+                self.events.clear()
+        splitter.check_ended()
+
+    def _refused(self, exchange: Exchange, head: AnswerHead) -> ItemRunEnded:
         exchange.body()
         kind = AttemptKind.REFUSED if head.not_run else AttemptKind.CUT
-        return _ended(instruction, kind, f"status {head.status}", head)
-
-
-def _ended(
-    instruction: RunItem,
-    kind: AttemptKind,
-    reason: str,
-    head: AnswerHead | None = None,
-    events: list[OutputEvent] | None = None,
-) -> ItemRunEnded:
-    return ItemRunEnded(
-        instruction.run,
-        kind,
-        head.status if head is not None else 0,
-        reason,
-        tuple(events or ()),
-        head.load if head is not None else None,
-        head is not None and head.status == MISDIRECTED,
+        return self.ended(kind, f"status {head.status}", head)
+
+    def ended(self, kind: AttemptKind, reason: str, head: AnswerHead | None = None) -> ItemRunEnded:
+        """Returns the run's end, with the events not yet reported."""
+        return ItemRunEnded(
+            self.instruction.run,
+            kind,
+            head.status if head is not None else 0,
+            reason,
+            tuple(self.events),
+            head.load if head is not None else None,
+            head is not None and head.is_wrong_instance,
+        )
+
+
+def _outgoing(instruction: RunItem) -> OutgoingRequest:
+    item = instruction.item
+    headers = item_headers(
+        instruction.host,
+        item.item_id,
+        dict(item.headers),
+        instruction.engine_id,
+        instruction.resume_after,
+        instruction.tenant,
     )
+    return OutgoingRequest(item.item_id, "POST", item.path, headers, item.body)
--- a/src/troutswitch/gateway/instruction_executor.py
+++ b/src/troutswitch/gateway/instruction_executor.py
@@ -35,8 +35,8 @@
     StoreOutcome,
 )
 from troutswitch.gateway.callers.relay_registry import Relays
+from troutswitch.gateway.engines.connection_pool import EngineConnections
 from troutswitch.gateway.engines.engine_check import check_engine
-from troutswitch.gateway.engines.exchange import EngineConnections
 from troutswitch.gateway.engines.item_runs import ItemRuns
 
 STORE_THREADS = 48
--- a/src/troutswitch/gateway/process.py
+++ b/src/troutswitch/gateway/process.py
@@ -35,8 +35,8 @@
 from troutswitch.gateway.callers.stop_gate import StopGate
 from troutswitch.gateway.daemons.peer_socket import PeerSocket
 from troutswitch.gateway.daemons.peer_state import PEER_STATE_PATH, answer_peer, request_peer_state
+from troutswitch.gateway.engines.connection_pool import EngineConnections
 from troutswitch.gateway.engines.engine_activity import EngineActivityReporter
-from troutswitch.gateway.engines.exchange import EngineConnections
 from troutswitch.gateway.engines.item_runs import ItemRuns
 from troutswitch.gateway.instruction_executor import Executors, InstructionExecutor
 from troutswitch.gateway.loop import GatewayLoop
--- a/src/troutswitch/platform/requests.py
+++ b/src/troutswitch/platform/requests.py
@@ -11,6 +11,8 @@
 Environ = dict[str, Any]
 Headers = list[tuple[str, str]]
 
+MISDIRECTED = 421
+"""Status of an engine that is not the one that a request names."""
 DEADLINE_DEFAULT_SECONDS = 30.0
 """Time a caller is taken to wait where it tells none."""
 
@@ -37,7 +39,11 @@
 
 @dataclass(frozen=True, slots=True)
 class AnswerHead:
-    """What the head of an engine's answer tells."""
+    """The head of an engine's answer.
+
+    `not_run` says that the engine did not run the request; `load` is the engine's at the time of
+    the answer, None if it told none. `retry_after` is in seconds.
+    """
 
     status: int
     not_run: bool
@@ -46,6 +52,11 @@
     is_event_stream: bool
     headers: Headers
 
+    @property
+    def is_wrong_instance(self) -> bool:
+        """Whether another engine has the address now than the one that was meant."""
+        return self.status == MISDIRECTED
+
 
 def read_request(environ: Environ) -> IncomingRequest:
     """Reads a request from a WSGI environment."""
@@ -127,7 +138,8 @@
     content_type = response.getheader("Content-Type", "")
     return AnswerHead(
         status=response.status,
-        not_run=response.getheader(names.NOT_EXECUTED) is not None or response.status == 421,
+        not_run=response.getheader(names.NOT_EXECUTED) is not None
+        or response.status == MISDIRECTED,
         load=_load(response.getheader(names.SERVER_LOAD)),
         retry_after=_retry_after(response.getheader(names.RETRY_AFTER)),
         is_event_stream=content_type.partition(";")[0].strip() == "text/event-stream",
--- a/tests/gateway/callers/test_caller_gone.py
+++ b/tests/gateway/callers/test_caller_gone.py
@@ -13,6 +13,7 @@
 import threading
 import time
 from collections.abc import Callable, Iterator
+from typing import Any
 
 import pytest
 
@@ -39,8 +40,8 @@
 from troutswitch.gateway.callers.application import CallerApplication
 from troutswitch.gateway.callers.listener import HttpListener
 from troutswitch.gateway.callers.relay_registry import Relays
+from troutswitch.gateway.engines.connection_pool import EngineConnections
 from troutswitch.gateway.engines.engine_activity import EngineActivityReporter
-from troutswitch.gateway.engines.exchange import EngineConnections
 from troutswitch.outcomes import MayHaveRun, Step
 
 ENGINE_SECONDS = 100 * WAIT_SECONDS
@@ -73,7 +74,7 @@
             EngineActivityReporter(self.post),
             lambda request, body: None,
         )
-        self.front = HttpListener(
+        self.listener = HttpListener(
             application,
             Address(HOST, 0),
             1,
@@ -82,7 +83,7 @@
             self.relays.caller_watch.before_close,
             application.on_unserved,
         )
-        self.front.start()
+        self.listener.start()
 
     def post(self, event: object) -> None:
         if isinstance(event, RequestArrived):
@@ -110,8 +111,12 @@
             self.finish(token)
         wait_for(lambda: self.relays.count == 0, "no request in progress")
 
+    def open_channels(self) -> list[Any]:
+        """Returns waitress's connections of callers that are open."""
+        return list(self.listener._server.active_channels.values())
+
     def connect(self) -> socket.socket:
-        caller = socket.create_connection((HOST, self.front.address.port), WAIT_SECONDS)
+        caller = socket.create_connection((HOST, self.listener.address.port), WAIT_SECONDS)
         caller.settimeout(WAIT_SECONDS)
         return caller
 
@@ -140,7 +145,7 @@
 
     yield begin
     for loop in held:
-        loop.front.stop()
+        loop.listener.stop()
 
 
 def assert_left(loop: BusyLoop) -> None:
@@ -173,8 +178,9 @@
     caller = loop.connect()
     caller.sendall(request("a"))
     assert caller.recv(1)
-    channels = loop.front.open_channels
-    wait_for(lambda: any(c.total_outbufs_len > 1 << 20 for c in channels()), "a shut window")
+    wait_for(
+        lambda: any(c.total_outbufs_len > 1 << 20 for c in loop.open_channels()), "a shut window"
+    )
     if is_reset:
         caller.close()
     else:
@@ -189,9 +195,9 @@
     with loop.connect() as caller:
         caller.sendall(request("a") + request("b") + request("c"))
         assert loop.engines[0].arrived.wait(WAIT_SECONDS)
-        wait_for(lambda: any(len(c.requests) > 1 for c in loop.front.open_channels()), "a queue")
+        wait_for(lambda: any(len(c.requests) > 1 for c in loop.open_channels()), "a queue")
     assert_left(loop)
-    wait_for(lambda: not loop.front.open_channels(), "the connection closed")
+    wait_for(lambda: not loop.open_channels(), "the connection closed")
     assert len(loop.engines[0].requests) == 1
 
 
@@ -208,7 +214,7 @@
 
 
 def test_queued_for_a_thread(start: Start) -> None:
-    """The front has one thread: the second request waits for it, and its caller leaves."""
+    """The listener has one thread: the second request waits for it, and its caller leaves."""
     loop = start(whole)
     engine = loop.engines[0]
     first, third = loop.connect(), loop.connect()
@@ -216,7 +222,7 @@
     assert engine.arrived.wait(WAIT_SECONDS)
     with loop.connect() as second:
         second.sendall(request("second"))
-        wait_for(lambda: sum(bool(c.requests) for c in loop.front.open_channels()) == 2, "queued")
+        wait_for(lambda: sum(bool(c.requests) for c in loop.open_channels()) == 2, "queued")
     third.sendall(request("third"))
     engine.may_go_on.set()
     assert first.recv(1)
--- a/tests/gateway/callers/test_relay.py
+++ b/tests/gateway/callers/test_relay.py
@@ -9,8 +9,8 @@
 from troutswitch.decisions.forwarding.types import PromptShape
 from troutswitch.gateway.callers.relay import Relay
 from troutswitch.gateway.callers.relay_registry import Relays
+from troutswitch.gateway.engines.connection_pool import EngineConnections
 from troutswitch.gateway.engines.engine_activity import EngineActivityReporter
-from troutswitch.gateway.engines.exchange import EngineConnections
 from troutswitch.outcomes import AttemptKind
 from troutswitch.platform.requests import IncomingRequest
 
--- a/tests/gateway/engines/test_exchange.py
+++ b/tests/gateway/engines/test_exchange.py
@@ -5,9 +5,9 @@
 import pytest
 
 from troutswitch.common import Address
+from troutswitch.gateway.engines.connection_pool import EngineConnections
 from troutswitch.gateway.engines.exchange import (
     AnswerLost,
-    EngineConnections,
     Exchange,
     NotConnected,
     OutgoingRequest,
--- a/tests/gateway/engines/test_silent_engines.py
+++ b/tests/gateway/engines/test_silent_engines.py
@@ -4,7 +4,7 @@
 some connections to an engine are kept, the network forgets them, a request is sent on one of
 them. Cause of what it cost: a time-out closed this one alone, so that the next request took
 the next dead one; and a stream whose head had come was waited for to its deadline. Evidence:
-the tests below, without `EngineConnections.doubt` and without `first_event_wait`.
+the tests below, without `EngineConnections.close_suspects` and without `first_event_wait`.
 """
 
 import socket
@@ -27,10 +27,10 @@
 from troutswitch.gateway.callers.relay import Relay
 from troutswitch.gateway.callers.relay_registry import Relays
 from troutswitch.gateway.engines import exchange as exchange_module
+from troutswitch.gateway.engines.connection_pool import EngineConnections
 from troutswitch.gateway.engines.engine_activity import EngineActivityReporter
 from troutswitch.gateway.engines.exchange import (
     AnswerLost,
-    EngineConnections,
     Exchange,
     OutgoingRequest,
 )
@@ -41,7 +41,7 @@
 
 KEPT = 3
 SHORT_WAIT_SECONDS = 0.4
-"""Wait in which nothing comes on a silent connection; longer than `DOUBT_LEAST_SECONDS`."""
+"""Wait in which nothing comes on a silent connection; longer than `SUSPECT_SILENCE_SECONDS`."""
 LONG_WAIT_SECONDS = 30.0
 BODY_BYTES = 16 << 20
 """A body that no socket buffer takes whole."""
@@ -57,8 +57,8 @@
     def __init__(self) -> None:
         self.engine = EngineStandin("one")
         self.proxy = SilentProxy(self.engine.address)
-        self.doubted: list[tuple[str, int]] = []
-        self.connections = EngineConnections(lambda *told: self.doubted.append(told))
+        self.suspects_closed: list[tuple[str, int]] = []
+        self.connections = EngineConnections(lambda *told: self.suspects_closed.append(told))
 
     def exchange(self, request_id: str, body: bytes = b"body") -> Exchange:
         headers = [
@@ -100,7 +100,7 @@
         world.exchange("lost").open(SHORT_WAIT_SECONDS)
     world.works("next")
     assert world.proxy.connections == KEPT + 1  # a fresh one, at once
-    assert world.doubted == [("one", KEPT - 1)]
+    assert world.suspects_closed == [("one", KEPT - 1)]
 
 
 def test_a_connection_that_answered_since_is_still_trusted(world: World) -> None:
@@ -108,16 +108,16 @@
     held = world.exchange("held")
     held.open(LONG_WAIT_SECONDS)  # both connections were used, this one is silent from here
     world.works("meanwhile")
-    world.connections.doubt("one", held.last_seen_at)
+    world.connections.close_suspects("one", held.last_seen_at)
     world.works("next")
     assert world.proxy.connections == 2
-    assert world.doubted == []
+    assert world.suspects_closed == []
 
 
 def test_an_attempt_left_for_silence_closes_the_others_too(
     world: World, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(exchange_module, "DOUBT_LEAST_SECONDS", 0.0)
+    monkeypatch.setattr(exchange_module, "SUSPECT_SILENCE_SECONDS", 0.0)
     world.keep(KEPT)
     world.proxy.silence()
     relays = Relays(lambda event: None)
@@ -134,7 +134,7 @@
 def test_a_caller_that_leaves_says_nothing_of_connections(
     world: World, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(exchange_module, "DOUBT_LEAST_SECONDS", 0.0)
+    monkeypatch.setattr(exchange_module, "SUSPECT_SILENCE_SECONDS", 0.0)
     world.keep(KEPT)
     exchange = world.exchange("gone")
     exchange.open(LONG_WAIT_SECONDS)
@@ -142,7 +142,7 @@
     exchange.close()
     world.works("next")
     assert world.proxy.connections == KEPT
-    assert world.doubted == []
+    assert world.suspects_closed == []
 
 
 def test_a_connection_silent_while_a_body_is_sent_ends_in_time(world: World) -> None:
--- a/tests/gateway/test_suspension.py
+++ b/tests/gateway/test_suspension.py
@@ -23,8 +23,8 @@
 from troutswitch.gateway.callers import relay as relay_module
 from troutswitch.gateway.callers.relay import Relay
 from troutswitch.gateway.callers.relay_registry import Relays
+from troutswitch.gateway.engines.connection_pool import EngineConnections
 from troutswitch.gateway.engines.engine_activity import EngineActivityReporter
-from troutswitch.gateway.engines.exchange import EngineConnections
 from troutswitch.gateway.loop import SUSPENSION_SECONDS, GatewayLoop
 from troutswitch.outcomes import AttemptKind, MayHaveRun, Step
 from troutswitch.platform.requests import IncomingRequest
--- a/tests/platform/test_silent_store.py
+++ b/tests/platform/test_silent_store.py
@@ -4,7 +4,8 @@
 Order of events: calls leave up to eight connections idle, the network forgets all of them,
 and each next call takes one. Cause: a time-out closed this one alone, so that a reader went
 through them one after the other with a time-out that doubles each time (0.6, 1.2, 2.4 s),
-beyond the bound for applying a configuration. Evidence: these tests without the doubt.
+beyond the bound for applying a configuration. Evidence: these tests without the pool's
+`_close_suspects`.
 """
 
 import random
@@ -121,7 +122,7 @@
     assert isinstance(outcomes[0], CallFailed)
 
 
-def test_a_time_out_on_a_connection_that_never_answered_doubts_nothing(world: World) -> None:
+def test_a_time_out_on_a_connection_that_never_answered_closes_no_other(world: World) -> None:
     """A store that is slow or away would else cost each of its connections again and again."""
     world.keep(KEPT)
     connections = world.client.connections
