--- a/tests/gateway/test_suspension.py
+++ b/tests/gateway/test_suspension.py
@@ -6,6 +6,8 @@
 suspended; the thread goes on. Cause: times were worked out before and not looked at again.
 """
 
+import queue
+
 import pytest
 
 from tests.platform.standins import EngineStandin
@@ -21,8 +23,8 @@
 from troutswitch.gateway.callers import relay as relay_module
 from troutswitch.gateway.callers.relay import Relay
 from troutswitch.gateway.callers.relay_registry import Relays
+from troutswitch.gateway.engines.connection_pool import EngineConnections
 from troutswitch.gateway.engines.engine_activity import EngineActivityReporter
-from troutswitch.gateway.engines.exchange import EngineConnections
 from troutswitch.gateway.loop import SUSPENSION_SECONDS, GatewayLoop
 from troutswitch.outcomes import AttemptKind, MayHaveRun, Step
 from troutswitch.platform.requests import IncomingRequest
@@ -59,8 +61,13 @@
     clock = Clock()
     monkeypatch.setattr(loop_module, "steady_seconds", clock)
     core = Core(clock)
-    loop = GatewayLoop(core, lambda instruction: None, lambda error: None)  # type: ignore[arg-type]
-    loop.post("waited")
+    loop = GatewayLoop(
+        core,  # type: ignore[arg-type]
+        queue.SimpleQueue(),
+        lambda instruction: None,
+        lambda error: None,
+    )
+    loop.post("waited")  # type: ignore[arg-type]
     get = loop._events.get_nowait
 
     def get_late() -> object:
