--- a/tests/decisions/slots/test_groups.py
+++ b/tests/decisions/slots/test_groups.py
@@ -26,9 +26,9 @@
 
 def test_many_engines_of_a_zone_are_several_groups_of_bounded_size() -> None:
     records = [record(f"s{n}") for n in range(10 * GROUP_ENGINES_MOST)]
-    held = EngineGroups()
-    held.update(records)
-    sizes = [len(held.members(group.name)) for group in held.all()]
+    groups = EngineGroups()
+    groups.update(records)
+    sizes = [len(groups.members(group.name)) for group in groups.all()]
     assert len(sizes) == 10
     assert max(sizes) < 2 * GROUP_ENGINES_MOST
 
--- a/tests/decisions/slots/test_ledger.py
+++ b/tests/decisions/slots/test_ledger.py
@@ -23,87 +23,89 @@
 
 
 def test_a_newer_report_takes_the_place_of_the_older() -> None:
-    held, engines = ledger()
-    assert held.on_report(0.0, report(sequence=1, a=3))
-    assert held.on_report(0.1, report(sequence=2, b=2))
+    slots, engines = ledger()
+    assert slots.on_report(0.0, report(sequence=1, a=3))
+    assert slots.on_report(0.1, report(sequence=2, b=2))
     assert (batch(engines), batch(engines, "b")) == (0, 2)
 
 
 def test_a_late_report_changes_nothing() -> None:
-    held, engines = ledger()
-    held.on_report(0.0, report(sequence=2, a=3))
-    assert not held.on_report(0.1, report(sequence=1, a=9))
+    slots, engines = ledger()
+    slots.on_report(0.0, report(sequence=2, a=3))
+    assert not slots.on_report(0.1, report(sequence=1, a=9))
     assert batch(engines) == 3
 
 
 def test_a_new_incarnation_begins_its_sequence_again_and_has_no_grants() -> None:
-    held, engines = ledger()
-    held.on_report(0.0, report(sequence=50, a=3))
-    held.grant(0.0, "peer", ONE_ITEM)
-    held.on_report(0.1, report(sequence=1, incarnation=2, a=1))
+    slots, engines = ledger()
+    slots.on_report(0.0, report(sequence=50, a=3))
+    slots.grant(0.0, "peer", ONE_ITEM)
+    slots.on_report(0.1, report(sequence=1, incarnation=2, a=1))
     assert batch(engines) == 1
 
 
 def test_a_grant_counts_from_when_it_is_sent() -> None:
-    held, engines = ledger()
-    held.on_report(0.0, report(sequence=1, a=1))
-    held.grant(0.0, "peer", ONE_ITEM)
+    slots, engines = ledger()
+    slots.on_report(0.0, report(sequence=1, a=1))
+    slots.grant(0.0, "peer", ONE_ITEM)
     assert batch(engines) == 2
-    held.grant(0.0, "peer", EngineShare(A, 0, -1, 0))
+    slots.grant(0.0, "peer", EngineShare(A, 0, -1, 0))
     assert batch(engines) == 1
 
 
 def test_a_report_made_before_a_grant_was_received_does_not_undo_it() -> None:
-    held, engines = ledger()
-    held.on_report(0.0, report(sequence=1, a=1))
-    grant = held.grant(0.0, "peer", ONE_ITEM)
-    held.on_report(0.01, report(sequence=2, a=1))
+    slots, engines = ledger()
+    slots.on_report(0.0, report(sequence=1, a=1))
+    grant = slots.grant(0.0, "peer", ONE_ITEM)
+    slots.on_report(0.01, report(sequence=2, a=1))
     assert batch(engines) == 2
     newer = report(sequence=3, a=2)
-    held.on_report(0.02, replace(newer, coordinator_incarnation=INCARNATION, last_grant_seen=grant))
+    slots.on_report(
+        0.02, replace(newer, coordinator_incarnation=INCARNATION, last_grant_seen=grant)
+    )
     assert batch(engines) == 2
 
 
 def test_grants_of_an_earlier_incarnation_of_this_daemon_do_not_count_as_seen() -> None:
-    held, engines = ledger()
-    held.on_report(0.0, report(sequence=1))
-    held.grant(0.0, "peer", ONE_ITEM)
+    slots, engines = ledger()
+    slots.on_report(0.0, report(sequence=1))
+    slots.grant(0.0, "peer", ONE_ITEM)
     newer = report(sequence=2)
-    held.on_report(0.01, replace(newer, coordinator_incarnation=5, last_grant_seen=99))
+    slots.on_report(0.01, replace(newer, coordinator_incarnation=5, last_grant_seen=99))
     assert batch(engines) == 1
 
 
 def test_a_grant_that_is_never_reported_expires() -> None:
-    held, engines = ledger()
-    held.on_report(0.0, report(sequence=1))
-    held.grant(0.0, "peer", ONE_ITEM)
-    held.on_timer(GRANT_EXPIRY_SECONDS - 0.01)
+    slots, engines = ledger()
+    slots.on_report(0.0, report(sequence=1))
+    slots.grant(0.0, "peer", ONE_ITEM)
+    slots.on_timer(GRANT_EXPIRY_SECONDS - 0.01)
     assert batch(engines) == 1
-    held.on_timer(GRANT_EXPIRY_SECONDS + 0.2)
+    slots.on_timer(GRANT_EXPIRY_SECONDS + 0.2)
     assert batch(engines) == 0
 
 
 def test_a_peer_that_falls_silent_no_longer_counts() -> None:
-    held, engines = ledger()
-    held.on_report(0.0, report(sequence=1, waiting=4, a=3))
-    assert held.holders["peer"].waiting_items == 4
-    held.on_timer(SILENT_SECONDS + 0.1)
+    slots, engines = ledger()
+    slots.on_report(0.0, report(sequence=1, waiting=4, a=3))
+    assert slots.holders["peer"].waiting_items == 4
+    slots.on_timer(SILENT_SECONDS + 0.1)
     assert batch(engines) == 0
-    assert held.holders["peer"].waiting_items == 0
+    assert slots.holders["peer"].waiting_items == 0
 
 
 def test_engines_that_join_later_are_counted_again() -> None:
-    held, engines = ledger()
-    held.on_report(0.0, report(sequence=1, a=2, c=3))
+    slots, engines = ledger()
+    slots.on_report(0.0, report(sequence=1, a=2, c=3))
     engines.on_list(1.0, [record("a"), record("b"), record("c")])
-    held.recount(1.0, engines.engines.values())
+    slots.recount(1.0, engines.engines.values())
     assert (batch(engines), batch(engines, "c")) == (2, 3)
 
 
 def test_an_engine_is_avoided_once_several_daemons_find_it_unusable() -> None:
-    held, _ = ledger()
+    slots, _ = ledger()
     for number, name in enumerate(("p", "q")):
-        assert not held.is_avoided(A)
+        assert not slots.is_avoided(A)
         newer = report(sender=name, sequence=number)
-        held.on_report(0.0, replace(newer, unusable=(A,)))
-    assert held.is_avoided(A)
+        slots.on_report(0.0, replace(newer, unusable=(A,)))
+    assert slots.is_avoided(A)
--- a/tests/decisions/tenants/test_coordinated_quota.py
+++ b/tests/decisions/tenants/test_coordinated_quota.py
@@ -77,42 +77,42 @@
     return asking, counting
 
 
-def ask(now: float, token: int, asking: Daemon, counting: Daemon) -> QuotaResult:
-    grant = asking.quota.take(now, token, TENANT)
-    if grant is not None:
-        return grant
-    question = asking.message()
-    assert isinstance(question, QuotaRequest)
-    counting.quota.on_request(now, question)
-    answer = counting.message()
-    assert isinstance(answer, QuotaDecision)
-    ended = asking.quota.on_decision(now, answer)
+def request(now: float, token: int, asking: Daemon, counting: Daemon) -> QuotaResult:
+    result = asking.quota.take(now, token, TENANT)
+    if result is not None:
+        return result
+    message = asking.message()
+    assert isinstance(message, QuotaRequest)
+    counting.quota.on_request(now, message)
+    decision = counting.message()
+    assert isinstance(decision, QuotaDecision)
+    ended = asking.quota.on_decision(now, decision)
     assert [end.token for end in ended] == [token]
     return ended[0].result
 
 
 def test_a_tenant_without_a_limit_costs_no_message() -> None:
     asking, _ = pair()
-    grant = asking.quota.take(0.0, 1, FREE)
-    assert grant is not None
-    assert grant.is_allowed
+    result = asking.quota.take(0.0, 1, FREE)
+    assert result is not None
+    assert result.is_allowed
     assert not asking.sent
 
 
 def test_many_daemons_share_one_count() -> None:
     asking, counting = pair()
-    words = [ask(0.0, n, asking, counting).is_allowed for n in range(40)]
-    words += [ask(0.0, n, counting, counting).is_allowed for n in range(40, 60)]
-    assert 0 < sum(words) <= (2 * 5 + 2) * 1.1 + 20
-    assert not words[-1]
+    results = [request(0.0, n, asking, counting).is_allowed for n in range(40)]
+    results += [request(0.0, n, counting, counting).is_allowed for n in range(40, 60)]
+    assert 0 < sum(results) <= (2 * 5 + 2) * 1.1 + 20
+    assert not results[-1]
 
 
 def test_a_refusal_states_when_there_is_quota() -> None:
     asking, counting = pair()
-    while (grant := ask(0.0, 1, asking, counting)).is_allowed:
+    while (result := request(0.0, 1, asking, counting)).is_allowed:
         pass
-    assert 0 < grant.wait <= 1.0
-    assert grant.decided_by == "counted by b"
+    assert 0 < result.wait <= 1.0
+    assert result.decided_by == "counted by b"
 
 
 def test_a_silent_coordinator_is_waited_for_a_moment_and_then_suspected() -> None:
@@ -121,7 +121,7 @@
     asking.sent.clear()
     assert asking.quota.next_due() == RESEND_SECONDS
     assert asking.quota.on_timer(RESEND_SECONDS) == []
-    assert len(asking.sent) == 1, "an ask is sent once more"
+    assert len(asking.sent) == 1, "a request is sent once more"
     assert asking.quota.next_due() == DECISION_SECONDS
     ended = asking.quota.on_timer(DECISION_SECONDS)
     assert [(end.token, end.result.is_allowed) for end in ended] == [(1, True)]
@@ -134,13 +134,13 @@
 def test_a_late_decision_changes_nothing() -> None:
     asking, counting = pair()
     asking.quota.take(0.0, 1, TENANT)
-    question = asking.message()
-    assert isinstance(question, QuotaRequest)
-    counting.quota.on_request(0.0, question)
+    message = asking.message()
+    assert isinstance(message, QuotaRequest)
+    counting.quota.on_request(0.0, message)
     asking.quota.on_timer(1.0)
-    answer = counting.message()
-    assert isinstance(answer, QuotaDecision)
-    assert asking.quota.on_decision(1.0, answer) == []
+    decision = counting.message()
+    assert isinstance(decision, QuotaDecision)
+    assert asking.quota.on_decision(1.0, decision) == []
 
 
 def test_a_withdrawn_request_gets_no_result() -> None:
@@ -154,8 +154,8 @@
 def test_a_daemon_that_does_not_count_replies_so_and_the_sender_decides() -> None:
     asking, counting = pair()
     counting.coordinated.clear()
-    grant = ask(0.0, 1, asking, counting)
-    assert grant.is_allowed
+    result = request(0.0, 1, asking, counting)
+    assert result.is_allowed
     assert asking.claims.coordinator(0.0, asking.group) is None
 
 
@@ -163,23 +163,23 @@
     """Else each of many daemons would allow the tenant's whole rate for as long as that lasts."""
     asking, counting = pair()
     for number in range(200):
-        ask(0.0, number, asking, counting)
+        request(0.0, number, asking, counting)
     asking.claims.on_denied(0.0, asking.group)
     alone = [asking.quota.take(0.01 * n, n, TENANT) for n in range(100)]
-    assert sum(grant is not None and grant.is_allowed for grant in alone) <= 3
+    assert sum(result is not None and result.is_allowed for result in alone) <= 3
 
 
 def test_with_leases_requests_go_without_a_message_while_much_is_left() -> None:
     asking, counting = pair(leases=True)
-    words = [ask(0.0, number, asking, counting) for number in range(6)]
-    assert all(grant.is_allowed for grant in words)
-    assert [grant.decided_by for grant in words] == ["counted by b"] * 2 + ["lease"] * 4
+    results = [request(0.0, number, asking, counting) for number in range(6)]
+    assert all(result.is_allowed for result in results)
+    assert [result.decided_by for result in results] == ["counted by b"] * 2 + ["lease"] * 4
 
 
 def test_a_lease_expires() -> None:
     asking, counting = pair(leases=True)
-    ask(0.0, 1, asking, counting)
-    ask(0.0, 2, asking, counting)
+    request(0.0, 1, asking, counting)
+    request(0.0, 2, asking, counting)
     assert asking.quota.take(10.0, 3, TENANT) is None
 
 
@@ -187,6 +187,6 @@
 def test_a_request_with_a_senseless_rate_gets_a_decision(rate: float) -> None:
     _, counting = pair()
     counting.quota.on_request(0.0, QuotaRequest("a", HERE, 1, counting.group, "t", rate, 1.0, 1, 1))
-    answer = counting.message()
-    assert isinstance(answer, QuotaDecision)
-    assert answer.granted == 0
+    decision = counting.message()
+    assert isinstance(decision, QuotaDecision)
+    assert decision.granted == 0
--- a/tests/decisions/tenants/test_machine.py
+++ b/tests/decisions/tenants/test_machine.py
@@ -100,10 +100,10 @@
     def send(self, number: int, count: int) -> None:
         for _ in range(count):
             self.tokens += 1
-            grant = self.quotas[number].take(self.now, self.tokens, TENANT)
-            if grant is None:
+            result = self.quotas[number].take(self.now, self.tokens, TENANT)
+            if result is None:
                 self.waiting[number].add(self.tokens)
-            elif grant.is_allowed:
+            elif result.is_allowed:
                 self.allowed.append(self.now)
 
     @rule(drawn=st.integers(0, 1000), fate=st.sampled_from(["taken", "lost", "doubled"]))
@@ -128,7 +128,7 @@
 
     def end(self, number: int, ended: list[QuotaEnd]) -> None:
         for end in ended:
-            assert end.token in self.waiting[number], "a request has two words"
+            assert end.token in self.waiting[number], "a request has two results"
             self.waiting[number].discard(end.token)
             if end.result.is_allowed:
                 self.allowed.append(self.now)
--- a/tests/forms/samples.py
+++ b/tests/forms/samples.py
@@ -717,9 +717,9 @@
     """Returns the refusal of a caller's key."""
     routes = MagicMock()
     routes.configuration = decode_configuration(CONFIGURATION_OF_TENANTS)
-    peer_registry = TenantKeys(routes)
-    peer_registry.is_behind = is_behind
-    refusal = peer_registry.owner_of(key)
+    tenant_keys = TenantKeys(routes)
+    tenant_keys.is_behind = is_behind
+    refusal = tenant_keys.owner_of(key)
     assert isinstance(refusal, NotRun)
     return refusal
 
--- a/tests/worlds/quota_world.py
+++ b/tests/worlds/quota_world.py
@@ -112,10 +112,10 @@
         )
         return _Daemon(f"d{number}", quota, claims, coordinated)
 
-    # Who counts.
+    # The coordinator.
 
     def coordinate(self, number: int, since: float, known_to: set[int] | None = None) -> None:
-        """Has a daemon count from now on, for those that know of it."""
+        """Has a daemon count from now on, as far as daemons know of its claim."""
         offset = next(self._numbers)
         self.daemons[number].coordinated[self.group] = since
         for other, daemon in enumerate(self.daemons):
@@ -126,7 +126,7 @@
                     daemon.coordinated.pop(self.group, None)
 
     def silence(self, number: int, seconds: float) -> None:
-        """Has a daemon answer nobody for a while."""
+        """Has a daemon reply to nobody for some seconds."""
         self.daemons[number].silent_until = self.now + seconds
 
     # Time and messages.
@@ -161,11 +161,11 @@
         while self._events and self._events[0][0] <= until:
             self.now, _, act = heapq.heappop(self._events)
             act()
-            self._look()
+            self._run_timers()
         self.now = until
-        self._look()
+        self._run_timers()
 
-    def _look(self) -> None:
+    def _run_timers(self) -> None:
         for daemon in self.daemons:
             if daemon.quota.next_due() <= self.now:
                 self._end(daemon.quota.on_timer(self.now))
@@ -191,9 +191,9 @@
             self._reference.tokens -= 1.0
             self.figures.owed += 1
             self._owed.add(token)
-        grant = self.daemons[number].quota.take(self.now, token, self.tenant)
-        if grant is not None:
-            self._end([QuotaEnd(token, grant)])
+        result = self.daemons[number].quota.take(self.now, token, self.tenant)
+        if result is not None:
+            self._end([QuotaEnd(token, result)])
         else:
             for seconds in (0.0121, 0.0301):
                 self.after(seconds, _nothing)  # so that time-outs are noticed
@@ -202,8 +202,8 @@
         for end in ended:
             self._note(end.token, end.result)
 
-    def _note(self, token: int, grant: QuotaResult) -> None:
-        if grant.is_allowed:
+    def _note(self, token: int, result: QuotaResult) -> None:
+        if result.is_allowed:
             self.figures.allowed_at.append(self.now)
         elif token in self._owed:
             self.figures.refused_owed += 1
