--- a/src/troutswitch/decisions/slots/fleet.py
+++ b/src/troutswitch/decisions/slots/fleet.py
@@ -1,8 +1,9 @@
 """All decisions on slots of one daemon: its part as coordinator, and as one that requests slots.
 
 It owns the parts in this package, follows the engine list and the claims with them, and passes each
-peer's message about slots to the part that it concerns. Grants are used only if they come from
-the daemon whose claim of the group is the newest known here, and once each.
+peer's message about slots to the part that it concerns. Grants for batch items are used only if
+they come from the daemon whose claim of the group is the newest known here, and once each. A reply
+to a slot request is used as long as its search awaits it, also if a newer claim is known meanwhile.
 """
 
 import random
