--- a/src/troutswitch/decisions/slots/coordinator_claims.py
+++ b/src/troutswitch/decisions/slots/coordinator_claims.py
@@ -15,9 +15,10 @@
 
 Why: the store's condition lets one of several claims succeed, and all daemons read the topic, so
 they agree once they have read it. The delay lets one claim and the others read. Until then two
-daemons may both act as coordinator; each grants by the reports that it receives, and peers send
-requests to the one whose claim they know, and start batch items by its grants alone. While the store is away, or nobody replies,
-daemons choose engines from their local view (`local_placement.py`).
+daemons may both act as coordinator; each grants by the reports that it receives. Peers send
+requests to the one whose claim they know, and start batch items by its grants alone. While the
+store is away, or nobody replies, daemons choose engines from their local view
+(`local_placement.py`).
 
 It owns the claims that this daemon knows, and its own claims under way. docs/SLOTS.md, "When the
 other side is silent", has the cases; `tests/proofs/test_slots.py` plays a silent coordinator, a
