--- a/src/troutswitch/decisions/crashes/content.py
+++ b/src/troutswitch/decisions/crashes/content.py
@@ -1,13 +1,13 @@
 """Names a request by its content, so that its tries at any daemon have one name.
 
-Each try has an id of its own. A caller's address is no part of the name: it may differ between
-tries, and what an engine makes of a request depends on what it reads.
+Each try has an id of its own, which is no part of the name, nor is the caller's address: what an
+engine makes of a request depends on what it reads.
 """
 
 import hashlib
 
 KEY_BYTES = 8
-"""Bytes of a key: with a million requests a day, two of a day share one once in 37 million days."""
+"""Bytes of a key: enough that two requests of one day hardly ever share one."""
 
 
 def content_key(host: str, method: str, url: str, body: bytes) -> str:
--- a/src/troutswitch/decisions/crashes/engine_crashes.py
+++ b/src/troutswitch/decisions/crashes/engine_crashes.py
@@ -1,12 +1,23 @@
-"""Tells engines that ended under requests from answers that only broke off.
+"""Decides whether an engine crashed under requests, or only an answer broke off.
 
-    (lost)   -> PENDING    an answer was lost: the engine is asked for a new connection
+Question: answers of an engine were lost. Has its process ended, unplanned?
+
+Inputs: lost and begun answers on this daemon; the engine list (as old as its last reading); checks
+of the engine's port, which this daemon makes. Times are this process's clock, in seconds.
+
+Rule, for an engine of which answers were lost:
+
+    (lost)   -> PENDING    its port is checked, at most once each `CHECK_SECONDS`; after silence,
+                           without a lost connection, it is not
     PENDING  -> crash      its port refuses connections
-    PENDING  -> crash      its entry went from the list without a planned end
-    PENDING  -> forgotten  it answers an attempt that was sent later
+    PENDING  -> crash      its entry left the list without a planned drain
+    PENDING  -> forgotten  it answers an attempt that was sent after the loss
     PENDING  -> forgotten  `PENDING_SECONDS` passed
 
-That a port takes connections tells nothing: a proxy before an engine that ended does so.
+Why: that a port takes connections proves nothing, as a proxy before a crashed engine does so too.
+An engine that is draining ends as planned, and no request is the cause.
+
+Measurements: docs/design/crashes.md.
 """
 
 from collections.abc import Callable
@@ -21,25 +32,24 @@
 from troutswitch.decisions.forwarding.engines import EngineRegistry
 
 PENDING_SECONDS = 8.0
-"""Time after which an engine's entry must be gone: three heartbeats without a write (3.6 s at the
-usual 1.2 s), the reading of the list, and an outage of the store of some seconds."""
+"""Time in which the entry of a crashed engine leaves the list: three heartbeats without a write,
+the reading of the list, and a store outage of some seconds."""
 CHECK_SECONDS = 0.25
-"""Least time between checks of one engine: an engine that breaks off many answers, and lives, is
-asked for four connections a second by each daemon at the most."""
+"""Least time between checks of one engine, for one that breaks off many answers and lives."""
 ENGINES_MOST = 1024
-"""Engines that are looked into at once; beyond that, none is added."""
+"""Engines that are pending at once; beyond it, none is added."""
 CONTENTS_MOST = 256
-"""Requests that are noted for one engine: more than any has slots and places to wait."""
+"""Requests that are noted for one engine: more than it runs and queues."""
 
 
 @dataclass(slots=True)
-class _Lost:
-    """The requests that were lost with one engine. Times are this process's clock."""
+class _LostAnswers:
+    """The requests whose answers were lost with one engine."""
 
     contents: dict[str, None] = field(default_factory=dict)
     lost_at: float = float("-inf")
     check_at: float = float("inf")
-    """When the engine is to be asked for a connection; infinite if it is not."""
+    """When the engine's port is to be checked; infinite if it is not."""
     checked_at: float = float("-inf")
 
 
@@ -49,13 +59,10 @@
     def __init__(self, engines: EngineRegistry, emit: Callable[[CheckEngine], None]) -> None:
         self._engines = engines
         self._emit = emit
-        self._lost: dict[str, _Lost] = {}
+        self._lost: dict[str, _LostAnswers] = {}
 
     def on_lost(self, now: float, content: str, engine_id: str, is_silent: bool) -> None:
-        """An attempt's answer was lost; `is_silent` if nothing came, not even an end.
-
-        An engine that leaves as planned ends too, and no request is the cause.
-        """
+        """An attempt's answer was lost; `is_silent` if nothing came, not even its end."""
         engine = self._engines.engines.get(engine_id)
         if not content or engine is None or engine.is_leaving:
             return
@@ -63,7 +70,7 @@
         if lost is None and len(self._lost) >= ENGINES_MOST:
             return
         if lost is None:
-            lost = self._lost[engine_id] = _Lost()
+            lost = self._lost[engine_id] = _LostAnswers()
         if len(lost.contents) < CONTENTS_MOST:
             lost.contents[content] = None
         lost.lost_at = now
@@ -71,7 +78,7 @@
             lost.check_at = min(lost.check_at, max(now, lost.checked_at + CHECK_SECONDS))
             self._check(now, engine_id, lost)
 
-    def _check(self, now: float, engine_id: str, lost: _Lost) -> None:
+    def _check(self, now: float, engine_id: str, lost: _LostAnswers) -> None:
         engine = self._engines.engines.get(engine_id)
         if now < lost.check_at or engine is None:
             return
@@ -83,7 +90,7 @@
         """Returns the crashes that a check has shown."""
         if event.found is not EngineFound.ENDED:
             return []
-        lost = self._lost.pop(event.engine_id, _Lost())
+        lost = self._lost.pop(event.engine_id, _LostAnswers())
         return _crashes(event.engine_id, lost)
 
     def on_answered(self, engine_id: str, sent_at: float) -> None:
@@ -117,5 +124,5 @@
                 del self._lost[engine_id]
 
 
-def _crashes(engine_id: str, lost: _Lost) -> list[Crash]:
+def _crashes(engine_id: str, lost: _LostAnswers) -> list[Crash]:
     return [Crash(content, engine_id) for content in lost.contents]
--- a/src/troutswitch/decisions/crashes/interface.py
+++ b/src/troutswitch/decisions/crashes/interface.py
@@ -1,4 +1,8 @@
-"""What the parts that send requests to engines need to know of crashes."""
+"""What the parts that send requests to engines need to know of crashes, and report for it.
+
+`suspects.CrashSuspects` is the implementation. Requests are named by their content
+(`content.content_key`). `now` and `sent_at` are this process's clock, in seconds.
+"""
 
 from typing import Protocol
 
@@ -6,7 +10,7 @@
 
 
 class Suspects(Protocol):
-    """Requests that were on engines when these ended, by their content keys."""
+    """Requests that were on engines when these crashed."""
 
     @property
     def refused(self) -> frozenset[str]:
@@ -18,19 +22,19 @@
         ...
 
     def awaits_crash_report(self, content: str) -> bool:
-        """Returns whether a request's next attempt waits for word of its last engine."""
+        """Returns whether a request's next attempt waits until its last engine was checked."""
         ...
 
     def may_try(self, now: float, content: str, pause: float, trials_most: int) -> bool:
         """Returns whether a refused request may be tried once more.
 
         Its last crash is then at least `pause` seconds ago, and at most `trials_most` engines
-        ended under it since it was refused first.
+        crashed under it since it was refused first.
         """
         ...
 
     def on_lost(self, now: float, content: str, engine_id: str, *, is_silent: bool = False) -> None:
-        """An attempt's answer was lost; `is_silent` if nothing came, not even an end."""
+        """An attempt's answer was lost; `is_silent` if nothing came, not even its end."""
         ...
 
     def on_served(self, now: float, content: str) -> None:
@@ -38,7 +42,7 @@
         ...
 
     def on_answered(self, now: float, engine_id: str, sent_at: float) -> None:
-        """An engine answers an attempt that was sent at a time of this process's clock."""
+        """An engine answers an attempt that was sent at `sent_at`."""
         ...
 
 
@@ -48,7 +52,7 @@
     refused: frozenset[str] = frozenset()
 
     def refusal(self, now: float, content: str) -> NotRun:
-        """Is not asked, as nothing is refused."""
+        """Is not called, as nothing is refused."""
         return NotRun("refused", Step.ADMIT)
 
     def awaits_crash_report(self, content: str) -> bool:
@@ -56,7 +60,7 @@
         return False
 
     def may_try(self, now: float, content: str, pause: float, trials_most: int) -> bool:
-        """Is not asked, as nothing is refused."""
+        """Is not called, as nothing is refused."""
         return True
 
     def on_lost(self, now: float, content: str, engine_id: str, *, is_silent: bool = False) -> None:
--- a/src/troutswitch/decisions/crashes/messages.py
+++ b/src/troutswitch/decisions/crashes/messages.py
@@ -1,4 +1,4 @@
-"""Typed events, instructions and values about engines that ended under requests."""
+"""Typed events, instructions and values about engines that crashed under requests."""
 
 from dataclasses import dataclass
 from enum import StrEnum
@@ -7,11 +7,14 @@
 
 
 class EngineFound(StrEnum):
-    """What an engine was found to be after a connection to it was lost."""
+    """What a check found after a connection to an engine was lost."""
 
-    ENDED = "ended"  # its port refuses connections
-    LISTENS = "listens"  # it takes connections, or a proxy does so in its place
-    UNKNOWN = "unknown"  # no word came, as from a machine without power or behind a cut
+    ENDED = "ended"
+    """Its port refuses connections: the process is gone."""
+    LISTENS = "listens"
+    """It takes connections, or a proxy does so in its place."""
+    UNKNOWN = "unknown"
+    """No answer came, as from a machine without power or behind a network partition."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -32,7 +35,7 @@
 
 @dataclass(frozen=True, slots=True, order=True)
 class Crash:
-    """One life of an engine that ended while a request was on it, by the request's content key.
+    """One engine incarnation that crashed while a request was on it, by the request's content.
 
     The request may be the cause, or have been beside the one that is.
     """
--- a/src/troutswitch/decisions/crashes/shared.py
+++ b/src/troutswitch/decisions/crashes/shared.py
@@ -1,8 +1,12 @@
 """Shares crashes with all daemons: through the store, and from peer to peer.
 
-The store reaches daemons that no peer reaches, keeps what is known over restarts, and joins
-tellings of one crash by its key. Peers reach daemons while the store is away. A crash is written
-by the daemon that saw it, and passed on once by each daemon that hears of it.
+The store reaches daemons that no peer reaches, keeps crashes over restarts, and joins reports of
+one crash by its key. Peers reach daemons while the store is unreachable. A crash is written by the
+daemon that saw it, and reported on once by each daemon that learns of it from a peer.
+
+Owns what waits to be written and to be reported, and the crashes that were retracted lately.
+Relies on `storage.follower` for reading. Times are this process's clock, in seconds, but for the
+time of a crash (`at`), which is in seconds since the epoch.
 """
 
 import random
@@ -27,40 +31,40 @@
 
 CRASHES_TOPIC = "crashes"
 READ_WAIT_SECONDS = 5.0
-"""Time for which a read waits at the store while nothing is known of: one call in five seconds.
-News wakes it at once."""
+"""Time for which a read waits at the store while no crash is on record. A new record ends it."""
 READ_WAIT_ALERT_SECONDS = 1.0
 """The same while crashes are on record: a lost answer must be noticed, and the read be made again,
 well inside the three seconds in which all daemons must know."""
 READ_PAUSE_SECONDS = 0.05
-"""Least time between reads: the crashes of one engine are written within some 50 ms."""
+"""Least time between reads: about so long takes the writing of one engine's crashes."""
 WRITE_SECONDS = 0.02
-"""Time in which crashes are gathered for one call: those of one engine come within 2 ms."""
+"""Time in which crashes are gathered for one write."""
 WRITE_RETRY_SECONDS = 0.5
 WRITE_LOST_SECONDS = 4.0
-"""Time after which a write whose outcome is not told is made again."""
+"""Time after which a write without any outcome is made again."""
 RECORDS_A_WRITE = 64
 RECORDS_WAITING_MOST = 2048
 """Crashes that wait to be written; beyond it the oldest are left to other daemons that saw them."""
 PEERS_NOTIFIED = 8
-"""Daemons that are told at once. Where each that hears of news tells eight others once, 3 in 10,000
-miss it."""
-TOLD_A_MESSAGE = 20
-"""Crashes in one message, which then fits into one packet (some 50 bytes each)."""
-TELL_SECONDS = 0.01
-"""Least time between messages: 100 a second to eight daemons at the most."""
-TOLD_WAITING_MOST = 1024
-TAKEN_BACK_MOST = 4096
-"""Crashes that are remembered as taken back, so that a late message doesn't bring them again."""
+"""Daemons that get one report. Where each that learns of a crash reports it on once, to so many,
+hardly any misses it."""
+CRASHES_A_REPORT = 20
+"""Crashes in one report, which then fits into one packet (some 50 bytes each)."""
+REPORT_INTERVAL_SECONDS = 0.01
+"""Least time between reports."""
+REPORTS_WAITING_MOST = 1024
+"""Crashes that wait to be reported; beyond it the oldest are left to the store."""
+RETRACTED_MOST = 4096
+"""Crashes that are remembered as retracted, so that a late report doesn't bring them again."""
 
 
 class SharedCrashes:
-    """Writes, reads and tells crashes; calls `take` for what others know.
+    """Writes, reads and reports crashes; calls `take` for those that others report.
 
     Args:
         peers: returns the addresses of other daemons.
-        take: called with a crash, when it was (seconds since the epoch), and whether it stands
-            (False: it was taken back); returns whether it was news.
+        take: called with a crash, its time, and whether it stands (False: it was retracted);
+            returns whether that was not known yet.
     """
 
     def __init__(
@@ -91,16 +95,16 @@
         self._in_flight: tuple[KeyedRecord, ...] = ()
         self._write_call = 0
         self._write_at = float("inf")
-        self._to_tell: deque[ReportedCrash] = deque()
-        self._tell_at = float("-inf")
-        self._taken_back: OrderedDict[Crash, None] = OrderedDict()
+        self._to_report: deque[ReportedCrash] = deque()
+        self._reported_at = float("-inf")
+        self._retracted: OrderedDict[Crash, None] = OrderedDict()
 
     # What this daemon saw.
 
     def publish(self, now: float, crash: Crash, at: float, stands: bool) -> None:
-        """Tells all daemons of a crash, or that it is taken back."""
-        self._queue(now, crash, cbor2.dumps([int(at)]) if stands else b"")
-        self._pass_on(crash, at, stands)
+        """Makes a crash known to all daemons, or that it is retracted."""
+        self._write_later(now, crash, cbor2.dumps([int(at)]) if stands else b"")
+        self._report_later(crash, at, stands)
 
     def forget(self, now: float, crash: Crash) -> None:
         """Removes a crash that is too old from the store.
@@ -109,36 +113,39 @@
         crash that none removes is drawn for again by each daemon that starts.
         """
         if self._rng.random() * (1 + len(self._peers())) < 1:
-            self._queue(now, crash, b"")
+            self._write_later(now, crash, b"")
 
-    def _queue(self, now: float, crash: Crash, value: bytes) -> None:
+    def _write_later(self, now: float, crash: Crash, value: bytes) -> None:
         self._to_write.append(KeyedRecord(f"{crash.content}/{crash.engine_id}", value))
         if len(self._to_write) > RECORDS_WAITING_MOST:
             self._to_write.popleft()
         if not self._write_call:
             self._write_at = min(self._write_at, now + WRITE_SECONDS)
 
-    def _pass_on(self, crash: Crash, at: float, stands: bool) -> None:
+    def _report_later(self, crash: Crash, at: float, stands: bool) -> None:
+        self._note_whether_retracted(crash, stands)
+        self._to_report.append(ReportedCrash(crash.content, crash.engine_id, int(at), stands))
+        if len(self._to_report) > REPORTS_WAITING_MOST:
+            self._to_report.popleft()
+
+    def _note_whether_retracted(self, crash: Crash, stands: bool) -> None:
         if stands:
-            self._taken_back.pop(crash, None)
-        else:
-            self._taken_back[crash] = None
-            if len(self._taken_back) > TAKEN_BACK_MOST:
-                self._taken_back.popitem(last=False)
-        self._to_tell.append(ReportedCrash(crash.content, crash.engine_id, int(at), stands))
-        if len(self._to_tell) > TOLD_WAITING_MOST:
-            self._to_tell.popleft()
-
-    # What others tell.
-
-    def on_news(self, now: float, news: CrashReport) -> None:
-        """Takes what a peer tells, and passes on what is news."""
-        for told in news.crashes:
-            crash = Crash(told.content, told.engine_id)
-            if told.stands and crash in self._taken_back:
+            self._retracted.pop(crash, None)
+            return
+        self._retracted[crash] = None
+        if len(self._retracted) > RETRACTED_MOST:
+            self._retracted.popitem(last=False)
+
+    # What others saw.
+
+    def on_report(self, now: float, report: CrashReport) -> None:
+        """Takes a peer's report, and reports on what was not known yet."""
+        for reported in report.crashes:
+            crash = Crash(reported.content, reported.engine_id)
+            if reported.stands and crash in self._retracted:
                 continue
-            if self._take(now, crash, told.at, told.stands):
-                self._pass_on(crash, told.at, told.stands)
+            if self._take(now, crash, reported.at, reported.stands):
+                self._report_later(crash, reported.at, reported.stands)
 
     def _take_record(self, record: KeyedRecord) -> None:
         content, _, engine_id = record.key.partition("/")
@@ -172,22 +179,23 @@
 
     def next_due(self) -> float:
         """Returns when `on_timer` has something to do."""
-        tell_at = self._tell_at + TELL_SECONDS if self._to_tell else float("inf")
-        return min(self.follower.next_due(), self._write_at, tell_at)
+        due = self._reported_at + REPORT_INTERVAL_SECONDS
+        report_at = due if self._to_report else float("inf")
+        return min(self.follower.next_due(), self._write_at, report_at)
 
     def on_timer(self, now: float, is_alert: bool) -> list[StoreCall | SendToPeers]:
-        """Makes the calls and sends the messages that are due; `is_alert` if crashes are known."""
+        """Returns the calls and messages that are due; `is_alert` if crashes are on record."""
         self._now = now
         self.follower.wait = READ_WAIT_ALERT_SECONDS if is_alert else READ_WAIT_SECONDS
         due: list[StoreCall | SendToPeers] = list(self.follower.on_timer(now))
         if now >= self._write_at:
             due.append(self._write(now))
-        if self._to_tell and now >= self._tell_at + TELL_SECONDS:
-            due += self._tell(now)
+        if self._to_report and now >= self._reported_at + REPORT_INTERVAL_SECONDS:
+            due += self._report(now)
         return due
 
     def _write(self, now: float) -> StoreCall:
-        """Writes what waits; what was not confirmed goes again, which changes nothing."""
+        """Writes what waits; what was not confirmed is written again, which changes nothing."""
         if not self._in_flight:
             count = min(RECORDS_A_WRITE, len(self._to_write))
             self._in_flight = tuple(self._to_write.popleft() for _ in range(count))
@@ -195,10 +203,10 @@
         self._write_at = now + WRITE_LOST_SECONDS
         return AppendRecords(self._write_call, Partition(CRASHES_TOPIC), self._in_flight)
 
-    def _tell(self, now: float) -> list[SendToPeers]:
-        self._tell_at = now
-        count = min(TOLD_A_MESSAGE, len(self._to_tell))
-        told = tuple(self._to_tell.popleft() for _ in range(count))
+    def _report(self, now: float) -> list[SendToPeers]:
+        self._reported_at = now
+        count = min(CRASHES_A_REPORT, len(self._to_report))
+        crashes = tuple(self._to_report.popleft() for _ in range(count))
         peers = self._peers()
         chosen = self._rng.sample(peers, min(PEERS_NOTIFIED, len(peers)))
-        return [SendToPeers(tuple(chosen), CrashReport(self._name, told))] if chosen else []
+        return [SendToPeers(tuple(chosen), CrashReport(self._name, crashes))] if chosen else []
--- a/src/troutswitch/decisions/crashes/suspects.py
+++ b/src/troutswitch/decisions/crashes/suspects.py
@@ -1,44 +1,69 @@
-"""What this daemon knows of requests under which engines ended, and what it does about it."""
+"""What this daemon knows of requests under which engines crashed, and what it answers them.
+
+Joins the parts: `engine_crashes` (did an engine crash), `record` and `causes` (which request is
+the cause), `shared` (all daemons know). Owns the set of refused contents, which `forwarding` and
+`jobs` obey, and the log lines about it.
+
+Which answer a refused request gets: 503 with a time to retry while it is deferred, and until
+`SETTLED_SECONDS` after its last crash, as other daemons may still report what clears it; then 400,
+after which a well-made client doesn't retry.
+
+What clears a request: an engine ran it to its end; or the engine that crashed under it answers a
+request that was sent after the crash was reported.
+
+`now` is this process's clock, in seconds; with `clock_offset` it gives the time of day.
+"""
 
 import random
 from collections.abc import Callable
 
 from troutswitch.common import Address, stable_hash
 from troutswitch.daemons.messages import CrashReport
+from troutswitch.decisions.crashes.causes import CRASHES_TO_REFUSE, DEFERRED_SECONDS
 from troutswitch.decisions.crashes.engine_crashes import EngineCrashes
-from troutswitch.decisions.crashes.messages import Crash, EngineChecked
-from troutswitch.decisions.crashes.record import CRASHES_TO_REFUSE, HELD_SECONDS, CrashRecord
+from troutswitch.decisions.crashes.messages import CheckEngine, Crash, EngineChecked
+from troutswitch.decisions.crashes.record import CrashRecord
 from troutswitch.decisions.crashes.shared import SharedCrashes
 from troutswitch.decisions.forwarding.engines import EngineRegistry
+from troutswitch.decisions.slots.messages import SendToPeers
 from troutswitch.decisions.storage.follower import CallNumbers
-from troutswitch.decisions.storage.messages import StoreOutcome
+from troutswitch.decisions.storage.messages import StoreCall, StoreOutcome
 from troutswitch.outcomes import NotRun, Step
 
 CRASHES_TO_WAIT = 2
 """Crashes from which a request's next attempt waits until it is known whether its last engine
-ended. A retry goes within a millisecond, and knowing takes two to four."""
+crashed: a retry is sent sooner than that is known."""
 SETTLED_SECONDS = 1.0
-"""Time after the last crash in which a refused caller is asked to come back, as others may still
-tell what clears it; later it is told not to come again."""
-HELD_LEAST = 0.5
-"""Least time for which a daemon holds a request back, in `HELD_SECONDS`; each has its own time.
-Guards against all daemons freeing a cause in the same millisecond: its callers, five a second,
-had sent it twice before its next crash was known (one of six days of one site)."""
-LAPSE_SECONDS = 5.0
-"""Interval of looks for crashes that are too old to count."""
-ENDED_MOST = 4096
-"""Engine lives that are remembered as ended."""
+"""Time after the last crash in which a refused caller is to retry, as other daemons may still
+report what clears it."""
+DEFERRED_LEAST = 0.5
+"""Least time for which a daemon defers a request, in `DEFERRED_SECONDS`; each has its own time.
+Guards against all daemons freeing a cause at once, whose callers would send it several times
+before its next crash is known."""
+DEFERRED_SALT = "held"
+"""Salt of the hash of names; another one would give daemons other times."""
+EXPIRY_CHECK_SECONDS = 5.0
+"""Interval of checks for crashes that are too old to count."""
+CRASHED_MOST = 4096
+"""Engine incarnations that are remembered as crashed."""
 CONTENTS_LOGGED = 24
 """Requests that one log line names: two engines' slots."""
 NEVER_STATUS = 400
-"""Status after which a well-made client doesn't try again."""
+"""Status after which a well-made client doesn't retry."""
+
+CrashInstruction = CheckEngine | StoreCall | SendToPeers
 
 
 class CrashSuspects:
-    """Requests that were on engines when these ended.
+    """Requests that were on engines when these crashed.
 
     What is decided here holds for the fleet: daemons that know the same crashes refuse the same
-    requests, in whichever order they heard of them.
+    requests, in whichever order they learnt of them.
+
+    Args:
+        peers: returns the addresses of other daemons.
+        emit: takes an instruction.
+        log: writes a log line: its event, and its fields by name.
     """
 
     def __init__(
@@ -47,7 +72,7 @@
         engines: EngineRegistry,
         numbers: CallNumbers,
         peers: Callable[[], list[Address]],
-        emit: Callable[[object], None],
+        emit: Callable[[CrashInstruction], None],
         log: Callable[..., None],
         rng: random.Random,
     ) -> None:
@@ -57,19 +82,19 @@
         """Changes of what is refused."""
         self._emit = emit
         self._log = log
-        self._endings = EngineCrashes(engines, emit)
-        self._record = CrashRecord(_held_seconds(name))
+        self._engine_crashes = EngineCrashes(engines, emit)
+        self._record = CrashRecord(_deferred_seconds(name))
         self._shared = SharedCrashes(name, numbers, rng, peers, self._take, log)
-        self._ended: dict[str, float] = {}
-        """When this daemon learnt that an engine's life had ended, by its own clock."""
-        self._lapse_at = float("-inf")
+        self._crashed_at: dict[str, float] = {}
+        """When this daemon learnt that an engine incarnation had crashed, by its own clock."""
+        self._expiry_checked_at = float("-inf")
         self._refused: frozenset[str] = frozenset()
 
-    # What is asked.
+    # Queries.
 
     @property
     def refused(self) -> frozenset[str]:
-        """The contents of the requests that are refused."""
+        """The contents of the requests that are refused, deferred ones among them."""
         return self._refused
 
     @property
@@ -78,7 +103,7 @@
         return len(self._record)
 
     def awaits_crash_report(self, content: str) -> bool:
-        """Returns whether a request's next attempt waits for word of its last engine."""
+        """Returns whether a request's next attempt waits until its last engine was checked."""
         return self._record.crashes(content) >= CRASHES_TO_WAIT
 
     def may_try(self, now: float, content: str, pause: float, trials_most: int) -> bool:
@@ -88,35 +113,37 @@
 
     def refusal(self, now: float, content: str) -> NotRun:
         """Returns the answer to a request that is refused and has not run in this try."""
+        time_of_day = now + self.clock_offset
+        last_at = self._record.last_at(content)
         reason = f"{self._record.crashes(content)} servers ended under this request"
-        if content in self._record.held:
-            over_at = self._record.last_at(content) + self._record.held_seconds
+        if content in self._record.deferred:
+            over_at = last_at + self._record.deferred_seconds
             wait = max(SETTLED_SECONDS, over_at - now - self.clock_offset)
             return NotRun(f"{reason}, or another", Step.ADMIT, "", wait)
-        if now + self.clock_offset < self._record.last_at(content) + SETTLED_SECONDS:
+        if time_of_day < last_at + SETTLED_SECONDS:
             return NotRun(reason, Step.ADMIT, "", SETTLED_SECONDS)
         return NotRun(reason, Step.ADMIT, "", None, NEVER_STATUS)
 
-    # What requests meet.
+    # What happens to requests.
 
     def on_lost(self, now: float, content: str, engine_id: str, *, is_silent: bool = False) -> None:
-        """An attempt's answer was lost; `is_silent` if nothing came, not even an end."""
-        self._endings.on_lost(now, content, engine_id, is_silent)
+        """An attempt's answer was lost; `is_silent` if nothing came, not even its end."""
+        self._engine_crashes.on_lost(now, content, engine_id, is_silent)
 
     def on_checked(self, now: float, event: EngineChecked) -> None:
         """An engine was checked after an answer of it was lost."""
-        crashes = self._endings.on_checked(event)
+        crashes = self._engine_crashes.on_checked(event)
         self._log(
             "engine checked",
             engine=event.engine_id,
             found=event.found,
-            contents=_named(crashes),
+            contents=_contents_of(crashes),
         )
         self._on_crashes(now, crashes)
 
     def on_list(self, now: float) -> None:
         """A new list of engines was taken in."""
-        crashes = self._endings.on_list()
+        crashes = self._engine_crashes.on_list()
         for crash in crashes:
             self._log("silent engine gone", engine=crash.engine_id, contents=[crash.content])
         self._on_crashes(now, crashes)
@@ -130,20 +157,22 @@
     def on_served(self, now: float, content: str) -> None:
         """An engine ran the request to its end: it was beside the cause of its crashes."""
         if self._record.crashes(content):
-            self._take_back(now, self._record.of_content(content), "served")
+            self._retract(now, self._record.of_content(content), "served")
 
     def on_answered(self, now: float, engine_id: str, sent_at: float) -> None:
-        """An engine answers an attempt; one sent after its end was told shows that it lives.
+        """An engine answers an attempt; one sent after its crash was known shows that it lives.
 
-        Guards against a daemon whose connections are refused or reset on the way: it takes all
-        its engines for ended, under all its requests.
+        Guards against a daemon whose connections are refused or reset by the network: it takes
+        all its engines for crashed, under all its requests.
         """
-        self._endings.on_answered(engine_id, sent_at)
-        if sent_at > self._ended.get(engine_id, float("inf")):
-            del self._ended[engine_id]
-            self._take_back(now, self._record.of_engine(engine_id), "engine lives")
+        self._engine_crashes.on_answered(engine_id, sent_at)
+        if sent_at > self._crashed_at.get(engine_id, float("inf")):
+            del self._crashed_at[engine_id]
+            self._retract(now, self._record.of_engine(engine_id), "engine lives")
+
+    # The record.
 
-    def _take_back(self, now: float, crashes: list[Crash], reason: str) -> None:
+    def _retract(self, now: float, crashes: list[Crash], reason: str) -> None:
         if crashes:
             self._log("crashes retracted", reason=reason, count=len(crashes))
         for crash in crashes:
@@ -151,45 +180,44 @@
             self._shared.publish(now, crash, 0.0, False)
 
     def _take(self, now: float, crash: Crash, at: float, stands: bool) -> bool:
-        """Takes a crash in, or back; returns whether it was news."""
+        """Takes a crash in, or a retracted one out; returns whether that was not known yet."""
         time_of_day = now + self.clock_offset
         if not stands:
-            is_news = self._record.remove(time_of_day, crash)
+            was_unknown = self._record.remove(time_of_day, crash)
         elif self._record.is_over(time_of_day, at):
             self._shared.forget(now, crash)
             return False
         else:
-            is_news = self._record.add(time_of_day, crash, at)
-            self._note_ended(now, crash.engine_id)
-        self._look_at_refused()
-        return is_news
-
-    def _note_ended(self, now: float, engine_id: str) -> None:
-        self._ended.setdefault(engine_id, now)
-        if len(self._ended) > ENDED_MOST:
-            del self._ended[next(iter(self._ended))]
-
-    def _look_at_refused(self) -> None:
-        """Notes what is refused from now on, and what no longer."""
-        before, self._refused = self._refused, self._record.refused | self._record.held
+            was_unknown = self._record.add(time_of_day, crash, at)
+            self._note_crashed(now, crash.engine_id)
+        self._update_refused()
+        return was_unknown
+
+    def _note_crashed(self, now: float, engine_id: str) -> None:
+        self._crashed_at.setdefault(engine_id, now)
+        if len(self._crashed_at) > CRASHED_MOST:
+            del self._crashed_at[next(iter(self._crashed_at))]
+
+    def _update_refused(self) -> None:
+        before, self._refused = self._refused, self._record.refused | self._record.deferred
         if self._refused == before:
             return
         self.changes += 1
         for content in sorted(self._refused - before):
-            crashes = self._record.of_content(content)
-            engines = [crash.engine_id for crash in crashes]
-            is_held = content in self._record.held
             self._log(
-                "request refused from now on", content=content, engines=engines, is_held=is_held
+                "request refused from now on",
+                content=content,
+                engines=[crash.engine_id for crash in self._record.of_content(content)],
+                is_deferred=content in self._record.deferred,
             )
         for content in sorted(before - self._refused):
             self._log("request no longer refused", content=content)
 
     # Peers and the store.
 
-    def on_news(self, now: float, news: CrashReport) -> None:
-        """Takes what a peer tells."""
-        self._shared.on_news(now, news)
+    def on_report(self, now: float, report: CrashReport) -> None:
+        """Takes a peer's report of crashes."""
+        self._shared.on_report(now, report)
 
     def owns(self, call: int) -> bool:
         """Returns whether a store's answer belongs here."""
@@ -200,7 +228,7 @@
         self._shared.on_store(now, call, outcome)
 
     def read_again(self, now: float) -> None:
-        """Reads what others wrote while this daemon stood still."""
+        """Reads what others wrote while this process was suspended."""
         self._shared.follower.read_again(now)
 
     def set_least_interval(self, seconds: float) -> None:
@@ -211,33 +239,34 @@
 
     def next_due(self) -> float:
         """Returns when `on_timer` has something to do."""
-        return min(self._endings.next_due(), self._shared.next_due(), self._lapse_due())
+        return min(self._engine_crashes.next_due(), self._shared.next_due(), self._expiry_due())
 
-    def _lapse_due(self) -> float:
-        lapse_at = self._lapse_at + LAPSE_SECONDS if self.count else float("inf")
-        return min(lapse_at, self._record.next_release() - self.clock_offset)
+    def _expiry_due(self) -> float:
+        """Returns when crashes are to be checked for their age, or a deferred request is free."""
+        check_at = self._expiry_checked_at + EXPIRY_CHECK_SECONDS if self.count else float("inf")
+        return min(check_at, self._record.next_release() - self.clock_offset)
 
     def on_timer(self, now: float) -> None:
-        """Forgets what is over, and tells and reads what is due."""
-        self._endings.on_timer(now)
-        if self.count and now >= self._lapse_due():
-            self._lapse(now)
+        """Forgets what is over, and emits the calls and reports that are due."""
+        self._engine_crashes.on_timer(now)
+        if self.count and now >= self._expiry_due():
+            self._expire(now)
         for instruction in self._shared.on_timer(now, self.count > 0):
             self._emit(instruction)
 
-    def _lapse(self, now: float) -> None:
-        self._lapse_at = now
-        for crash in self._record.lapse(now + self.clock_offset):
+    def _expire(self, now: float) -> None:
+        self._expiry_checked_at = now
+        for crash in self._record.expire(now + self.clock_offset):
             self._shared.forget(now, crash)
-        self._look_at_refused()
+        self._update_refused()
 
 
-def _held_seconds(name: str) -> float:
-    """Returns for how long a daemon holds requests back: a time of its own, by its name."""
-    part = (stable_hash("held", name) % 1000) / 1000
-    return HELD_SECONDS * (HELD_LEAST + part * (1.0 - HELD_LEAST))
+def _deferred_seconds(name: str) -> float:
+    """Returns for how long a daemon defers requests: a time of its own, by its name."""
+    share = (stable_hash(DEFERRED_SALT, name) % 1000) / 1000
+    return DEFERRED_SECONDS * (DEFERRED_LEAST + share * (1.0 - DEFERRED_LEAST))
 
 
-def _named(crashes: list[Crash]) -> list[str]:
+def _contents_of(crashes: list[Crash]) -> list[str]:
     """Returns the contents for a log line, as many as it may name."""
     return [crash.content for crash in crashes[:CONTENTS_LOGGED]]
--- a/src/troutswitch/decisions/peer_messages.py
+++ b/src/troutswitch/decisions/peer_messages.py
@@ -52,7 +52,7 @@
                 self.slots.claims.take_claims(message.claims)
                 self.configuration.on_heartbeat(now, message)
             case CrashReport():
-                self.suspects.on_news(now, message)
+                self.suspects.on_report(now, message)
             case EngineDrainNotice():
                 self.membership.on_drain_notice(now, message)
             case QuotaRequest():
--- a/tests/decisions/crashes/test_record.py
+++ b/tests/decisions/crashes/test_record.py
@@ -3,14 +3,16 @@
 import random
 from itertools import permutations
 
+from troutswitch.decisions.crashes.causes import (
+    CRASHES_CERTAIN,
+    DEFERRED_SECONDS,
+    REFUSED_SECONDS,
+)
 from troutswitch.decisions.crashes.messages import Crash
 from troutswitch.decisions.crashes.record import (
     CONTENTS_MOST,
-    CRASHES_CERTAIN,
     CRASHES_MOST,
-    HELD_SECONDS,
     KEPT_SECONDS,
-    REFUSED_SECONDS,
     CrashRecord,
 )
 
@@ -19,7 +21,7 @@
 
 def record_of(**engines: str) -> CrashRecord:
     """Returns a record; each request's engines are letters."""
-    record = CrashRecord(HELD_SECONDS)
+    record = CrashRecord(DEFERRED_SECONDS)
     for content, letters in engines.items():
         for letter in letters:
             record.add(NOW, Crash(content, letter), NOW)
@@ -78,7 +80,7 @@
 def test_the_order_of_tellings_changes_nothing() -> None:
     crashes = [Crash("x", "a"), Crash("x", "b"), Crash("x", "c"), Crash("y", "a"), Crash("y", "b")]
     for order in permutations(crashes):
-        record = CrashRecord(HELD_SECONDS)
+        record = CrashRecord(DEFERRED_SECONDS)
         for crash in order:
             record.add(NOW, crash, NOW)
         assert record.refused == {"x"}
@@ -86,7 +88,7 @@
 
 def test_a_refusal_ends_and_one_more_crash_renews_it() -> None:
     record = record_of(x="abc")
-    record.lapse(NOW + REFUSED_SECONDS)
+    record.expire(NOW + REFUSED_SECONDS)
     assert record.refused == frozenset()
     later = NOW + REFUSED_SECONDS + 1.0
     record.add(later, Crash("x", "d"), later)
@@ -94,7 +96,7 @@
 
 
 def test_renewal_goes_on_when_the_record_is_full() -> None:
-    record = CrashRecord(HELD_SECONDS)
+    record = CrashRecord(DEFERRED_SECONDS)
     for number in range(CRASHES_MOST + 3):
         at = NOW + number
         record.add(at, Crash("x", f"s{number}"), at)
@@ -104,13 +106,13 @@
 
 def test_crashes_are_forgotten_after_their_time() -> None:
     record = record_of(x="abc")
-    assert len(record.lapse(NOW + KEPT_SECONDS)) == 3
+    assert len(record.expire(NOW + KEPT_SECONDS)) == 3
     assert len(record) == 0
     assert not record.add(NOW + KEPT_SECONDS, Crash("x", "a"), NOW)
 
 
 def test_a_clock_that_is_ahead_elsewhere_does_not_prolong_a_refusal() -> None:
-    record = CrashRecord(HELD_SECONDS)
+    record = CrashRecord(DEFERRED_SECONDS)
     for letter in "abc":
         record.add(NOW, Crash("x", letter), NOW + 1e6)
     assert record.last_at("x") == NOW
@@ -128,7 +130,7 @@
 def test_what_is_noted_by_engine_follows_what_is_noted_by_request() -> None:
     """Random additions and removals, checked against a plain set."""
     drawn = random.Random(7)
-    record, held = CrashRecord(HELD_SECONDS), set[Crash]()
+    record, held = CrashRecord(DEFERRED_SECONDS), set[Crash]()
     for _ in range(3000):
         crash = Crash(f"c{drawn.randrange(9)}", f"s{drawn.randrange(9)}")
         if drawn.random() < 0.6:
--- a/tests/decisions/crashes/test_shared.py
+++ b/tests/decisions/crashes/test_shared.py
@@ -11,11 +11,11 @@
 from troutswitch.decisions.crashes import shared as shared_module
 from troutswitch.decisions.crashes.messages import Crash
 from troutswitch.decisions.crashes.shared import (
+    CRASHES_A_REPORT,
     PEERS_NOTIFIED,
     RECORDS_A_WRITE,
     RECORDS_WAITING_MOST,
-    TOLD_A_MESSAGE,
-    TOLD_WAITING_MOST,
+    REPORTS_WAITING_MOST,
     WRITE_RETRY_SECONDS,
     WRITE_SECONDS,
     SharedCrashes,
@@ -97,31 +97,31 @@
     for number in range(2 * RECORDS_WAITING_MOST):
         world.shared.publish(1.0, Crash("x", f"s{number}"), AT, True)
     assert len(world.shared._to_write) == RECORDS_WAITING_MOST
-    assert len(world.shared._to_tell) == TOLD_WAITING_MOST
+    assert len(world.shared._to_report) == REPORTS_WAITING_MOST
 
 
 def test_news_is_passed_on_once_to_some_peers() -> None:
     world = World()
-    world.shared.on_news(1.0, world.news())
+    world.shared.on_report(1.0, world.news())
     (message,) = world.messages(1.0)
     assert len(set(message.addresses)) == PEERS_NOTIFIED
-    world.shared.on_news(2.0, world.news())
+    world.shared.on_report(2.0, world.news())
     assert not world.messages(2.0)
 
 
 def test_a_late_message_does_not_bring_back_what_was_taken_back() -> None:
     world = World()
-    world.shared.on_news(1.0, world.news())
-    world.shared.on_news(2.0, world.news(stands=False))
+    world.shared.on_report(1.0, world.news())
+    world.shared.on_report(2.0, world.news(stands=False))
     assert not world.known
-    world.shared.on_news(3.0, world.news())
+    world.shared.on_report(3.0, world.news())
     assert not world.known
 
 
 def test_the_store_s_word_counts_also_after_it_was_taken_back() -> None:
     world = World()
-    world.shared.on_news(1.0, world.news())
-    world.shared.on_news(1.0, world.news(stands=False))
+    world.shared.on_report(1.0, world.news())
+    world.shared.on_report(1.0, world.news(stands=False))
     read = next(i for i in world.shared.on_timer(1.0, False) if isinstance(i, ReadNewest))
     record = KeyedRecord(f"{CRASH.content}/{CRASH.engine_id}", cbor2.dumps([int(AT)]), 0)
     world.shared.on_store(1.1, read.call, NewestPage((record,), False, 1))
@@ -153,7 +153,7 @@
 
 def test_a_full_message_fits_into_a_packet() -> None:
     told = ReportedCrash(CRASH.content, CRASH.engine_id, int(AT), True)
-    news = CrashReport("edge-guediawaye-3", (told,) * TOLD_A_MESSAGE)
+    news = CrashReport("edge-guediawaye-3", (told,) * CRASHES_A_REPORT)
     data = encode(news)
     assert len(data) < 1400 < DATAGRAM_BYTES_MOST
     assert decode(data) == news
--- a/tests/decisions/crashes/test_suspects.py
+++ b/tests/decisions/crashes/test_suspects.py
@@ -4,10 +4,10 @@
 
 from tests.decisions.forwarding.worlds import engine
 from troutswitch.daemons.messages import CrashReport, ReportedCrash
+from troutswitch.decisions.crashes.causes import DEFERRED_SECONDS
 from troutswitch.decisions.crashes.messages import EngineChecked, EngineFound
-from troutswitch.decisions.crashes.record import HELD_SECONDS
 from troutswitch.decisions.crashes.suspects import (
-    HELD_LEAST,
+    DEFERRED_LEAST,
     NEVER_STATUS,
     SETTLED_SECONDS,
     CrashSuspects,
@@ -41,7 +41,7 @@
 
     def told(self, now: float, content: str, *engine_ids: str) -> None:
         told = tuple(ReportedCrash(content, name, int(now + OFFSET), True) for name in engine_ids)
-        self.suspects.on_news(now, CrashReport("p", told))
+        self.suspects.on_report(now, CrashReport("p", told))
 
 
 def test_own_crashes_and_those_of_others_count_together() -> None:
@@ -119,6 +119,6 @@
             world.suspects.on_timer(now)
         released.append(now)
     released.sort()
-    assert released[0] >= HELD_LEAST * HELD_SECONDS
-    assert released[-1] <= HELD_SECONDS + 0.1
+    assert released[0] >= DEFERRED_LEAST * DEFERRED_SECONDS
+    assert released[-1] <= DEFERRED_SECONDS + 0.1
     assert sum(at < released[0] + 0.15 for at in released) <= 3
--- a/tests/soak/test_crashing_requests.py
+++ b/tests/soak/test_crashing_requests.py
@@ -12,7 +12,7 @@
 
 import pytest
 
-from troutswitch.decisions.crashes.record import CRASHES_CERTAIN, CRASHES_TO_REFUSE
+from troutswitch.decisions.crashes.causes import CRASHES_CERTAIN, CRASHES_TO_REFUSE
 from troutswitch.soak.conductor import Conductor
 from troutswitch.soak.crashing_requests import EndingCaller, is_refused
 from troutswitch.soak.evidence import read_journal
