--- a/src/troutswitch/cli/ctl.py
+++ b/src/troutswitch/cli/ctl.py
@@ -15,7 +15,7 @@
 from troutswitch.cli.standin import parse_address
 from troutswitch.clock import steady_seconds
 from troutswitch.common import Address
-from troutswitch.runtime.http import ConnectionPool, HttpError
+from troutswitch.runtime.http import HttpError, ThreadLocalConnections
 from troutswitch.standalone.decisions.configuration.declarations import (
     DeclarationError,
     changes_between,
@@ -33,7 +33,7 @@
 
     def __init__(self, address: Address) -> None:
         self._address = address
-        self._pool = ConnectionPool(CALL_SECONDS)
+        self._pool = ThreadLocalConnections(CALL_SECONDS)
 
     def call(self, method: str, path: str, body: object = None) -> Any:
         """Makes a call and returns the JSON answer.
--- a/src/troutswitch/runtime/http.py
+++ b/src/troutswitch/runtime/http.py
@@ -183,8 +183,8 @@
         self.was_sent = was_sent
 
 
-class ConnectionPool:
-    """Kept connections, one set a thread."""
+class ThreadLocalConnections:
+    """Connections that are reused, a set for each thread."""
 
     def __init__(self, timeout_seconds: float) -> None:
         self._timeout = timeout_seconds
--- a/src/troutswitch/standalone/engines/client.py
+++ b/src/troutswitch/standalone/engines/client.py
@@ -11,7 +11,7 @@
 
 from troutswitch.common import Address
 from troutswitch.outcomes import AttemptKind
-from troutswitch.runtime.http import ConnectionPool, HttpError
+from troutswitch.runtime.http import HttpError, ThreadLocalConnections
 from troutswitch.standalone.decisions.events import EngineLoad
 from troutswitch.standalone.engines.assembler import BrokenStream
 from troutswitch.standalone.engines.protocol import (
@@ -141,7 +141,7 @@
     """Short calls to engines over kept connections."""
 
     def __init__(self) -> None:
-        self._pool = ConnectionPool(LOAD_TIMEOUT_SECONDS)
+        self._pool = ThreadLocalConnections(LOAD_TIMEOUT_SECONDS)
 
     def load(self, address: Address) -> EngineLoad | None:
         """Returns the engine's load report, or None if it does not answer."""
--- a/src/troutswitch/standalone/log_service/client.py
+++ b/src/troutswitch/standalone/log_service/client.py
@@ -10,7 +10,7 @@
 import cbor2
 
 from troutswitch.common import Address
-from troutswitch.runtime.http import CBOR_TYPE, ConnectionPool, HttpError
+from troutswitch.runtime.http import CBOR_TYPE, HttpError, ThreadLocalConnections
 
 LOG_TIMEOUT_SECONDS = 3.0
 
@@ -24,7 +24,7 @@
 
     def __init__(self, address: Address) -> None:
         self._address = address
-        self._pool = ConnectionPool(LOG_TIMEOUT_SECONDS)
+        self._pool = ThreadLocalConnections(LOG_TIMEOUT_SECONDS)
 
     def append(self, stream: str, payload: bytes) -> int:
         """Appends an entry and returns its offset.
--- a/src/troutswitch/standalone/machine_list/client.py
+++ b/src/troutswitch/standalone/machine_list/client.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from troutswitch.common import Address
-from troutswitch.runtime.http import ConnectionPool, HttpError
+from troutswitch.runtime.http import HttpError, ThreadLocalConnections
 from troutswitch.standalone.decisions.events import Machine
 
 MACHINE_LIST_TIMEOUT_SECONDS = 3.0
@@ -63,7 +63,7 @@
 
     def __init__(self, address: Address) -> None:
         self._address = address
-        self._pool = ConnectionPool(MACHINE_LIST_TIMEOUT_SECONDS)
+        self._pool = ThreadLocalConnections(MACHINE_LIST_TIMEOUT_SECONDS)
         self._known: dict[MachineRow, Machine] = {}
 
     def read(self) -> tuple[Machine, ...] | None:
--- a/src/troutswitch/standalone/standins/demonstration.py
+++ b/src/troutswitch/standalone/standins/demonstration.py
@@ -9,7 +9,7 @@
 import structlog
 
 from troutswitch.common import Address
-from troutswitch.runtime.http import ConnectionPool, HttpError
+from troutswitch.runtime.http import HttpError, ThreadLocalConnections
 from troutswitch.standalone.decisions.events import Machine
 from troutswitch.standalone.runtime.server import DaemonServer
 from troutswitch.standalone.runtime.settings import DaemonSettings
@@ -59,7 +59,7 @@
             EngineStandin(any_port, f"engine-{number}", SERVICE) for number in range(engines)
         ]
         self.daemons = [self._make_daemon(number) for number in range(daemons)]
-        self._pool = ConnectionPool(30.0)
+        self._pool = ThreadLocalConnections(30.0)
 
     def _make_daemon(self, number: int) -> DaemonServer:
         settings = DaemonSettings(
