--- a/src/troutswitch/decisions/gateway_messages.py
+++ b/src/troutswitch/decisions/gateway_messages.py
@@ -1,4 +1,7 @@
-"""What the gateway's core is told and tells beside its parts' own messages."""
+"""The core's own events and instructions, and what it is made with.
+
+The parts' messages stand with the parts; `gateway_interface.py` unites all.
+"""
 
 from dataclasses import dataclass, field
 from typing import Protocol
@@ -29,6 +32,10 @@
 class GatewayIdentity:
     """Who this daemon is, and the bounds it keeps. Times are seconds.
 
+    `peer_address` is where it takes peers' datagrams. `drain` bounds the time from an engine's
+    first sign of draining until it gets no more requests, `configuration_apply` that from the
+    acceptance of a configuration until it is in force. `member_ttl_least` is the shortest time to live of a
+    group's member that the store takes, `job_kept` how long an ended job stays readable.
     `store_reads_per_second` bounds the reads of all daemons together; 0 is no bound.
     """
 
@@ -51,12 +58,12 @@
 
 @dataclass(frozen=True, slots=True)
 class DrainRequested:
-    """Event: a planned stop begins."""
+    """Event: the process is asked to stop as planned."""
 
 
 @dataclass(frozen=True, slots=True)
 class BoundsChanged:
-    """Event: the settings tell other bounds. Times are seconds."""
+    """Event: the settings were reloaded, with these bounds. Times are seconds."""
 
     drain: float
     configuration_apply: float
@@ -65,27 +72,27 @@
 
 @dataclass(frozen=True, slots=True)
 class ClockCompared:
-    """Event: how far the time of day is ahead of this process's clock, in seconds."""
+    """Event: the time of day is `offset` seconds ahead of this process's clock."""
 
     offset: float
 
 
 @dataclass(frozen=True, slots=True)
 class ProcessResumed:
-    """Event: this process did not run for some seconds: frozen, or on a suspended machine."""
+    """Event: this process runs again, after some seconds frozen or on a suspended machine."""
 
     seconds: float
 
 
 @dataclass(frozen=True, slots=True)
 class LimitsChanged:
-    """Instruction: put the configuration's limits on requests in force."""
+    """Instruction: limit callers' requests as the configuration in force says."""
 
     limits: RequestLimits
 
 
 @dataclass(frozen=True, slots=True)
 class EnginesLeft:
-    """Instruction: drop what is kept for engines that left."""
+    """Instruction: close the idle connections to engines that left."""
 
     engine_ids: tuple[str, ...]
--- a/src/troutswitch/gateway/logging.py
+++ b/src/troutswitch/gateway/logging.py
@@ -1,7 +1,7 @@
 """JSON-line logs that never hold up their writer.
 
-Lines go through a bounded queue to one thread that writes them to standard output. When
-nobody reads the output, lines are dropped and counted, and the count is logged later.
+It owns a bounded queue and the thread that writes its lines to standard output. While nobody
+reads the output, the lines that the queue can't take are dropped and counted.
 """
 
 import queue
@@ -14,10 +14,16 @@
 from troutswitch.clock import steady_seconds
 
 QUEUE_LINES_MOST = 4096
+"""Lines that wait to be written."""
+FLUSH_POLL_SECONDS = 0.01
 
 
 class LineWriter:
-    """A file-like object whose `write` puts whole lines in a queue."""
+    """A file-like object whose `write` queues whole lines.
+
+    Args:
+        descriptor: the file to which the lines go.
+    """
 
     def __init__(self, descriptor: int) -> None:
         self.dropped = 0
@@ -27,7 +33,7 @@
         self._thread.start()
 
     def write(self, text: str) -> int:
-        """Takes a line, or drops and counts it."""
+        """Queues a line, or drops and counts it if the queue is full."""
         try:
             self._lines.put_nowait(text)
         except queue.Full:
@@ -35,13 +41,13 @@
         return len(text)
 
     def flush(self) -> None:
-        """Does nothing: the thread writes as it can."""
+        """Does nothing: the thread flushes when the queue is empty."""
 
     def drain(self, seconds: float) -> None:
-        """Waits until the lines so far were written, up to some seconds."""
+        """Waits until all lines were taken from the queue, `seconds` at most."""
         until = steady_seconds() + seconds
         while not self._lines.empty() and steady_seconds() < until:
-            time.sleep(0.01)
+            time.sleep(FLUSH_POLL_SECONDS)
 
     def _run(self) -> None:
         with open(self._descriptor, "w", closefd=False) as output:
--- a/src/troutswitch/gateway/policies.py
+++ b/src/troutswitch/gateway/policies.py
@@ -1,4 +1,7 @@
-"""Reads which policies are in force: `name=value` pairs, separated by commas."""
+"""Reads which policies are in force: `name=value` pairs, separated by commas.
+
+It owns the names of `TROUTSWITCH_POLICIES`; the policies register their values themselves.
+"""
 
 from collections.abc import Collection
 from dataclasses import dataclass
@@ -13,19 +16,18 @@
 from troutswitch.gateway.settings import GatewaySettingsError
 
 POLICIES_VARIABLE = "TROUTSWITCH_POLICIES"
-"""Environment variable that names policies other than the usual ones."""
-
+"""Environment variable that names policies other than the defaults."""
 
-USUAL = Policies()
+DEFAULTS = Policies()
 
 
 class _Names(msgspec.Struct, forbid_unknown_fields=True):
-    places: str = USUAL.places
-    placement: str = USUAL.placement
-    admission: str = USUAL.admission
-    items: str = USUAL.batch.items
-    room: str = USUAL.batch.room
-    quota: str = USUAL.quota
+    places: str = DEFAULTS.places
+    placement: str = DEFAULTS.placement
+    admission: str = DEFAULTS.admission
+    items: str = DEFAULTS.batch.items
+    room: str = DEFAULTS.batch.room
+    quota: str = DEFAULTS.quota
 
 
 @dataclass(frozen=True, slots=True)
@@ -42,7 +44,7 @@
 
 
 def read_policies(text: str) -> Policies:
-    """Reads the policies that a text names; those that it does not name are as usual.
+    """Reads the policies that a text names; the others are the defaults.
 
     Raises:
         GatewaySettingsError: a pair is malformed, or a name or value is unknown.
--- a/src/troutswitch/gateway/settings.py
+++ b/src/troutswitch/gateway/settings.py
@@ -1,4 +1,8 @@
-"""Checked settings of a gateway daemon, in the product's own terms."""
+"""Settings of a gateway daemon, in the product's own terms.
+
+`platform/settings.py` decodes and checks the users' file into these types. Times are seconds,
+sizes bytes.
+"""
 
 from dataclasses import dataclass, field
 
@@ -12,7 +16,12 @@
 
 @dataclass(frozen=True, slots=True)
 class StoreSettings:
-    """The store's address and limits; `reads_per_second` of all daemons, 0 if unlimited."""
+    """The store's address and limits.
+
+    `partitions` counts those of each topic; `record_bytes` and `call_bytes` bound a record and a
+    call. `member_ttl_least` is the shortest time to live that the store takes for a member of a
+    group. `reads_per_second` bounds the reads of all daemons together, 0 is no bound.
+    """
 
     address: Address
     partitions: int = 8
@@ -24,7 +33,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Bounds:
-    """Bounds that the system keeps, in seconds unless named otherwise."""
+    """Bounds that the system keeps, in seconds.
+
+    `configuration_apply` is from the acceptance of a configuration until it is in force
+    everywhere, `drain` from an engine's first sign of draining until it gets no more requests,
+    `grace` from SIGTERM to the end of the process, `job_kept` from a job's end until it is removed.
+    """
 
     configuration_apply: float = 2.0
     drain: float = 2.0
@@ -35,7 +49,12 @@
 
 @dataclass(frozen=True, slots=True)
 class GatewaySettings:
-    """Everything that a gateway daemon is told at its start."""
+    """All settings of one daemon.
+
+    `callers` and `readiness` are where it listens, None for no such listener. Of `peer_ports`, the
+    first takes peers' datagrams (UDP), the last is the internal HTTP port; equal ones mean that
+    there is no internal port.
+    """
 
     name: str
     zone: str
--- a/src/troutswitch/gateway/settings_file.py
+++ b/src/troutswitch/gateway/settings_file.py
@@ -1,4 +1,7 @@
-"""Notices that the settings file changed, with a signal or without one."""
+"""Detects that the settings file changed, with a signal or without one.
+
+It owns the content last read; it relies on the given function to decode and check it.
+"""
 
 from collections.abc import Callable
 from pathlib import Path
@@ -14,7 +17,7 @@
     Args:
         path: the file.
         load: reads and checks it; raises `GatewaySettingsError`.
-        logger: where a file that cannot be used is told.
+        logger: logs a file that cannot be used.
     """
 
     def __init__(
@@ -26,7 +29,7 @@
         self._path = path
         self._load = load
         self._logger = logger
-        self._seen = self._content()
+        self._last_content = self._content()
 
     def _content(self) -> bytes | None:
         try:
@@ -35,14 +38,14 @@
             return None
 
     def changed(self) -> GatewaySettings | None:
-        """Returns the settings if the file changed and they are sound.
+        """Returns the settings if the file changed and is valid, else None.
 
-        A file that is missing or wrong leaves the settings in force; it is told once.
+        A file that is missing or wrong is logged once, and leaves the settings as they are.
         """
         content = self._content()
-        if content == self._seen:
+        if content == self._last_content:
             return None
-        self._seen = content
+        self._last_content = content
         try:
             return self._load(self._path)
         except GatewaySettingsError as error:
