--- a/src/troutswitch/decisions/gateway_messages.py
+++ b/src/troutswitch/decisions/gateway_messages.py
@@ -34,9 +34,9 @@
 
     `peer_address` is where it takes peers' datagrams. `drain` bounds the time from an engine's
     first sign of draining until it gets no more requests, `configuration_apply` that from the
-    acceptance of a configuration until it is in force. `member_ttl_least` is the shortest time to live of a
-    group's member that the store takes, `job_kept` how long an ended job stays readable.
-    `store_reads_per_second` bounds the reads of all daemons together; 0 is no bound.
+    acceptance of a configuration until it is in force. `member_ttl_least` is the shortest time
+    to live of a group's member that the store takes, `job_kept` how long an ended job stays
+    readable. `store_reads_per_second` bounds the reads of all daemons together; 0 is no bound.
     """
 
     name: str
--- a/src/troutswitch/platform/configuration.py
+++ b/src/troutswitch/platform/configuration.py
@@ -1,4 +1,8 @@
-"""Decodes the operator's configuration and the engines' records."""
+"""Decodes the operators' configuration and the engines' records into the decisions' types.
+
+It owns the form of both on the wire and decides nothing: fields that the decisions don't use are
+checked and left out.
+"""
 
 import msgspec
 
@@ -22,9 +26,11 @@
     "streaming": RouteKind.STREAM,
     "batch": RouteKind.JOBS,
 }
-"""The platform's words for kinds of routes."""
+"""The platform's names for kinds of routes."""
 DRAINING = "draining"
+"""State of an engine that takes no new requests."""
 DEFAULT_TIME_LIMIT_MS = 30_000.0
+"""Time limit of a request on a route that names none."""
 
 
 class FormatError(ValueError):
@@ -50,8 +56,8 @@
     priority: int = 0
     sticky: bool = False
     resumable: bool = False
-    gapTargetMs: float = 0.0
-    maxQueuedTokens: int = 0
+    gapTargetMs: float = 0.0  # a limit, though named a target
+    maxQueuedTokens: int = 0  # of the items of all jobs; 0 is no bound
     completionTargetMs: float = 0.0
     retentionS: float = 0.0
 
@@ -110,57 +116,59 @@
         FormatError: the record is malformed.
     """
     try:
-        held = _CONFIGURATION.decode(data)
-        routes = tuple(_route(route) for route in held.routes)
+        decoded = _CONFIGURATION.decode(data)
+        routes = tuple(_route(route) for route in decoded.routes)
     except (msgspec.DecodeError, ValueError) as error:
         raise FormatError(f"configuration: {error}") from error
     limits = RequestLimits(
-        held.limits.maxHeaderBytes,
-        held.limits.maxBodyBytes,
-        held.limits.idleTimeoutMs / 1000,
+        decoded.limits.maxHeaderBytes,
+        decoded.limits.maxBodyBytes,
+        decoded.limits.idleTimeoutMs / 1000,
+    )
+    services = {service.name: _service(service) for service in decoded.services}
+    tenants = (
+        None if decoded.tenants is None else tuple(_tenant(tenant) for tenant in decoded.tenants)
     )
-    services = {service.name: _service(service) for service in held.services}
-    tenants = None if held.tenants is None else tuple(_tenant(tenant) for tenant in held.tenants)
-    return FleetConfiguration(held.version, routes, services, limits, tenants)
+    return FleetConfiguration(decoded.version, routes, services, limits, tenants)
 
 
-def _tenant(held: _Tenant) -> Tenant:
+def _tenant(tenant: _Tenant) -> Tenant:
     return Tenant(
-        held.name,
-        frozenset(key_digest(key) for key in held.apiKeys if key),
-        max(0.0, held.ratePerS),
-        max(0.0, held.burst),
-        held.priority,
+        tenant.name,
+        frozenset(key_digest(key) for key in tenant.apiKeys if key),
+        max(0.0, tenant.ratePerS),
+        max(0.0, tenant.burst),
+        tenant.priority,
     )
 
 
-def _route(held: _Route) -> Route:
-    kind = ROUTE_KINDS.get(held.routeType)
+def _route(route: _Route) -> Route:
+    kind = ROUTE_KINDS.get(route.routeType)
     if kind is None:
-        raise ValueError(f"route {held.name}: unknown kind {held.routeType!r}")
-    backends = tuple(Backend(b.service, b.weight) for b in held.backends)
+        raise ValueError(f"route {route.name}: unknown kind {route.routeType!r}")
+    backends = tuple(Backend(b.service, b.weight) for b in route.backends)
     return Route(
-        name=held.name,
-        host=held.host,
-        path_prefix=held.pathPrefix,
+        name=route.name,
+        host=route.host,
+        path_prefix=route.pathPrefix,
         kind=kind,
-        backends=backends or (Backend(held.service, 1.0),),
-        time_limit=held.timeoutMs / 1000,
-        objective=held.targetLatencyMs / 1000,
-        attempts_most=max(1, held.maxAttempts),
-        priority=held.priority,
-        is_resumable=held.resumable,
-        gap_limit=held.gapTargetMs / 1000,
-        queued_tokens_most=held.maxQueuedTokens,
-        completion_target=held.completionTargetMs / 1000,
-        retention=held.retentionS,
-        allows_anonymous=held.allowAnonymous,
+        backends=backends or (Backend(route.service, 1.0),),
+        time_limit=route.timeoutMs / 1000,
+        objective=route.targetLatencyMs / 1000,
+        attempts_most=max(1, route.maxAttempts),
+        priority=route.priority,
+        is_resumable=route.resumable,
+        gap_limit=route.gapTargetMs / 1000,
+        queued_tokens_most=route.maxQueuedTokens,
+        completion_target=route.completionTargetMs / 1000,
+        retention=route.retentionS,
+        allows_anonymous=route.allowAnonymous,
     )
 
 
-def _service(held: _Service) -> Service:
-    engine = held.engine or _Engine()
-    return Service(held.name, held.maxConnections, engine.slots, engine.kvCacheTokens)
+def _service(service: _Service) -> Service:
+    engine = service.engine or _Engine()
+    return Service(service.name, service.maxConnections, engine.slots, engine.kvCacheTokens)
 
 
 def decode_engine(engine_id: str, data: bytes) -> EngineRecord:
@@ -170,17 +178,17 @@
         FormatError: the record is malformed.
     """
     try:
-        held = _SERVER.decode(data)
-        address = Address.parse(held.address)
+        decoded = _SERVER.decode(data)
+        address = Address.parse(decoded.address)
     except (msgspec.DecodeError, ValueError) as error:
         raise FormatError(f"engine {engine_id}: {error}") from error
     return EngineRecord(
         engine_id,
-        held.service,
+        decoded.service,
         address,
-        held.zone,
-        held.slots,
-        held.state == DRAINING,
+        decoded.zone,
+        decoded.slots,
+        decoded.state == DRAINING,
     )
 
 
--- a/src/troutswitch/platform/jobs.py
+++ b/src/troutswitch/platform/jobs.py
@@ -1,4 +1,7 @@
-"""Forms of batch jobs: hand-ins, results and calls about jobs."""
+"""Decodes calls about batch jobs into events, and encodes their answers.
+
+It owns the form of submissions, results and calls on the wire, and decides nothing.
+"""
 
 import hashlib
 from base64 import b64decode
@@ -25,12 +28,14 @@
 from troutswitch.runtime.http import JSON_TYPE, Response
 
 ITEMS_MOST = 200
+"""Items of one job, by the contract."""
 RESULT_STATES = {DONE: "completed"}
+"""The platform's names for states of results; all others are `DEAD_STATE`."""
 DEAD_STATE = "dead_lettered"
 
 
 class JobFormatError(ValueError):
-    """A hand-in or a call that does not have the agreed form."""
+    """A submission or a call that is malformed; the text names the field and the reason."""
 
 
 class _Item(msgspec.Struct):
@@ -42,18 +47,18 @@
 
 
 class _Submission(msgspec.Struct, rename={"items": "requests"}):
-    items: list[_Item]
+    items: list[_Item]  # on the wire "requests"
 
 
 class _Result(msgspec.Struct, rename={"text": "message"}):
     id: str
     state: str
-    text: str
+    text: str  # on the wire "message": the item's whole output
 
 
 class _Results(msgspec.Struct, rename={"position": "nextToken"}):
     total: int
-    position: int
+    position: int  # on the wire "nextToken": where the next page begins
     results: list[_Result]
 
 
@@ -62,7 +67,7 @@
 
 @dataclass(frozen=True, slots=True)
 class JobCallTarget:
-    """What a call's path names: a job, and whether its items are meant."""
+    """The job that a call's path names; `is_item` if one of its items is meant."""
 
     job_id: str
     is_item: bool
@@ -92,7 +97,7 @@
     if target.is_item:
         item_id = values.get("id", [""])[0]
         return BodyRequested(token, target.job_id, item_id, request.time_left, request.caller_key)
-    position = values.get("afterRevision", ["0"])[0]
+    position = values.get("afterRevision", ["0"])[0]  # of a page of results, no revision
     if not position.isdigit():
         raise JobFormatError(f"afterRevision: expected a number, got {position!r}")
     return ResultsRequested(
@@ -101,16 +106,18 @@
 
 
 def read_submission(token: int, request: IncomingRequest, body: bytes) -> JobSubmitted:
-    """Reads a hand-in.
+    """Reads a submission.
 
     Raises:
         JobFormatError: the body is malformed, or has too many items or one twice.
     """
     try:
-        held = _SUBMISSION.decode(body)
+        submission = _SUBMISSION.decode(body)
         items = tuple(
-            JobItem(i.id, i.path, tuple(i.headers.items()), b64decode(i.body), i.tokens)
-            for i in held.items
+            JobItem(
+                item.id, item.path, tuple(item.headers.items()), b64decode(item.body), item.tokens
+            )
+            for item in submission.items
         )
     except (msgspec.DecodeError, ValueError) as error:
         raise JobFormatError(f"malformed job: {error}") from error
--- a/src/troutswitch/platform/names.py
+++ b/src/troutswitch/platform/names.py
@@ -1,4 +1,8 @@
-"""Names that the platform uses on the wire. Source: the users' page PROTOCOL."""
+"""Names that the platform uses on the wire. Source: the users' page PROTOCOL.
+
+The product's own names stand in the decisions' types; only `platform/` and the code at its edge
+use these.
+"""
 
 REQUEST_ID = "X-Troutswitch-Request-Id"
 DEADLINE_MS = "X-Troutswitch-Deadline-Ms"
@@ -7,6 +11,7 @@
 TOKEN_USAGE = "X-Troutswitch-Token-Usage"
 RESPONSE_STAMP = "X-Troutswitch-Response-Stamp"
 EXPECT_INSTANCE = "X-Troutswitch-Expect-Instance"
+"""Id of the engine that is meant; another one at its address answers 421."""
 SERVER_LOAD = "X-Troutswitch-Server-Load"
 NOT_EXECUTED = "X-Troutswitch-Not-Executed"
 LAST_EVENT_ID = "Last-Event-Id"
@@ -19,6 +24,7 @@
 
 READINESS_PATH = "/readiness"
 JOB_PATH = "/lots/"
+"""Prefix of the paths of jobs, which the platform calls lots there."""
 ITEM_PATH = "/items/"
 
 TOPIC_PREFIX = "keyed."
--- a/src/troutswitch/platform/requests.py
+++ b/src/troutswitch/platform/requests.py
@@ -1,4 +1,8 @@
-"""Headers of requests and answers: the platform's forms to typed values and back."""
+"""Decodes the headers of callers' requests and engines' answers, and encodes those to engines.
+
+It owns the form of headers on the wire. What an engine or a caller leaves out or writes wrong is
+read as not given; nothing is decided here.
+"""
 
 import http.client
 from dataclasses import dataclass
@@ -14,13 +18,15 @@
 MISDIRECTED = 421
 """Status of an engine that is not the one that a request names."""
 DEADLINE_DEFAULT_SECONDS = 30.0
-"""Time a caller is taken to wait where it tells none."""
+"""Time that a caller is taken to wait where its request names none."""
 
 
 @dataclass(frozen=True, slots=True)
 class IncomingRequest:
-    """A caller's request as the platform's forms tell it.
+    """A caller's request.
 
+    `headers` are those that engines get, `time_left` is how long the caller waits, in seconds.
+    `last_event_id` is the event after which a stream is to go on, empty for a new one.
     `caller_key` is the digest of the key that the caller shows, empty if it shows none.
     """
 
@@ -121,7 +127,10 @@
     resume_after: str,
     tenant: str = NO_TENANT,
 ) -> Headers:
-    """Returns the headers of a request to an engine."""
+    """Returns the headers of a request to an engine.
+
+    `time_left` is the deadline in seconds; `resume_after` the event after which a stream goes on.
+    """
     headers: Headers = [("Host", request.host), *request.headers]
     if tenant:
         headers.append((names.TENANT, tenant))
--- a/src/troutswitch/platform/settings.py
+++ b/src/troutswitch/platform/settings.py
@@ -1,4 +1,8 @@
-"""Reads the platform's settings file into `GatewaySettings`; unknown fields are ignored."""
+"""Decodes the users' settings file into `GatewaySettings`.
+
+It owns the form of the file (TOML). Unknown fields are ignored, as are those of the contract that
+nothing here depends on (`limits`, `heartbeatMs`, `recoveryS` and others).
+"""
 
 import os
 from pathlib import Path
@@ -17,8 +21,8 @@
 
 
 class _Listen(msgspec.Struct):
-    front: str = ""
-    ready: str = ""
+    front: str = ""  # for callers
+    ready: str = ""  # for readiness checks
 
 
 class _Limits(msgspec.Struct, rename="camel"):
@@ -33,7 +37,7 @@
     recoveryS: float = 12
     settleTimeoutMs: float = 1000
     ackTimeoutMs: float = 4000
-    statusIntervalS: float = 120
+    statusIntervalS: float = 120  # how long an ended job stays readable
     quotaWindowS: float = 5
     quotaOvershoot: float = 0.1
     quotaSlack: float = 20
@@ -41,7 +45,7 @@
 
 class _Store(msgspec.Struct):
     address: str
-    parts: int = 8
+    parts: int = 8  # partitions of each topic
     record_bytes: int = 262_144
     call_bytes: int = 2_097_152
     ttl_min_ms: float = 1000
@@ -84,8 +88,7 @@
     except OSError as error:
         raise GatewaySettingsError(f"{path}: {error.strerror}") from error
     try:
-        held = msgspec.toml.decode(data, type=_Settings)
-        return _translate(held)
+        return _translate(msgspec.toml.decode(data, type=_Settings))
     except (msgspec.DecodeError, ValueError) as error:
         raise GatewaySettingsError(f"{path}: {error}") from error
 
@@ -109,17 +112,17 @@
 """
 
 
-def _translate(held: _Settings) -> GatewaySettings:
-    _check_seeds(held.seed_nodes)
-    bounds = held.timing_bounds
+def _translate(settings: _Settings) -> GatewaySettings:
+    _check_seeds(settings.seed_nodes)
+    bounds = settings.timing_bounds
     return GatewaySettings(
-        name=held.node_name,
-        zone=held.zone,
-        callers=_address("listen.front", held.listen.front),
-        readiness=_address("listen.ready", held.listen.ready),
-        peer_host=held.ip,
-        peer_ports=held.internal_ports,
-        store=_store(held.platform),
+        name=settings.node_name,
+        zone=settings.zone,
+        callers=_address("listen.front", settings.listen.front),
+        readiness=_address("listen.ready", settings.listen.ready),
+        peer_host=settings.ip,
+        peer_ports=settings.internal_ports,
+        store=_store(settings.platform),
         bounds=Bounds(
             configuration_apply=bounds.configApplyMs / 1000,
             drain=bounds.drainTimeoutMs / 1000,
@@ -131,24 +134,24 @@
 
 
 def _check_seeds(seeds: list[str]) -> None:
-    """Checks the addresses of the seeds; daemons find each other through the store."""
+    """Checks the seeds' addresses, which are not used: daemons find each other by the store."""
     for seed in seeds:
         Address.parse(seed)
 
 
-def _store(held: _Store) -> StoreSettings:
-    address = _address("platform.address", held.address)
+def _store(store: _Store) -> StoreSettings:
+    address = _address("platform.address", store.address)
     if address is None:
         raise ValueError("platform.address: missing")
-    if held.parts < 1:
-        raise ValueError(f"platform.parts: expected at least 1, got {held.parts}")
+    if store.parts < 1:
+        raise ValueError(f"platform.parts: expected at least 1, got {store.parts}")
     return StoreSettings(
         address,
-        held.parts,
-        held.record_bytes,
-        held.call_bytes,
-        held.ttl_min_ms / 1000,
-        held.reads_per_s,
+        store.parts,
+        store.record_bytes,
+        store.call_bytes,
+        store.ttl_min_ms / 1000,
+        store.reads_per_s,
     )
 
 
--- a/src/troutswitch/platform/stand_in_forms.py
+++ b/src/troutswitch/platform/stand_in_forms.py
@@ -1,4 +1,7 @@
-"""Records that engines and operators of the platform write, as a soak's stand-ins write them."""
+"""Encodes what the platform's engines and operators write, for the soak's stand-ins.
+
+It owns nothing; `configuration.py` decodes the same records.
+"""
 
 import json
 from collections.abc import Sequence
@@ -11,7 +14,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RouteForm:
-    """A route as an operator writes it; `kind` is the platform's word."""
+    """A route as an operator writes it; `kind` is the platform's name of it."""
 
     name: str
     prefix: str
@@ -94,5 +97,5 @@
     sizes = {"maxHeaderBytes": 16384, "maxBodyBytes": 4194304}
     record = {"version": version, "routes": rows, "services": services, "limits": sizes}
     if tenants:
-        record["tenants"] = [{"name": held.name, "apiKeys": held.keys} for held in tenants]
+        record["tenants"] = [{"name": tenant.name, "apiKeys": tenant.keys} for tenant in tenants]
     return json.dumps(record).encode()
--- a/src/troutswitch/platform/store_service.py
+++ b/src/troutswitch/platform/store_service.py
@@ -1,4 +1,7 @@
-"""The store's protocol over a `KeyedStoreModel`, with faults, as a stand-in for tests and soaks."""
+"""A stand-in for the users' store, for tests and soaks: its HTTP protocol, with faults.
+
+It owns the listener and the faults in force; `KeyedStoreModel` owns the records.
+"""
 
 import json
 import struct
@@ -36,7 +39,7 @@
 from troutswitch.standins.loopback import LoopbackHandler, LoopbackServer
 
 POLL_SECONDS = 0.01
-"""Interval at which a waiting read looks again; far below any wait that callers ask for."""
+"""Interval at which a waiting read checks for records; far below any wait of callers."""
 FAULTS_PATH = "/faults"
 
 
@@ -45,7 +48,7 @@
     """Faults in force.
 
     Down for all; slow by some seconds; answers lost after the call is done, or before it is
-    done some seconds later. Two happen once: partitions are dealt anew, history is dropped.
+    done some seconds later. Two happen once: partitions are reassigned, history is dropped.
     """
 
     is_down: bool = False
@@ -128,7 +131,7 @@
 
     def get(self, target: str, body: bytes) -> tuple[int, bytes]:
         """Answers a read."""
-        path, query, partition = _place(target)
+        path, query, partition = _parse_target(target)
         if path == "/log-newest":
             return self._newest(query, partition)
         return self._read(query, partition)
@@ -155,20 +158,20 @@
 
     def post(self, target: str, body: bytes) -> tuple[int, bytes]:
         """Answers a write, a join or a leave."""
-        path, query, partition = _place(target)
+        path, query, partition = _parse_target(target)
         if path == "/log-append":
             return self._append(query, partition, body)
-        held = json.loads(body)
+        request = json.loads(body)
         if path == "/log-leave":
-            self.call(LeaveGroup(0, held["group"], held["member"]))
+            self.call(LeaveGroup(0, request["group"], request["member"]))
             return 200, b"{}"
-        return self._join(held)
+        return self._join(request)
 
-    def _join(self, held: Any) -> tuple[int, bytes]:
-        topics = tuple(held["topics"])
-        ttl = held["ttl_ms"] / 1000
+    def _join(self, request: Any) -> tuple[int, bytes]:
+        topics = tuple(request["topics"])
+        ttl = request["ttl_ms"] / 1000
         joined = self.call(
-            JoinGroup(0, held["group"], held["member"], topics, ttl, held["generation"])
+            JoinGroup(0, request["group"], request["member"], topics, ttl, request["generation"])
         )
         assert isinstance(joined, GroupJoined)
         rows = [[p.topic, p.number, 0] for p in joined.partitions]
@@ -196,7 +199,7 @@
                 return 400, b"{}"
 
 
-def _place(target: str) -> tuple[str, dict[str, str], Partition]:
+def _parse_target(target: str) -> tuple[str, dict[str, str], Partition]:
     url = urlparse(target)
     query = {name: values[0] for name, values in parse_qs(url.query).items()}
     partition = Partition(query.get("topic", ""), int(query.get("part", "0")))
