--- a/src/troutswitch/cli/bound.py
+++ b/src/troutswitch/cli/bound.py
@@ -1,4 +1,7 @@
-"""Command `bound`: how much more could have been in time, with hindsight."""
+"""Command `bound`: how much more could have been served in time, from daemons' logs.
+
+It owns the output alone; `hindsight/` reads and counts.
+"""
 
 import click
 
@@ -10,7 +13,7 @@
 
 
 def _row(name: str, share: Share) -> str:
-    return f"{name:14s} {share.asked:7d} {share.reached:8d} {share.possible:9d} {share.gap:6d}"
+    return f"{name:14s} {share.total:7d} {share.reached:8d} {share.possible:9d} {share.gap:6d}"
 
 
 CALLERS_HEADING = (
@@ -18,22 +21,22 @@
     f" {'twice':>6s} {'failed':>7s} {'left':>5s} {'not told':>9s} {'unserved, held':>15s}"
 )
 TRIES_ONLY = "* counts of tries: its callers set out with different times, so that a try that came"
-"""Why callers of a route are not told; the other half of the sentence follows."""
+"""Why a route's callers are not counted; `_print_callers` completes the sentence."""
 
 
 def _callers_row(found: RouteCallers) -> str:
-    name = found.route if found.are_told_apart else f"{found.route} *"
-    callers = found.first_tries if found.are_told_apart else found.tries
-    once = found.refused_once if found.are_told_apart else found.refused
-    twice = str(found.refused_again) if found.are_told_apart else "-"
+    name = found.route if found.knows_retries else f"{found.route} *"
+    callers = found.first_tries if found.knows_retries else found.tries
+    once = found.refused_once if found.knows_retries else found.refused
+    twice = str(found.refused_again) if found.knows_retries else "-"
     return (
-        f"{name:14s} {callers:8d} {found.in_aim:7d} {found.late:6d} {once:13d}"
+        f"{name:14s} {callers:8d} {found.in_time:7d} {found.late:6d} {once:13d}"
         f" {twice:>6s} {found.failed:7d} {found.left:5d} {found.unknown:9d}"
-        f" {found.held_seconds:8.1f} s, {found.longest_held:.1f} s"
+        f" {found.wasted_seconds:8.1f} s, {found.longest_wasted:.1f} s"
     )
 
 
-def _tell_callers(reader: TryReader, counted: list[RouteCallers]) -> None:
+def _print_callers(reader: TryReader, counted: list[RouteCallers]) -> None:
     click.echo("since the first try; unserved tries with seconds held in all, and at most:")
     click.echo(CALLERS_HEADING)
     for found in counted:
@@ -41,7 +44,7 @@
     click.echo(
         "tries carry no mark of the caller: one that came back is known by the time it lacks"
     )
-    if not all(found.are_told_apart for found in counted):
+    if not all(found.knows_retries for found in counted):
         click.echo(f"{TRIES_ONLY} back is not known")
     click.echo(f"refused before a route was known: {reader.refused_before_route}")
 
@@ -50,14 +53,14 @@
 @click.option("--logs", "paths", multiple=True, required=True, help="Log file; may be repeated.")
 @click.option("--windows", is_flag=True, help=f"Online requests by {WINDOW_SECONDS:.0f} s, too.")
 def bound(paths: tuple[str, ...], windows: bool) -> None:
-    """Tell what was in time and what could have been, from the logs of all daemons.
+    """Print what was in time and what could have been, from the logs of all daemons.
 
-    The bound has hindsight and takes all slots as one pool: what lies between is the most
-    that better decisions could win. docs/POLICY.md names the assumptions.
+    The bound has hindsight and takes all slots as one pool: the gap is the most that better
+    decisions could win. docs/POLICY.md names the assumptions.
     """
-    held = read_files(paths)
+    logs = read_files(paths)
     reader = DayReader()
-    day = reader.read(held.lines)
+    day = reader.read(logs.lines)
     found = work_out(day, reader.free_first())
     click.echo(f"{'':14s} {'asked':>7s} {'in time':>8s} {'possible':>9s} {'gap':>6s}")
     click.echo(_row("online", found.online))
@@ -66,5 +69,5 @@
         for start, share in found.windows:
             click.echo(_row(f"from {start:.0f} s", share))
     tries = TryReader()
-    _tell_callers(tries, count_callers(tries.read(held.lines)))
-    click.echo(f"asked to come back: {day.deferred}; lines not read: {held.bad_lines}")
+    _print_callers(tries, count_callers(tries.read(logs.lines)))
+    click.echo(f"asked to come back: {day.deferred}; lines not read: {logs.bad_lines}")
--- a/src/troutswitch/cli/demo.py
+++ b/src/troutswitch/cli/demo.py
@@ -1,4 +1,4 @@
-"""Command `demo`: platform, engines and daemons in one process on loopback."""
+"""Command `demo`: the standalone product's platform, engines and daemons in one process."""
 
 import json
 
--- a/src/troutswitch/cli/gateway.py
+++ b/src/troutswitch/cli/gateway.py
@@ -1,4 +1,7 @@
-"""Command `gateway`: one daemon on the users' platform."""
+"""Command `gateway`: one daemon on the users' platform.
+
+Nothing heavy is imported before the signals are taken, so that none ends the process at its start.
+"""
 
 import os
 import sys
--- a/src/troutswitch/cli/log_files.py
+++ b/src/troutswitch/cli/log_files.py
@@ -1,4 +1,4 @@
-"""Log files named on the command line."""
+"""Reads the log files that a command names."""
 
 from pathlib import Path
 
--- a/src/troutswitch/cli/soak.py
+++ b/src/troutswitch/cli/soak.py
@@ -1,4 +1,4 @@
-"""Command `soak`: real processes under faults drawn from a seed, promises checked."""
+"""Command `soak`: runs real processes under faults drawn from a seed, and checks the promises."""
 
 import json
 import random
@@ -11,7 +11,7 @@
 
 import click
 
-from troutswitch.cli.explain import read_story, tell
+from troutswitch.cli.explain import format_line, read_story
 from troutswitch.cli.log_files import read_files
 from troutswitch.soak.fleet import NotStarted
 from troutswitch.soak.report import Verdict, summarize, write_report
@@ -19,15 +19,16 @@
 
 SECONDS_IN_MINUTE = 60.0
 LIMIT_SECONDS = 300.0
-"""A soak stops by itself this long after its schedule: four bounds of the calm end, and some."""
+"""Time after the end of its schedule at which a soak stops by itself: longer than the four waits of
+its calm end together."""
 EXPLAINED_MOST = 10
-"""Violations whose story is told; the logs are kept for the others."""
+"""Violations that are explained; the logs are kept for the others."""
 
 
 @click.command()
 @click.option("--minutes", default=1.0, show_default=True, help="Length of the schedule.")
 @click.option("--seconds", type=float, help="Length of the schedule, instead of minutes.")
-@click.option("--seed", type=int, help="Drawn and told if not given.")
+@click.option("--seed", type=int, help="Drawn and printed if not given.")
 @click.option("--daemons", default=SoakSize().daemons, show_default=True)
 @click.option("--servers", default=SoakSize().engines, show_default=True)
 @click.option("--callers", default=SoakSize().callers, show_default=True)
@@ -44,21 +45,21 @@
     """Play faults on real processes and check the promises; exit 1 if one is broken."""
     drawn = random.SystemRandom().randrange(1, 1_000_000_000) if seed is None else seed
     length = minutes * SECONDS_IN_MINUTE if seconds is None else seconds
-    stop_asked = threading.Event()
+    stop_requested = threading.Event()
     for number in (signal.SIGINT, signal.SIGTERM):
-        signal.signal(number, lambda number, frame: stop_asked.set())
-    limit = threading.Timer(length + LIMIT_SECONDS, stop_asked.set)
+        signal.signal(number, lambda number, frame: stop_requested.set())
+    limit = threading.Timer(length + LIMIT_SECONDS, stop_requested.set)
     limit.daemon = True
     limit.start()
     folder = Path(tempfile.mkdtemp(prefix="soak-"))
     click.echo(f"soak of {length:.0f} s, seed {drawn}, logs in {folder}", err=True)
     size = SoakSize(daemons, servers, callers)
 
-    def say(line: str) -> None:
+    def print_progress(line: str) -> None:
         click.echo(line, err=True)
 
     try:
-        verdict = run_soak(drawn, length, folder, size, say, stop_asked)
+        verdict = run_soak(drawn, length, folder, size, print_progress, stop_requested)
     except NotStarted as error:
         raise click.ClickException(f"{error}; logs in {folder}") from error
     finish(verdict, folder, report)
@@ -81,12 +82,12 @@
 
 
 def explain_violations(verdict: Verdict, folder: Path) -> dict[str, str]:
-    """Tells the story of the first violations from the daemons' logs."""
+    """Returns, for the first violations, what the daemons logged of their subjects."""
     if not verdict.violations:
         return {}
-    held = read_files(tuple(str(path) for path in sorted(folder.glob("daemon-*.log"))))
+    logs = read_files(tuple(str(path) for path in sorted(folder.glob("daemon-*.log"))))
     subjects = [violation.subject for violation in verdict.violations[:EXPLAINED_MOST]]
     return {
-        subject: "\n".join(tell(line) for line in read_story(subject, held).lines)
+        subject: "\n".join(format_line(line) for line in read_story(subject, logs).lines)
         for subject in subjects
     }
--- a/src/troutswitch/cli/standin.py
+++ b/src/troutswitch/cli/standin.py
@@ -17,6 +17,7 @@
 from troutswitch.standins.model_engine import ModelEngine
 
 REGISTER_TRIES = 50
+"""Tries to register while the platform starts."""
 KV_TOKENS_A_SLOT = 5000
 REGISTER_SECONDS = 0.1
 
@@ -31,10 +32,10 @@
 
 def wait_for_signal() -> None:
     """Waits until the process is asked to end."""
-    asked = threading.Event()
-    signal.signal(signal.SIGTERM, lambda number, frame: asked.set())
-    signal.signal(signal.SIGINT, lambda number, frame: asked.set())
-    asked.wait()
+    stop_requested = threading.Event()
+    signal.signal(signal.SIGTERM, lambda number, frame: stop_requested.set())
+    signal.signal(signal.SIGINT, lambda number, frame: stop_requested.set())
+    stop_requested.wait()
 
 
 @click.group()
@@ -90,7 +91,7 @@
 @click.option("--journal", type=click.Path(path_type=Path), required=True)
 @click.option("--seed", default=0, show_default=True, help="Draws which requests meet a fault.")
 def server(address: str, engine_id: str, journal: Path, seed: int) -> None:
-    """Run an engine of the users' protocol that writes down what it runs."""
+    """Run an engine of the users' protocol that writes what it runs to a journal."""
     model_engine = ModelEngine(parse_address(address), engine_id, journal, seed)
     click.echo(f"engine {engine_id} on {model_engine.address}", err=True)
     wait_for_signal()
--- a/src/troutswitch/cli/world.py
+++ b/src/troutswitch/cli/world.py
@@ -1,4 +1,4 @@
-"""Commands `simulate` and `experiment`."""
+"""Commands `simulate` and `experiment` of the standalone product, on a virtual clock."""
 
 import sys
 from pathlib import Path
--- a/src/troutswitch/hindsight/__init__.py
+++ b/src/troutswitch/hindsight/__init__.py
@@ -1,1 +1,1 @@
-"""What decisions could have reached with hindsight, worked out from daemons' logs."""
+"""Evaluations of daemons' logs: what callers saw, and what decisions could have reached at best."""
--- a/src/troutswitch/hindsight/bound.py
+++ b/src/troutswitch/hindsight/bound.py
@@ -1,10 +1,11 @@
-"""An upper bound on what any decision could have had in time, with hindsight.
-
-Assumptions, all of which make the bound larger than what can be reached: the slots of all
-listed engines are one pool (a crashed one counts until its entry is gone); nothing is lost
-or cut; online requests come first and those that cannot be in aim take no room; batch items
-use every slot that online requests leave, are stopped and resumed for nothing, and may run
-on many slots at once. Requests that were asked to come back count where they came back.
+"""An upper bound on the requests and items that any decisions could have served in time.
+
+It is worked out afterwards, from a whole `Day`. Assumptions, all of which make the bound larger
+than what can be reached: the slots of all listed engines are one pool (a crashed one counts until
+its entry is gone); nothing is lost or cut; online requests come first, and those that cannot meet
+their latency target take no slot; batch items use every slot that online requests leave, are
+stopped and resumed at no cost, and may run on many slots at once. A deferred request counts where
+it was retried.
 """
 
 import bisect
@@ -14,22 +15,22 @@
 from troutswitch.hindsight.day import BatchItem, Day, OnlineRequest, boundaries
 
 STEP_SECONDS = 0.05
-"""Step in which the room for batch items is counted."""
+"""Step in which the slots for batch items are counted."""
 WINDOW_SECONDS = 2.0
-"""Length of the windows in which online requests are told."""
+"""Length of the windows in which online requests are counted."""
 
 
 @dataclass(frozen=True, slots=True)
 class Share:
-    """Of `asked`, those in time as it was, and those that could have been at most."""
+    """Of `total`, those served in time, and those that could have been at most."""
 
-    asked: int
+    total: int
     reached: int
     possible: int
 
     @property
     def gap(self) -> int:
-        """What hindsight has more."""
+        """How many more hindsight could have served in time."""
         return max(0, self.possible - self.reached)
 
 
@@ -44,14 +45,17 @@
 
 @dataclass
 class _Pool:
-    """The slots of all engines; `runs` holds begin and end of each request that was let in."""
+    """The slots of all engines as one pool.
+
+    `runs` holds begin and end, in seconds since the epoch, of each request that got a slot.
+    """
 
     day: Day
     free_first: float
     runs: list[tuple[float, float]]
 
     def admit(self, request: OnlineRequest, busy: list[float]) -> bool:
-        """Lets a request in if a slot is free in time; `busy` are the ends of those running."""
+        """Gives a request a slot if one is free in time; `busy` holds the ends of those running."""
         while busy and busy[0] <= request.sent_at:
             heapq.heappop(busy)
         slots = self.day.slots_at(request.sent_at)
@@ -63,20 +67,23 @@
             begins = heapq.nsmallest(waiting + 1, busy)[-1]
         if begins - request.sent_at + self.free_first > request.objective:
             return False
-        heapq.heappush(busy, begins + request.held)
-        self.runs.append((begins, begins + request.held))
+        heapq.heappush(busy, begins + request.slot_seconds)
+        self.runs.append((begins, begins + request.slot_seconds))
         return True
 
 
 def bound(day: Day, free_first: float) -> Bound:
-    """Works the bound of a day out; `free_first` is the first-event time without a wait."""
+    """Returns the bound of a day.
+
+    `free_first` is the time to the first event without a wait for a slot, in seconds.
+    """
     pool = _Pool(day, free_first, [])
     busy: list[float] = []
     online = sorted(day.online, key=lambda r: r.sent_at)
     admitted = [pool.admit(request, busy) for request in online]
     work = batch_work_in_time(day, pool.runs)
     return Bound(
-        Share(len(online), sum(r.is_in_aim for r in online), sum(admitted)),
+        Share(len(online), sum(r.met_objective for r in online), sum(admitted)),
         Share(
             len(day.items),
             sum(item.is_in_time for item in day.items),
@@ -101,13 +108,13 @@
             item = waiting.pop()
             heapq.heappush(open_work, (item.due, item.work))
         running = bisect.bisect_right(begins, at) - bisect.bisect_right(ends, at)
-        room = max(0, day.slots_at(at) - running) * STEP_SECONDS
-        while open_work and room > 0:
+        capacity = max(0, day.slots_at(at) - running) * STEP_SECONDS
+        while open_work and capacity > 0:
             due, left = heapq.heappop(open_work)
             if due <= at:
                 continue
-            part = min(room, left)
-            room -= part
+            part = min(capacity, left)
+            capacity -= part
             done += part
             if left > part:
                 heapq.heappush(open_work, (due, left - part))
@@ -115,7 +122,7 @@
 
 
 def items_within(items: list[BatchItem], work: float) -> int:
-    """Returns how many items a given work suffices for at most: the shortest ones."""
+    """Returns how many items so much work, in slot-seconds, can finish: the shortest ones first."""
     count = 0
     for needed in sorted(item.work for item in items):
         work -= needed
@@ -132,7 +139,7 @@
     by_window: dict[int, list[tuple[bool, bool]]] = {}
     for request, could in zip(online, admitted, strict=True):
         window = int((request.sent_at - first) / WINDOW_SECONDS)
-        by_window.setdefault(window, []).append((request.is_in_aim, could))
+        by_window.setdefault(window, []).append((request.met_objective, could))
     return [
         (
             window * WINDOW_SECONDS,
--- a/src/troutswitch/hindsight/callers.py
+++ b/src/troutswitch/hindsight/callers.py
@@ -1,12 +1,11 @@
-"""What became of callers, counted from their first try, as far as daemons' logs tell.
+"""Counts how callers fared from their first try on, as far as daemons' logs show it.
 
 A daemon sees tries, not callers: each try has a request id of its own, and none names the
 one before it. What it does see is the time that the caller has left, which a caller that
-comes back counts on from its first try. Where the callers of a route all set out with the
-same time, a try that comes with less is one that came back, and what it lacks is its wait so
-far. Which earlier try it belongs to is not known, so shares are of counts, not of callers
-followed. On a route whose callers set out with different times even that can't be told, and
-only counts of tries are given.
+retries counts from its first try. Where the callers of a route all begin with the same time,
+a try with less is a retry, and what it lacks is the time since the first try. Which earlier
+try it belongs to is not known, so shares are of counts, not of callers followed. On a route
+whose callers begin with different times retries can't be recognised, and only tries are counted.
 """
 
 from collections import Counter
@@ -17,20 +16,20 @@
 
 from troutswitch.hindsight.log_lines import Line
 
-CAME_BACK_SECONDS = 0.1
-"""Time that a try must lack against its route's longest to have come back: the least time
-after which a refused caller is asked to return, as `RETURNED_SECONDS` of the admission."""
-SET_OUT_ALIKE_PART = 0.5
-"""Part of the tries that must come with the route's longest time, for that to be the time
-with which its callers set out: more than half can't be ones that came back."""
+RETRY_LACK_SECONDS = 0.1
+"""Time that a try must lack against its route's longest to be a retry: the least Retry-After
+that a refused caller gets, as `RETURNED_SECONDS` of the admission."""
+FIRST_TRIES_SHARE = 0.5
+"""Share of the tries that must have the route's longest time left, for that to be the time with
+which its callers begin: more than half can't be retries."""
 UNKNOWN_MILLISECONDS = 60_000
-"""Times of this length and more stand for ones that never came."""
+"""Times of this length and more stand for events that never came."""
 CALLER_LEFT_REASON = "caller went away"
 """Reason in the log of a request whose caller closed its connection."""
 
 
 class End(Enum):
-    """How a try ended at this system."""
+    """How a try ended."""
 
     ANSWERED = "answered"
     REFUSED = "refused"
@@ -41,39 +40,43 @@
 
 @dataclass(slots=True)
 class Try:
-    """One try of a caller. Times are seconds; `given` is what the caller had left."""
+    """One try of a caller. Times are seconds.
+
+    `time_left` is what the caller had left on arrival, `first` the time to the first event,
+    `spent` the time for which the try was here.
+    """
 
     route: str
     objective: float = 0.0
-    given: float = 0.0
+    time_left: float = 0.0
     first: float = float("inf")
-    held: float = 0.0
+    spent: float = 0.0
     end: End = End.UNKNOWN
 
 
 @dataclass(slots=True)
 class RouteCallers:
-    """Counts of one route's tries and, where `are_told_apart`, of its callers.
+    """Counts of one route's tries and, where `knows_retries`, of its callers.
 
-    A caller that was refused and isn't seen again counts as refused once. One that came back
-    and is answered counts by its time since the first try. `held_seconds` are those of tries
-    that were not answered, refused at once or not.
+    A caller that was refused and isn't seen again counts as refused once. One that retried
+    and is answered counts by its time since the first try. `wasted_seconds` were spent by tries
+    that were not answered.
     """
 
     route: str
-    are_told_apart: bool
+    knows_retries: bool
     tries: int = 0
     first_tries: int = 0
     answered: int = 0
-    in_aim: int = 0
+    in_time: int = 0
     late: int = 0
     refused_first: int = 0
     refused_again: int = 0
     failed: int = 0
     left: int = 0
     unknown: int = 0
-    held_seconds: float = 0.0
-    longest_held: float = 0.0
+    wasted_seconds: float = 0.0
+    longest_wasted: float = 0.0
 
     @property
     def refused(self) -> int:
@@ -82,7 +85,7 @@
 
     @property
     def refused_once(self) -> int:
-        """Callers refused at their first try that did not come back, at least 0."""
+        """Callers refused at their first try that did not retry, at least 0."""
         return max(0, self.refused_first - (self.tries - self.first_tries))
 
 
@@ -95,7 +98,7 @@
     _sent: dict[tuple[str, int], float] = field(default_factory=dict)
 
     def read(self, lines: Iterable[Line]) -> list[Try]:
-        """Reads lines in the order of time; lines without the time given are left out."""
+        """Reads lines in the order of time; those without the caller's time are left out."""
         for line in lines:
             self._take(line)
         return list(self.tries.values())
@@ -117,7 +120,7 @@
         if "client_timeout_ms" not in fields:
             return None
         found = self.tries.setdefault(str(fields["request_id"]), Try(str(fields["route"])))
-        found.given = _seconds(fields, "client_timeout_ms")
+        found.time_left = _seconds(fields, "client_timeout_ms")
         found.objective = _seconds(fields, "objective_ms")
         return found
 
@@ -139,30 +142,30 @@
             came = _seconds(fields, "first_ms" if is_stream else "total_ms")
             if is_stream or is_completed:
                 found.first = min(found.first, sent + came)
-        found.held = sent + _seconds(fields, "total_ms")
+        found.spent = sent + _seconds(fields, "total_ms")
         if is_completed:
             found.end = End.ANSWERED
 
     def _close(self, fields: dict[str, Any], end: End) -> None:
         found = self._try(fields)
         if found is not None:
-            found.held = _seconds(fields, "elapsed_ms")
+            found.spent = _seconds(fields, "elapsed_ms")
             found.end = end
 
 
 def count_callers(tries: list[Try]) -> list[RouteCallers]:
-    """Counts tries, and callers where they can be told, by route."""
+    """Counts tries by route, and callers where retries are recognised."""
     routes = sorted({made.route for made in tries})
     return [_count_route(route, [t for t in tries if t.route == route]) for route in routes]
 
 
 def _count_route(route: str, tries: list[Try]) -> RouteCallers:
-    longest = max(made.given for made in tries)
-    are_first = [made.given > longest - CAME_BACK_SECONDS for made in tries]
-    told = Counter(are_first)[True] > SET_OUT_ALIKE_PART * len(tries)
-    counted = RouteCallers(route, told, len(tries), sum(are_first))
+    longest = max(made.time_left for made in tries)
+    are_first = [made.time_left > longest - RETRY_LACK_SECONDS for made in tries]
+    knows_retries = Counter(are_first)[True] > FIRST_TRIES_SHARE * len(tries)
+    counted = RouteCallers(route, knows_retries, len(tries), sum(are_first))
     for made, is_first in zip(tries, are_first, strict=True):
-        _count_try(counted, made, is_first, longest - made.given if told else 0.0)
+        _count_try(counted, made, is_first, longest - made.time_left if knows_retries else 0.0)
     return counted
 
 
@@ -170,9 +173,9 @@
     match made.end:
         case End.ANSWERED:
             counted.answered += 1
-            is_in_aim = waited + made.first <= made.objective
-            counted.in_aim += is_in_aim
-            counted.late += not is_in_aim
+            is_in_time = waited + made.first <= made.objective
+            counted.in_time += is_in_time
+            counted.late += not is_in_time
             return
         case End.REFUSED if is_first:
             counted.refused_first += 1
@@ -185,8 +188,8 @@
         case End.UNKNOWN:
             counted.unknown += 1
             return
-    counted.held_seconds += made.held
-    counted.longest_held = max(counted.longest_held, made.held)
+    counted.wasted_seconds += made.spent
+    counted.longest_wasted = max(counted.longest_wasted, made.spent)
 
 
 def _end_of(fields: dict[str, Any]) -> End:
--- a/src/troutswitch/hindsight/day.py
+++ b/src/troutswitch/hindsight/day.py
@@ -1,4 +1,8 @@
-"""What the logs of one stretch of time tell of requests, items and slots."""
+"""Reads requests, batch items and slots of a stretch of time from daemons' log lines.
+
+It relies on the log events of the decisions by name and field; a line without a field that it
+needs is left out or read as unknown.
+"""
 
 import bisect
 import itertools
@@ -9,29 +13,29 @@
 from troutswitch.hindsight.log_lines import Line
 
 FREE_FIRST_RANK = 0.1
-"""Rank among first-event times, from 0 to 1, that is taken for one without a wait."""
+"""Rank among the times to the first event, from 0 to 1, of one taken to have not waited."""
 UNKNOWN_MILLISECONDS = 60_000
-"""Times of this length and more stand for ones that never came."""
+"""Times of this length and more stand for events that never came."""
 
 
 @dataclass(slots=True)
 class OnlineRequest:
     """An online request that was sent to an engine. Times are seconds.
 
-    `first` is the wait for the first event as it was, infinite if none came; `held` the
-    time for which the request had its slot, 0 if it is not known. Answers without events
-    hold no slot for long and are left out.
+    `first` is the time to the first event, infinite if none came; `slot_seconds` the time for
+    which the request had its slot, 0 if unknown. Answers without events have a slot for a short
+    time only, and are left out.
     """
 
     sent_at: float
     objective: float
     first: float = float("inf")
-    held: float = 0.0
+    slot_seconds: float = 0.0
     is_stream: bool = True
 
     @property
-    def is_in_aim(self) -> bool:
-        """Whether the first event came inside the objective."""
+    def met_objective(self) -> bool:
+        """Whether the first event came within the latency target."""
         return self.first <= self.objective
 
 
@@ -52,7 +56,11 @@
 
 @dataclass
 class Day:
-    """All that the bound is worked out from. `slots` holds times and the slots since then."""
+    """All from which the bound is worked out.
+
+    `slots` holds times, in seconds since the epoch, and the slots of all engines since then.
+    `deferred` counts requests that were asked to retry later.
+    """
 
     online: list[OnlineRequest] = field(default_factory=list)
     items: list[BatchItem] = field(default_factory=list)
@@ -60,7 +68,7 @@
     deferred: int = 0
 
     def slots_at(self, at: float) -> int:
-        """Returns the slots of all listed engines at a time; the first word holds before it."""
+        """Returns the slots of all listed engines at a time; before the first line, as in it."""
         if not self.slots:
             return 0
         place = bisect.bisect_right(self.slots, (at, 1 << 31)) - 1
@@ -127,7 +135,7 @@
             request.is_stream = False
         request.first = first / 1000
         if line.fields.get("kind") == "completed":
-            request.held = int(line.fields.get("total_ms", 0)) / 1000
+            request.slot_seconds = int(line.fields.get("total_ms", 0)) / 1000
 
     def _item(self, line: Line) -> BatchItem:
         item_id = str(line.fields["item_id"])
@@ -140,7 +148,7 @@
             self._item(line).work += line.seconds - started
 
     def _finish(self) -> None:
-        """Gives items the times of their jobs, and requests the time that they held a slot."""
+        """Completes items with the times of their jobs, and requests with their time in a slot."""
         for item_id, item in self._items.items():
             accepted, due, _ = self._jobs.get(self._item_jobs[item_id], (None, None, 0))
             if accepted is not None and due is not None:
@@ -156,25 +164,25 @@
         self._finish_online()
 
     def _finish_work(self) -> None:
-        """Takes an item that was not finished for one that needs as much as others did."""
+        """Assumes for each unfinished item the mean work of the finished ones."""
         listed = [item.work for item in self.day.items if item.listed_at != float("inf")]
-        usual = mean(listed or [0.0])
+        mean_work = mean(listed or [0.0])
         for item in self.day.items:
             if item.listed_at == float("inf"):
-                item.work = max(item.work, usual)
+                item.work = max(item.work, mean_work)
 
     def _finish_online(self) -> None:
         self.day.online = [request for request in self.day.online if request.is_stream]
         free_first = self.free_first()
         for request in self.day.online:
-            if request.held:
-                request.held -= max(0.0, request.first - free_first)
-        usual = mean([r.held for r in self.day.online if r.held] or [0.0])
+            if request.slot_seconds:
+                request.slot_seconds -= max(0.0, request.first - free_first)
+        mean_seconds = mean([r.slot_seconds for r in self.day.online if r.slot_seconds] or [0.0])
         for request in self.day.online:
-            request.held = request.held or usual
+            request.slot_seconds = request.slot_seconds or mean_seconds
 
     def free_first(self) -> float:
-        """Returns the time to the first event where nothing waits, in seconds."""
+        """Returns the time to the first event without a wait for a slot, in seconds."""
         came = sorted(r.first for r in self.day.online if r.first != float("inf"))
         return came[int(len(came) * FREE_FIRST_RANK)] if came else 0.0
 
@@ -182,7 +190,7 @@
 def boundaries(day: Day, step: float) -> list[float]:
     """Returns the times that cut the day, from its first arrival on, into equal steps."""
     starts = [r.sent_at for r in day.online] + [i.accepted_at for i in day.items]
-    ends = [r.sent_at + r.held for r in day.online] + [i.due for i in day.items]
+    ends = [r.sent_at + r.slot_seconds for r in day.online] + [i.due for i in day.items]
     ends = [end for end in ends if end != float("inf")]
     if not starts or not ends:
         return []
--- a/src/troutswitch/hindsight/log_lines.py
+++ b/src/troutswitch/hindsight/log_lines.py
@@ -1,4 +1,7 @@
-"""Reads log lines of daemons: JSON, with anything before the first brace."""
+"""Reads log lines of daemons: JSON objects, with any prefix before the first brace.
+
+It owns the order of the lines of several daemons, which is that of their times.
+"""
 
 import json
 from collections.abc import Iterable
@@ -9,7 +12,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Line:
-    """One log line; `order` is its place where times are equal."""
+    """One log line.
+
+    `time` is as written, in ISO 8601; `order` is the line's place among those of equal times.
+    """
 
     time: str
     order: int
@@ -29,30 +35,30 @@
 
 @dataclass
 class LogLines:
-    """Lines in the order of time, and how many could not be read."""
+    """Lines in the order of time, and the count of those that could not be read."""
 
     lines: list[Line] = field(default_factory=list)
     bad_lines: int = 0
 
 
 def read_lines(texts: Iterable[str]) -> LogLines:
-    """Reads lines; those that are no JSON objects are counted, empty ones are not."""
-    held = LogLines()
+    """Reads lines; those without a JSON object are counted as bad, empty ones are left out."""
+    result = LogLines()
     for order, text in enumerate(texts):
         start = text.find("{")
         if start < 0:
-            held.bad_lines += bool(text.strip())
+            result.bad_lines += bool(text.strip())
             continue
         try:
             fields = json.loads(text[start:])
         except ValueError:
-            held.bad_lines += 1
+            result.bad_lines += 1
             continue
         time = str(fields.get("timestamp", ""))
         daemon, event = str(fields.get("daemon", "?")), str(fields.get("event", "?"))
-        held.lines.append(Line(time, order, daemon, event, fields))
-    held.lines.sort(key=lambda line: (_sortable(line.time), line.order))
-    return held
+        result.lines.append(Line(time, order, daemon, event, fields))
+    result.lines.sort(key=lambda line: (_sortable(line.time), line.order))
+    return result
 
 
 def _sortable(time: str) -> str:
--- a/tests/hindsight/test_bound.py
+++ b/tests/hindsight/test_bound.py
@@ -50,7 +50,7 @@
     rows += online(1, 1.0, 100, 1000) + online(2, 1.0, 100, 1000)
     rows += online(3, 2.5, 800, 1700)  # both slots were free again
     found = work_out(*rows)
-    assert (found.online.asked, found.online.reached, found.online.possible) == (3, 2, 3)
+    assert (found.online.total, found.online.reached, found.online.possible) == (3, 2, 3)
     assert found.online.gap == 1
 
 
@@ -78,13 +78,13 @@
     rows = [line(0, "engines changed", slots=2)]
     rows += online(1, 1.0, 3, 3) + online(2, 2.0, 100, 1000)
     rows[2] = rows[2].replace('"position": "31"', '"position": ""')
-    assert work_out(*rows).online.asked == 1
+    assert work_out(*rows).online.total == 1
 
 
 def test_a_deferral_counts_where_it_came_back() -> None:
     rows = [line(0, "engines changed", slots=2), line(1, "request deferred", request_id="x")]
     rows += online(1, 2.0, 100, 1000)
-    assert work_out(*rows).online.asked == 1
+    assert work_out(*rows).online.total == 1
 
 
 def batch(items: int, done: int, due_ms: int, run_ms: int) -> list[str]:
@@ -101,7 +101,7 @@
 
 def test_items_for_which_there_was_room_are_a_gap() -> None:
     found = work_out(*batch(items=5, done=2, due_ms=9000, run_ms=2000))
-    assert (found.batch.asked, found.batch.reached, found.batch.possible) == (5, 2, 4)
+    assert (found.batch.total, found.batch.reached, found.batch.possible) == (5, 2, 4)
 
 
 def test_online_requests_take_room_from_items() -> None:
@@ -115,18 +115,18 @@
     rows = batch(items=2, done=2, due_ms=9000, run_ms=4000)
     rows[1] = rows[1].replace('"items": 2', '"items": 5')
     found = work_out(*rows)
-    assert (found.batch.asked, found.batch.possible) == (5, 2)
+    assert (found.batch.total, found.batch.possible) == (5, 2)
 
 
 def test_a_job_of_which_nothing_started_counts() -> None:
     rows = [line(0, "engines changed", slots=1)]
     rows.append(line(1, "job submission ended", job_id="j", items=3, status=202, due_ms=1000))
-    assert work_out(*rows).batch.asked == 3
+    assert work_out(*rows).batch.total == 3
 
 
 def test_an_empty_log_has_no_bound() -> None:
     found = work_out()
-    assert (found.online.asked, found.batch.possible, found.windows) == (0, 0, [])
+    assert (found.online.total, found.batch.possible, found.windows) == (0, 0, [])
 
 
 @DETERMINISTIC
@@ -140,7 +140,7 @@
 ) -> None:
     def found(count: int) -> Bound:
         day = Day(
-            [OnlineRequest(at, 0.3, held=1.0) for at, _ in requests],
+            [OnlineRequest(at, 0.3, slot_seconds=1.0) for at, _ in requests],
             [BatchItem(at, at + due, work) for at, due, work in items],
             [(0.0, count)],
         )
--- a/tests/hindsight/test_callers.py
+++ b/tests/hindsight/test_callers.py
@@ -53,20 +53,20 @@
 
 def test_an_answer_in_aim_counts_from_arrival_over_all_attempts() -> None:
     found = count(sent("a"), ended("a", 250), sent("b", elapsed_ms=100), ended("b", 250))
-    assert (found.first_tries, found.in_aim, found.late) == (2, 1, 1)
+    assert (found.first_tries, found.in_time, found.late) == (2, 1, 1)
     again = [sent("a"), ended("a", 3_600_000, kind="refused")]
     again += [sent("a", elapsed_ms=100, attempt=2), ended("a", 250, attempt=2)]
-    assert (count(*again).in_aim, count(*again).late) == (0, 1)
+    assert (count(*again).in_time, count(*again).late) == (0, 1)
 
 
 def test_a_success_after_a_refusal_is_late_by_the_time_since_the_first_try() -> None:
     rows = [closed("a", "request deferred"), sent("b", client_timeout_ms=4000), ended("b", 100)]
     found = count(*rows, sent("c"), ended("c", 100))
     assert (found.tries, found.first_tries) == (3, 2)
-    assert (found.in_aim, found.late, found.refused_once, found.refused_again) == (1, 1, 0, 0)
+    assert (found.in_time, found.late, found.refused_once, found.refused_again) == (1, 1, 0, 0)
 
 
-def test_refused_once_and_twice_are_told_apart_by_the_time_left() -> None:
+def test_refused_once_and_twice_knows_retries_by_the_time_left() -> None:
     rows = [closed("a", "request deferred"), closed("b", "request deferred"), sent("c"), sent("d")]
     rows += [
         closed("e", "request given up", client_timeout_ms=3800, outcome="NotRun", reason="full")
@@ -80,7 +80,7 @@
     rows += [closed("b", "request given up", outcome="NotRun", reason="full", elapsed_ms=100)]
     found = count(*rows)
     assert (found.failed, found.refused_first) == (1, 1)
-    assert (found.held_seconds, found.longest_held) == (5.0, 4.9)
+    assert (found.wasted_seconds, found.longest_wasted) == (5.0, 4.9)
 
 
 def test_a_caller_that_left_is_neither_refused_nor_failed() -> None:
@@ -99,8 +99,8 @@
 def test_callers_that_set_out_with_different_times_are_not_told_apart() -> None:
     rows = [row for n in range(9) for row in (sent(f"{n}", 1000 + 500 * n), ended(f"{n}", 100))]
     found = count(*rows, closed("x", "request deferred", 1200))
-    assert not found.are_told_apart
-    assert (found.in_aim, found.late, found.refused) == (9, 0, 1)
+    assert not found.knows_retries
+    assert (found.in_time, found.late, found.refused) == (9, 0, 1)
 
 
 def test_the_command_says_what_it_can_tell(tmp_path: Path) -> None:
