--- a/src/troutswitch/cli/ctl.py
+++ b/src/troutswitch/cli/ctl.py
@@ -15,7 +15,6 @@
 from troutswitch.cli.standin import parse_address
 from troutswitch.clock import steady_seconds
 from troutswitch.common import Address
-from troutswitch.runtime.http import HttpError, ThreadLocalConnections
 from troutswitch.standalone.decisions.configuration.declarations import (
     DeclarationError,
     changes_between,
@@ -23,6 +22,7 @@
 )
 from troutswitch.standalone.decisions.configuration.tree import ConfigurationTree, place_of
 from troutswitch.standalone.log_service.records import ConfigurationChange
+from troutswitch.standalone.runtime.http_client import HttpError, ThreadLocalConnections
 
 CALL_SECONDS = 40.0
 WAIT_POLL_SECONDS = 0.2
--- a/src/troutswitch/standalone/callers/batch_app.py
+++ b/src/troutswitch/standalone/callers/batch_app.py
@@ -1,10 +1,6 @@
 """WSGI application for batch callers: submit, status, results and cancellation."""
 
-from troutswitch.runtime.http import (
-    Request,
-    Response,
-    json_response,
-)
+from troutswitch.runtime.http import Response
 from troutswitch.standalone.callers.context import CallApplication
 from troutswitch.standalone.callers.errors import bad_request, refused_call
 from troutswitch.standalone.callers.parsing import (
@@ -29,6 +25,7 @@
     JobSubmitted,
 )
 from troutswitch.standalone.log_service.records import content_digest
+from troutswitch.standalone.runtime.http_requests import Request, json_response
 
 DEFAULT_WINDOW = "24h"
 JSON_LINES_TYPE = "application/jsonl"
--- a/src/troutswitch/standalone/callers/context.py
+++ b/src/troutswitch/standalone/callers/context.py
@@ -8,13 +8,14 @@
 
 from troutswitch.decisions.tenants.types import key_digest
 from troutswitch.outcomes import Step
-from troutswitch.runtime.http import Environ, Request, Response, StartResponse, send
+from troutswitch.runtime.http import Environ, Response, StartResponse, send
 from troutswitch.standalone.callers.errors import bad_request
 from troutswitch.standalone.callers.parsing import BadInput
 from troutswitch.standalone.decisions.effects import CallAnswer, CallRefused
 from troutswitch.standalone.decisions.events import Event
 from troutswitch.standalone.decisions.views import Directory
 from troutswitch.standalone.runtime.effects import EffectRunner
+from troutswitch.standalone.runtime.http_requests import Request
 
 
 class CallApplication:
--- a/src/troutswitch/standalone/callers/errors.py
+++ b/src/troutswitch/standalone/callers/errors.py
@@ -3,8 +3,9 @@
 import math
 
 from troutswitch.outcomes import Completed, Cut, MayHaveRun, NotRun, OnlineOutcome, Step
-from troutswitch.runtime.http import Response, json_response
+from troutswitch.runtime.http import Response
 from troutswitch.standalone.decisions.effects import CallRefused
+from troutswitch.standalone.runtime.http_requests import json_response
 
 _TYPES = {
     400: "invalid_request_error",
--- a/src/troutswitch/standalone/callers/online_app.py
+++ b/src/troutswitch/standalone/callers/online_app.py
@@ -6,16 +6,7 @@
 from prometheus_client import CollectorRegistry, generate_latest
 
 from troutswitch.outcomes import Completed, OnlineOutcome
-from troutswitch.runtime.http import (
-    EVENT_STREAM_TYPE,
-    Environ,
-    Request,
-    Response,
-    StartResponse,
-    json_response,
-    send,
-    status_line,
-)
+from troutswitch.runtime.http import Environ, Response, StartResponse, send, status_line
 from troutswitch.standalone.callers.context import CallerContext
 from troutswitch.standalone.callers.errors import bad_request, failed_request
 from troutswitch.standalone.callers.parsing import (
@@ -27,6 +18,7 @@
 )
 from troutswitch.standalone.callers.relay import OnlineWork, Relay
 from troutswitch.standalone.decisions.events import OnlineArrived
+from troutswitch.standalone.runtime.http_requests import EVENT_STREAM_TYPE, Request, json_response
 
 REQUEST_SECONDS = 120.0
 NOT_REPEATABLE = "no"
--- a/src/troutswitch/standalone/engines/client.py
+++ b/src/troutswitch/standalone/engines/client.py
@@ -11,7 +11,6 @@
 
 from troutswitch.common import Address
 from troutswitch.outcomes import AttemptKind
-from troutswitch.runtime.http import HttpError, ThreadLocalConnections
 from troutswitch.standalone.decisions.events import EngineLoad
 from troutswitch.standalone.engines.assembler import BrokenStream
 from troutswitch.standalone.engines.protocol import (
@@ -22,6 +21,7 @@
     Piece,
     Refusal,
 )
+from troutswitch.standalone.runtime.http_client import HttpError, ThreadLocalConnections
 
 CONNECT_TIMEOUT_SECONDS = 1.0
 LOAD_TIMEOUT_SECONDS = 1.0
--- a/src/troutswitch/standalone/log_service/client.py
+++ b/src/troutswitch/standalone/log_service/client.py
@@ -10,7 +10,8 @@
 import cbor2
 
 from troutswitch.common import Address
-from troutswitch.runtime.http import CBOR_TYPE, HttpError, ThreadLocalConnections
+from troutswitch.standalone.runtime.http_client import HttpError, ThreadLocalConnections
+from troutswitch.standalone.runtime.http_requests import CBOR_TYPE
 
 LOG_TIMEOUT_SECONDS = 3.0
 
--- a/src/troutswitch/standalone/machine_list/client.py
+++ b/src/troutswitch/standalone/machine_list/client.py
@@ -7,8 +7,8 @@
 import msgspec
 
 from troutswitch.common import Address
-from troutswitch.runtime.http import HttpError, ThreadLocalConnections
 from troutswitch.standalone.decisions.events import Machine
+from troutswitch.standalone.runtime.http_client import HttpError, ThreadLocalConnections
 
 MACHINE_LIST_TIMEOUT_SECONDS = 3.0
 
--- a/src/troutswitch/standalone/operators/app.py
+++ b/src/troutswitch/standalone/operators/app.py
@@ -2,11 +2,7 @@
 
 import msgspec
 
-from troutswitch.runtime.http import (
-    Request,
-    Response,
-    json_response,
-)
+from troutswitch.runtime.http import Response
 from troutswitch.standalone.callers.context import ANONYMOUS_TENANT, CallApplication
 from troutswitch.standalone.callers.errors import bad_request, refused_call
 from troutswitch.standalone.callers.parsing import BadInput
@@ -21,6 +17,7 @@
     TreeAsked,
 )
 from troutswitch.standalone.log_service.records import ConfigurationChange
+from troutswitch.standalone.runtime.http_requests import Request, json_response
 
 HISTORY_LIMIT = 100
 JOBS_PATH = "/jobs/"
--- /dev/null
+++ b/src/troutswitch/standalone/runtime/http_client.py
@@ -0,0 +1,62 @@
+"""HTTP calls over connections that each thread reuses by itself."""
+
+import http.client
+import threading
+
+from troutswitch.common import Address
+from troutswitch.runtime.http import JSON_TYPE
+
+
+class HttpError(Exception):
+    """A call without an answer; `was_sent` says whether it may have run."""
+
+    def __init__(self, reason: str, was_sent: bool) -> None:
+        super().__init__(reason)
+        self.was_sent = was_sent
+
+
+class ThreadLocalConnections:
+    """Connections that are reused, a set for each thread."""
+
+    def __init__(self, timeout_seconds: float) -> None:
+        self._timeout = timeout_seconds
+        self._local = threading.local()
+
+    def call(
+        self,
+        address: Address,
+        method: str,
+        path: str,
+        body: bytes | None = None,
+        content_type: str = JSON_TYPE,
+    ) -> tuple[int, bytes]:
+        """Makes a call and returns status and body.
+
+        Raises:
+            HttpError: no answer came; `was_sent` is False only if no connection was made.
+        """
+        connection = self._connection(address)
+        headers = {"Content-Type": content_type} if body is not None else {}
+        was_sent = connection.sock is not None
+        try:
+            if connection.sock is None:
+                connection.connect()
+            was_sent = True
+            connection.request(method, path, body, headers)
+            response = connection.getresponse()
+            return response.status, response.read()
+        except (OSError, http.client.HTTPException) as error:
+            connection.close()
+            raise HttpError(f"{type(error).__name__}: {error}", was_sent) from error
+
+    def _connection(self, address: Address) -> http.client.HTTPConnection:
+        connections: dict[Address, http.client.HTTPConnection] | None
+        connections = getattr(self._local, "connections", None)
+        if connections is None:
+            connections = {}
+            self._local.connections = connections
+        if address not in connections:
+            connections[address] = http.client.HTTPConnection(
+                address.host, address.port, timeout=self._timeout
+            )
+        return connections[address]
--- /dev/null
+++ b/src/troutswitch/standalone/runtime/http_server.py
@@ -0,0 +1,104 @@
+"""An HTTP server that answers all requests that it has read before it stops.
+
+It owns its port, connections and threads; it relies on the application to refuse new requests
+before the stop.
+"""
+
+import contextlib
+import select
+import socket
+import threading
+import time
+
+import waitress.server
+
+from troutswitch.clock import steady_seconds
+from troutswitch.common import Address
+from troutswitch.runtime.http import WsgiApplication
+
+BODY_BYTES_MOST = 64 * 1024 * 1024
+"""Longest request body that is read."""
+ANSWER_SECONDS = 1.0
+"""Longest wait at the end for requests in progress: a daemon has refused new ones for a second by
+then, and a refusal takes milliseconds."""
+QUIET_SECONDS = 0.1
+"""Time without a request in progress after which none is on its way from the socket any more."""
+POLL_SECONDS = 0.01
+"""Interval between checks whether requests are in progress."""
+THREAD_STACK_BYTES = 256 * 1024
+"""Small, as a thread that relays needs little."""
+IDLE_CONNECTIONS_MOST = 200
+"""Connections that may be open beside those that threads serve."""
+CONNECTION_IDLE_SECONDS = 60
+CLEANUP_SECONDS = 5
+"""Interval between checks for idle connections."""
+
+
+class HttpServer:
+    """A waitress server with its own threads."""
+
+    def __init__(
+        self, application: WsgiApplication, address: Address, threads: int, name: str
+    ) -> None:
+        threading.stack_size(THREAD_STACK_BYTES)
+        self._server = waitress.server.create_server(
+            application,
+            host=address.host,
+            port=address.port,
+            threads=threads,
+            asyncore_use_poll=True,
+            connection_limit=threads + IDLE_CONNECTIONS_MOST,
+            channel_timeout=CONNECTION_IDLE_SECONDS,
+            cleanup_interval=CLEANUP_SECONDS,
+            max_request_body_size=BODY_BYTES_MOST,
+            ident="troutswitch",
+            clear_untrusted_proxy_headers=True,
+        )
+        self.address = Address(address.host, int(self._server.effective_port))
+        self._thread = threading.Thread(target=self._run, name=name, daemon=True)
+
+    def start(self) -> None:
+        """Starts serving."""
+        self._thread.start()
+
+    def _run(self) -> None:
+        try:
+            self._server.run()
+        except OSError:
+            return  # the listening socket was closed by `stop`
+
+    def stop(self) -> None:
+        """Takes no more connections, answers what was read, and closes.
+
+        Guards against a request that comes at the very end: where the threads ended first, one
+        that waited for a thread was cancelled, and its caller saw a close without an answer.
+        """
+        self._wait_until_accepted()
+        self._server.del_channel()
+        with contextlib.suppress(OSError):
+            self._server.socket.shutdown(socket.SHUT_RDWR)  # also while its thread polls it
+        self._server.socket.close()
+        self._wait_until_answered()
+        self._server.task_dispatcher.shutdown(timeout=1)
+        self._server.close()
+
+    def _wait_until_accepted(self) -> None:
+        """Waits until no connection waits to be accepted; closing the listener resets those."""
+        until = steady_seconds() + ANSWER_SECONDS
+        poller = select.poll()
+        poller.register(self._server.socket, select.POLLIN)
+        while poller.poll(0) and steady_seconds() < until:
+            time.sleep(POLL_SECONDS)
+
+    def _wait_until_answered(self) -> None:
+        """Waits until nothing was in progress for a moment, and not for long."""
+        until = steady_seconds() + ANSWER_SECONDS
+        quiet_since = steady_seconds()
+        while steady_seconds() < min(until, quiet_since + QUIET_SECONDS):
+            if self._is_answering():
+                quiet_since = steady_seconds()
+            time.sleep(POLL_SECONDS)
+
+    def _is_answering(self) -> bool:
+        channels = list(self._server.active_channels.values())
+        return any(channel.requests or channel.total_outbufs_len for channel in channels)
--- a/src/troutswitch/standalone/runtime/server.py
+++ b/src/troutswitch/standalone/runtime/server.py
@@ -6,7 +6,6 @@
 import structlog
 
 from troutswitch.common import Address
-from troutswitch.runtime.http import HttpServer
 from troutswitch.standalone.callers.batch_app import BatchApplication
 from troutswitch.standalone.callers.context import CallerContext
 from troutswitch.standalone.callers.online_app import OnlineApplication
@@ -17,6 +16,7 @@
 from troutswitch.standalone.machine_list.client import MachineListClient
 from troutswitch.standalone.operators.app import OperatorApplication
 from troutswitch.standalone.runtime.effects import EffectRunner
+from troutswitch.standalone.runtime.http_server import HttpServer
 from troutswitch.standalone.runtime.loop import Clock, Loop, PeerSocket
 from troutswitch.standalone.runtime.metrics import DaemonMetrics
 from troutswitch.standalone.runtime.settings import DaemonSettings
--- a/src/troutswitch/standalone/standins/demonstration.py
+++ b/src/troutswitch/standalone/standins/demonstration.py
@@ -9,8 +9,8 @@
 import structlog
 
 from troutswitch.common import Address
-from troutswitch.runtime.http import HttpError, ThreadLocalConnections
 from troutswitch.standalone.decisions.events import Machine
+from troutswitch.standalone.runtime.http_client import HttpError, ThreadLocalConnections
 from troutswitch.standalone.runtime.server import DaemonServer
 from troutswitch.standalone.runtime.settings import DaemonSettings
 from troutswitch.standalone.standins.engine import EngineStandin
--- a/src/troutswitch/standalone/standins/engine.py
+++ b/src/troutswitch/standalone/standins/engine.py
@@ -13,16 +13,7 @@
 import msgspec
 
 from troutswitch.common import Address, stable_hash
-from troutswitch.runtime.http import (
-    EVENT_STREAM_TYPE,
-    HttpServer,
-    Request,
-    Response,
-    StartResponse,
-    json_response,
-    send,
-    status_line,
-)
+from troutswitch.runtime.http import Response, StartResponse, send, status_line
 from troutswitch.standalone.engines.protocol import (
     LEAVING_HEADER,
     LEAVING_NO,
@@ -33,6 +24,8 @@
     Piece,
     Refusal,
 )
+from troutswitch.standalone.runtime.http_requests import EVENT_STREAM_TYPE, Request, json_response
+from troutswitch.standalone.runtime.http_server import HttpServer
 from troutswitch.standalone.standins.engine_model import EngineModel, EngineShape
 from troutswitch.standalone.standins.faults import FaultPlan, FaultSwitch
 
--- a/src/troutswitch/standalone/standins/platform.py
+++ b/src/troutswitch/standalone/standins/platform.py
@@ -7,16 +7,10 @@
 import msgspec
 
 from troutswitch.common import Address
-from troutswitch.runtime.http import (
-    CBOR_TYPE,
-    HttpServer,
-    Request,
-    Response,
-    StartResponse,
-    json_response,
-    send,
-)
+from troutswitch.runtime.http import Response, StartResponse, send
 from troutswitch.standalone.machine_list.client import MachineRow, machine_from_row, machine_to_row
+from troutswitch.standalone.runtime.http_requests import CBOR_TYPE, Request, json_response
+from troutswitch.standalone.runtime.http_server import HttpServer
 from troutswitch.standalone.standins.faults import FaultPlan, FaultSwitch
 from troutswitch.standalone.standins.stores import LogStore, MachineListStore
 
--- a/tests/runtime/test_http.py
+++ b/tests/standalone/runtime/test_http_server.py
@@ -11,7 +11,8 @@
 from collections.abc import Iterable
 
 from troutswitch.common import Address
-from troutswitch.runtime.http import Environ, HttpServer, Response, StartResponse, send
+from troutswitch.runtime.http import Environ, Response, StartResponse, send
+from troutswitch.standalone.runtime.http_server import HttpServer
 
 PATIENCE_SECONDS = 30.0
 
