--- a/src/troutswitch/decisions/engine_membership.py
+++ b/src/troutswitch/decisions/engine_membership.py
@@ -1,8 +1,8 @@
 """Which engines this daemon knows: the list in the store, peers' lists and drain notices.
 
 Owns the newest list as it was read, which peers may ask for. Relies on `EngineListReader` for the
-reads, on `EngineRegistry` to decide which engines are used, and tells the crash suspects and the
-drain notices what a list shows.
+reads, on `EngineRegistry` to decide which engines are used, and passes what a list shows to the
+crash suspects and the drain notices.
 """
 
 from troutswitch.daemons.messages import EngineDrainNotice
--- a/src/troutswitch/decisions/policies.py
+++ b/src/troutswitch/decisions/policies.py
@@ -1,16 +1,16 @@
-"""Names of the policies in force. docs/OPERATIONS.md tells what each does."""
+"""Names of the policies in force. docs/OPERATIONS.md describes each."""
 
 from dataclasses import dataclass, field
 
 PLACES = ("coordinators", "own_counts")
-"""Ways to find a place for an online request."""
+"""Ways to assign a slot to an online request."""
 QUOTAS = ("asked", "leased", "equal_shares")
 """Ways to keep quotas over all daemons."""
 
 
 @dataclass(frozen=True, slots=True)
 class BatchPolicies:
-    """Policies for batch items: their order, and their room beside online requests."""
+    """Policies for batch items: their order, and their slots beside online requests."""
 
     items: str = "most_in_time"
     room: str = "slots"
@@ -20,9 +20,9 @@
 class Policies:
     """All policies of a daemon.
 
-    `places` says who finds a place for an online request: `coordinators`, or each daemon by
-    its `own_counts`, which holds no more than it holds itself and what coordinators tell. `quota`
-    says how the quotas of tenants are kept over all daemons.
+    `places` says who assigns a slot to an online request: `coordinators`, or each daemon from
+    its `own_counts`, which are its own requests and the coordinators' last digests. `quota` says
+    how the quotas of tenants are kept over all daemons.
     """
 
     places: str = "coordinators"
--- a/src/troutswitch/gateway/callers/job_calls.py
+++ b/src/troutswitch/gateway/callers/job_calls.py
@@ -34,7 +34,7 @@
     """Calls in progress between callers' threads and the loop.
 
     Args:
-        routes: tells which requests submit a job.
+        routes: say which requests submit a job.
         post: hands an event to the loop.
     """
 
--- a/src/troutswitch/gateway/callers/relay.py
+++ b/src/troutswitch/gateway/callers/relay.py
@@ -1,7 +1,7 @@
 """Relays one forwarded request between its caller and engines, on the caller's thread.
 
 It owns the request's body, the attempt in progress and what was delivered. The loop decides: it
-gives the directives, each to make an attempt or to finish, and is told of each step by an event.
+gives the directives, each to make an attempt or to finish, and gets an event for each step.
 """
 
 from collections.abc import Callable, Iterator
--- a/src/troutswitch/gateway/engines/connection_pool.py
+++ b/src/troutswitch/gateway/engines/connection_pool.py
@@ -24,7 +24,7 @@
     """Idle connections by engine id.
 
     Args:
-        on_suspects_closed: told an engine's id and how many of its connections were closed
+        on_suspects_closed: called with an engine's id and how many of its connections were closed
             because another one had fallen silent.
     """
 
--- a/src/troutswitch/gateway/engines/item_runs.py
+++ b/src/troutswitch/gateway/engines/item_runs.py
@@ -65,7 +65,7 @@
         self._executor = ThreadPoolExecutor(ITEM_THREADS, "items")
 
     def start(self, instruction: RunItem) -> None:
-        """Starts a run; an `ItemRunEnded` tells its end."""
+        """Starts a run; its end is posted as `ItemRunEnded`."""
         try:
             self._executor.submit(self._run, instruction)
         except RuntimeError:
--- a/src/troutswitch/gateway/loop.py
+++ b/src/troutswitch/gateway/loop.py
@@ -30,7 +30,7 @@
     Args:
         events: the queue of events, to which any thread may add.
         carry_out: carries an instruction out; called on the loop's thread, must not block.
-        on_failure: told of an error that ended the loop.
+        on_failure: called with the error that ended the loop.
     """
 
     def __init__(
@@ -83,7 +83,7 @@
         self._compare_clocks(steady_seconds())
 
     def _check_suspension(self, due: float) -> None:
-        """Tells the core before any queued event if this process did not run for a while.
+        """Informs the core before any queued event if this process did not run for a while.
 
         Queued events are of the time before. Leases and deadlines that ended meanwhile must be
         over before these are acted on.
--- a/src/troutswitch/platform/requests.py
+++ b/src/troutswitch/platform/requests.py
@@ -48,7 +48,7 @@
     """The head of an engine's answer.
 
     `not_run` says that the engine did not run the request; `load` is the engine's at the time of
-    the answer, None if it told none. `retry_after` is in seconds.
+    the answer, None if it gave none. `retry_after` is in seconds.
     """
 
     status: int
--- a/src/troutswitch/platform/store.py
+++ b/src/troutswitch/platform/store.py
@@ -121,7 +121,7 @@
     """Calls to the store over a pool of connections; safe for many threads.
 
     Args:
-        on_suspects_closed: told how many connections were closed since another fell silent.
+        on_suspects_closed: called with how many connections were closed since another fell silent.
     """
 
     def __init__(
--- a/src/troutswitch/runtime/channels.py
+++ b/src/troutswitch/runtime/channels.py
@@ -1,4 +1,4 @@
-"""Hands decisions from the loop's thread to the threads that wait for them."""
+"""A channel on which one thread passes items to another that waits for them."""
 
 import threading
 from concurrent.futures import Future
--- a/src/troutswitch/runtime/connection_pool.py
+++ b/src/troutswitch/runtime/connection_pool.py
@@ -72,7 +72,7 @@
 
     Args:
         address: the peer's.
-        on_suspects_closed: told how many connections were closed since another fell silent.
+        on_suspects_closed: called with how many connections were closed since another fell silent.
     """
 
     def __init__(
