--- a/src/troutswitch/decisions/jobs/batch_capacity.py
+++ b/src/troutswitch/decisions/jobs/batch_capacity.py
@@ -10,8 +10,8 @@
 
 Why: engines know no priorities and admit in the order of arrival, so an online request finds a
 slot only if items leave one or stop at once. To stop an item takes milliseconds, and it resumes
-after its last whole event, so a reserve costs more than it saves. Measured in docs/POLICY.md,
-"Rounds" and "Ablation".
+after its last whole event, so a reserve of slots cost more than it saved where this was measured:
+docs/POLICY.md, "Rounds" (1, 4 and 12b) and "Ablation".
 """
 
 import random
--- a/src/troutswitch/decisions/jobs/dispatcher.py
+++ b/src/troutswitch/decisions/jobs/dispatcher.py
@@ -10,7 +10,7 @@
 
 Why: without a grant several daemons would fill the same slot. So that batch work goes on when a
 coordinator is lost, each daemon then takes a part of the slots that is in proportion to its open
-items. Measured in docs/POLICY.md, "Rounds" and "Rounds with coordinators of slots".
+items. Measured in docs/POLICY.md, "Rounds" (7) and "Rounds with coordinators of slots" (14).
 """
 
 from troutswitch.decisions.forwarding.engines import Engine
--- a/src/troutswitch/decisions/jobs/engine_choice.py
+++ b/src/troutswitch/decisions/jobs/engine_choice.py
@@ -10,7 +10,7 @@
 
 Why: without a coordinator all daemons see the same free slots at once. The parts keep them from
 filling each slot several times, and the noise in the cost keeps them from choosing the same
-engine. Measured in docs/POLICY.md, "Rounds".
+engine. docs/POLICY.md, "What bound (untouched code)", has what happened without them.
 """
 
 import random
--- a/src/troutswitch/decisions/jobs/item_refusals.py
+++ b/src/troutswitch/decisions/jobs/item_refusals.py
@@ -12,7 +12,8 @@
 
 Why: an item must not crash one engine after the other, yet it may not be dead-lettered for it:
 only an engine's answer or the end of its retention allows that. So it waits, and is tried again
-in case something else caused the crashes. tests/proofs/test_crashes.py holds the bounds.
+in case something else caused the crashes. tests/proofs/test_crashes.py holds the bounds;
+docs/POLICY.md, "Rules", has the constants.
 """
 
 from troutswitch.decisions.crashes.interface import Suspects
--- a/src/troutswitch/decisions/jobs/item_retries.py
+++ b/src/troutswitch/decisions/jobs/item_retries.py
@@ -18,8 +18,8 @@
   it is tried again, without a bound on the number of runs.
 
 Why: an accepted item must complete, so only an engine's answer about it, its retention or the loss
-of its route may end it. Measured in docs/POLICY.md, "Rounds"; tests/decisions/jobs/test_failures.py
-holds the bound on failed runs over all owners.
+of its route may end it. tests/decisions/jobs/test_failures.py holds the bound on failed runs over
+all owners; docs/POLICY.md, "Rules", has the constants.
 """
 
 import random
--- a/src/troutswitch/decisions/jobs/order.py
+++ b/src/troutswitch/decisions/jobs/order.py
@@ -9,7 +9,7 @@
 `least_slack` is the baseline that operators compare it with.
 
 Why: spreading slots over more items than can be finished makes all of them late. Measured in
-docs/POLICY.md, "Rounds" and "Ablation".
+docs/POLICY.md, "Rounds" (4 and 7) and "Ablation".
 """
 
 import heapq
--- a/src/troutswitch/decisions/jobs/owner.py
+++ b/src/troutswitch/decisions/jobs/owner.py
@@ -47,8 +47,8 @@
 ROUND_SECONDS = 0.05
 """Interval between rounds of dispatching and writing."""
 SETTLE_SECONDS = 0.5
-"""Time after its first round for which a daemon starts no items without a grant: it does not know
-yet what others run, and after a loss of all daemons all would fill the same slots."""
+"""Time after its first round for which a daemon neither starts items nor reports that any wait: it
+does not know yet what others run, and after a loss of all daemons all would fill the same slots."""
 
 OwnerInstruction = StoreCall | RunItem | StopItem
 
--- a/src/troutswitch/decisions/jobs/run_stops.py
+++ b/src/troutswitch/decisions/jobs/run_stops.py
@@ -10,7 +10,7 @@
 slot.
 
 Why: engines know no priorities, so an item gives its slot back only by being stopped. It goes on
-later after its last whole event. Measured in docs/POLICY.md, "Rounds".
+later after its last whole event. Measured in docs/POLICY.md, "Rounds" (1).
 """
 
 from troutswitch.decisions.jobs.batch_capacity import BatchCapacityPolicy
--- a/src/troutswitch/decisions/jobs/run_time_estimate.py
+++ b/src/troutswitch/decisions/jobs/run_time_estimate.py
@@ -8,7 +8,8 @@
 what is left is the product of the events not made yet and the seconds of one.
 
 Why: the order of items needs to know which can still meet their targets. The clients' own
-estimates of an item's output are too far off to help. Measured in docs/POLICY.md, "Rounds".
+estimates of an item's output are too far off to help. Measured in docs/POLICY.md, "Rounds" (10
+and 11).
 """
 
 from troutswitch.decisions.forwarding.experience import BatchRunTimes
--- a/src/troutswitch/decisions/jobs/starvation_guard.py
+++ b/src/troutswitch/decisions/jobs/starvation_guard.py
@@ -7,8 +7,8 @@
 `LATE_WAIT_SECONDS`.
 
 Why: under lasting overload there is always an item that can still meet its target, so without the
-rule a late item would never run. docs/POLICY.md, "Rounds", measures late items behind all others;
-tests/proofs/test_starvation.py shows that some then never finish without this rule.
+rule a late item would never run. tests/proofs/test_starvation.py shows it; docs/POLICY.md, "Rules",
+has the constants.
 """
 
 LATE_TURN = 8
--- a/src/troutswitch/decisions/jobs/token_limits.py
+++ b/src/troutswitch/decisions/jobs/token_limits.py
@@ -8,6 +8,10 @@
 The rule: a job fits if its tokens and those that wait are within the limit. A route is crowded
 above `CROWDED_SHARE` of the limit; owners then report in the index how far their jobs are, so
 that new jobs fit as soon as they can.
+
+Why: a job that was accepted must be done, so a tenant's jobs may not pile up without a bound.
+tests/proofs/test_jobs.py holds the limit over all daemons; docs/POLICY.md, "Rules", has the
+constant.
 """
 
 from troutswitch.decisions.forwarding.routes import RouteTable
