--- a/src/troutswitch/decisions/gateway.py
+++ b/src/troutswitch/decisions/gateway.py
@@ -1,6 +1,6 @@
 """The gateway daemon's decisions in one place: events in, instructions out.
 
-`GatewayCore` makes the parts, passes each event to the part that it concerns, and lets all parts do
+`GatewayCore` passes each event to the part that it concerns, and lets all parts do
 what is due. It owns no decision itself, and no clock, socket or thread: the caller gives the time,
 in seconds of the process's clock, and carries the instructions out.
 """
@@ -8,15 +8,8 @@
 import random
 from typing import assert_never
 
-from troutswitch.common import Address
-from troutswitch.daemons.identity import DaemonIdentity
 from troutswitch.daemons.peer_state import PeerState
-from troutswitch.decisions.active_configuration import ActiveConfiguration
 from troutswitch.decisions.crashes.messages import EngineChecked
-from troutswitch.decisions.crashes.suspects import CrashSuspects
-from troutswitch.decisions.engine_membership import ENGINE_LIST_SHARE, EngineMembership
-from troutswitch.decisions.forwarding.engine_list import EngineListReader
-from troutswitch.decisions.forwarding.engines import EngineRegistry
 from troutswitch.decisions.forwarding.log_events import line_of_unserved, milliseconds
 from troutswitch.decisions.forwarding.messages import (
     AnswerBegun,
@@ -26,9 +19,6 @@
     RequestAttemptEnded,
     RequestUnserved,
 )
-from troutswitch.decisions.forwarding.placement import home_policy
-from troutswitch.decisions.forwarding.requests import ForwardedRequests
-from troutswitch.decisions.forwarding.routes import RouteTable
 from troutswitch.decisions.gateway_interface import (
     GatewayEvent,
     GatewayInstruction,
@@ -44,10 +34,7 @@
     ProcessResumed,
     TimerFired,
 )
-from troutswitch.decisions.instruction_queue import InstructionQueue
-from troutswitch.decisions.jobs.batch_capacity import BATCH_CAPACITY_POLICIES
-from troutswitch.decisions.jobs.coordinator import JobCoordinator
-from troutswitch.decisions.jobs.dependencies import JobDependencies, JobSettings
+from troutswitch.decisions.gateway_parts import GatewayParts
 from troutswitch.decisions.jobs.messages import (
     BodyRequested,
     ItemBegun,
@@ -57,61 +44,20 @@
     JobSubmitted,
     ResultsRequested,
 )
-from troutswitch.decisions.peer_messages import PeerMessageDispatch
-from troutswitch.decisions.peer_state_exchange import PeerStateExchange
 from troutswitch.decisions.peers.catch_up import PeerStateReceived
-from troutswitch.decisions.peers.drain_notices import DrainNotices
-from troutswitch.decisions.peers.heartbeats import Peers
-from troutswitch.decisions.peers.peer_registry import PeerRegistry
 from troutswitch.decisions.policies import Policies
-from troutswitch.decisions.read_intervals import ReadIntervals
-from troutswitch.decisions.run_time_sharing import RunTimeSharing
 from troutswitch.decisions.slot_instructions import resolve_instructions
-from troutswitch.decisions.slots.fleet import FleetSlots, SlotPolicies
-from troutswitch.decisions.slots.messages import PeerMessageReceived, WaitingItems
-from troutswitch.decisions.storage.follower import CallNumbers
+from troutswitch.decisions.slots.messages import PeerMessageReceived
 from troutswitch.decisions.storage.messages import StoreAnswered, StoreOutcome
-from troutswitch.decisions.tenants.quota_groups import QuotaGroups
-from troutswitch.decisions.tenants.quota_policies import make_quota
 
 
-class _OwnItems:
-    """The batch items of a core's job owner; `FleetSlots` needs them and is made before it."""
-
-    def __init__(self, core: "GatewayCore") -> None:
-        self._core = core
-
-    @property
-    def waiting(self) -> WaitingItems:
-        return self._core.jobs.owner.waiting
-
-    @property
-    def open_items(self) -> int:
-        return self._core.jobs.owner.open_items
-
-
-class _FleetState:
-    """What quotas need to know: the configuration in force and the number of daemons."""
-
-    def __init__(self, routes: RouteTable, peers: Peers) -> None:
-        self._routes = routes
-        self._peers = peers
-
-    @property
-    def configuration_version(self) -> int:
-        return self._routes.version
-
-    @property
-    def daemons(self) -> int:
-        return 1 + len(self._peers.peers)
-
-
-class GatewayCore:
+class GatewayCore(GatewayParts):
     """All decisions of one gateway daemon.
 
     Args:
         formats: decodes what operators and engines write to the store.
         rng: the source of all random draws.
+        policies: the policies in force; None stands for the defaults.
     """
 
     def __init__(
@@ -121,162 +67,10 @@
         rng: random.Random,
         policies: Policies | None = None,
     ) -> None:
-        policies = policies or Policies()
-        self.identity = identity
+        super().__init__(identity, formats, rng, policies)
         self.is_draining = False
-        self.output = InstructionQueue()
-        self._emit = self.output.emit
-        self._log = self.output.log
         self._now = float("-inf")
-        self.routes = RouteTable()
-        self.engines = EngineRegistry()
-        self.numbers = CallNumbers()
-        self.suspects = CrashSuspects(
-            identity.name,
-            self.engines,
-            self.numbers,
-            self._peer_addresses,
-            self._emit,
-            self._log,
-            rng,
-        )
         self._suspects_changes = 0
-        self.requests = ForwardedRequests(
-            identity.zone,
-            self.routes,
-            self.engines,
-            rng,
-            policies.placement,
-            policies.admission,
-            self.suspects,
-        )
-        incarnation = rng.getrandbits(31)
-        self.slots = self._make_slots(policies, incarnation, rng)
-        if policies.places == "coordinators":
-            self.requests.placer = self.slots.requests
-        self.jobs = self._make_jobs(policies, rng)
-        self.configuration = ActiveConfiguration(
-            self.routes, formats, self.numbers, rng, identity.configuration_apply, self.output
-        )
-        self._connect_peers(incarnation, rng)
-        self._follow_engine_list(formats, rng)
-        self._make_peer_exchanges(policies, incarnation, rng)
-
-    def _make_slots(self, policies: Policies, incarnation: int, rng: random.Random) -> FleetSlots:
-        placement = home_policy(policies.placement)
-        capacity = BATCH_CAPACITY_POLICIES[policies.batch.room]()
-        return FleetSlots(
-            self._daemon_identity(incarnation),
-            self.engines,
-            self.requests.times,
-            SlotPolicies(placement, capacity),
-            _OwnItems(self),
-            self.requests,
-            self.numbers,
-            self._emit,
-            rng,
-        )
-
-    def _daemon_identity(self, incarnation: int) -> DaemonIdentity:
-        identity = self.identity
-        return DaemonIdentity(identity.name, identity.zone, identity.peer_address, incarnation)
-
-    def _make_jobs(self, policies: Policies, rng: random.Random) -> JobCoordinator:
-        identity = self.identity
-        dependencies = JobDependencies(
-            self.routes,
-            self.engines,
-            self.slots,
-            self.suspects,
-            self.requests.arrivals.callers,
-            self.numbers,
-            rng,
-            self._emit,
-        )
-        settings = JobSettings(
-            identity.name,
-            identity.zone,
-            identity.member_ttl_least,
-            identity.job_kept,
-            identity.store_limits,
-            policies.batch,
-        )
-        return JobCoordinator(dependencies, settings)
-
-    def _connect_peers(self, incarnation: int, rng: random.Random) -> None:
-        """Makes the parts that know the other daemons."""
-        identity = self.identity
-        self.peers = Peers(
-            identity.name,
-            identity.zone,
-            identity.peer_address,
-            incarnation,
-            self.configuration.version,
-            self.slots.claims.known_claims,
-            rng,
-        )
-        sharing = RunTimeSharing(identity, self.requests, self.jobs.owner, self.peers)
-        self.peer_registry = PeerRegistry(
-            sharing.own_entry,
-            lambda: len(self.peers.peers),
-            self.numbers,
-            sharing.take,
-            self._log,
-        )
-
-    def _follow_engine_list(self, formats: Formats, rng: random.Random) -> None:
-        """Makes the parts that follow which engines there are."""
-        reader = EngineListReader(self.numbers, rng, ENGINE_LIST_SHARE * self.identity.drain)
-        self._read_intervals = ReadIntervals(
-            self.peers,
-            reader,
-            self.engines,
-            self.slots.claims,
-            self.jobs.replicas,
-            self.suspects,
-        )
-        self.drain_notices = DrainNotices(
-            self.identity.name,
-            self.peers.addresses,
-            self._read_intervals.is_engine_list_slowed,
-            rng,
-        )
-        self.membership = EngineMembership(
-            reader, self.engines, formats, self.suspects, self.drain_notices, self.output
-        )
-
-    def _make_peer_exchanges(
-        self, policies: Policies, incarnation: int, rng: random.Random
-    ) -> None:
-        """Makes the parts that count, catch up and talk with other daemons."""
-        self.quota = make_quota(
-            policies.quota,
-            self._daemon_identity(incarnation),
-            self.identity.quota_bounds,
-            QuotaGroups(self.slots.groups, self.slots.claims, self.slots.coordinator.coordinated),
-            _FleetState(self.routes, self.peers),
-            self._emit,
-            rng,
-        )
-        self.requests.arrivals.quota = self.quota
-        self._peer_state = PeerStateExchange(self.configuration, self.membership, self.peers, rng)
-        self._peer_messages = PeerMessageDispatch(
-            self.peers,
-            self.configuration,
-            self.membership,
-            self.suspects,
-            self.slots,
-            self.quota,
-            self.requests,
-            self.output,
-        )
-
-    def _peer_addresses(self) -> list[Address]:
-        """Returns where other daemons take messages.
-
-        Crashes are reported there, but `CrashSuspects` is made before `Peers`.
-        """
-        return self.peers.addresses()
 
     # What other threads may ask.
 
