--- a/tests/gateway/engines/test_exchange.py
+++ b/tests/gateway/engines/test_exchange.py
@@ -1,5 +1,6 @@
 import socket
 import threading
+import time
 from collections.abc import Callable, Iterator
 
 import pytest
@@ -174,9 +175,20 @@
 
 
 def test_an_abort_ends_the_wait_for_an_answer(engine: ScriptedEngine, make: Make) -> None:
-    engine.answers = [b""]
+    """On a busy machine, an abort by the clock came before the request was sent.
+
+    The abort waits until the engine has read the request. The engine keeps the connection open, so
+    that nothing but the abort ends the wait.
+    """
+    engine.answers = [b"", b"an answer to a second request, which never comes"]
     exchange = make("1")
-    threading.Timer(0.05, exchange.abort).start()
+
+    def abort_once_sent() -> None:
+        while not engine.requests:
+            time.sleep(0.001)
+        exchange.abort()
+
+    threading.Thread(target=abort_once_sent, daemon=True).start()
     with pytest.raises(AnswerLost):
         exchange.open(30.0)
 
