--- a/src/troutswitch/decisions/forwarding/run_times.py
+++ b/src/troutswitch/decisions/forwarding/run_times.py
@@ -63,10 +63,14 @@
         """
         times = self.of(service)
         if not was_queued:
-            times.first_event = _moved(times.first_event, first_event)
+            times.first_event = moving_average(times.first_event, first_event, WEIGHT_OF_NEW)
         slot_time = total - max(0.0, first_event - times.first_event)
-        times.slot_time = _moved(times.slot_time, slot_time)
+        times.slot_time = moving_average(times.slot_time, slot_time, WEIGHT_OF_NEW)
 
 
-def _moved(average: float, value: float) -> float:
-    return value if average == 0.0 else average + WEIGHT_OF_NEW * (value - average)
+def moving_average(average: float, value: float, weight: float) -> float:
+    """Returns a moving average after one more value; an average of 0 stands for no value yet.
+
+    `weight` is the share of the new value in it, from 0 to 1.
+    """
+    return value if average == 0.0 else average + weight * (value - average)
--- a/src/troutswitch/decisions/gateway_parts.py
+++ b/src/troutswitch/decisions/gateway_parts.py
@@ -104,15 +104,7 @@
             self._log,
             rng,
         )
-        self.requests = ForwardedRequests(
-            identity.zone,
-            self.routes,
-            self.engines,
-            rng,
-            policies.placement,
-            policies.admission,
-            self.suspects,
-        )
+        self.requests = self._make_requests(policies, rng)
         incarnation = rng.getrandbits(31)
         self.slots = self._make_slots(policies, incarnation, rng)
         if policies.places == "coordinators":
@@ -125,6 +117,17 @@
         self._follow_engine_list(formats, rng)
         self._make_peer_exchanges(policies, incarnation, rng)
 
+    def _make_requests(self, policies: Policies, rng: random.Random) -> ForwardedRequests:
+        return ForwardedRequests(
+            self.identity.zone,
+            self.routes,
+            self.engines,
+            rng,
+            policies.placement,
+            policies.admission,
+            self.suspects,
+        )
+
     def _make_slots(self, policies: Policies, incarnation: int, rng: random.Random) -> FleetSlots:
         placement = home_policy(policies.placement)
         capacity = BATCH_CAPACITY_POLICIES[policies.batch.room]()
--- a/src/troutswitch/decisions/jobs/run_time_estimate.py
+++ b/src/troutswitch/decisions/jobs/run_time_estimate.py
@@ -13,6 +13,7 @@
 """
 
 from troutswitch.decisions.forwarding.experience import BatchRunTimes
+from troutswitch.decisions.forwarding.run_times import moving_average
 from troutswitch.decisions.jobs.items import ItemProgress
 
 WEIGHT_OF_NEW = 0.2
@@ -43,14 +44,14 @@
             item_events: the events of the whole item, with those of earlier runs.
         """
         if events > 0:
-            self.event_seconds = _moved(self.event_seconds, seconds / events)
-        self.item_events = _moved(self.item_events, item_events)
+            self.event_seconds = moving_average(self.event_seconds, seconds / events, WEIGHT_OF_NEW)
+        self.item_events = moving_average(self.item_events, item_events, WEIGHT_OF_NEW)
 
     def on_item_done(self, ran: float, since_start: float) -> None:
         """Takes an item that met its target: the seconds it ran, of those since its first start."""
         if since_start > 0:
             part = min(1.0, max(DUTY_LEAST, ran / since_start))
-            self.duty = _moved(self.duty, part)
+            self.duty = moving_average(self.duty, part, WEIGHT_OF_NEW)
 
     def learnt(self) -> BatchRunTimes | None:
         """Returns what a daemon that starts may begin with; None before the first whole run."""
@@ -71,7 +72,3 @@
         """Returns how many seconds an item will probably still run."""
         events_left = max(0.0, self.item_events - progress.events_done)
         return events_left * self.event_seconds
-
-
-def _moved(average: float, value: float) -> float:
-    return value if average == 0.0 else average + WEIGHT_OF_NEW * (value - average)
--- a/src/troutswitch/gateway/metrics.py
+++ b/src/troutswitch/gateway/metrics.py
@@ -44,10 +44,10 @@
             "requests_refused", "Requests refused on arrival, by HTTP status", "status"
         )
         self._events = self._counter("decisions", "Log lines of decisions, by event", "event")
-        self._add_gauges(core)
+        self._add_gauges_of_work(core)
+        self._add_gauges_of_fleet(core)
 
-    def _add_gauges(self, core: GatewayCore) -> None:
-        engines, suspects = core.engines, core.suspects
+    def _add_gauges_of_work(self, core: GatewayCore) -> None:
         self._gauge(
             "requests_in_flight",
             "Callers' requests in progress",
@@ -63,6 +63,9 @@
             "Shards of jobs that this daemon owns",
             lambda: len(core.jobs.ownership.owned()),
         )
+
+    def _add_gauges_of_fleet(self, core: GatewayCore) -> None:
+        engines, suspects = core.engines, core.suspects
         self._gauge("servers_known", "Engines in the registry", lambda: len(engines.engines))
         self._gauge(
             "servers_missing_kept",
