--- a/src/troutswitch/decisions/forwarding/admission.py
+++ b/src/troutswitch/decisions/forwarding/admission.py
@@ -1,7 +1,7 @@
 """Decides whether a new request is sent, waits here for a free slot, or is refused.
 
 Question: a request has not been sent to any engine. Up to which wait for a slot is it sent? And
-if the wait is longer at every engine, does it wait here, go all the same, or come back later?
+if the wait is longer at every engine, does it wait here, go there all the same, or end as refused?
 
 Inputs: the latency objective of the route and the request's times, in seconds; the run times that
 this daemon learnt from its own answers (`run_times`); the shortest wait for a slot, estimated by
--- a/src/troutswitch/decisions/forwarding/retry.py
+++ b/src/troutswitch/decisions/forwarding/retry.py
@@ -13,7 +13,7 @@
 2. If an attempt may have run, another follows only where the route allows to repeat it, up to
    the route's `attempts_most`; and not in the middle of a stream that can't be resumed.
 3. If its last two engines were lost under it, it waits until a check shows whether they crashed.
-4. After `REJECTIONS_MOST` rejections beyond the route's attempts, no further engine is asked now.
+4. After `REJECTIONS_MOST` rejections beyond the route's attempts, no other engine is tried now.
 5. Otherwise another engine is tried. If an attempt may have run, that takes from the retry budget:
    the budget bounds work done twice.
 6. Where no engine can be tried now, a request that may have run waits for one while it has time:
