--- a/src/troutswitch/decisions/forwarding/engines.py
+++ b/src/troutswitch/decisions/forwarding/engines.py
@@ -16,7 +16,6 @@
 from troutswitch.daemons.messages import EngineCounts, engine_key
 from troutswitch.decisions.forwarding import engine_ejection
 from troutswitch.decisions.forwarding.engine import (
-    NO_SIZE,
     SAMPLE_SECONDS,
     Engine,
     RequestSize,
@@ -24,8 +23,6 @@
 from troutswitch.decisions.forwarding.expired_entries import ExpiredEntries
 from troutswitch.decisions.forwarding.types import EngineLoad, EngineRecord
 
-__all__ = ["NO_SIZE", "Engine", "EngineRegistry", "RequestSize"]
-
 DRAIN_NOTICE_SECONDS = 1.0
 """Time for which a list that has an engine doesn't overrule a peer's notice that it left: the
 list may have been read before, as a reading takes some pages and may be shared by a peer."""
--- a/src/troutswitch/decisions/jobs/batch_capacity.py
+++ b/src/troutswitch/decisions/jobs/batch_capacity.py
@@ -19,7 +19,7 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from troutswitch.decisions.forwarding.engines import Engine
+from troutswitch.decisions.forwarding.engine import Engine
 
 MEMORY_SHARE = 0.85
 """Share of an engine's cache up to which this daemon's own requests may fill it with an item. What
--- a/src/troutswitch/decisions/jobs/dispatcher.py
+++ b/src/troutswitch/decisions/jobs/dispatcher.py
@@ -13,7 +13,7 @@
 items. Measured in docs/POLICY.md, "Rounds" (7) and "Rounds with coordinators of slots" (14).
 """
 
-from troutswitch.decisions.forwarding.engines import Engine
+from troutswitch.decisions.forwarding.engine import Engine
 from troutswitch.decisions.jobs.dependencies import JobDependencies
 from troutswitch.decisions.jobs.engine_choice import EngineChoice, takes_items
 from troutswitch.decisions.jobs.item_parts import ItemParts
--- a/src/troutswitch/decisions/jobs/engine_choice.py
+++ b/src/troutswitch/decisions/jobs/engine_choice.py
@@ -16,7 +16,8 @@
 import random
 from collections.abc import Callable
 
-from troutswitch.decisions.forwarding.engines import Engine, EngineRegistry
+from troutswitch.decisions.forwarding.engine import Engine
+from troutswitch.decisions.forwarding.engines import EngineRegistry
 from troutswitch.decisions.forwarding.placement import batch_cost
 from troutswitch.decisions.forwarding.routes import RouteTable, choose_service
 from troutswitch.decisions.jobs.batch_capacity import BatchCapacityPolicy, has_memory, own_part
--- a/src/troutswitch/decisions/jobs/runs.py
+++ b/src/troutswitch/decisions/jobs/runs.py
@@ -8,7 +8,8 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from troutswitch.decisions.forwarding.engines import Engine, EngineRegistry, RequestSize
+from troutswitch.decisions.forwarding.engine import Engine, RequestSize
+from troutswitch.decisions.forwarding.engines import EngineRegistry
 from troutswitch.decisions.invariants import ensure
 from troutswitch.decisions.jobs.items import ItemProgress
 from troutswitch.decisions.jobs.messages import (
--- a/src/troutswitch/decisions/slots/batch_grants.py
+++ b/src/troutswitch/decisions/slots/batch_grants.py
@@ -6,7 +6,7 @@
 
 from troutswitch.daemons.identity import DaemonIdentity
 from troutswitch.daemons.messages import BatchSlotGrant, EngineShare, engine_key
-from troutswitch.decisions.forwarding.engines import Engine
+from troutswitch.decisions.forwarding.engine import Engine
 from troutswitch.decisions.invariants import ensure
 from troutswitch.decisions.slots.groups import EngineGroups
 from troutswitch.decisions.slots.ledger import SlotLedger
--- a/src/troutswitch/decisions/slots/batch_slots.py
+++ b/src/troutswitch/decisions/slots/batch_slots.py
@@ -24,7 +24,7 @@
 from dataclasses import dataclass, field
 
 from troutswitch.daemons.messages import engine_key
-from troutswitch.decisions.forwarding.engines import Engine
+from troutswitch.decisions.forwarding.engine import Engine
 from troutswitch.decisions.jobs.batch_capacity import BatchCapacityPolicy
 from troutswitch.decisions.slots.ledger import Holder, SlotLedger
 from troutswitch.decisions.slots.messages import OwnItems, WaitingItems
--- a/src/troutswitch/decisions/slots/coordinator.py
+++ b/src/troutswitch/decisions/slots/coordinator.py
@@ -17,7 +17,8 @@
     SlotRequest,
     engine_key,
 )
-from troutswitch.decisions.forwarding.engines import Engine, EngineRegistry
+from troutswitch.decisions.forwarding.engine import Engine
+from troutswitch.decisions.forwarding.engines import EngineRegistry
 from troutswitch.decisions.forwarding.run_times import RunTimes
 from troutswitch.decisions.forwarding.wait_estimate import NO_WAIT
 from troutswitch.decisions.jobs.batch_capacity import BatchCapacityPolicy
--- a/src/troutswitch/decisions/slots/ledger.py
+++ b/src/troutswitch/decisions/slots/ledger.py
@@ -22,7 +22,8 @@
     HoldingsReport,
     engine_key,
 )
-from troutswitch.decisions.forwarding.engines import Engine, EngineRegistry
+from troutswitch.decisions.forwarding.engine import Engine
+from troutswitch.decisions.forwarding.engines import EngineRegistry
 from troutswitch.decisions.invariants import ensure
 
 GRANT_EXPIRY_SECONDS = 0.5
--- a/src/troutswitch/decisions/slots/local_placement.py
+++ b/src/troutswitch/decisions/slots/local_placement.py
@@ -24,7 +24,8 @@
 from typing import Protocol
 
 from troutswitch.daemons.messages import engine_key
-from troutswitch.decisions.forwarding.engines import Engine, EngineRegistry
+from troutswitch.decisions.forwarding.engine import Engine
+from troutswitch.decisions.forwarding.engines import EngineRegistry
 from troutswitch.decisions.forwarding.placement import HomePolicy, TwoChoices
 from troutswitch.decisions.forwarding.placer import (
     AssignedBy,
--- a/src/troutswitch/decisions/slots/preemption.py
+++ b/src/troutswitch/decisions/slots/preemption.py
@@ -17,7 +17,7 @@
 import random
 
 from troutswitch.daemons.messages import engine_key
-from troutswitch.decisions.forwarding.engines import Engine
+from troutswitch.decisions.forwarding.engine import Engine
 from troutswitch.decisions.forwarding.messages import LogLine
 from troutswitch.decisions.slots.batch_grants import BatchGrants
 from troutswitch.decisions.slots.batch_slots import SELF
--- a/src/troutswitch/decisions/slots/reports.py
+++ b/src/troutswitch/decisions/slots/reports.py
@@ -20,7 +20,8 @@
     engine_key,
     prefill_units,
 )
-from troutswitch.decisions.forwarding.engines import Engine, EngineRegistry
+from troutswitch.decisions.forwarding.engine import Engine
+from troutswitch.decisions.forwarding.engines import EngineRegistry
 from troutswitch.decisions.slots.coordinator_claims import Claim, CoordinatorClaims
 from troutswitch.decisions.slots.groups import EngineGroups
 from troutswitch.decisions.slots.messages import OwnItems, SendToPeers, WaitingItems
--- a/src/troutswitch/decisions/slots/slot_choice.py
+++ b/src/troutswitch/decisions/slots/slot_choice.py
@@ -28,7 +28,7 @@
 from dataclasses import dataclass
 
 from troutswitch.daemons.messages import engine_key
-from troutswitch.decisions.forwarding.engines import Engine
+from troutswitch.decisions.forwarding.engine import Engine
 from troutswitch.decisions.forwarding.placement import queue_cost
 from troutswitch.decisions.forwarding.run_times import RunTimes
 from troutswitch.decisions.forwarding.wait_estimate import NO_WAIT, Estimate, slot_wait
--- a/src/troutswitch/decisions/slots/slot_requests.py
+++ b/src/troutswitch/decisions/slots/slot_requests.py
@@ -26,7 +26,7 @@
     SlotRequest,
     prefill_units,
 )
-from troutswitch.decisions.forwarding.engines import Engine
+from troutswitch.decisions.forwarding.engine import Engine
 from troutswitch.decisions.forwarding.messages import LogLine
 from troutswitch.decisions.forwarding.placer import (
     AssignedBy,
--- a/tests/decisions/jobs/test_batch_capacity.py
+++ b/tests/decisions/jobs/test_batch_capacity.py
@@ -7,7 +7,7 @@
 from hypothesis import strategies as st
 
 from tests.decisions.forwarding.worlds import engine
-from troutswitch.decisions.forwarding.engines import Engine
+from troutswitch.decisions.forwarding.engine import Engine
 from troutswitch.decisions.jobs.batch_capacity import (
     BATCH_CAPACITY_POLICIES,
     BatchCapacityPolicy,
--- a/tests/decisions/jobs/test_engine_choice.py
+++ b/tests/decisions/jobs/test_engine_choice.py
@@ -2,7 +2,8 @@
 
 from tests.decisions.forwarding.worlds import engine
 from tests.decisions.jobs.worlds import ROUTE, item, job_index, route_table
-from troutswitch.decisions.forwarding.engines import NO_SIZE, Engine, EngineRegistry
+from troutswitch.decisions.forwarding.engine import NO_SIZE, Engine
+from troutswitch.decisions.forwarding.engines import EngineRegistry
 from troutswitch.decisions.jobs.batch_capacity import ShareCapacity
 from troutswitch.decisions.jobs.engine_choice import EngineChoice
 from troutswitch.decisions.jobs.item_retries import StartableItem
--- a/tests/decisions/slots/test_reports.py
+++ b/tests/decisions/slots/test_reports.py
@@ -2,7 +2,7 @@
 
 from tests.decisions.slots.worlds import SlotsOf, deliver, record
 from troutswitch.daemons.messages import HoldingsReport
-from troutswitch.decisions.forwarding.engines import NO_SIZE
+from troutswitch.decisions.forwarding.engine import NO_SIZE
 from troutswitch.decisions.slots.reports import ACKNOWLEDGE_SECONDS, REFRESH_SECONDS, REPORT_SECONDS
 
 NOW = 5.0
--- a/tests/decisions/slots/worlds.py
+++ b/tests/decisions/slots/worlds.py
@@ -14,7 +14,8 @@
     SlotMessage,
     engine_key,
 )
-from troutswitch.decisions.forwarding.engines import NO_SIZE, Engine, EngineRegistry
+from troutswitch.decisions.forwarding.engine import NO_SIZE, Engine
+from troutswitch.decisions.forwarding.engines import EngineRegistry
 from troutswitch.decisions.forwarding.messages import LogLine
 from troutswitch.decisions.forwarding.placement import NoHomes
 from troutswitch.decisions.forwarding.placer import Assignment, Placement, PlacementRequest
