--- a/src/troutswitch/decisions/gateway_parts.py
+++ b/src/troutswitch/decisions/gateway_parts.py
@@ -68,7 +68,7 @@
 
     @property
     def daemons(self) -> int:
-        return 1 + len(self._peers.peers)
+        return 1 + self._peers.count()
 
 
 class GatewayParts:
@@ -184,7 +184,7 @@
         sharing = RunTimeSharing(identity, self.requests, self.jobs.owner, self.peers)
         self.peer_registry = PeerRegistry(
             sharing.own_entry,
-            lambda: len(self.peers.peers),
+            self.peers.count,
             self.numbers,
             sharing.take,
             self._log,
--- a/src/troutswitch/decisions/instruction_queue.py
+++ b/src/troutswitch/decisions/instruction_queue.py
@@ -1,7 +1,6 @@
 """Collects the instructions of one step of the gateway's core, in the order of the decisions."""
 
 from collections.abc import Iterable
-from typing import Any
 
 from troutswitch.decisions.forwarding.messages import LogLine
 from troutswitch.decisions.gateway_interface import GatewayInstruction, InternalInstruction
@@ -13,12 +12,8 @@
     def __init__(self) -> None:
         self._instructions: list[GatewayInstruction | InternalInstruction] = []
 
-    def emit(self, instruction: Any) -> None:
-        """Adds an instruction.
-
-        The parts declare this callback each with a union of its own, some with `object`; the
-        kinds are checked where the instructions are matched.
-        """
+    def emit(self, instruction: GatewayInstruction | InternalInstruction) -> None:
+        """Adds an instruction."""
         self._instructions.append(instruction)
 
     def emit_all(self, instructions: Iterable[GatewayInstruction | InternalInstruction]) -> None:
--- a/src/troutswitch/decisions/peers/heartbeats.py
+++ b/src/troutswitch/decisions/peers/heartbeats.py
@@ -120,6 +120,10 @@
             self._name, self._zone, self._address, self._incarnation, self._version(), claims
         )
 
+    def count(self) -> int:
+        """Returns how many other daemons are known."""
+        return len(self.peers)
+
     def addresses(self) -> list[Address]:
         """Returns the addresses of all daemons that are known."""
         return [peer.address for peer in self.peers.values()]
--- a/src/troutswitch/decisions/read_intervals.py
+++ b/src/troutswitch/decisions/read_intervals.py
@@ -50,7 +50,7 @@
 
     def daemons(self) -> int:
         """Returns how many daemons are known, this one included."""
-        return 1 + len(self._peers.peers)
+        return 1 + self._peers.count()
 
     def is_engine_list_slowed(self) -> bool:
         """Returns whether the fleet's size makes readings of the engine list rarer than usual."""
--- a/tests/forms/samples.py
+++ b/tests/forms/samples.py
@@ -45,7 +45,7 @@
 from troutswitch.decisions.jobs.replicas import JobReplicas
 from troutswitch.decisions.jobs.retention import content_keys
 from troutswitch.decisions.jobs.shard import JobContent
-from troutswitch.decisions.peers import peer_registry as peer_registry
+from troutswitch.decisions.peers import peer_registry
 from troutswitch.decisions.peers.peer_registry import PeerRegistryEntry, decode_entry, encode_entry
 from troutswitch.decisions.slots import coordinator_claims as claims_module
 from troutswitch.decisions.slots.coordinator_claims import CoordinatorClaims
