--- a/src/troutswitch/decisions/forwarding/open_requests.py
+++ b/src/troutswitch/decisions/forwarding/open_requests.py
@@ -34,6 +34,7 @@
 NO_ENGINE_REASON = "no server can take the request now"
 LATE_REASON = "all servers would answer late"
 CRASHES_REASON = "servers ended under this request"
+SILENT_REASON = "server fell silent"
 """Reasons that callers get; their wording is part of the interface."""
 
 Instructions = list[ForwardingInstruction]
--- a/src/troutswitch/decisions/forwarding/requests.py
+++ b/src/troutswitch/decisions/forwarding/requests.py
@@ -47,6 +47,7 @@
 )
 from troutswitch.decisions.forwarding.open_requests import (
     CRASHES_REASON,
+    SILENT_REASON,
     Instructions,
     OpenRequests,
 )
@@ -233,7 +234,7 @@
         abort = self._attempts.abandon(now, request)
         line = line_of_silence(now, request)
         request.owes_retry = True
-        return [abort, line, *self._try_another_engine(now, request, "engine fell silent")]
+        return [abort, line, *self._try_another_engine(now, request, SILENT_REASON)]
 
     def _stop(
         self, now: float, request: ForwardedRequest, *, is_silent: bool = False
--- a/tests/decisions/forwarding/test_requests.py
+++ b/tests/decisions/forwarding/test_requests.py
@@ -128,6 +128,18 @@
     assert AbortAttempt(1, first.attempt, is_silent=True) in instructions
 
 
+def test_a_caller_reads_the_same_reason_when_a_silent_engine_was_the_last() -> None:
+    """A renaming of engines once changed this text, which callers and their logs act on."""
+    world = World(engines=1)
+    world.arrive(0.0, arrival(1, time_left=0.42))
+    while world.requests._budget.take("s"):
+        pass
+    finish = World.directive(world.requests.on_timer(0.41))
+    assert isinstance(finish, FinishRequest)
+    assert isinstance(finish.outcome, MayHaveRun)
+    assert finish.outcome.reason == "server fell silent; retry budget spent"
+
+
 def test_a_loaded_engine_that_answers_others_is_not_left() -> None:
     """A trial lost half of a day's requests: each loaded engine was left for the next."""
     world = World()
