--- a/src/troutswitch/daemons/messages.py
+++ b/src/troutswitch/daemons/messages.py
@@ -16,7 +16,7 @@
 
 PREFILL_UNIT_TOKENS = 256
 """Unit in which prompt tokens are reported, rounded up."""
-PREFILL_REPORTED_TOKENS = 1024
+MIN_REPORTED_PREFILL_TOKENS = 1024
 """Least prompt tokens that are reported: an engine reads fewer in about the time that it takes to
 report them."""
 ENGINE_KEY_MASK = 0xFFFFFFFF
@@ -35,7 +35,7 @@
 
 def prefill_units(tokens: int) -> int:
     """Returns prompt tokens in the unit in which they are reported; 0 if they are few."""
-    return -(-tokens // PREFILL_UNIT_TOKENS) if tokens >= PREFILL_REPORTED_TOKENS else 0
+    return -(-tokens // PREFILL_UNIT_TOKENS) if tokens >= MIN_REPORTED_PREFILL_TOKENS else 0
 
 
 class EngineShare(msgspec.Struct, frozen=True, array_like=True):
@@ -79,7 +79,7 @@
     """Requests a slot for one online request from the coordinator of a group.
 
     `number` names the request within the sender's incarnation. `prefill_units` is what the engine
-    will have to read. `longest_wait_ms` is the longest wait for a slot that is accepted; a
+    will have to read. `max_wait_ms` is the longest wait for a slot that is accepted; a
     negative one is no bound. `excluded` has the keys of engines that can't get the request.
     """
 
@@ -87,7 +87,7 @@
     number: int
     group: str
     prefill_units: int
-    longest_wait_ms: int
+    max_wait_ms: int
     excluded: tuple[int, ...] = ()
 
 
@@ -173,14 +173,14 @@
 class ReportedCrash(msgspec.Struct, frozen=True, array_like=True):
     """One incarnation of an engine that ended while it ran a request.
 
-    `content` names the request by its content, `at` is in seconds since the epoch. `stands` is
-    false if an earlier report of it is retracted.
+    `content` identifies the request by its content. `crashed_at` is in seconds since the epoch.
+    `is_valid` is false if the message retracts an earlier report of the crash.
     """
 
     content: str
     engine_id: str
-    at: int
-    stands: bool
+    crashed_at: int
+    is_valid: bool
 
 
 class CrashReport(msgspec.Struct, frozen=True, array_like=True, tag="crashes"):
@@ -195,16 +195,17 @@
 
     sender: str
     draining: tuple[str, ...]
-    left: tuple[str, ...]
+    removed: tuple[str, ...]
 
 
 class QuotaRequest(msgspec.Struct, frozen=True, array_like=True, tag="quota"):
     """Requests that a tenant's requests may be sent, from the coordinator that counts them.
 
-    `number` names the message within the sender's incarnation. `rate` (requests a second), `burst`
-    (requests) and `version` are the limit in the sender's configuration. `count` is how many
-    requests the sender takes, all but the first in advance; `spent` how many the sender admitted
-    for the tenant without a coordinator, and has not reported yet.
+    `number` identifies the message within the sender's incarnation. `rate` (requests per second),
+    `burst` (requests) and `version` are the limit in the sender's configuration. `count` is the
+    number of requests that the sender wants to admit, all but the first in advance. `unreported`
+    is the number of requests that the sender admitted for the tenant without a coordinator and has
+    not reported yet.
     """
 
     sender: str
@@ -216,7 +217,7 @@
     burst: float
     version: int
     count: int
-    spent: int = 0
+    unreported: int = 0
 
 
 class QuotaDecision(msgspec.Struct, frozen=True, array_like=True, tag="quotaed"):
--- a/src/troutswitch/decisions/crashes/shared.py
+++ b/src/troutswitch/decisions/crashes/shared.py
@@ -143,10 +143,10 @@
         """Takes a peer's report, and reports on what was not known yet."""
         for reported in report.crashes:
             crash = Crash(reported.content, reported.engine_id)
-            if reported.stands and crash in self._retracted:
+            if reported.is_valid and crash in self._retracted:
                 continue
-            if self._take(now, crash, reported.at, reported.stands):
-                self._report_later(crash, reported.at, reported.stands)
+            if self._take(now, crash, reported.crashed_at, reported.is_valid):
+                self._report_later(crash, reported.crashed_at, reported.is_valid)
 
     def _take_record(self, record: KeyedRecord) -> None:
         content, _, engine_id = record.key.partition("/")
--- a/src/troutswitch/decisions/forwarding/arrivals.py
+++ b/src/troutswitch/decisions/forwarding/arrivals.py
@@ -27,7 +27,7 @@
 from troutswitch.decisions.forwarding.messages import RequestArrived
 from troutswitch.decisions.forwarding.routes import OUTDATED_RETRY_SECONDS, RouteTable
 from troutswitch.decisions.forwarding.types import Route
-from troutswitch.decisions.tenants.quota import NoQuota, Quota, QuotaEnd, QuotaResult
+from troutswitch.decisions.tenants.quota import NoQuota, Quota, QuotaCompletion, QuotaResult
 from troutswitch.decisions.tenants.tenant_keys import TenantKeys
 from troutswitch.decisions.tenants.types import NO_TENANT, Tenant
 from troutswitch.outcomes import NotRun, Step
@@ -106,7 +106,7 @@
             return None
         return self._decided(waiting, decision)
 
-    def on_counted(self, now: float, end: QuotaEnd) -> Admitted | Refused | None:
+    def on_counted(self, now: float, end: QuotaCompletion) -> Admitted | Refused | None:
         """Takes a quota decision; None if the request doesn't await it any more.
 
         The key is checked again: a configuration may have come in between.
--- a/src/troutswitch/decisions/forwarding/requests.py
+++ b/src/troutswitch/decisions/forwarding/requests.py
@@ -60,7 +60,7 @@
 from troutswitch.decisions.forwarding.run_times import RunTimes
 from troutswitch.decisions.invariants import ensure
 from troutswitch.decisions.limits import RetryBudget
-from troutswitch.decisions.tenants.quota import QuotaEnd
+from troutswitch.decisions.tenants.quota import QuotaCompletion
 from troutswitch.outcomes import RAN_NOTHING, AttemptKind, NotRun, Step
 
 SILENCE_CHECK_SECONDS = 0.1
@@ -121,7 +121,7 @@
         ensure(event.token not in self.requests, "a request token is used twice")
         return self._on_arrival_decided(now, self.arrivals.on_arrived(now, event))
 
-    def on_counted(self, now: float, end: QuotaEnd) -> Instructions:
+    def on_counted(self, now: float, end: QuotaCompletion) -> Instructions:
         """Starts or refuses a request by the decision on its tenant's quota."""
         return self._on_arrival_decided(now, self.arrivals.on_counted(now, end))
 
--- a/src/troutswitch/decisions/peer_messages.py
+++ b/src/troutswitch/decisions/peer_messages.py
@@ -27,8 +27,8 @@
 from troutswitch.decisions.instruction_queue import InstructionQueue
 from troutswitch.decisions.peers.heartbeats import Peers
 from troutswitch.decisions.slots.fleet import FleetSlots
-from troutswitch.decisions.slots.slot_requests import PlacementFound
-from troutswitch.decisions.tenants.quota import Quota, QuotaEnd
+from troutswitch.decisions.slots.slot_requests import PlacementResult
+from troutswitch.decisions.tenants.quota import Quota, QuotaCompletion
 
 
 @dataclass(frozen=True, slots=True)
@@ -49,7 +49,7 @@
         match message:
             case Heartbeat():
                 self.peers.on_heartbeat(now, message)
-                self.slots.claims.take_claims(message.claims)
+                self.slots.claims.add_claims(message.claims)
                 self.configuration.on_heartbeat(now, message)
             case CrashReport():
                 self.suspects.on_report(now, message)
@@ -73,17 +73,17 @@
         granted slot itself.
         """
         claim = self.slots.claim_by(reply.group, reply.sender)
-        is_known = claim is not None and self.slots.reports.knows_all(claim)
+        is_known = claim is not None and self.slots.reports.has_reported_all(claim)
         self.end_slot_searches(now, self.slots.on_message(now, reply))
         if claim is not None and is_known:
-            self.slots.reports.assume_known(claim)
+            self.slots.reports.mark_reported(claim)
 
-    def end_quota_waits(self, now: float, ended: list[QuotaEnd]) -> None:
+    def end_quota_waits(self, now: float, ended: list[QuotaCompletion]) -> None:
         """Has requests go on whose quota was decided."""
         for end in ended:
             self.output.emit_all(self.requests.on_counted(now, end))
 
-    def end_slot_searches(self, now: float, ended: list[PlacementFound]) -> None:
+    def end_slot_searches(self, now: float, ended: list[PlacementResult]) -> None:
         """Has requests go on whose search for a slot ended."""
         for found in ended:
             self.output.emit_all(self.requests.on_placed(now, found.token, found.placement))
--- a/src/troutswitch/decisions/peers/drain_notices.py
+++ b/src/troutswitch/decisions/peers/drain_notices.py
@@ -70,7 +70,7 @@
     def on_notice(self, now: float, notice: EngineDrainNotice) -> tuple[list[str], list[str]]:
         """Takes a peer's notice; returns the engines that are new: that drain, and that left."""
         draining = [name for name in notice.draining if self._note(now, name, is_draining=True)]
-        left = [name for name in notice.left if self._note(now, name, is_draining=False)]
+        left = [name for name in notice.removed if self._note(now, name, is_draining=False)]
         return draining, left
 
     def _note(self, now: float, engine_id: str, *, is_draining: bool) -> bool:
--- a/src/troutswitch/decisions/read_intervals.py
+++ b/src/troutswitch/decisions/read_intervals.py
@@ -62,6 +62,6 @@
         engine_list = self._engine_list
         engine_list.least_interval = interval * engine_list.pages
         self._engines.expired.interval = max(engine_list.least_interval, engine_list.interval)
-        self._claims.set_least_interval(interval)
+        self._claims.set_min_read_interval(interval)
         self._replicas.index_follower.least_interval = interval
         self._suspects.set_least_interval(interval)
--- a/src/troutswitch/decisions/slots/batch_slots.py
+++ b/src/troutswitch/decisions/slots/batch_slots.py
@@ -7,10 +7,10 @@
 will miss it, from its newest report (up to 0.5 s old) less what it was granted since; engines that
 a daemon cannot use.
 
-Rule: the least loaded engine's slots go first. Each slot goes to a daemon drawn at random, by its
-number of items that can meet their objective, `NEAR_WEIGHT` times as likely if it is in the
-engine's zone. One slot in `LATE_TURN`, and all of them if no such items are left, goes to a daemon
-drawn by its number of late items.
+Rule: slots are assigned engine by engine, the least loaded engine first. Each slot goes to a daemon
+drawn at random, weighted by its number of items that can still meet their objective and by
+`NEAR_WEIGHT` if it is in the engine's zone. Every `LATE_SLOT_INTERVAL`th slot goes to a daemon
+drawn by its number of late items, and so does every slot if no other items wait.
 
 Why: late items come second, as an objective that is missed is not met by haste, but their turn
 keeps them from starving. Drawing by number lets jobs of all daemons progress alike.
@@ -34,7 +34,7 @@
 slot is idle for about that long."""
 NEAR_WEIGHT = 3
 """Weight of an item that waits at a daemon in the engine's zone; elsewhere it is 1."""
-LATE_TURN = 8
+LATE_SLOT_INTERVAL = 8
 """One slot in so many goes to a daemon that has late items."""
 SELF = ""
 """Stands for this daemon among those that have or want slots."""
@@ -86,7 +86,7 @@
         self._own_granted = 0
         """Slots that this daemon's own items got in the current round."""
         self._slots_assigned = 0
-        """Slots assigned so far, of which each `LATE_TURN`th goes to late items."""
+        """Slots assigned so far, of which each `LATE_SLOT_INTERVAL`th goes to late items."""
 
     # Timers.
 
@@ -138,7 +138,7 @@
 
     def _draw(self, demand: _Demand, engine: Engine) -> str | None:
         """Draws the daemon that gets the next slot, and takes the slot off its demand."""
-        is_late_turn = (self._slots_assigned + 1) % LATE_TURN == 0
+        is_late_turn = (self._slots_assigned + 1) % LATE_SLOT_INTERVAL == 0
         is_for_late = bool(demand.late) and (is_late_turn or not demand.in_time)
         waiting = demand.late if is_for_late else demand.in_time
         if not waiting:
--- a/src/troutswitch/decisions/slots/coordinator.py
+++ b/src/troutswitch/decisions/slots/coordinator.py
@@ -110,7 +110,7 @@
             key = engine_key(decision.engine.record.engine_id)
             share = EngineShare(key, 1, 0, request.prefill_units)
             grant_number = self._ledger.grant(now, request.report.sender, share)
-            preempted = self._preemption.make_room(now, decision.engine)
+            preempted = self._preemption.preempt(now, decision.engine)
         reply = self._reply(request, decision, grant_number)
         return [SendToPeers((holder.address,), reply), *preempted]
 
@@ -119,9 +119,9 @@
         group = self._groups.named(request.group)
         if group is None or not self.coordinates(request.group):
             return None
-        is_bounded = request.longest_wait_ms >= 0
-        longest_wait = request.longest_wait_ms / 1000 if is_bounded else float("inf")
-        return SlotQuery(group, request.report.zone, longest_wait, frozenset(request.excluded))
+        is_bounded = request.max_wait_ms >= 0
+        max_wait = request.max_wait_ms / 1000 if is_bounded else float("inf")
+        return SlotQuery(group, request.report.zone, max_wait, frozenset(request.excluded))
 
     def _reply(
         self,
@@ -149,9 +149,9 @@
         """Chooses an engine in a coordinated group."""
         return self._choice.choose(now, query, self.engines_of(query.group.name))
 
-    def make_room_for_own(self, now: float, engine: Engine) -> list[SlotInstruction]:
+    def preempt_for_own_request(self, now: float, engine: Engine) -> list[SlotInstruction]:
         """Has a batch item stopped, if needed, for an online request that is sent in this step."""
-        return self._preemption.make_room(now, engine, about_to_send=1)
+        return self._preemption.preempt(now, engine, about_to_send=1)
 
     # Timers.
 
@@ -168,7 +168,7 @@
             return []
         instructions: list[SlotInstruction] = []
         if self._assigner.is_due(now):
-            instructions += self._make_room(now)
+            instructions += self._preempt(now)
             instructions += self._assign(now)
         if now >= self._digest_at + DIGEST_SECONDS:
             self._digest_at = now
@@ -176,12 +176,12 @@
         self._preemption.end_step()
         return instructions
 
-    def _make_room(self, now: float) -> list[SlotInstruction]:
+    def _preempt(self, now: float) -> list[SlotInstruction]:
         """Makes room for requests that were sent without the coordinator's grant."""
         instructions: list[SlotInstruction] = []
         for group in self.coordinated:
             for engine in self.engines_of(group):
-                instructions += self._preemption.make_room(now, engine)
+                instructions += self._preemption.preempt(now, engine)
         return instructions
 
     def _assign(self, now: float) -> list[SlotInstruction]:
--- a/src/troutswitch/decisions/slots/coordinator_claims.py
+++ b/src/troutswitch/decisions/slots/coordinator_claims.py
@@ -115,7 +115,7 @@
             Partition(CLAIMS_TOPIC),
             numbers,
             rng,
-            self._take_record,
+            self._on_record,
             READ_WAIT_SECONDS,
             READ_INTERVAL_SECONDS,
         )
@@ -147,21 +147,21 @@
             if claim is not None
         )
 
-    def take_claims(self, claims: Iterable[KnownClaim]) -> None:
+    def add_claims(self, claims: Iterable[KnownClaim]) -> None:
         """Takes claims that a peer knows, which may be newer than those read here."""
         for known in claims:
-            self.take(Claim(known.group, known.daemon, known.address, known.offset))
+            self.add_claim(Claim(known.group, known.daemon, known.address, known.offset))
 
-    def _take_record(self, record: KeyedRecord) -> None:
+    def _on_record(self, record: KeyedRecord) -> None:
         try:
             daemon, host, port = cbor2.loads(record.value)
             claim = Claim(record.key, str(daemon), Address(str(host), int(port)), record.offset)
         except (cbor2.CBORDecodeError, ValueError, TypeError) as error:
             self._log("claim malformed", group=record.key, reason=str(error))
             return
-        self.take(claim)
+        self.add_claim(claim)
 
-    def take(self, claim: Claim) -> None:
+    def add_claim(self, claim: Claim) -> None:
         """Takes a claim, unless a newer one of its group is known."""
         known = self._claims.get(claim.group)
         if known is not None and known.offset >= claim.offset:
@@ -182,25 +182,25 @@
         if claim is not None and claim.daemon == daemon:
             self._health.on_activity(group)
 
-    def on_missed(self, now: float, group: str) -> None:
+    def on_reply_timeout(self, now: float, group: str) -> None:
         """A request to the coordinator of a group got no reply in time."""
-        self._note_suspicion(group, self._health.on_missed(now, group))
+        self._log_suspicion(group, self._health.on_reply_timeout(now, group))
 
-    def on_denied(self, now: float, group: str) -> None:
+    def on_not_coordinator(self, now: float, group: str) -> None:
         """The daemon that got a request replied that it does not coordinate the group."""
-        self._note_suspicion(group, self._health.on_denied(now, group))
+        self._log_suspicion(group, self._health.on_not_coordinator(now, group))
 
-    def _note_suspicion(self, group: str, is_new: bool) -> None:
-        self._plan()
+    def _log_suspicion(self, group: str, is_new: bool) -> None:
+        self._schedule_next_claim()
         if is_new:
             claim = self._claims.get(group)
             coordinator = claim.daemon if claim is not None else ""
             self._log("coordinator suspected", group=group, coordinator=coordinator)
 
-    def on_wanted(self, now: float, group: str) -> None:
+    def on_coordinator_needed(self, now: float, group: str) -> None:
         """A group of which no usable coordinator is known needs one."""
-        if self._health.on_wanted(now, group):
-            self._plan()
+        if self._health.on_coordinator_needed(now, group):
+            self._schedule_next_claim()
 
     # Claiming.
 
@@ -227,7 +227,7 @@
         is_near = group.zone in ("", self._identity.zone)
         return part * CLAIM_SPREAD_SECONDS + (0.0 if is_near else OTHER_ZONE_SECONDS)
 
-    def _plan(self) -> None:
+    def _schedule_next_claim(self) -> None:
         """Works out when the next claim is due; called after whatever may change that."""
         due = (self._claim_due(group) for group in self._groups.all())
         self._next_claim = min(due, default=NEVER)
@@ -238,10 +238,10 @@
         calls: list[StoreCall] = []
         for group in self._groups.all():
             if group.name not in self._claims:
-                self.on_wanted(now, group.name)
+                self.on_coordinator_needed(now, group.name)
             if now >= self._claim_due(group):
                 calls.append(self._claim(now, group.name))
-        self._plan()
+        self._schedule_next_claim()
         return calls
 
     def _drop_unanswered(self, now: float) -> None:
@@ -261,7 +261,7 @@
 
     # The store.
 
-    def set_least_interval(self, seconds: float) -> None:
+    def set_min_read_interval(self, seconds: float) -> None:
         """Sets the least interval between reads: one claim ends the reads of all daemons."""
         self._follower.least_interval = seconds
 
@@ -277,15 +277,17 @@
         """Takes the outcome of a read or of a claim."""
         if self._follower.owns(call):
             self._follower.on_answer(now, call, outcome)
-            self._plan()
+            self._schedule_next_claim()
             return
         group = self._own_claims.pop(call).group
         if isinstance(outcome, Appended):
-            self.take(Claim(group, self._identity.name, self._identity.address, outcome.offset))
+            self.add_claim(
+                Claim(group, self._identity.name, self._identity.address, outcome.offset)
+            )
             return
         if isinstance(outcome, EndMoved):
             self._claimed_at[group] = now - CLAIM_INTERVAL_SECONDS + CONFLICT_RETRY_SECONDS
-        self._plan()
+        self._schedule_next_claim()
         self._log("claim not taken", group=group, outcome=str(outcome)[:80])
 
     # Timers.
--- a/src/troutswitch/decisions/slots/coordinator_health.py
+++ b/src/troutswitch/decisions/slots/coordinator_health.py
@@ -61,7 +61,7 @@
         """The coordinator sent a message."""
         self._groups[group] = _Health()
 
-    def on_missed(self, now: float, group: str) -> bool:
+    def on_reply_timeout(self, now: float, group: str) -> bool:
         """A request got no reply in time; returns whether the coordinator is suspected from now."""
         health = self._of(group)
         health.misses += 1
@@ -71,12 +71,12 @@
         health.suspected_until = now + SUSPECT_SECONDS
         return True
 
-    def on_denied(self, now: float, group: str) -> bool:
-        """The daemon replied that it is no coordinator; returns as `on_missed` does."""
+    def on_not_coordinator(self, now: float, group: str) -> bool:
+        """The daemon replied that it is no coordinator; returns as `on_reply_timeout` does."""
         self._of(group).misses = SUSPECT_MISSES
-        return self.on_missed(now, group)
+        return self.on_reply_timeout(now, group)
 
-    def on_wanted(self, now: float, group: str) -> bool:
+    def on_coordinator_needed(self, now: float, group: str) -> bool:
         """A group without a known coordinator needs one; returns whether that is new."""
         health = self._of(group)
         if health.missing_since != NEVER:
--- a/src/troutswitch/decisions/slots/fleet.py
+++ b/src/troutswitch/decisions/slots/fleet.py
@@ -38,7 +38,7 @@
     StartItems,
 )
 from troutswitch.decisions.slots.reports import HoldingsReports
-from troutswitch.decisions.slots.slot_requests import PlacementFound, SlotRequests
+from troutswitch.decisions.slots.slot_requests import PlacementResult, SlotRequests
 from troutswitch.decisions.storage.messages import StoreCall, StoreOutcome
 from troutswitch.decisions.storage.read_attempts import CallNumbers
 
@@ -101,7 +101,7 @@
 
     # Messages.
 
-    def on_message(self, now: float, message: SlotMessage) -> list[PlacementFound]:
+    def on_message(self, now: float, message: SlotMessage) -> list[PlacementResult]:
         """Takes a peer's message; returns the searches for a slot that it ended."""
         match message:
             case HoldingsReport():
@@ -119,30 +119,30 @@
                 assert_never(message)
         return []
 
-    def _on_reply(self, now: float, reply: SlotReply) -> list[PlacementFound]:
+    def _on_reply(self, now: float, reply: SlotReply) -> list[PlacementResult]:
         claim = self.claim_by(reply.group, reply.sender)
         if claim is not None:
             if reply.is_coordinator:
                 self.batch.on_activity(now, reply.group)
-                if self._is_doubled(claim, reply):
+                if self._is_duplicate(claim, reply):
                     return []
             if reply.grant_number and not self.requests.is_awaited(reply):
                 self.reports.on_unused_grant(claim)
         found = self.requests.on_reply(now, reply)
         return [found] if found is not None else []
 
-    def _is_doubled(self, claim: Claim, reply: SlotReply) -> bool:
+    def _is_duplicate(self, claim: Claim, reply: SlotReply) -> bool:
         """Notes the grant of a reply; returns whether it was received before."""
         if not reply.grant_number:
             return False
-        return not self.reports.take_grant(claim, reply.incarnation, reply.grant_number)
+        return not self.reports.record_grant(claim, reply.incarnation, reply.grant_number)
 
     def _on_batch_grant(self, now: float, grant: BatchSlotGrant) -> None:
         claim = self.claim_by(grant.group, grant.sender)
         if claim is None:
             self._log("grant of another coordinator", group=grant.group, peer=grant.sender)
             return
-        is_new = self.reports.take_grant(claim, grant.incarnation, grant.grant_number)
+        is_new = self.reports.record_grant(claim, grant.incarnation, grant.grant_number)
         engine = self._engines.by_key(grant.engine_key)
         if not is_new or engine is None:
             return
@@ -195,7 +195,7 @@
             self.requests.next_due(),
         )
 
-    def on_timer(self, now: float) -> tuple[list[PlacementFound], list[StoreCall]]:
+    def on_timer(self, now: float) -> tuple[list[PlacementResult], list[StoreCall]]:
         """Does what is due; returns the searches that ended, and calls to the store."""
         self._follow_list(now)
         calls = self.claims.on_timer(now)
--- a/src/troutswitch/decisions/slots/group_search.py
+++ b/src/troutswitch/decisions/slots/group_search.py
@@ -6,9 +6,9 @@
 
 Rule:
 
-1. At most `GROUPS_TRIED_MOST` groups are tried, one after the other in random order; those that
+1. At most `MAX_GROUPS_TRIED` groups are tried, one after the other in random order; those that
    span zones or are of this daemon's zone come first.
-2. A group is accepted only if the wait there is `NEAR_WAIT_SECONDS` at most, as long as there is
+2. A group is accepted only if the wait there is `SHORT_WAIT_SECONDS` at most, as long as there is
    another group to try, or one was tried before. If there is none, its wait is accepted up to the
    request's own bound.
 3. If no group was accepted, the one with the shortest wait is tried again, and takes the request
@@ -29,9 +29,9 @@
 from troutswitch.decisions.forwarding.wait_estimate import Estimate
 from troutswitch.decisions.slots.groups import Group
 
-GROUPS_TRIED_MOST = 3
+MAX_GROUPS_TRIED = 3
 """Groups that are tried for one request before it joins the shortest queue."""
-NEAR_WAIT_SECONDS = 0.02
+SHORT_WAIT_SECONDS = 0.02
 """Wait for a slot up to which no other group is tried: about what a message and its reply
 take."""
 
@@ -41,7 +41,7 @@
     ordered = list(groups)
     rng.shuffle(ordered)
     ordered.sort(key=lambda group: group.zone not in ("", zone))
-    return ordered[:GROUPS_TRIED_MOST]
+    return ordered[:MAX_GROUPS_TRIED]
 
 
 @dataclass(frozen=True, slots=True)
@@ -70,14 +70,14 @@
         self.group = self._groups.pop(0)
         return self.group
 
-    def accepted_wait(self) -> float:
+    def max_accepted_wait(self) -> float:
         """Returns the longest wait to accept of the group that is tried now, in seconds."""
         has_alternative = bool(self._groups) or self._shortest is not None
         if self._joins_queue or not has_alternative:
             return self.request.longest_wait
-        return min(NEAR_WAIT_SECONDS, self.request.longest_wait)
+        return min(SHORT_WAIT_SECONDS, self.request.longest_wait)
 
-    def note_wait(self, group: Group, estimate: Estimate) -> None:
+    def record_wait(self, group: Group, estimate: Estimate) -> None:
         """Notes the wait at a group that was not accepted."""
         if estimate.slots == 0:
             return  # the group has no engine for the request
--- a/src/troutswitch/decisions/slots/groups.py
+++ b/src/troutswitch/decisions/slots/groups.py
@@ -2,9 +2,10 @@
 
 Inputs: the engines of this daemon's list that have not begun to leave, with service and zone.
 
-Rule: the engines of a service form one group if they are `WHOLE_SERVICE_MOST` at most. If they
-are more, those of each zone form one group, or several of about equal size by a hash of the
-engine's id, none meant to be larger than `GROUP_ENGINES_MOST`.
+Rule: the engines of a service form one group if there are at most `MAX_SINGLE_GROUP_ENGINES`.
+Otherwise the engines of each zone form one group, or several groups of about equal size, assigned
+by a hash of the engine's id. The number of groups is the lowest that gives an average of at most
+`TARGET_GROUP_ENGINES` engines; a single group may exceed it.
 
 Why: a group is as large as one daemon can count. The larger it is, the more seldom a slot is free
 in one group while requests wait in another. The groups follow from the list alone, so daemons with
@@ -20,9 +21,9 @@
 from troutswitch.common import stable_hash
 from troutswitch.decisions.forwarding.types import EngineRecord
 
-WHOLE_SERVICE_MOST = 16
+MAX_SINGLE_GROUP_ENGINES = 16
 """Engines of a service up to which they form one group, in whatever zones they are."""
-GROUP_ENGINES_MOST = 32
+TARGET_GROUP_ENGINES = 32
 """Engines of a service and zone up to which they form one group."""
 
 
@@ -52,14 +53,14 @@
 
 
 def _assign_service(service: str, records: list[EngineRecord]) -> dict[str, Group]:
-    if len(records) <= WHOLE_SERVICE_MOST:
+    if len(records) <= MAX_SINGLE_GROUP_ENGINES:
         return {record.engine_id: Group(service, "", 0) for record in records}
     by_zone: dict[str, list[EngineRecord]] = {}
     for record in records:
         by_zone.setdefault(record.zone, []).append(record)
     groups: dict[str, Group] = {}
     for zone, of_zone in by_zone.items():
-        group_count = -(-len(of_zone) // GROUP_ENGINES_MOST)
+        group_count = -(-len(of_zone) // TARGET_GROUP_ENGINES)
         for record in of_zone:
             number = stable_hash("group", record.engine_id) % group_count
             groups[record.engine_id] = Group(service, zone, number)
--- a/src/troutswitch/decisions/slots/ledger.py
+++ b/src/troutswitch/decisions/slots/ledger.py
@@ -35,7 +35,7 @@
 """Silence after which a peer is forgotten."""
 CHECK_SECONDS = 0.1
 """Interval between checks for expired grants and silent peers."""
-REPORTS_TO_AVOID = 2
+MIN_UNUSABLE_REPORTS = 2
 """Daemons that must report an engine as unusable before no daemon is sent there."""
 
 
@@ -80,7 +80,7 @@
         """Slots for batch items that it was granted since its newest report."""
         return sum(grant.share.batch for grant in self.grants if grant.share.batch > 0)
 
-    def take_report(self, now: float, report: HoldingsReport) -> None:
+    def apply_report(self, now: float, report: HoldingsReport) -> None:
         """Takes the content of a report that is newer than the last one."""
         self.address, self.zone = report.address, report.zone
         self.incarnation, self.sequence = report.incarnation, report.sequence
@@ -130,7 +130,7 @@
             holder.grants.clear()
         elif report.sequence <= holder.sequence:
             return False
-        holder.take_report(now, report)
+        holder.apply_report(now, report)
         if report.coordinator_incarnation == self._incarnation:
             holder.drop_reported_grants(report.last_grant_seen)
         self._apply(now, holder)
@@ -149,12 +149,12 @@
         shares = dict(holder.reported)
         for grant in holder.grants:
             key = grant.share.engine_key
-            shares[key] = _sum(shares.get(key, _nothing(key)), grant.share)
+            shares[key] = _add_shares(shares.get(key, _empty_share(key)), grant.share)
         if shares == holder.shares:
             return
         for key in holder.shares.keys() | shares.keys():
-            old = holder.shares.get(key, _nothing(key))
-            self._change(now, old, shares.get(key, _nothing(key)))
+            old = holder.shares.get(key, _empty_share(key))
+            self._change(now, old, shares.get(key, _empty_share(key)))
         holder.shares = shares
 
     def _change(self, now: float, old: EngineShare, new: EngineShare) -> None:
@@ -176,7 +176,7 @@
             for holder in self.holders.values():
                 share = holder.shares.get(key)
                 if share is not None:
-                    self._change(now, _nothing(key), share)
+                    self._change(now, _empty_share(key), share)
 
     # What the holders have.
 
@@ -188,7 +188,7 @@
     def is_avoided(self, key: int) -> bool:
         """Returns whether several daemons report the engine of a key as unusable."""
         reports = sum(key in holder.unusable for holder in self.holders.values())
-        return reports >= REPORTS_TO_AVOID
+        return reports >= MIN_UNUSABLE_REPORTS
 
     def open_items(self) -> int:
         """Returns the number of batch items that peers have to finish."""
@@ -226,11 +226,11 @@
             ensure(not numbers or numbers[-1] <= holder.last_grant, "a grant has no number")
 
 
-def _nothing(key: int) -> EngineShare:
+def _empty_share(key: int) -> EngineShare:
     return EngineShare(key, 0, 0, 0)
 
 
-def _sum(share: EngineShare, change: EngineShare) -> EngineShare:
+def _add_shares(share: EngineShare, change: EngineShare) -> EngineShare:
     return EngineShare(
         share.engine_key,
         max(0, share.online + change.online),
--- a/src/troutswitch/decisions/slots/preemption.py
+++ b/src/troutswitch/decisions/slots/preemption.py
@@ -38,9 +38,7 @@
         self._own_stops: dict[str, int] = {}
         """Own items by engine that are to stop in this step, and still count as running."""
 
-    def make_room(
-        self, now: float, engine: Engine, about_to_send: int = 0
-    ) -> list[SlotInstruction]:
+    def preempt(self, now: float, engine: Engine, about_to_send: int = 0) -> list[SlotInstruction]:
         """Stops the items that are above the engine's slots.
 
         `about_to_send` is the number of online requests of this daemon that are sent to the engine
--- a/src/troutswitch/decisions/slots/reports.py
+++ b/src/troutswitch/decisions/slots/reports.py
@@ -97,7 +97,7 @@
 
     # Grants of coordinators.
 
-    def take_grant(self, claim: Claim, incarnation: int, number: int) -> bool:
+    def record_grant(self, claim: Claim, incarnation: int, number: int) -> bool:
         """Notes a numbered grant; returns whether it is new, so that it may be acted on."""
         coordinator = self._coordinator(claim)
         if coordinator.incarnation != incarnation:
@@ -116,12 +116,12 @@
         """
         self._coordinator(claim).has_unused_grant = True
 
-    def knows_all(self, claim: Claim) -> bool:
+    def has_reported_all(self, claim: Claim) -> bool:
         """Returns whether a coordinator was sent what this daemon has there now."""
         self._update()
         return self._coordinator(claim).reported == self._holdings_for(claim)
 
-    def assume_known(self, claim: Claim) -> None:
+    def mark_reported(self, claim: Claim) -> None:
         """Counts what this daemon has now as reported: the coordinator has just granted it."""
         self._update()
         self._coordinator(claim).reported = self._holdings_for(claim)
--- a/src/troutswitch/decisions/slots/slot_choice.py
+++ b/src/troutswitch/decisions/slots/slot_choice.py
@@ -44,13 +44,13 @@
 class SlotQuery:
     """An online request of this daemon or a peer that needs a slot.
 
-    `zone` is the zone of the daemon that has the request, `longest_wait` is in seconds, and
+    `zone` is the zone of the daemon that has the request, `max_wait` is in seconds, and
     `excluded` has the keys of engines that the request may not be sent to.
     """
 
     group: Group
     zone: str
-    longest_wait: float
+    max_wait: float
     excluded: frozenset[int]
 
 
@@ -78,7 +78,7 @@
         costs = {e.record.engine_id: _cost(now, e, query.zone) for e in candidates}
         engine = min(candidates, key=lambda e: (costs[e.record.engine_id], self._rng.random()))
         estimate = slot_wait(now, engine, self._times.of(query.group.service))
-        if estimate.wait > query.longest_wait:
+        if estimate.wait > query.max_wait:
             return SlotDecision(None, estimate)
         return SlotDecision(engine, estimate)
 
--- a/src/troutswitch/decisions/slots/slot_requests.py
+++ b/src/troutswitch/decisions/slots/slot_requests.py
@@ -4,7 +4,7 @@
     AWAITING  -> AWAITING    no slot soon: the next group's coordinator was sent a request
     AWAITING  -> assigned    a slot was granted, or the queue of the best group was joined
     AWAITING  -> no slot     the wait is too long in every group
-    AWAITING  -> fallback    no reply within `REPLY_SECONDS`: this daemon decides alone
+    AWAITING  -> fallback    no reply within `REPLY_TIMEOUT_SECONDS`: this daemon decides alone
 
 A group that this daemon coordinates itself is decided at once, without a message.
 
@@ -45,7 +45,7 @@
 from troutswitch.decisions.slots.reports import HoldingsReports
 from troutswitch.decisions.slots.slot_choice import SlotQuery
 
-REPLY_SECONDS = 0.03
+REPLY_TIMEOUT_SECONDS = 0.03
 """Time within which a coordinator must reply: a tenth of an objective of 300 ms, and several
 times what a reply from another zone takes."""
 
@@ -67,11 +67,11 @@
     @property
     def due_at(self) -> float:
         """When the reply is overdue."""
-        return self.requested_at + REPLY_SECONDS
+        return self.requested_at + REPLY_TIMEOUT_SECONDS
 
 
 @dataclass(frozen=True, slots=True)
-class PlacementFound:
+class PlacementResult:
     """How the search for the request that `token` names ended."""
 
     token: int
@@ -158,7 +158,7 @@
             return self._decide(now, search, group)
         claim = self._claims.coordinator(now, group.name)
         if claim is None:
-            self._claims.on_wanted(now, group.name)
+            self._claims.on_coordinator_needed(now, group.name)
             return None
         self._send(now, search, group, claim)
         return _Pending.REPLY
@@ -166,13 +166,13 @@
     def _decide(self, now: float, search: GroupSearch, group: Group) -> Placement | None:
         """Decides as the coordinator of a group; returns None if it has no slot soon."""
         query = SlotQuery(
-            group, self._zone, search.accepted_wait(), self._excluded(now, search, group)
+            group, self._zone, search.max_accepted_wait(), self._excluded(now, search, group)
         )
         decision = self._coordinator.decide(now, query)
         if decision.engine is None:
-            search.note_wait(group, decision.estimate)
+            search.record_wait(group, decision.estimate)
             return None
-        for instruction in self._coordinator.make_room_for_own(now, decision.engine):
+        for instruction in self._coordinator.preempt_for_own_request(now, decision.engine):
             self._emit(instruction)
         return Assignment(decision.engine, AssignedBy.COORDINATOR, decision.estimate.wait > 0)
 
@@ -181,7 +181,7 @@
         number = next(self._numbers)
         self._open[token] = _OpenSearch(search, number, now)
         self._tokens[number] = token
-        wait = search.accepted_wait()
+        wait = search.max_accepted_wait()
         request = SlotRequest(
             self._reports.report(now, claim),
             number,
@@ -202,7 +202,7 @@
         """Returns whether a search still awaits a reply."""
         return reply.number in self._tokens
 
-    def on_reply(self, now: float, reply: SlotReply) -> PlacementFound | None:
+    def on_reply(self, now: float, reply: SlotReply) -> PlacementResult | None:
         """Takes a coordinator's reply; returns the search's end if it ends.
 
         A reply that comes too late, or to a request that was withdrawn, changes nothing.
@@ -217,12 +217,12 @@
     def _after_reply(self, now: float, search: GroupSearch, reply: SlotReply) -> Placement | None:
         """Returns where a reply leads; None if another reply is awaited."""
         if not reply.is_coordinator:
-            self._claims.on_denied(now, reply.group)
+            self._claims.on_not_coordinator(now, reply.group)
             return self._advance(now, search)
         self._claims.on_activity(reply.group, reply.sender)
         if reply.engine_key == NO_ENGINE:
             if search.group is not None:
-                search.note_wait(search.group, _estimate(reply))
+                search.record_wait(search.group, _estimate(reply))
             return self._advance(now, search)
         engine = self._local.permitted(now, search.request.token, reply.engine_key)
         if engine is None:
@@ -231,11 +231,11 @@
 
     def _finish(
         self, now: float, search: GroupSearch, placement: Placement | None
-    ) -> PlacementFound | None:
+    ) -> PlacementResult | None:
         if placement is None:
             return None
         self.withdraw(now, search.request.token)
-        return PlacementFound(search.request.token, placement)
+        return PlacementResult(search.request.token, placement)
 
     # Timers.
 
@@ -243,21 +243,21 @@
         """Returns when `on_timer` has something to do, in seconds of this process's clock."""
         return min((search.due_at for search in self._open.values()), default=float("inf"))
 
-    def on_timer(self, now: float) -> list[PlacementFound]:
+    def on_timer(self, now: float) -> list[PlacementResult]:
         """Ends the searches whose reply is overdue."""
         overdue = [search for search in self._open.values() if now >= search.due_at]
         return [self._end_overdue(now, search) for search in overdue]
 
-    def _end_overdue(self, now: float, overdue: _OpenSearch) -> PlacementFound:
+    def _end_overdue(self, now: float, overdue: _OpenSearch) -> PlacementResult:
         search = overdue.search
         if search.group is not None:
-            self._claims.on_missed(now, search.group.name)
-            waited_ms = round(REPLY_SECONDS * 1000)
+            self._claims.on_reply_timeout(now, search.group.name)
+            waited_ms = round(REPLY_TIMEOUT_SECONDS * 1000)
             fields: dict[str, object] = {"group": search.group.name, "waited_ms": waited_ms}
             self._emit(LogLine("slot request not answered", fields))
         placement = self._local.fall_back(now, search.request)
         self.withdraw(now, search.request.token)
-        return PlacementFound(search.request.token, placement)
+        return PlacementResult(search.request.token, placement)
 
 
 def _estimate(reply: SlotReply) -> Estimate:
--- a/src/troutswitch/decisions/tenants/coordinated_quota.py
+++ b/src/troutswitch/decisions/tenants/coordinated_quota.py
@@ -8,13 +8,13 @@
 1. A tenant without a limit costs no message, nor does a request that a lease covers.
 2. If this daemon coordinates the tenant's group, it counts by itself (`quota_coordinator.py`).
 3. Otherwise the coordinator is sent a request, and once more after `RESEND_SECONDS`. After
-   `DECISION_SECONDS` without a decision the coordinator counts as silent, as for slots.
+   `DECISION_TIMEOUT_SECONDS` without a decision the coordinator counts as silent, as for slots.
 4. If there is no coordinator, or it is silent or denies that it is one, this daemon decides alone
    (`uncoordinated_quota.py`). What it admits so is reported to the next coordinator, which counts
    it then.
 
-With leases, a coordinator may grant `LEASED_MOST` more requests in advance, to be used within
-`LEASE_SECONDS`, while the tenant has used less than half of its quota.
+With leases, a coordinator may grant `MAX_LEASED_REQUESTS` more requests in advance, to be used
+within `LEASE_SECONDS`, while the tenant has used less than half of its quota.
 
 Why: one count over all daemons neither exceeds a quota nor refuses what is inside it. The second
 message makes up for a lost datagram within the time for a decision. Measured in
@@ -34,20 +34,20 @@
 from troutswitch.decisions.slots.coordinator_claims import Claim
 from troutswitch.decisions.slots.groups import Group
 from troutswitch.decisions.slots.messages import SendToPeers
-from troutswitch.decisions.tenants.quota import UNLIMITED, QuotaEnd, QuotaResult
+from troutswitch.decisions.tenants.quota import UNLIMITED, QuotaCompletion, QuotaResult
 from troutswitch.decisions.tenants.quota_coordinator import QuotaCoordinator
 from troutswitch.decisions.tenants.quota_groups import QuotaGroups
 from troutswitch.decisions.tenants.quota_ledger import QuotaLimit
 from troutswitch.decisions.tenants.types import QuotaBounds, Tenant
 from troutswitch.decisions.tenants.uncoordinated_quota import UncoordinatedQuota
 
-DECISION_SECONDS = 0.03
+DECISION_TIMEOUT_SECONDS = 0.03
 """Time within which a coordinator must decide, as for slots: a tenth of an objective of 300 ms."""
 RESEND_SECONDS = 0.012
 """Time after which a request without a decision is sent once more."""
 LEASE_SECONDS = 0.5
 """Time for which requests that were granted in advance may be used."""
-LEASED_MOST = 4
+MAX_LEASED_REQUESTS = 4
 """Requests granted in advance with one decision."""
 
 
@@ -74,13 +74,13 @@
     message: SendToPeers
     group: str
     requested_at: float
-    spent: int
+    unreported: int
     is_resent: bool = False
 
     @property
     def decision_due_at(self) -> float:
         """When the decision is overdue."""
-        return self.requested_at + DECISION_SECONDS
+        return self.requested_at + DECISION_TIMEOUT_SECONDS
 
     @property
     def due_at(self) -> float:
@@ -92,8 +92,8 @@
 class _Lease:
     """Requests of a tenant that were granted in advance."""
 
-    left: int
-    until: float
+    remaining: int
+    expires_at: float
 
 
 class CoordinatedQuota:
@@ -115,12 +115,12 @@
         self._groups = groups
         self._fleet = fleet
         self._emit = emit
-        self._in_advance = LEASED_MOST if leases else 0
+        self._in_advance = MAX_LEASED_REQUESTS if leases else 0
         self._uncoordinated = UncoordinatedQuota(lambda: fleet.daemons, rng)
         self._pending: dict[int, _Pending] = {}
         self._leases: dict[str, _Lease] = {}
         self._numbers = itertools.count(1)
-        self._spent: Counter[str] = Counter()
+        self._unreported: Counter[str] = Counter()
         """Requests by tenant that were admitted without a coordinator, and not reported yet."""
 
     # Requests of this daemon.
@@ -140,7 +140,7 @@
             return QuotaResult(grant.granted > 0, grant.wait, "counted here")
         claim = self._groups.claims.coordinator(now, group.name)
         if claim is None:
-            self._groups.claims.on_wanted(now, group.name)
+            self._groups.claims.on_coordinator_needed(now, group.name)
             return self._decide_alone(now, tenant)
         self._send(now, token, tenant, group, claim)
         return None
@@ -158,22 +158,24 @@
             tenant.burst,
             self._fleet.configuration_version,
             1 + self._in_advance,
-            self._spent[tenant.name],
+            self._unreported[tenant.name],
         )
         message = SendToPeers((claim.address,), request)
-        self._pending[number] = _Pending(token, tenant, message, group.name, now, request.spent)
+        self._pending[number] = _Pending(
+            token, tenant, message, group.name, now, request.unreported
+        )
         self._emit(message)
 
     def _decide_alone(self, now: float, tenant: Tenant) -> QuotaResult:
         result = self._uncoordinated.take(now, tenant)
-        self._spent[tenant.name] += result.is_allowed
+        self._unreported[tenant.name] += result.is_allowed
         return result
 
     def _use_lease(self, now: float, tenant: str) -> bool:
         lease = self._leases.get(tenant)
-        if lease is None or not lease.left or now >= lease.until:
+        if lease is None or not lease.remaining or now >= lease.expires_at:
             return False
-        lease.left -= 1
+        lease.remaining -= 1
         return True
 
     def withdraw(self, token: int) -> None:
@@ -189,21 +191,21 @@
         decision = self.coordinator.decide(now, request)
         self._emit(SendToPeers((request.address,), decision))
 
-    def on_decision(self, now: float, decision: QuotaDecision) -> list[QuotaEnd]:
+    def on_decision(self, now: float, decision: QuotaDecision) -> list[QuotaCompletion]:
         """Takes a coordinator's decision; one that comes too late changes nothing."""
         pending = self._pending.pop(decision.number, None)
         if pending is None:
             return []
         if not decision.is_coordinator:
-            self._groups.claims.on_denied(now, pending.group)
-            return [QuotaEnd(pending.token, self._decide_alone(now, pending.tenant))]
+            self._groups.claims.on_not_coordinator(now, pending.group)
+            return [QuotaCompletion(pending.token, self._decide_alone(now, pending.tenant))]
         self._groups.claims.on_activity(pending.group, decision.sender)
-        return [QuotaEnd(pending.token, self._result(now, pending, decision))]
+        return [QuotaCompletion(pending.token, self._result(now, pending, decision))]
 
     def _result(self, now: float, pending: _Pending, decision: QuotaDecision) -> QuotaResult:
         """Notes what a coordinator has counted and granted, and returns the request's result."""
         tenant = pending.tenant.name
-        self._spent[tenant] = max(0, self._spent[tenant] - pending.spent)
+        self._unreported[tenant] = max(0, self._unreported[tenant] - pending.unreported)
         is_allowed = decision.granted > 0
         self._uncoordinated.on_decision(now, tenant, is_allowed)
         if decision.granted > 1:
@@ -216,10 +218,10 @@
         """Returns when `on_timer` has something to do, in seconds of this process's clock."""
         return min((pending.due_at for pending in self._pending.values()), default=float("inf"))
 
-    def on_timer(self, now: float) -> list[QuotaEnd]:
+    def on_timer(self, now: float) -> list[QuotaCompletion]:
         """Sends requests again, and ends those whose decision is overdue."""
         self.coordinator.on_timer(now)
-        ended: list[QuotaEnd] = []
+        ended: list[QuotaCompletion] = []
         for number, pending in list(self._pending.items()):
             if now < pending.due_at:
                 continue
@@ -231,8 +233,8 @@
             ended.append(self._end_overdue(now, pending))
         return ended
 
-    def _end_overdue(self, now: float, pending: _Pending) -> QuotaEnd:
-        self._groups.claims.on_missed(now, pending.group)
+    def _end_overdue(self, now: float, pending: _Pending) -> QuotaCompletion:
+        self._groups.claims.on_reply_timeout(now, pending.group)
         fields: dict[str, object] = {"group": pending.group, "tenant": pending.tenant.name}
         self._emit(LogLine("quota request not answered", fields))
-        return QuotaEnd(pending.token, self._decide_alone(now, pending.tenant))
+        return QuotaCompletion(pending.token, self._decide_alone(now, pending.tenant))
--- a/src/troutswitch/decisions/tenants/quota.py
+++ b/src/troutswitch/decisions/tenants/quota.py
@@ -28,7 +28,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class QuotaEnd:
+class QuotaCompletion:
     """The result for a request that awaited a coordinator's decision, named by its token."""
 
     token: int
@@ -53,7 +53,7 @@
         """Replies to a peer, as the coordinator of the tenant."""
         ...
 
-    def on_decision(self, now: float, decision: QuotaDecision) -> list[QuotaEnd]:
+    def on_decision(self, now: float, decision: QuotaDecision) -> list[QuotaCompletion]:
         """Takes a coordinator's decision."""
         ...
 
@@ -61,7 +61,7 @@
         """Returns when `on_timer` has something to do, in seconds of this process's clock."""
         ...
 
-    def on_timer(self, now: float) -> list[QuotaEnd]:
+    def on_timer(self, now: float) -> list[QuotaCompletion]:
         """Ends requests whose decision is overdue."""
         ...
 
@@ -79,7 +79,7 @@
     def on_request(self, now: float, request: QuotaRequest) -> None:
         """Does not reply: the peer decides alone."""
 
-    def on_decision(self, now: float, decision: QuotaDecision) -> list[QuotaEnd]:
+    def on_decision(self, now: float, decision: QuotaDecision) -> list[QuotaCompletion]:
         """Awaits no decision."""
         return []
 
@@ -87,6 +87,6 @@
         """Returns infinity."""
         return float("inf")
 
-    def on_timer(self, now: float) -> list[QuotaEnd]:
+    def on_timer(self, now: float) -> list[QuotaCompletion]:
         """Has nothing to do."""
         return []
--- a/src/troutswitch/decisions/tenants/quota_coordinator.py
+++ b/src/troutswitch/decisions/tenants/quota_coordinator.py
@@ -42,8 +42,8 @@
 
     def _grant(self, now: float, request: QuotaRequest, counts_since: float) -> QuotaGrant:
         limit = QuotaLimit(request.rate, request.burst, request.version)
-        self.ledger.debit(now, request.tenant, limit, request.spent, counts_since)
-        count = request.count if self.ledger.is_ample(request.tenant) else 1
+        self.ledger.debit(now, request.tenant, limit, request.unreported, counts_since)
+        count = request.count if self.ledger.has_ample_quota(request.tenant) else 1
         return self.ledger.take(now, request.tenant, limit, count, counts_since)
 
     def on_timer(self, now: float) -> None:
--- a/src/troutswitch/decisions/tenants/quota_ledger.py
+++ b/src/troutswitch/decisions/tenants/quota_ledger.py
@@ -8,7 +8,7 @@
 `TOLERANCE_SHARE` of what users let pass above a quota (`QuotaBounds`). A daemon that has counted
 for less than one window begins with the tolerance alone. Requests that were admitted without a
 coordinator are taken off afterwards, into debt if needed. A refusal states when
-there is quota for the caller, one after the other, at most `RETRY_MOST_SECONDS` later.
+there is quota for the caller, one after the other, at most `MAX_RETRY_AFTER_SECONDS` later.
 
 Why: in any window no more than rate x window + burst passes, and the tolerance, so a caller at the
 limit is not refused for a request that is counted late. The rest of what may pass is for two
@@ -24,7 +24,7 @@
 
 TOLERANCE_SHARE = 0.4
 """Part of what may pass above a quota that a coordinator allows."""
-RETRY_MOST_SECONDS = 30.0
+MAX_RETRY_AFTER_SECONDS = 30.0
 """Longest time after which a caller is to retry."""
 
 
@@ -50,11 +50,11 @@
 
 @dataclass(slots=True)
 class _Account:
-    """What one tenant has left. `promised` counts callers that got a time to retry."""
+    """What one tenant has left. `scheduled_retries` counts callers that got a time to retry."""
 
     limit: QuotaLimit
     bucket: TokenBucket
-    promised: float = 0.0
+    scheduled_retries: float = 0.0
 
 
 class QuotaLedger:
@@ -88,13 +88,13 @@
         rate, depth = account.limit.rate, self._depth(account.limit)
         before = account.bucket.filled_at
         left = account.bucket.refill(now, rate, depth)
-        account.promised = max(0.0, account.promised - (now - before) * rate)
+        account.scheduled_retries = max(0.0, account.scheduled_retries - (now - before) * rate)
         if left >= 1.0:
             granted = min(count, int(left))
             account.bucket.tokens -= granted
             return QuotaGrant(granted, 0.0)
-        wait = min(RETRY_MOST_SECONDS, (1.0 - left + account.promised) / rate)
-        account.promised += 1.0
+        wait = min(MAX_RETRY_AFTER_SECONDS, (1.0 - left + account.scheduled_retries) / rate)
+        account.scheduled_retries += 1.0
         return QuotaGrant(0, wait)
 
     def debit(
@@ -111,7 +111,7 @@
             left = account.bucket.refill(now, account.limit.rate, depth)
             account.bucket.tokens = max(-depth, left - spent)
 
-    def is_ample(self, tenant: str) -> bool:
+    def has_ample_quota(self, tenant: str) -> bool:
         """Returns whether a tenant has used less than half of what it may send at once."""
         account = self._accounts.get(tenant)
         return account is not None and account.bucket.tokens > self._depth(account.limit) / 2
--- a/src/troutswitch/decisions/tenants/uncoordinated_quota.py
+++ b/src/troutswitch/decisions/tenants/uncoordinated_quota.py
@@ -1,7 +1,7 @@
 """Decides whether a request is admitted while no coordinator counts for its tenant.
 
 Inputs: the decisions of coordinators on the tenant's requests from this daemon, of the last
-`DECISIONS_SECONDS`; this daemon's equal share of the quota (`equal_shares.py`).
+`DECISION_HISTORY_SECONDS`; this daemon's equal share of the quota (`equal_shares.py`).
 
 Rule: if some of the tenant's recent requests were refused, a request is refused with the
 probability of the refused part. What remains is admitted up to `UNCOORDINATED_FACTOR` times the
@@ -22,9 +22,9 @@
 
 UNCOORDINATED_FACTOR = 1.5
 """How many times its equal share a daemon may admit."""
-SHARE_LEAST = 1.0
+MIN_SHARE_BURST = 1.0
 """Least requests at once of a share."""
-DECISIONS_SECONDS = 5.0
+DECISION_HISTORY_SECONDS = 5.0
 """Time for which coordinators' decisions show how much of a tenant's requests to admit."""
 
 
@@ -41,14 +41,14 @@
     """Decides alone: the part that was admitted recently, at most a share of the quota."""
 
     def __init__(self, daemons: Callable[[], int], rng: random.Random) -> None:
-        self._shares = EqualShares(daemons, UNCOORDINATED_FACTOR, SHARE_LEAST)
+        self._shares = EqualShares(daemons, UNCOORDINATED_FACTOR, MIN_SHARE_BURST)
         self._rng = rng
         self._decisions: dict[str, _Decisions] = {}
 
     def on_decision(self, now: float, tenant: str, is_allowed: bool) -> None:
         """Notes a coordinator's decision on one request."""
         decisions = self._decisions.get(tenant)
-        if decisions is None or now - decisions.newest_at > DECISIONS_SECONDS:
+        if decisions is None or now - decisions.newest_at > DECISION_HISTORY_SECONDS:
             decisions = self._decisions[tenant] = _Decisions(now)
         decisions.newest_at = now
         if is_allowed:
@@ -67,6 +67,6 @@
 
     def _recent(self, now: float, tenant: str) -> _Decisions | None:
         decisions = self._decisions.get(tenant)
-        if decisions is None or now - decisions.newest_at > DECISIONS_SECONDS:
+        if decisions is None or now - decisions.newest_at > DECISION_HISTORY_SECONDS:
             return None
         return decisions
--- a/tests/daemons/test_datagram.py
+++ b/tests/daemons/test_datagram.py
@@ -8,7 +8,7 @@
 from troutswitch.common import Address
 from troutswitch.daemons.datagram import VERSION, DatagramError, decode, encode
 from troutswitch.daemons.messages import (
-    PREFILL_REPORTED_TOKENS,
+    MIN_REPORTED_PREFILL_TOKENS,
     PREFILL_UNIT_TOKENS,
     BatchSlotGrant,
     EngineCounts,
@@ -97,7 +97,7 @@
 
 
 def test_few_prompt_tokens_are_not_reported_and_many_are_rounded_up() -> None:
-    assert prefill_units(PREFILL_REPORTED_TOKENS - 1) == 0
+    assert prefill_units(MIN_REPORTED_PREFILL_TOKENS - 1) == 0
     assert prefill_units(9 * PREFILL_UNIT_TOKENS + 1) == 10
 
 
--- a/tests/decisions/slots/test_coordinator.py
+++ b/tests/decisions/slots/test_coordinator.py
@@ -14,7 +14,7 @@
     SlotRequest,
     engine_key,
 )
-from troutswitch.decisions.slots.batch_slots import ASSIGN_SECONDS, LATE_TURN
+from troutswitch.decisions.slots.batch_slots import ASSIGN_SECONDS, LATE_SLOT_INTERVAL
 from troutswitch.decisions.slots.coordinator import GRACE_SECONDS
 from troutswitch.decisions.slots.ledger import SlotLedger
 
@@ -32,8 +32,8 @@
     return first, second
 
 
-def slot_request(number: int = 1, longest_wait_ms: int = -1, **held: int) -> SlotRequest:
-    return SlotRequest(report("peer", number, **held), number, GROUP, 0, longest_wait_ms)
+def slot_request(number: int = 1, max_wait_ms: int = -1, **held: int) -> SlotRequest:
+    return SlotRequest(report("peer", number, **held), number, GROUP, 0, max_wait_ms)
 
 
 def batch_grants(daemon: SlotsOf) -> list[BatchSlotGrant]:
@@ -93,8 +93,8 @@
 def test_a_request_that_accepts_no_wait_gets_the_wait_in_the_reply() -> None:
     first, _ = pair(engines=1, slots=1)
     first.times.on_completed("service", 0.06, 0.6, was_queued=False)
-    first.take(NOW, slot_request(1, longest_wait_ms=0))
-    first.take(NOW, slot_request(2, longest_wait_ms=0))
+    first.take(NOW, slot_request(1, max_wait_ms=0))
+    first.take(NOW, slot_request(2, max_wait_ms=0))
     granted, refused = replies(first)
     assert granted.grant_number > 0
     assert refused.grant_number == 0
@@ -179,10 +179,10 @@
 def test_a_daemon_that_has_only_late_items_has_its_turn_beside_others() -> None:
     first, second = pair(engines=1, slots=1)
     second.late = 1
-    first.waiting = 10 * LATE_TURN
+    first.waiting = 10 * LATE_SLOT_INTERVAL
     now = SETTLED
     slots_given = 0
-    while slots_given < 2 * LATE_TURN:
+    while slots_given < 2 * LATE_SLOT_INTERVAL:
         slots_given += 1
         now += 1.0
         second.tick(now)
@@ -193,15 +193,15 @@
             break
         first.end_item(now, "s0")
     assert second.items
-    assert slots_given <= LATE_TURN
+    assert slots_given <= LATE_SLOT_INTERVAL
 
 
 def test_without_turns_it_would_wait_on() -> None:
     first, second = pair(engines=1, slots=1)
     second.late = 1
-    first.waiting = LATE_TURN - 2
+    first.waiting = LATE_SLOT_INTERVAL - 2
     now = SETTLED
-    for _ in range(LATE_TURN - 2):
+    for _ in range(LATE_SLOT_INTERVAL - 2):
         now += 1.0
         second.tick(now)
         deliver(now, first, second)
--- a/tests/decisions/slots/test_coordinator_claims.py
+++ b/tests/decisions/slots/test_coordinator_claims.py
@@ -79,7 +79,7 @@
     store = Store()
     store.appends(0.0)
     (claim,) = store.appends(CLAIM_SPREAD_SECONDS + 0.01)
-    store.claims.take_claims((known_claim("other", 0),))
+    store.claims.add_claims((known_claim("other", 0),))
     store.claims.on_answer(1.0, claim.call, EndMoved(1))
     assert not store.claims.is_own(GROUP)
     assert store.appends(9.0) == []
@@ -100,8 +100,8 @@
 
 def test_the_newest_claim_is_in_force_in_whatever_order_they_come() -> None:
     store = Store()
-    store.claims.take_claims((known_claim("new", 5), known_claim("old", 2)))
-    store.claims.take_claims((known_claim("older", 1),))
+    store.claims.add_claims((known_claim("new", 5), known_claim("old", 2)))
+    store.claims.add_claims((known_claim("older", 1),))
     claim = store.claims.claim_of(GROUP)
     assert claim is not None
     assert claim.daemon == "new"
@@ -109,10 +109,10 @@
 
 def test_a_silent_coordinator_is_suspected_and_its_group_claimed_at_the_end_read() -> None:
     store = Store()
-    store.claims.take_claims((known_claim("other", 0),))
+    store.claims.add_claims((known_claim("other", 0),))
     for _ in range(SUSPECT_MISSES):
         assert store.claims.coordinator(1.0, GROUP) is not None
-        store.claims.on_missed(1.0, GROUP)
+        store.claims.on_reply_timeout(1.0, GROUP)
     assert store.claims.coordinator(1.0, GROUP) is None
     (claim,) = store.appends(1.0 + CLAIM_SPREAD_SECONDS + 0.01)
     store.claims.on_answer(1.4, claim.call, Appended(1, 2))
@@ -121,9 +121,9 @@
 
 def test_a_coordinator_that_sends_a_message_is_no_longer_suspected() -> None:
     store = Store()
-    store.claims.take_claims((known_claim("other", 0),))
+    store.claims.add_claims((known_claim("other", 0),))
     for _ in range(SUSPECT_MISSES):
-        store.claims.on_missed(1.0, GROUP)
+        store.claims.on_reply_timeout(1.0, GROUP)
     store.claims.on_activity(GROUP, "other")
     assert store.claims.coordinator(1.0, GROUP) is not None
     assert store.appends(9.0) == []
@@ -131,9 +131,9 @@
 
 def test_a_suspected_coordinator_is_tried_again_after_a_while() -> None:
     store = Store()
-    store.claims.take_claims((known_claim("other", 0),))
+    store.claims.add_claims((known_claim("other", 0),))
     for _ in range(SUSPECT_MISSES):
-        store.claims.on_missed(1.0, GROUP)
+        store.claims.on_reply_timeout(1.0, GROUP)
     assert store.claims.coordinator(1.0 + SUSPECT_SECONDS, GROUP) is not None
 
 
@@ -147,7 +147,7 @@
 
 def test_a_daemon_that_drains_coordinates_nothing() -> None:
     store = Store()
-    store.claims.take_claims((known_claim("me", 3),))
+    store.claims.add_claims((known_claim("me", 3),))
     assert store.claims.is_own(GROUP)
     store.claims.is_draining = True
     assert not store.claims.is_own(GROUP)
--- a/tests/decisions/slots/test_coordinator_health.py
+++ b/tests/decisions/slots/test_coordinator_health.py
@@ -13,7 +13,7 @@
 
 def suspected() -> CoordinatorHealth:
     health = CoordinatorHealth()
-    found = [health.on_missed(NOW, GROUP) for _ in range(SUSPECT_MISSES)]
+    found = [health.on_reply_timeout(NOW, GROUP) for _ in range(SUSPECT_MISSES)]
     assert found == [False] * (SUSPECT_MISSES - 1) + [True]
     return health
 
@@ -28,8 +28,8 @@
 
 def test_misses_while_it_is_suspected_are_no_new_suspicion() -> None:
     health = suspected()
-    assert not health.on_missed(NOW + SUSPECT_SECONDS / 2, GROUP)
-    assert health.on_missed(NOW + SUSPECT_SECONDS, GROUP)
+    assert not health.on_reply_timeout(NOW + SUSPECT_SECONDS / 2, GROUP)
+    assert health.on_reply_timeout(NOW + SUSPECT_SECONDS, GROUP)
 
 
 def test_a_message_or_a_newer_claim_ends_the_suspicion() -> None:
@@ -42,11 +42,11 @@
 
 
 def test_a_daemon_that_denies_to_be_the_coordinator_is_suspected_at_once() -> None:
-    assert CoordinatorHealth().on_denied(NOW, GROUP)
+    assert CoordinatorHealth().on_not_coordinator(NOW, GROUP)
 
 
 def test_a_group_is_wanted_since_the_first_time() -> None:
     health = CoordinatorHealth()
-    assert health.on_wanted(NOW, GROUP)
-    assert not health.on_wanted(NOW + 1.0, GROUP)
+    assert health.on_coordinator_needed(NOW, GROUP)
+    assert not health.on_coordinator_needed(NOW + 1.0, GROUP)
     assert health.missing_since(GROUP) == NOW
--- a/tests/decisions/slots/test_groups.py
+++ b/tests/decisions/slots/test_groups.py
@@ -4,33 +4,33 @@
 
 from tests.decisions.slots.worlds import record
 from troutswitch.decisions.slots.groups import (
-    GROUP_ENGINES_MOST,
-    WHOLE_SERVICE_MOST,
+    MAX_SINGLE_GROUP_ENGINES,
+    TARGET_GROUP_ENGINES,
     EngineGroups,
     assign_groups,
 )
 
 
 def test_few_engines_are_one_group_wherever_they_are() -> None:
-    records = [record(f"s{n}", zone=f"z{n % 3}") for n in range(WHOLE_SERVICE_MOST)]
+    records = [record(f"s{n}", zone=f"z{n % 3}") for n in range(MAX_SINGLE_GROUP_ENGINES)]
     groups = set(assign_groups(records).values())
     assert [group.name for group in groups] == ["service||0"]
 
 
 def test_more_engines_are_grouped_by_zone() -> None:
-    records = [record(f"s{n}", zone=f"z{n % 3}") for n in range(WHOLE_SERVICE_MOST + 1)]
+    records = [record(f"s{n}", zone=f"z{n % 3}") for n in range(MAX_SINGLE_GROUP_ENGINES + 1)]
     groups = assign_groups(records)
     assert {groups[r.engine_id].zone == r.zone for r in records} == {True}
     assert len(set(groups.values())) == 3
 
 
 def test_many_engines_of_a_zone_are_several_groups_of_bounded_size() -> None:
-    records = [record(f"s{n}") for n in range(10 * GROUP_ENGINES_MOST)]
+    records = [record(f"s{n}") for n in range(10 * TARGET_GROUP_ENGINES)]
     groups = EngineGroups()
     groups.update(records)
     sizes = [len(groups.members(group.name)) for group in groups.all()]
     assert len(sizes) == 10
-    assert max(sizes) < 2 * GROUP_ENGINES_MOST
+    assert max(sizes) < 2 * TARGET_GROUP_ENGINES
 
 
 def test_groups_do_not_depend_on_the_order_of_the_list() -> None:
--- a/tests/decisions/slots/test_machine.py
+++ b/tests/decisions/slots/test_machine.py
@@ -23,16 +23,16 @@
 from troutswitch.daemons.messages import HoldingsReport, PeerMessage
 from troutswitch.decisions.slots import ledger
 from troutswitch.decisions.slots.coordinator import GRACE_SECONDS
-from troutswitch.decisions.slots.group_search import GROUPS_TRIED_MOST
+from troutswitch.decisions.slots.group_search import MAX_GROUPS_TRIED
 from troutswitch.decisions.slots.ledger import CHECK_SECONDS, GRANT_EXPIRY_SECONDS, SILENT_SECONDS
 from troutswitch.decisions.slots.reports import REFRESH_SECONDS
-from troutswitch.decisions.slots.slot_requests import REPLY_SECONDS
+from troutswitch.decisions.slots.slot_requests import REPLY_TIMEOUT_SECONDS
 
 ENGINES = 2
 SLOTS = 3
 HOLDERS = ("h1", "h2", "h3")
 SETTLE_SECONDS = SILENT_SECONDS + GRANT_EXPIRY_SECONDS + REFRESH_SECONDS + 2 * CHECK_SECONDS
-SEARCH_SECONDS_MOST = (GROUPS_TRIED_MOST + 1) * REPLY_SECONDS
+MAX_SEARCH_SECONDS = (MAX_GROUPS_TRIED + 1) * REPLY_TIMEOUT_SECONDS
 """Longest time for which a request may wait for its slot."""
 PLACES = st.integers(0, 10_000)
 
@@ -142,7 +142,7 @@
         self.incarnations += 1
         incarnation = incarnation_of(name) + 1000 * self.incarnations
         restarted = SlotsOf(name, records, incarnation=incarnation)
-        restarted.fleet.claims.take_claims(claim)
+        restarted.fleet.claims.add_claims(claim)
         self.daemons[name] = restarted
         restarted.tick(self.now)
         for token in [t for t in self.wanted if t not in self.alive_tokens()]:
@@ -174,7 +174,7 @@
     def no_request_waits_for_its_slot_beyond_the_stated_time(self) -> None:
         for token, since in self.wanted.items():
             if token in self.alive_tokens():
-                assert self.now - since <= SEARCH_SECONDS_MOST + GRANT_EXPIRY_SECONDS
+                assert self.now - since <= MAX_SEARCH_SECONDS + GRANT_EXPIRY_SECONDS
 
     @rule()
     def settle(self) -> None:
--- a/tests/decisions/slots/test_reports.py
+++ b/tests/decisions/slots/test_reports.py
@@ -57,7 +57,7 @@
     known = second.fleet.claims.claim_of("service||0")
     assert known is not None
     deliver(NOW, first, second)
-    second.fleet.reports.assume_known(known)
+    second.fleet.reports.mark_reported(known)
     assert reports(second, NOW + REPORT_SECONDS) == []
     (told,) = reports(second, NOW + ACKNOWLEDGE_SECONDS)
     assert told.last_grant_seen == 1
--- a/tests/decisions/slots/test_slot_requests.py
+++ b/tests/decisions/slots/test_slot_requests.py
@@ -6,7 +6,7 @@
 from troutswitch.daemons.messages import SlotRequest
 from troutswitch.decisions.forwarding.placer import AssignedBy, Assignment, NoEngine, NoSlotInTime
 from troutswitch.decisions.slots.coordinator_health import SUSPECT_SECONDS
-from troutswitch.decisions.slots.slot_requests import REPLY_SECONDS
+from troutswitch.decisions.slots.slot_requests import REPLY_TIMEOUT_SECONDS
 
 NOW = 5.0
 
@@ -40,8 +40,8 @@
 def test_no_request_waits_longer_than_stated_on_a_silent_coordinator() -> None:
     _, second = fleet()
     second.want(NOW, 1)
-    assert second.fleet.requests.next_due() == pytest.approx(NOW + REPLY_SECONDS)
-    second.tick(NOW + REPLY_SECONDS)
+    assert second.fleet.requests.next_due() == pytest.approx(NOW + REPLY_TIMEOUT_SECONDS)
+    second.tick(NOW + REPLY_TIMEOUT_SECONDS)
     assert found_by(second) == [AssignedBy.FALLBACK]
 
 
@@ -50,7 +50,7 @@
     now = NOW
     for token in (1, 2):
         second.want(now, token)
-        now += REPLY_SECONDS
+        now += REPLY_TIMEOUT_SECONDS
         second.tick(now)
     second.messages()
     second.want(now, 3)
@@ -63,7 +63,7 @@
 def test_a_reply_that_comes_too_late_assigns_nothing() -> None:
     first, second = fleet()
     second.want(NOW, 1)
-    second.tick(NOW + REPLY_SECONDS)
+    second.tick(NOW + REPLY_TIMEOUT_SECONDS)
     deliver(NOW + 0.1, first, second)
     assert len(second.ended) == 1
 
@@ -96,7 +96,7 @@
     _, second = fleet(engines=1)
     second.want(NOW, 1)
     second.engines.mark_draining("s0")
-    second.tick(NOW + REPLY_SECONDS)
+    second.tick(NOW + REPLY_TIMEOUT_SECONDS)
     assert isinstance(second.ended[0][1], NoEngine)
 
 
--- a/tests/decisions/slots/worlds.py
+++ b/tests/decisions/slots/worlds.py
@@ -135,7 +135,7 @@
         """Lets this daemon and others know that it coordinates a group."""
         claim = KnownClaim(group, self.name, self.address, offset)
         for daemon in (self, *others):
-            daemon.fleet.claims.take_claims((claim,))
+            daemon.fleet.claims.add_claims((claim,))
             daemon.tick(now)
 
     def tick(self, now: float) -> None:
--- a/tests/decisions/tenants/test_coordinated_quota.py
+++ b/tests/decisions/tenants/test_coordinated_quota.py
@@ -15,7 +15,7 @@
 from troutswitch.decisions.slots.messages import SendToPeers
 from troutswitch.decisions.storage.read_attempts import CallNumbers
 from troutswitch.decisions.tenants.coordinated_quota import (
-    DECISION_SECONDS,
+    DECISION_TIMEOUT_SECONDS,
     RESEND_SECONDS,
     CoordinatedQuota,
 )
@@ -61,8 +61,8 @@
         self.coordinated[self.group] = since
 
     def know_coordinator(self, name: str, address: Address) -> None:
-        self.claims.take_claims([])
-        self.claims.take(Claim(self.group, name, address, 1))
+        self.claims.add_claims([])
+        self.claims.add_claim(Claim(self.group, name, address, 1))
 
     def message(self) -> QuotaRequest | QuotaDecision:
         message = datagram.decode(datagram.encode(self.sent.pop().message))
@@ -122,8 +122,8 @@
     assert asking.quota.next_due() == RESEND_SECONDS
     assert asking.quota.on_timer(RESEND_SECONDS) == []
     assert len(asking.sent) == 1, "a request is sent once more"
-    assert asking.quota.next_due() == DECISION_SECONDS
-    ended = asking.quota.on_timer(DECISION_SECONDS)
+    assert asking.quota.next_due() == DECISION_TIMEOUT_SECONDS
+    ended = asking.quota.on_timer(DECISION_TIMEOUT_SECONDS)
     assert [(end.token, end.result.is_allowed) for end in ended] == [(1, True)]
     asking.quota.take(0.1, 2, TENANT)
     asking.quota.on_timer(0.2)
@@ -164,7 +164,7 @@
     asking, counting = pair()
     for number in range(200):
         request(0.0, number, asking, counting)
-    asking.claims.on_denied(0.0, asking.group)
+    asking.claims.on_not_coordinator(0.0, asking.group)
     alone = [asking.quota.take(0.01 * n, n, TENANT) for n in range(100)]
     assert sum(result is not None and result.is_allowed for result in alone) <= 3
 
--- a/tests/decisions/tenants/test_machine.py
+++ b/tests/decisions/tenants/test_machine.py
@@ -21,11 +21,11 @@
 from troutswitch.decisions.slots.messages import SendToPeers
 from troutswitch.decisions.storage.read_attempts import CallNumbers
 from troutswitch.decisions.tenants.coordinated_quota import CoordinatedQuota
-from troutswitch.decisions.tenants.quota import QuotaEnd
+from troutswitch.decisions.tenants.quota import QuotaCompletion
 from troutswitch.decisions.tenants.quota_groups import QuotaGroups
 from troutswitch.decisions.tenants.quota_ledger import QuotaLimit
 from troutswitch.decisions.tenants.types import QuotaBounds, Tenant
-from troutswitch.decisions.tenants.uncoordinated_quota import SHARE_LEAST, UNCOORDINATED_FACTOR
+from troutswitch.decisions.tenants.uncoordinated_quota import MIN_SHARE_BURST, UNCOORDINATED_FACTOR
 
 DAEMONS = 4
 BOUNDS = QuotaBounds(window=5.0, overshoot=0.1, slack=4.0)
@@ -88,7 +88,7 @@
         self.begun.append(self.now)
         claim = Claim(self.group, f"d{number}", Address("10.0.0.1", number), self.offset)
         for other in range(DAEMONS):
-            self.claims[other].take(claim)
+            self.claims[other].add_claim(claim)
             self.coordinated[other].clear()
         self.coordinated[number][self.group] = self.now
 
@@ -126,7 +126,7 @@
         for number, quota in enumerate(self.quotas):
             self.end(number, quota.on_timer(self.now))
 
-    def end(self, number: int, ended: list[QuotaEnd]) -> None:
+    def end(self, number: int, ended: list[QuotaCompletion]) -> None:
         for end in ended:
             assert end.token in self.waiting[number], "a request has two results"
             self.waiting[number].discard(end.token)
@@ -142,7 +142,7 @@
         begun = sum(at > since - BOUNDS.window for at in self.begun) - 1
         anew = max(0, begun) * max(1.0, ledger.tolerance(LIMIT), TENANT.burst)
         alone = UNCOORDINATED_FACTOR * (TENANT.rate * BOUNDS.window + TENANT.burst)
-        assert in_window <= counted + anew + alone + DAEMONS * SHARE_LEAST
+        assert in_window <= counted + anew + alone + DAEMONS * MIN_SHARE_BURST
 
     @invariant()
     def nobody_waits_longer_than_stated(self) -> None:
--- a/tests/decisions/tenants/test_quota_ledger.py
+++ b/tests/decisions/tenants/test_quota_ledger.py
@@ -4,7 +4,11 @@
 
 import pytest
 
-from troutswitch.decisions.tenants.quota_ledger import RETRY_MOST_SECONDS, QuotaLedger, QuotaLimit
+from troutswitch.decisions.tenants.quota_ledger import (
+    MAX_RETRY_AFTER_SECONDS,
+    QuotaLedger,
+    QuotaLimit,
+)
 from troutswitch.decisions.tenants.types import QuotaBounds
 
 BOUNDS = QuotaBounds(window=5.0, overshoot=0.1, slack=20.0)
@@ -83,7 +87,7 @@
     assert waits == sorted(waits)
     assert waits[1] - waits[0] == pytest.approx(0.5)
     many = [book.take(0.0, "t", limit, 1, LONG_AGO).wait for _ in range(500)]
-    assert max(many) == RETRY_MOST_SECONDS
+    assert max(many) == MAX_RETRY_AFTER_SECONDS
 
 
 def test_accounts_of_tenants_that_send_nothing_are_dropped() -> None:
--- a/tests/forms/samples.py
+++ b/tests/forms/samples.py
@@ -128,7 +128,7 @@
             number=31,
             group="s|z|0",
             prefill_units=4,
-            longest_wait_ms=1500,
+            max_wait_ms=1500,
             excluded=(41, 42),
         )
     ),
@@ -194,7 +194,10 @@
             crashes=(
                 peer_messages.ReportedCrash("0123456789abcdef", "i-1", 1_700_000_000, True),
                 peer_messages.ReportedCrash(
-                    content="fedcba9876543210", engine_id="i-2", at=1_700_000_001, stands=False
+                    content="fedcba9876543210",
+                    engine_id="i-2",
+                    crashed_at=1_700_000_001,
+                    is_valid=False,
                 ),
             ),
         )
@@ -202,7 +205,7 @@
     "servers that leave, empty": _peer_message(peer_messages.EngineDrainNotice("d-1", (), ())),
     "servers that leave, filled": _peer_message(
         peer_messages.EngineDrainNotice(
-            sender="d-1", draining=("i-1", "i-2"), left=("i-3", "i-4", "i-5")
+            sender="d-1", draining=("i-1", "i-2"), removed=("i-3", "i-4", "i-5")
         )
     ),
     "ask for a quota, defaults": _peer_message(
@@ -219,7 +222,7 @@
             burst=6.5,
             version=92,
             count=93,
-            spent=94,
+            unreported=94,
         )
     ),
     "answer on a quota, defaults": _peer_message(
--- a/tests/proofs/test_slots.py
+++ b/tests/proofs/test_slots.py
@@ -9,7 +9,7 @@
 from troutswitch.decisions.forwarding.messages import RequestArrived
 from troutswitch.decisions.forwarding.types import PromptShape, RouteKind
 from troutswitch.decisions.slots.preemption import ItemPreemption
-from troutswitch.decisions.slots.slot_requests import REPLY_SECONDS
+from troutswitch.decisions.slots.slot_requests import REPLY_TIMEOUT_SECONDS
 
 BURST = 24
 YIELD_SECONDS = 0.03
@@ -79,7 +79,7 @@
 def test_without_room_being_made_the_burst_waits_behind_items(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(ItemPreemption, "make_room", lambda self, *given, **more: [])
+    monkeypatch.setattr(ItemPreemption, "preempt", lambda self, *given, **more: [])
     assert slots_missing_after_a_burst() > 0
 
 
@@ -90,7 +90,7 @@
             world.pause(daemon.name, 5.0)
     daemon = next(d for d in world.daemons.values() if world.now >= d.paused_until)
     send_burst(world, daemon)
-    world.run(REPLY_SECONDS + 0.01)
+    world.run(REPLY_TIMEOUT_SECONDS + 0.01)
     assert sent(daemon) == BURST
 
 
@@ -101,7 +101,7 @@
     daemon = next(d for d in world.daemons.values() if d.is_alive)
     for _ in range(3):
         send_burst(world, daemon)
-        world.run(2 * REPLY_SECONDS)
+        world.run(2 * REPLY_TIMEOUT_SECONDS)
         daemon.core.requests.requests.clear()
     world.run(TAKEN_OVER_SECONDS)
     now = [d for d in world.daemons.values() if d.is_alive and d.core.slots.coordinator.coordinated]
@@ -116,7 +116,7 @@
     daemon = next(d for d in world.daemons.values() if d is not first)
     for _ in range(3):
         send_burst(world, daemon)
-        world.run(2 * REPLY_SECONDS)
+        world.run(2 * REPLY_TIMEOUT_SECONDS)
         daemon.core.requests.requests.clear()
     world.run(4.0)
     now = [d for d in world.daemons.values() if d.core.slots.coordinator.coordinated]
--- a/tests/proofs/test_starvation.py
+++ b/tests/proofs/test_starvation.py
@@ -37,6 +37,6 @@
 def test_without_their_turn_some_wait_on(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(starvation_guard, "LATE_TURN", 1 << 30)
     monkeypatch.setattr(starvation_guard, "LATE_WAIT_SECONDS", 1e9)
-    monkeypatch.setattr(batch_slots, "LATE_TURN", 1 << 30)
+    monkeypatch.setattr(batch_slots, "LATE_SLOT_INTERVAL", 1 << 30)
     done, items = late_items_done()
     assert done < items
--- a/tests/worlds/quota_world.py
+++ b/tests/worlds/quota_world.py
@@ -18,7 +18,7 @@
 from troutswitch.decisions.storage.read_attempts import CallNumbers
 from troutswitch.decisions.tenants.coordinated_quota import CoordinatedQuota
 from troutswitch.decisions.tenants.equal_shares import EqualShares
-from troutswitch.decisions.tenants.quota import Quota, QuotaEnd, QuotaResult
+from troutswitch.decisions.tenants.quota import Quota, QuotaCompletion, QuotaResult
 from troutswitch.decisions.tenants.quota_groups import QuotaGroups
 from troutswitch.decisions.tenants.types import QuotaBounds, Tenant
 
@@ -121,7 +121,7 @@
         for other, daemon in enumerate(self.daemons):
             if known_to is None or other in known_to:
                 claim = Claim(self.group, f"d{number}", Address("10.0.0.2", number), offset)
-                daemon.claims.take(claim)
+                daemon.claims.add_claim(claim)
                 if other != number:
                     daemon.coordinated.pop(self.group, None)
 
@@ -193,12 +193,12 @@
             self._owed.add(token)
         result = self.daemons[number].quota.take(self.now, token, self.tenant)
         if result is not None:
-            self._end([QuotaEnd(token, result)])
+            self._end([QuotaCompletion(token, result)])
         else:
             for seconds in (0.0121, 0.0301):
                 self.after(seconds, _nothing)  # so that time-outs are noticed
 
-    def _end(self, ended: list[QuotaEnd]) -> None:
+    def _end(self, ended: list[QuotaCompletion]) -> None:
         for end in ended:
             self._note(end.token, end.result)
 
