--- a/src/troutswitch/daemons/__init__.py
+++ b/src/troutswitch/daemons/__init__.py
@@ -1,1 +1,1 @@
-"""Protocol spoken between daemons."""
+"""The protocol between daemons: messages, datagrams and the state sent to peers."""
--- a/src/troutswitch/daemons/datagram.py
+++ b/src/troutswitch/daemons/datagram.py
@@ -1,7 +1,7 @@
 """Encodes and decodes the datagrams that daemons send each other.
 
-A datagram is a CBOR array of the protocol's version and the message, which is an array itself;
-each field's type is checked.
+A datagram is a CBOR array of the protocol version and the message. The message itself is an array
+whose fields are type-checked on decoding.
 """
 
 import cbor2
@@ -10,28 +10,28 @@
 from troutswitch.daemons.messages import PeerMessage
 
 VERSION = 8
-"""Version of the protocol; daemons ignore datagrams of other versions."""
+"""Version of the protocol. Daemons ignore datagrams of other versions."""
 
 
 class DatagramError(ValueError):
-    """Bytes that are no message of this version."""
+    """The bytes are not a valid message of this protocol version."""
 
 
 def encode(message: PeerMessage) -> bytes:
-    """Encodes a message."""
+    """Returns the datagram for a message."""
     return cbor2.dumps([VERSION, msgspec.to_builtins(message)])
 
 
 def decode(data: bytes) -> PeerMessage:
-    """Decodes a datagram.
+    """Returns the message in a datagram.
 
     Raises:
-        DatagramError: the bytes are no message of this version.
+        DatagramError: The bytes are not a valid message of this protocol version.
     """
     try:
         version, fields = cbor2.loads(data)
         if version != VERSION:
-            raise DatagramError(f"message of version {version}")
+            raise DatagramError(f"unsupported version {version}")
         message: PeerMessage = msgspec.convert(fields, PeerMessage)
         return message
     except (cbor2.CBORDecodeError, msgspec.ValidationError, ValueError, TypeError) as error:
--- a/src/troutswitch/daemons/identity.py
+++ b/src/troutswitch/daemons/identity.py
@@ -1,4 +1,4 @@
-"""Who a daemon is to the other daemons, as each of its messages states it."""
+"""The identity of a daemon, as each of its messages states it."""
 
 from dataclasses import dataclass
 
@@ -7,10 +7,10 @@
 
 @dataclass(frozen=True, slots=True)
 class DaemonIdentity:
-    """One run of a daemon's process.
+    """The identity of one process of a daemon.
 
-    `address` is where it receives datagrams. `incarnation` is drawn at random when the process
-    starts, and distinguishes it from an earlier process of the same name.
+    `address` is where the daemon receives datagrams. `incarnation` is a random number that is drawn
+    when the process starts. It distinguishes the process from earlier ones of the same name.
     """
 
     name: str
--- a/src/troutswitch/daemons/messages.py
+++ b/src/troutswitch/daemons/messages.py
@@ -1,11 +1,12 @@
-"""Messages between daemons: about slots of engines, each other, crashes, drains and quotas.
+"""Messages between daemons about engine slots, coordinators, crashes, drains and quotas.
 
-One daemon, the coordinator, counts the slots of a group of engines. The others report to it what
-they have in flight there, and request a slot from it before they send an online request.
+One daemon, the coordinator, counts the slots of a group of engines. The other daemons report their
+requests in flight at these engines to it, and request a slot from it before they send an online
+request.
 
-Each message is encoded as an array (`datagram.py`): its tag, and then its fields in order. Names
-of fields may change, their order and the tags may not. Messages may be lost, doubled, and overtake
-each other.
+Each message is encoded as an array: its tag, then its fields in order (`datagram.py`). The names of
+fields may change, but their order and the tags may not. Messages can be lost, duplicated and
+reordered.
 """
 
 from functools import lru_cache
@@ -17,31 +18,32 @@
 PREFILL_UNIT_TOKENS = 256
 """Unit in which prompt tokens are reported, rounded up."""
 MIN_REPORTED_PREFILL_TOKENS = 1024
-"""Least prompt tokens that are reported: an engine reads fewer in about the time that it takes to
-report them."""
+"""Minimum number of prompt tokens that is reported. An engine processes fewer tokens in about the
+time that a report takes."""
 ENGINE_KEY_MASK = 0xFFFFFFFF
 ENGINE_KEYS_REMEMBERED = 8192
 NO_ENGINE = 0
-"""Engine key of a reply that grants no slot."""
+"""Engine key in a reply that grants no slot."""
 UNBOUNDED_WAIT_MS = -1
-"""Longest wait of a request that accepts any wait."""
+"""Maximum wait of a request that accepts any wait."""
 
 
 @lru_cache(maxsize=ENGINE_KEYS_REMEMBERED)
 def engine_key(engine_id: str) -> int:
-    """Returns the short key, of 32 bits and never 0, that names an engine in messages."""
+    """Returns the 32-bit key, never 0, that identifies an engine in messages."""
     return stable_hash("server", engine_id) & ENGINE_KEY_MASK or 1
 
 
 def prefill_units(tokens: int) -> int:
-    """Returns prompt tokens in the unit in which they are reported; 0 if they are few."""
+    """Returns a number of prompt tokens in reporting units, 0 if there are too few to report."""
     return -(-tokens // PREFILL_UNIT_TOKENS) if tokens >= MIN_REPORTED_PREFILL_TOKENS else 0
 
 
 class EngineShare(msgspec.Struct, frozen=True, array_like=True):
-    """One daemon's requests in flight on one engine.
+    """The requests of one daemon in flight on one engine.
 
-    `prefill_units` counts the prompt tokens that the engine has still to read for them.
+    `prefill_units` counts the prompt tokens of these requests that the engine has not processed
+    yet.
     """
 
     engine_key: int
@@ -51,14 +53,16 @@
 
 
 class HoldingsReport(msgspec.Struct, frozen=True, array_like=True, tag="holds"):
-    """What one daemon has in flight on the engines of the receiver's groups.
+    """The requests and items of one daemon that concern the receiver as a coordinator.
+
+    `shares` has the requests in flight on engines of the receiver's groups. `sequence` increases
+    with each report of one incarnation of the sender. `waiting_items` counts the batch items that
+    the sender could start now and that can still meet their job's objective. `late_items` counts
+    those that it could start and that will miss it. `open_items` counts all unfinished items.
 
-    `sequence` rises with each report of one incarnation of the sender. `waiting_items` counts the
-    batch items that it could start now and that can meet their job's objective, `late_items` those
-    that it could start and that will miss it, `open_items` all that it has to finish.
     `last_grant_seen` is the highest number of the receiver's grants to the sender that the report
-    includes, as counted by the receiver's incarnation `coordinator_incarnation`. `unusable` has the
-    keys of engines to which the sender sends nothing at present.
+    takes into account, as numbered by the receiver's incarnation `coordinator_incarnation`.
+    `unusable` has the keys of engines to which the sender currently sends no requests.
     """
 
     sender: str
@@ -78,9 +82,10 @@
 class SlotRequest(msgspec.Struct, frozen=True, array_like=True, tag="ask"):
     """Requests a slot for one online request from the coordinator of a group.
 
-    `number` names the request within the sender's incarnation. `prefill_units` is what the engine
-    will have to read. `max_wait_ms` is the longest wait for a slot that is accepted; a
-    negative one is no bound. `excluded` has the keys of engines that can't get the request.
+    `number` identifies the slot request within the sender's incarnation. `prefill_units` is the
+    part of the prompt that the engine will have to process. `max_wait_ms` is the maximum wait for a
+    slot that the request accepts; a negative value means no limit. `excluded` has the keys of
+    engines to which the request can't be sent.
     """
 
     report: HoldingsReport
@@ -92,12 +97,11 @@
 
 
 class SlotReply(msgspec.Struct, frozen=True, array_like=True, tag="place"):
-    """Replies to a slot request: a slot at an engine, or none.
+    """Replies to a slot request, with a slot at an engine or without one.
 
-    `incarnation` is the sender's. `grant_number` numbers the grants of the sender to the receiver;
-    it is 0 if no slot is granted. `wait_ms` is the wait that is expected for a slot, `queued` and
-    `slots` are the counts it follows from. `is_coordinator` is false if the sender does not
-    coordinate the group.
+    `incarnation` is the sender's. `grant_number` numbers the sender's grants to the receiver; it is
+    0 if no slot is granted. `wait_ms` is the expected wait for a slot, computed from the counts
+    `queued` and `slots`. `is_coordinator` is false if the sender does not coordinate the group.
     """
 
     sender: str
@@ -113,10 +117,10 @@
 
 
 class BatchSlotGrant(msgspec.Struct, frozen=True, array_like=True, tag="batch"):
-    """Grants a peer slots for batch items at an engine, or retracts some.
+    """Grants a peer slots for batch items at an engine, or retracts slots.
 
-    With a negative `count` the peer is to stop so many items there, as online requests need their
-    slots. `grant_number` is as in `SlotReply`.
+    A negative `count` tells the peer to stop that number of its items, because online requests need
+    their slots. `grant_number` has the same meaning as in `SlotReply`.
     """
 
     sender: str
@@ -128,7 +132,7 @@
 
 
 class EngineCounts(msgspec.Struct, frozen=True, array_like=True):
-    """All requests on one engine, of all daemons."""
+    """The requests of all daemons on one engine."""
 
     engine_key: int
     online: int
@@ -136,10 +140,10 @@
 
 
 class GroupDigest(msgspec.Struct, frozen=True, array_like=True, tag="digest"):
-    """What a coordinator sends at intervals to peers that have work at its engines.
+    """Summary that a coordinator sends periodically to peers with work at its engines.
 
-    `free_slots_hundredths` is the mean number of slots that online requests leave at all
-    engines of the group, in hundredths; `open_items` the items that all daemons have to finish.
+    `free_slots_hundredths` is the mean number of slots that online requests leave free at all
+    engines of the group, in hundredths. `open_items` counts the unfinished items of all daemons.
     """
 
     sender: str
@@ -151,7 +155,7 @@
 
 
 class KnownClaim(msgspec.Struct, frozen=True, array_like=True):
-    """One claim of a group as the sender knows it; `offset` is its place in the store's topic."""
+    """A claim of a group that the sender knows. `offset` is its offset in the store's topic."""
 
     group: str
     daemon: str
@@ -160,7 +164,10 @@
 
 
 class Heartbeat(msgspec.Struct, frozen=True, array_like=True, tag="hello"):
-    """States to a few daemons drawn at random that the sender runs, and what it acts on."""
+    """Tells a few randomly chosen daemons that the sender is running.
+
+    It states the sender's configuration version and the claims of groups that the sender knows.
+    """
 
     sender: str
     zone: str
@@ -184,14 +191,14 @@
 
 
 class CrashReport(msgspec.Struct, frozen=True, array_like=True, tag="crashes"):
-    """Reports what the sender has just learnt of engines that ended while they ran requests."""
+    """Reports engines that ended while they ran a request, as the sender has just learnt."""
 
     sender: str
     crashes: tuple[ReportedCrash, ...]
 
 
 class EngineDrainNotice(msgspec.Struct, frozen=True, array_like=True, tag="leaving"):
-    """Reports which engines drain, and which left the list, as the sender has just learnt."""
+    """Reports engines that the sender has just learnt are draining or left the list."""
 
     sender: str
     draining: tuple[str, ...]
@@ -199,13 +206,13 @@
 
 
 class QuotaRequest(msgspec.Struct, frozen=True, array_like=True, tag="quota"):
-    """Requests that a tenant's requests may be sent, from the coordinator that counts them.
+    """Asks the coordinator that counts a tenant's requests to admit some.
 
     `number` identifies the message within the sender's incarnation. `rate` (requests per second),
     `burst` (requests) and `version` are the limit in the sender's configuration. `count` is the
-    number of requests that the sender wants to admit, all but the first in advance. `unreported`
-    is the number of requests that the sender admitted for the tenant without a coordinator and has
-    not reported yet.
+    number of requests that the sender wants to admit, all but the first in advance. `unreported` is
+    the number of requests that the sender admitted for the tenant without a coordinator and has not
+    reported yet.
     """
 
     sender: str
@@ -221,10 +228,10 @@
 
 
 class QuotaDecision(msgspec.Struct, frozen=True, array_like=True, tag="quotaed"):
-    """Replies to a quota request: how many requests are admitted, or when one would be.
+    """Replies to a quota request with the number of admitted requests.
 
-    `wait_ms` is the time until there is quota for one. `is_coordinator` is false if the sender
-    does not count for this group's tenants.
+    `wait_ms` is the time until there is quota for one request. `is_coordinator` is false if the
+    sender does not count for the tenants of this group.
     """
 
     sender: str
--- a/src/troutswitch/daemons/peer_state.py
+++ b/src/troutswitch/daemons/peer_state.py
@@ -1,9 +1,9 @@
-"""What one daemon sends a peer that can't read the store: configuration and engine list.
+"""The state that a daemon sends a peer that can't read the store: configuration and engine list.
 
-The records go as the store has them, so the receiver decodes and checks them as if it had read
-them itself. The state is encoded as a CBOR array of a version and the fields in order. A daemon
-is sent the version that it asks for: one that runs an older program asks for none, and gets the
-first.
+The records are sent as they are stored, so the receiver decodes and validates them as if it had
+read them itself. The state is encoded as a CBOR array of a version and the fields in order. A
+daemon requests the version that it supports. Daemons that run an older program request none and get
+the first version.
 """
 
 from dataclasses import dataclass
@@ -18,12 +18,12 @@
 
 
 class PeerStateError(ValueError):
-    """Bytes that are no peer's state of this version."""
+    """The bytes are not a valid peer state of a supported version."""
 
 
 @dataclass(frozen=True, slots=True)
 class StoredRecord:
-    """A record as the store has it."""
+    """A record as it is stored."""
 
     key: str
     value: bytes
@@ -33,9 +33,10 @@
 class PeerState:
     """The configuration in force at a daemon, and the engine list that it read last.
 
-    `configuration` is None if the receiver has one as new. `configuration_age` is the time since
-    the sender knew that no newer one exists, in seconds. `engines_age` is the time since the list
-    was read, in seconds; None if the daemon has read none.
+    `configuration` is None if the receiver already has one that is as new. `configuration_age` is
+    the time in seconds since the sender last knew that no newer configuration existed.
+    `engines_age` is the time in seconds since the sender read the engine list, or None if it has
+    not read one.
     """
 
     configuration: StoredRecord | None
@@ -45,7 +46,7 @@
 
 
 def encode_state(state: PeerState, version: int = FIRST_VERSION) -> bytes:
-    """Encodes a daemon's state in a version of the encoding."""
+    """Returns a daemon's state, encoded in the given version."""
     record = state.configuration
     configuration = [record.key, record.value] if record is not None else None
     engines = [[row.key, row.value] for row in state.engines]
@@ -56,15 +57,15 @@
 
 
 def decode_state(data: bytes) -> PeerState:
-    """Decodes a daemon's state.
+    """Returns the daemon's state that the bytes encode.
 
     Raises:
-        PeerStateError: the bytes are no state of this version.
+        PeerStateError: The bytes are not a valid state of a supported version.
     """
     try:
         version, *fields = cbor2.loads(data)
         if version not in (FIRST_VERSION, VERSION):
-            raise PeerStateError(f"state of version {version}")
+            raise PeerStateError(f"unsupported version {version}")
         configuration, engines, age, *ages = fields
         return PeerState(
             None if configuration is None else _record(configuration),
@@ -79,5 +80,5 @@
 def _record(fields: list[Any]) -> StoredRecord:
     key, value = fields
     if not isinstance(key, str) or not isinstance(value, bytes):
-        raise PeerStateError("a record is a key and bytes")
+        raise PeerStateError("a record must be a string key and a bytes value")
     return StoredRecord(key, value)
--- a/src/troutswitch/decisions/slots/__init__.py
+++ b/src/troutswitch/decisions/slots/__init__.py
@@ -1,1 +1,1 @@
-"""Who has which slots of the engines: one coordinator counts them for each group of engines."""
+"""Assignment of engine slots: one coordinator counts the slots of each group of engines."""
--- a/src/troutswitch/decisions/slots/batch_grants.py
+++ b/src/troutswitch/decisions/slots/batch_grants.py
@@ -1,7 +1,7 @@
-"""Grants peers slots for batch items, and retracts such slots, by numbered messages.
+"""Grants peers slots for batch items, and retracts them, with numbered messages.
 
-It relies on the ledger, which counts a grant from when it is sent, and on the groups, since a
-peer accepts a grant only from the coordinator of the engine's group.
+It relies on the ledger, which counts a grant from the time at which it is sent, and on the groups,
+because a peer accepts a grant only from the coordinator of the engine's group.
 """
 
 from troutswitch.daemons.identity import DaemonIdentity
@@ -14,7 +14,7 @@
 
 
 class BatchGrants:
-    """Grants of the groups that this daemon coordinates."""
+    """Sends grants for engines of the groups that this daemon coordinates."""
 
     def __init__(self, identity: DaemonIdentity, groups: EngineGroups, ledger: SlotLedger) -> None:
         self._identity = identity
@@ -22,15 +22,15 @@
         self._ledger = ledger
 
     def grant(self, now: float, peer: str, engine: Engine, count: int) -> SendToPeers:
-        """Grants a holder `count` slots at an engine; a negative count retracts as many.
+        """Grants a peer `count` slots at an engine; a negative count retracts slots.
 
         Raises:
-            InvariantViolated: the engine is in no group.
+            InvariantViolated: The engine is not in any group.
         """
         key = engine_key(engine.record.engine_id)
         grant_number = self._ledger.grant(now, peer, EngineShare(key, 0, count, 0))
         group = self._groups.of_engine(engine.record.engine_id)
-        ensure(group is not None, "a slot is granted at an engine of no group")
+        ensure(group is not None, "granted a slot at an engine that is in no group")
         assert group is not None
         incarnation = self._identity.incarnation
         message = BatchSlotGrant(
--- a/src/troutswitch/decisions/slots/batch_slots.py
+++ b/src/troutswitch/decisions/slots/batch_slots.py
@@ -1,19 +1,20 @@
 """Decides which daemons get the free slots of a group of engines for their batch items.
 
-The coordinator of the group uses this each `ASSIGN_SECONDS` while items wait anywhere.
+The coordinator of the group runs this every `ASSIGN_SECONDS` while items wait at any daemon.
 
 Inputs: free slots by the coordinator's counts (some 10 ms old) and the policy for batch capacity;
-for each daemon, its items that could start now and meet their job's objective, and those that
-will miss it, from its newest report (up to 0.5 s old) less what it was granted since; engines that
-a daemon cannot use.
+for each daemon, its items that could start now and meet their job's objective, and those that will
+miss it, from its newest report (up to 0.5 s old), less the slots granted since; engines that a
+daemon cannot use.
 
 Rule: slots are assigned engine by engine, the least loaded engine first. Each slot goes to a daemon
 drawn at random, weighted by its number of items that can still meet their objective and by
 `NEAR_WEIGHT` if it is in the engine's zone. Every `LATE_SLOT_INTERVAL`th slot goes to a daemon
 drawn by its number of late items, and so does every slot if no other items wait.
 
-Why: late items come second, as an objective that is missed is not met by haste, but their turn
-keeps them from starving. Drawing by number lets jobs of all daemons progress alike.
+Why: late items come second, because starting them earlier does not restore a missed objective.
+Their reserved slots keep them from starving. Weighting by the number of items lets the jobs of all
+daemons progress at the same rate.
 
 Measured in docs/POLICY.md: late items second in "Rounds" (round 7), coordinators as a whole in
 "Rounds with coordinators of slots" and "Ablation". `tests/proofs/test_starvation.py` shows that
@@ -30,14 +31,14 @@
 from troutswitch.decisions.slots.messages import OwnItems, WaitingItems
 
 ASSIGN_SECONDS = 0.02
-"""Interval between checks for free slots while items wait: one event of an engine's stream, so a
-slot is idle for about that long."""
+"""Interval between checks for free slots while items wait: about the time between two events of an
+engine's stream, so a slot stays idle for about that long."""
 NEAR_WEIGHT = 3
-"""Weight of an item that waits at a daemon in the engine's zone; elsewhere it is 1."""
+"""Weight of an item that waits at a daemon in the engine's zone; other items have weight 1."""
 LATE_SLOT_INTERVAL = 8
-"""One slot in so many goes to a daemon that has late items."""
+"""One slot out of this many goes to a daemon that has late items."""
 SELF = ""
-"""Stands for this daemon among those that have or want slots."""
+"""Identifies this daemon among the daemons that have or want slots."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -51,13 +52,13 @@
 
 @dataclass(slots=True)
 class _Demand:
-    """Items that still want a slot at one engine, by daemon."""
+    """Items that still need a slot at one engine, by daemon."""
 
     in_time: dict[str, int] = field(default_factory=dict)
     late: dict[str, int] = field(default_factory=dict)
 
     def add(self, name: str, waiting: WaitingItems, granted: int) -> None:
-        """Adds a daemon's items, less those that were granted a slot already."""
+        """Adds a daemon's items, less those that have been granted a slot already."""
         in_time = waiting.in_time - granted
         late = waiting.late - max(0, -in_time)
         if in_time > 0:
@@ -67,7 +68,7 @@
 
 
 class BatchSlotAssigner:
-    """Assigns free slots to daemons; the coordinator sends the grants."""
+    """Assigns free slots to daemons. The coordinator sends the grants."""
 
     def __init__(
         self,
@@ -84,21 +85,21 @@
         self._rng = rng
         self._assigned_at = float("-inf")
         self._own_granted = 0
-        """Slots that this daemon's own items got in the current round."""
+        """Slots assigned to this daemon's own items in the current round."""
         self._slots_assigned = 0
-        """Slots assigned so far, of which each `LATE_SLOT_INTERVAL`th goes to late items."""
+        """Slots assigned so far; every `LATE_SLOT_INTERVAL`th of them goes to late items."""
 
     # Timers.
 
     def next_due(self) -> float:
-        """Returns when to assign next, in seconds; infinite while no items wait."""
-        return self._assigned_at + ASSIGN_SECONDS if self._is_wanted() else float("inf")
+        """Returns when to assign slots next, in seconds; infinite while no items wait."""
+        return self._assigned_at + ASSIGN_SECONDS if self._has_waiting_items() else float("inf")
 
     def is_due(self, now: float) -> bool:
         """Returns whether it is time to check for free slots."""
         return now >= self._assigned_at + ASSIGN_SECONDS
 
-    def _is_wanted(self) -> bool:
+    def _has_waiting_items(self) -> bool:
         own = self._own_items.waiting
         if own.in_time or own.late:
             return True
@@ -107,10 +108,10 @@
     # Assigning.
 
     def assign(self, now: float, groups: dict[str, list[Engine]]) -> list[BatchAssignment]:
-        """Assigns the free slots of some groups, given with their usable engines."""
+        """Assigns the free slots of `groups`, which maps group names to usable engines."""
         self._assigned_at = now
         self._own_granted = 0
-        if not self._is_wanted():
+        if not self._has_waiting_items():
             return []
         assignments: list[BatchAssignment] = []
         for engines in groups.values():
@@ -137,9 +138,9 @@
         return counts
 
     def _draw(self, demand: _Demand, engine: Engine) -> str | None:
-        """Draws the daemon that gets the next slot, and takes the slot off its demand."""
-        is_late_turn = (self._slots_assigned + 1) % LATE_SLOT_INTERVAL == 0
-        is_for_late = bool(demand.late) and (is_late_turn or not demand.in_time)
+        """Draws the daemon that gets the next slot, and reduces its demand by one."""
+        is_late_slot = (self._slots_assigned + 1) % LATE_SLOT_INTERVAL == 0
+        is_for_late = bool(demand.late) and (is_late_slot or not demand.in_time)
         waiting = demand.late if is_for_late else demand.in_time
         if not waiting:
             return None
@@ -159,13 +160,13 @@
         demand = _Demand()
         demand.add(SELF, self._own_items.waiting, self._own_granted)
         for name, holder in self._ledger.holders.items():
-            if _may_take(holder, engine):
+            if _can_use(holder, engine):
                 waiting = WaitingItems(holder.waiting_items, holder.late_items)
                 demand.add(name, waiting, holder.unreported_batch_grants)
         return demand
 
 
-def _may_take(holder: Holder, engine: Engine) -> bool:
+def _can_use(holder: Holder, engine: Engine) -> bool:
     if not holder.waiting_items and not holder.late_items:
         return False
     return engine_key(engine.record.engine_id) not in holder.unusable
--- a/src/troutswitch/decisions/slots/coordinator.py
+++ b/src/troutswitch/decisions/slots/coordinator.py
@@ -1,9 +1,12 @@
-"""The coordinator's part: grants the slots of the groups that this daemon coordinates.
+"""Grants the slots of the groups that this daemon coordinates.
 
-It owns the set of coordinated groups, and when each was taken over. It replies to slot requests
-(`slot_choice.py`), has batch items stopped where online requests need slots (`preemption.py`),
-assigns free slots to waiting items (`batch_slots.py`), and sends digests. It relies on the ledger
-for what peers have in flight, and on `coordinator_claims.py` for which groups are its own.
+The coordinator replies to slot requests (`slot_choice.py`), stops batch items where online requests
+need their slots (`preemption.py`), assigns free slots to waiting items (`batch_slots.py`), and
+sends digests.
+
+It owns the set of coordinated groups, and the time at which each was taken over. It relies on the
+ledger for the peers' requests in flight, and on `coordinator_claims.py` for which groups this
+daemon coordinates.
 """
 
 import random
@@ -36,8 +39,8 @@
 from troutswitch.decisions.slots.slot_choice import SlotChoice, SlotDecision, SlotQuery
 
 GRACE_SECONDS = 0.6
-"""Time after which a new coordinator grants slots to batch items: by then each holder has
-reported to it (`reports.REFRESH_SECONDS`)."""
+"""Time after which a new coordinator grants slots to batch items. By then each holder has reported
+to it (`reports.REFRESH_SECONDS`)."""
 DIGEST_SECONDS = 0.5
 """Interval between digests to peers that have work at the coordinated engines."""
 
@@ -57,7 +60,7 @@
         rng: random.Random,
     ) -> None:
         self.coordinated: dict[str, float] = {}
-        """Groups that this daemon coordinates, with when it took each over."""
+        """Groups that this daemon coordinates, with the time at which it took each over."""
         self._identity = identity
         self._engines = engines
         self._groups = groups
@@ -72,7 +75,7 @@
     # Coordinated groups.
 
     def begin(self, now: float, group: str) -> None:
-        """Takes a group over; its counts become complete as holders report."""
+        """Takes a group over. Its counts become complete as the holders report."""
         self.coordinated[group] = now
         self._ledger.recount(now, self.engines_of(group))
 
@@ -85,19 +88,19 @@
         return group in self.coordinated
 
     def on_list_changed(self, now: float) -> None:
-        """Counts again after engines joined or moved between groups."""
+        """Counts again after engines were added or moved between groups."""
         for group in self.coordinated:
             self._ledger.recount(now, self.engines_of(group))
 
     def engines_of(self, group: str) -> list[Engine]:
-        """Returns a group's engines that have not begun to leave."""
+        """Returns a group's engines that are not leaving."""
         known = (self._engines.engines.get(name) for name in self._groups.members(group))
         return [engine for engine in known if engine is not None and not engine.is_leaving]
 
     # Online requests.
 
     def on_request(self, now: float, request: SlotRequest) -> list[SlotInstruction]:
-        """Replies to a peer's request, whose report the ledger has taken already."""
+        """Replies to a peer's slot request, after the ledger has applied the report in it."""
         holder = self._ledger.holders[request.report.sender]
         query = self._query(request)
         if query is None:
@@ -115,7 +118,7 @@
         return [SendToPeers((holder.address,), reply), *preempted]
 
     def _query(self, request: SlotRequest) -> SlotQuery | None:
-        """Returns what a peer requests; None if this daemon does not coordinate the group."""
+        """Returns the query of a peer's request, or None if a peer coordinates the group."""
         group = self._groups.named(request.group)
         if group is None or not self.coordinates(request.group):
             return None
@@ -150,20 +153,20 @@
         return self._choice.choose(now, query, self.engines_of(query.group.name))
 
     def preempt_for_own_request(self, now: float, engine: Engine) -> list[SlotInstruction]:
-        """Has a batch item stopped, if needed, for an online request that is sent in this step."""
+        """Stops a batch item, if needed, for an online request that is sent in this step."""
         return self._preemption.preempt(now, engine, about_to_send=1)
 
     # Timers.
 
     def next_due(self) -> float:
-        """Returns when `on_timer` has something to do, in seconds of this process's clock."""
+        """Returns when `on_timer` is due next, in seconds of this process's clock."""
         if not self.coordinated:
             return float("inf")
         digest_due = self._digest_at + DIGEST_SECONDS if self._ledger.holders else float("inf")
         return min(digest_due, self._assigner.next_due())
 
     def on_timer(self, now: float) -> list[SlotInstruction]:
-        """Retracts slots that online requests need, assigns free ones, and sends digests."""
+        """Retracts slots that online requests need, assigns free slots, and sends digests."""
         if not self.coordinated:
             return []
         instructions: list[SlotInstruction] = []
@@ -177,7 +180,7 @@
         return instructions
 
     def _preempt(self, now: float) -> list[SlotInstruction]:
-        """Makes room for requests that were sent without the coordinator's grant."""
+        """Stops items for online requests that were sent without the coordinator's grant."""
         instructions: list[SlotInstruction] = []
         for group in self.coordinated:
             for engine in self.engines_of(group):
@@ -185,11 +188,11 @@
         return instructions
 
     def _assign(self, now: float) -> list[SlotInstruction]:
-        """Assigns the free slots of each group that was taken over long enough ago."""
+        """Assigns the free slots of each group whose grace period is over."""
         settled = {
             group: [e for e in self.engines_of(group) if self._choice.is_usable(now, e)]
-            for group, since in self.coordinated.items()
-            if now - since >= GRACE_SECONDS
+            for group, coordinated_since in self.coordinated.items()
+            if now - coordinated_since >= GRACE_SECONDS
         }
         assignments = self._assigner.assign(now, settled)
         return [self._grant(now, assignment) for assignment in assignments]
@@ -223,5 +226,5 @@
         )
 
     def mean_free_slots(self, now: float, group: str) -> float:
-        """Returns the mean number of slots that online requests leave in a group."""
+        """Returns the mean number of slots that online requests leave free in a group."""
         return self._engines.usual_free_slots(now, self.engines_of(group))
--- a/src/troutswitch/decisions/slots/coordinator_claims.py
+++ b/src/troutswitch/decisions/slots/coordinator_claims.py
@@ -2,27 +2,28 @@
 
     (none)   -> CLAIMED   a daemon of the group's zone appended a claim at the expected end
     CLAIMED  -> SUSPECT   requests to the coordinator got no reply (`coordinator_health.py`)
-    SUSPECT  -> CLAIMED   it sent a message, or another daemon's claim was read
-
-Inputs: the claims, read from the store's topic or received from peers with their heartbeats, up
-to some hundred milliseconds old; the health of coordinators as this daemon sees it.
-
-Rule: a daemon claims a group that has no coordinator, or a missing one, after a delay: a part of
-`CLAIM_SPREAD_SECONDS` that follows from a hash of both names, and `OTHER_ZONE_SECONDS` more if the
-group is of another zone. The claim is appended on condition that the topic has no newer record. It
-claims nothing while it drains, while it cannot read the topic, or while a claim of its own is
-under way; between two claims of one group lie `CLAIM_INTERVAL_SECONDS`.
-
-Why: the store's condition lets one of several claims succeed, and all daemons read the topic, so
-they agree once they have read it. The delay lets one claim and the others read. Until then two
-daemons may both act as coordinator; each grants by the reports that it receives. Peers send
-requests to the one whose claim they know, and start batch items by its grants alone. While the
-store is away, or nobody replies, daemons choose engines from their local view
-(`local_placement.py`).
-
-It owns the claims that this daemon knows, and its own claims under way. docs/SLOTS.md, "When the
-other side is silent", has the cases; `tests/proofs/test_slots.py` plays a silent coordinator, a
-dead one, and two at once.
+    SUSPECT  -> CLAIMED   the coordinator sent a message, or another daemon's claim was read
+
+Inputs: the claims, read from the store's topic or received with peers' heartbeats, up to some
+hundred milliseconds old; the health of coordinators as this daemon sees it.
+
+Rule: a daemon claims a group that has no coordinator, or whose coordinator is missing, after a
+delay. The delay is a part of `CLAIM_SPREAD_SECONDS` that a hash of the group's and the daemon's
+name determines, plus `OTHER_ZONE_SECONDS` if the group is in another zone. The claim is appended on
+condition that the topic has no newer record. A daemon claims nothing while it drains, while it
+cannot read the topic, or while its own claim of the group is in flight. It claims one group at most
+once in `CLAIM_INTERVAL_SECONDS`.
+
+Why: the store's condition lets one of several concurrent claims succeed. All daemons read the
+topic, so they agree once they have read it. The delay lets one daemon claim and the others read its
+claim. Until then two daemons may both act as coordinator; each grants slots by the reports that it
+receives. Peers send requests to the coordinator whose claim they know, and start batch items only
+with its grants. While the store is unavailable, or no coordinator replies, daemons choose engines
+from their local view (`local_placement.py`).
+
+It owns the claims that this daemon knows, and its own claims in flight. docs/SLOTS.md, "When the
+other side is silent", lists the cases; `tests/proofs/test_slots.py` simulates a silent coordinator,
+a dead one, and two at the same time.
 """
 
 import random
@@ -50,26 +51,26 @@
 
 CLAIMS_TOPIC = "coordinators"
 READ_WAIT_SECONDS = 3.0
-"""Time for which a read waits at the store for a new claim; a lost answer is noticed after it."""
+"""Time for which the store holds a read open for a new claim. A lost answer is noticed after it."""
 READ_INTERVAL_SECONDS = 0.05
-"""Least interval between reads."""
+"""Minimum interval between reads."""
 CLAIM_SPREAD_SECONDS = 0.3
-"""Longest part of the delay before a claim that differs between daemons."""
+"""Maximum of the part of the claim delay that differs between daemons."""
 OTHER_ZONE_SECONDS = 1.0
-"""Additional delay of daemons of other zones."""
+"""Additional claim delay of daemons in other zones."""
 CHECK_SECONDS = 0.05
 """Interval between checks for groups that need a coordinator."""
 CLAIM_INTERVAL_SECONDS = 1.0
-"""Least interval between claims of one group by one daemon."""
+"""Minimum interval between claims of one group by one daemon."""
 CONFLICT_RETRY_SECONDS = 0.1
-"""Time after which a claim is retried that another record was appended before."""
+"""Time after which a claim is retried if another record was appended before it."""
 CALL_TIMEOUT_SECONDS = 4.0
-"""Time after which a claim that the store did not answer is no longer awaited."""
+"""Time after which an unanswered claim is abandoned."""
 
 
 @dataclass(frozen=True, slots=True)
 class Claim:
-    """A daemon's claim of a group; of two, the one with the higher `offset` is in force."""
+    """A daemon's claim of a group. The claim with the highest `offset` is in force."""
 
     group: str
     daemon: str
@@ -86,7 +87,7 @@
 
 
 class CoordinatorClaims:
-    """Follows the claims, and claims groups that have no coordinator."""
+    """Tracks claims, and claims groups that have no coordinator."""
 
     def __init__(
         self,
@@ -97,9 +98,9 @@
         log: Callable[..., None],
     ) -> None:
         self.is_draining = False
-        """Whether this daemon drains: it then coordinates and claims nothing."""
+        """Whether this daemon is draining; it then coordinates and claims no group."""
         self.changes = 0
-        """Number of changes of who coordinates what, so that reports follow them."""
+        """Number of changes of coordinators; reports are computed again when it changes."""
         self._identity = identity
         self._groups = groups
         self._numbers = numbers
@@ -107,7 +108,7 @@
         self._claims: dict[str, Claim] = {}
         self._health = CoordinatorHealth()
         self._own_claims: dict[int, _OwnClaim] = {}
-        """Own claims under way, by the number of the call to the store."""
+        """Own claims in flight, by the number of the call to the store."""
         self._claimed_at: dict[str, float] = {}
         self._check_at = float("-inf")
         self._next_claim = NEVER
@@ -123,23 +124,23 @@
     # Known claims.
 
     def claim_of(self, group: str) -> Claim | None:
-        """Returns the newest claim of a group that is known here."""
+        """Returns the newest known claim of a group."""
         return self._claims.get(group)
 
     def is_own(self, group: str) -> bool:
-        """Returns whether this daemon coordinates a group, by the newest claim known here."""
+        """Returns whether this daemon coordinates a group, by the newest known claim."""
         claim = self._claims.get(group)
         return claim is not None and claim.daemon == self._identity.name and not self.is_draining
 
     def coordinator(self, now: float, group: str) -> Claim | None:
-        """Returns the claim of a group's coordinator, unless it is suspected."""
+        """Returns the claim of a group's coordinator, or None if it is unknown or suspected."""
         claim = self._claims.get(group)
         if claim is None or self._health.is_suspected(now, group):
             return None
         return claim
 
     def known_claims(self) -> tuple[KnownClaim, ...]:
-        """Returns the known claims of present groups, in the form in which peers get them."""
+        """Returns the known claims of present groups, as they are sent to peers."""
         known = [self._claims.get(group.name) for group in self._groups.all()]
         return tuple(
             KnownClaim(claim.group, claim.daemon, claim.address, claim.offset)
@@ -148,7 +149,7 @@
         )
 
     def add_claims(self, claims: Iterable[KnownClaim]) -> None:
-        """Takes claims that a peer knows, which may be newer than those read here."""
+        """Adds claims received from a peer, which may be newer than those read from the store."""
         for known in claims:
             self.add_claim(Claim(known.group, known.daemon, known.address, known.offset))
 
@@ -162,7 +163,7 @@
         self.add_claim(claim)
 
     def add_claim(self, claim: Claim) -> None:
-        """Takes a claim, unless a newer one of its group is known."""
+        """Adds a claim, unless a newer one of its group is known."""
         known = self._claims.get(claim.group)
         if known is not None and known.offset >= claim.offset:
             return
@@ -177,17 +178,17 @@
     # Health of coordinators.
 
     def on_activity(self, group: str, daemon: str) -> None:
-        """A daemon sent a message as the coordinator of a group."""
+        """Handles a message that a daemon sent as the coordinator of a group."""
         claim = self._claims.get(group)
         if claim is not None and claim.daemon == daemon:
             self._health.on_activity(group)
 
     def on_reply_timeout(self, now: float, group: str) -> None:
-        """A request to the coordinator of a group got no reply in time."""
+        """Handles a request to the coordinator of a group that got no reply in time."""
         self._log_suspicion(group, self._health.on_reply_timeout(now, group))
 
     def on_not_coordinator(self, now: float, group: str) -> None:
-        """The daemon that got a request replied that it does not coordinate the group."""
+        """Handles a reply in which a daemon denies that it coordinates the group."""
         self._log_suspicion(group, self._health.on_not_coordinator(now, group))
 
     def _log_suspicion(self, group: str, is_new: bool) -> None:
@@ -198,14 +199,14 @@
             self._log("coordinator suspected", group=group, coordinator=coordinator)
 
     def on_coordinator_needed(self, now: float, group: str) -> None:
-        """A group of which no usable coordinator is known needs one."""
+        """Handles the need for a coordinator in a group without a known usable one."""
         if self._health.on_coordinator_needed(now, group):
             self._schedule_next_claim()
 
     # Claiming.
 
     def _claim_due(self, group: Group) -> float:
-        """Returns when this daemon claims a group, if nothing changes until then."""
+        """Returns when this daemon claims a group if nothing changes until then."""
         if not self._may_claim(group.name):
             return NEVER
         has_coordinator = group.name in self._claims and not self._health.is_missing(group.name)
@@ -222,19 +223,19 @@
         return not is_claiming and not self.is_own(group)
 
     def _claim_delay(self, group: Group) -> float:
-        """Returns how long this daemon leaves a claim to others; it differs between daemons."""
-        part = (stable_hash(group.name, self._identity.name) % 1000) / 1000
-        is_near = group.zone in ("", self._identity.zone)
-        return part * CLAIM_SPREAD_SECONDS + (0.0 if is_near else OTHER_ZONE_SECONDS)
+        """Returns the delay before this daemon claims a group; it differs between daemons."""
+        spread = (stable_hash(group.name, self._identity.name) % 1000) / 1000
+        is_same_zone = group.zone in ("", self._identity.zone)
+        return spread * CLAIM_SPREAD_SECONDS + (0.0 if is_same_zone else OTHER_ZONE_SECONDS)
 
     def _schedule_next_claim(self) -> None:
-        """Works out when the next claim is due; called after whatever may change that."""
+        """Computes when the next claim is due; called after each change that may affect it."""
         due = (self._claim_due(group) for group in self._groups.all())
         self._next_claim = min(due, default=NEVER)
 
     def _check(self, now: float) -> list[StoreCall]:
-        """Claims the groups that are due."""
-        self._drop_unanswered(now)
+        """Claims the groups whose claim is due."""
+        self._abandon_unanswered(now)
         calls: list[StoreCall] = []
         for group in self._groups.all():
             if group.name not in self._claims:
@@ -244,7 +245,7 @@
         self._schedule_next_claim()
         return calls
 
-    def _drop_unanswered(self, now: float) -> None:
+    def _abandon_unanswered(self, now: float) -> None:
         for call, claim in list(self._own_claims.items()):
             if now >= claim.sent_at + CALL_TIMEOUT_SECONDS:
                 del self._own_claims[call]
@@ -262,19 +263,23 @@
     # The store.
 
     def set_min_read_interval(self, seconds: float) -> None:
-        """Sets the least interval between reads: one claim ends the reads of all daemons."""
+        """Sets the minimum interval between reads.
+
+        A single claim ends the pending reads of all daemons, so the interval limits the load on the
+        store.
+        """
         self._follower.least_interval = seconds
 
     def read_again(self, now: float) -> None:
-        """Reads the claims at once, as they may have changed while this process was suspended."""
+        """Reads the claims immediately; they may have changed while this process was suspended."""
         self._follower.read_again(now)
 
     def owns(self, call: int) -> bool:
-        """Returns whether a call to the store was made here."""
+        """Returns whether a call to the store was made by this object."""
         return call in self._own_claims or self._follower.owns(call)
 
     def on_answer(self, now: float, call: int, outcome: StoreOutcome) -> None:
-        """Takes the outcome of a read or of a claim."""
+        """Handles the outcome of a read or of a claim."""
         if self._follower.owns(call):
             self._follower.on_answer(now, call, outcome)
             self._schedule_next_claim()
@@ -293,11 +298,11 @@
     # Timers.
 
     def next_due(self) -> float:
-        """Returns when `on_timer` has something to do, in seconds of this process's clock."""
+        """Returns when `on_timer` is due next, in seconds of this process's clock."""
         return min(self._follower.next_due(), max(self._check_at, self._next_claim))
 
     def on_timer(self, now: float) -> list[StoreCall]:
-        """Reads claims, and claims what has had no coordinator for long enough."""
+        """Reads claims, and claims groups that have had no coordinator for long enough."""
         calls: list[StoreCall] = list(self._follower.on_timer(now))
         if now >= self._check_at:
             self._check_at = now + CHECK_SECONDS
--- a/src/troutswitch/decisions/slots/coordinator_health.py
+++ b/src/troutswitch/decisions/slots/coordinator_health.py
@@ -1,31 +1,31 @@
 """Decides whether a group's coordinator is suspected to have failed.
 
-Inputs: whether the coordinator replied to this daemon's own requests, known at once or when the
-time for a reply is over; any message that it sent.
+Inputs: whether the coordinator replied to this daemon's own requests, known when the reply arrives
+or its timeout expires; any message from the coordinator.
 
-Rule: after `SUSPECT_MISSES` requests in a row without a reply, or one reply that says that the
-daemon does not coordinate the group, a coordinator is suspected. It is sent no requests for
+Rule: a coordinator is suspected after `SUSPECT_MISSES` consecutive requests without a reply, or
+after one reply in which the daemon denies that it coordinates the group. It is sent no requests for
 `SUSPECT_SECONDS`, and daemons claim its group (`coordinator_claims.py`). Any message from it, or a
 newer claim of the group, ends the suspicion.
 
-Why: one missing reply is a lost datagram more often than a failed daemon. A suspected coordinator
-is tried again, as it may only have been suspended or cut off.
+Why: a single missing reply is more often a lost datagram than a failed daemon. A suspected
+coordinator is tried again, because it may only have been suspended or disconnected.
 
-docs/SLOTS.md, "When the other side is silent", has the cases.
+docs/SLOTS.md, "When the other side is silent", lists the cases.
 """
 
 from dataclasses import dataclass
 
 SUSPECT_MISSES = 2
-"""Requests in a row without a reply after which a coordinator is suspected."""
+"""Consecutive requests without a reply after which a coordinator is suspected."""
 SUSPECT_SECONDS = 2.0
-"""Time after which a suspected coordinator is sent requests again."""
+"""Time after which requests are sent to a suspected coordinator again."""
 NEVER = float("inf")
 
 
 @dataclass(slots=True)
 class _Health:
-    """One group's coordinator as this daemon sees it. Times are in seconds of its clock."""
+    """Health of one group's coordinator as this daemon sees it. Times are in seconds."""
 
     misses: int = 0
     suspected_until: float = float("-inf")
@@ -33,7 +33,7 @@
 
 
 class CoordinatorHealth:
-    """Health of the coordinators of all groups, by the group's name."""
+    """Health of the coordinators of all groups, by group name."""
 
     def __init__(self) -> None:
         self._groups: dict[str, _Health] = {}
@@ -42,27 +42,27 @@
         return self._groups.setdefault(group, _Health())
 
     def is_suspected(self, now: float, group: str) -> bool:
-        """Returns whether the coordinator must not be sent requests now."""
+        """Returns whether requests must not be sent to the coordinator now."""
         return now < self._of(group).suspected_until
 
     def is_missing(self, group: str) -> bool:
-        """Returns whether as many requests went without a reply as make a coordinator suspected."""
+        """Returns whether at least `SUSPECT_MISSES` consecutive requests got no reply."""
         return self._of(group).misses >= SUSPECT_MISSES
 
     def missing_since(self, group: str) -> float:
-        """Returns when a coordinator was first needed and missing; infinite if it is not."""
+        """Returns when a missing coordinator was first needed; infinite if none is missing."""
         return self._of(group).missing_since
 
     def on_new_coordinator(self, group: str) -> None:
-        """A newer claim of the group is known."""
+        """Handles a newer claim of the group."""
         self._groups[group] = _Health()
 
     def on_activity(self, group: str) -> None:
-        """The coordinator sent a message."""
+        """Handles a message from the coordinator."""
         self._groups[group] = _Health()
 
     def on_reply_timeout(self, now: float, group: str) -> bool:
-        """A request got no reply in time; returns whether the coordinator is suspected from now."""
+        """Handles a request without a reply; returns whether the coordinator becomes suspected."""
         health = self._of(group)
         health.misses += 1
         health.missing_since = min(health.missing_since, now)
@@ -72,12 +72,12 @@
         return True
 
     def on_not_coordinator(self, now: float, group: str) -> bool:
-        """The daemon replied that it is no coordinator; returns as `on_reply_timeout` does."""
+        """Handles a daemon's denial that it is the coordinator; returns as `on_reply_timeout`."""
         self._of(group).misses = SUSPECT_MISSES
         return self.on_reply_timeout(now, group)
 
     def on_coordinator_needed(self, now: float, group: str) -> bool:
-        """A group without a known coordinator needs one; returns whether that is new."""
+        """Handles the need for a coordinator in a group without one; returns whether it is new."""
         health = self._of(group)
         if health.missing_since != NEVER:
             return False
--- a/src/troutswitch/decisions/slots/fleet.py
+++ b/src/troutswitch/decisions/slots/fleet.py
@@ -1,9 +1,10 @@
-"""All decisions on slots of one daemon: its part as coordinator, and as one that requests slots.
+"""All decisions on slots of one daemon, both as coordinator and as a daemon that requests slots.
 
-It owns the parts in this package, follows the engine list and the claims with them, and passes each
-peer's message about slots to the part that it concerns. Grants for batch items are used only if
-they come from the daemon whose claim of the group is the newest known here, and once each. A reply
-to a slot request is used as long as its search awaits it, also if a newer claim is known meanwhile.
+`FleetSlots` owns the parts in this package. It updates them when the engine list or the claims
+change, and passes each peer's message about slots to the part that handles it. Grants for batch
+items are used only if they come from the daemon with the newest known claim of the group, and only
+once. A reply to a slot request is used as long as its search awaits it, even if a newer claim has
+become known meanwhile.
 """
 
 import random
@@ -45,10 +46,10 @@
 
 @dataclass(frozen=True, slots=True)
 class SlotPolicies:
-    """Policies on which decisions on slots rely.
+    """Policies that the decisions on slots use.
 
-    `homes` knows the engines of long prompts; `batch_capacity` how much of an engine items may
-    take.
+    `homes` knows the home engines of long prompts. `batch_capacity` determines how much of an
+    engine batch items may use.
     """
 
     homes: HomePolicy
@@ -102,7 +103,7 @@
     # Messages.
 
     def on_message(self, now: float, message: SlotMessage) -> list[PlacementResult]:
-        """Takes a peer's message; returns the searches for a slot that it ended."""
+        """Handles a peer's message; returns the searches for a slot that it ended."""
         match message:
             case HoldingsReport():
                 self.ledger.on_report(now, message)
@@ -132,7 +133,7 @@
         return [found] if found is not None else []
 
     def _is_duplicate(self, claim: Claim, reply: SlotReply) -> bool:
-        """Notes the grant of a reply; returns whether it was received before."""
+        """Records the grant in a reply; returns whether it was received before."""
         if not reply.grant_number:
             return False
         return not self.reports.record_grant(claim, reply.incarnation, reply.grant_number)
@@ -159,34 +160,34 @@
             self._engines.take_counts(now, digest.counts)
 
     def claim_by(self, group: str, sender: str) -> Claim | None:
-        """Returns the newest known claim of a group if it is that of a given daemon."""
+        """Returns the newest known claim of a group if `sender` made it, else None."""
         claim = self.claims.claim_of(group)
         return claim if claim is not None and claim.daemon == sender else None
 
     # For batch items (`jobs.owner.BatchSlots`).
 
     def share(self, now: float) -> FleetShare:
-        """Returns the free slots and the items of all daemons."""
+        """Returns the free slots and unfinished items of all daemons."""
         return self.batch.share(now)
 
     def is_coordinated(self, now: float, engine_id: str) -> bool:
-        """Returns whether items at an engine may start only by its coordinator's grants."""
+        """Returns whether items at an engine may start only with a coordinator's grant."""
         return self.batch.is_coordinated(now, engine_id)
 
     # The store.
 
     def owns(self, call: int) -> bool:
-        """Returns whether a call to the store was made here."""
+        """Returns whether a call to the store was made by the claims."""
         return self.claims.owns(call)
 
     def on_store(self, now: float, call: int, outcome: StoreOutcome) -> None:
-        """Takes the outcome of a call to the store."""
+        """Handles the outcome of a call to the store."""
         self.claims.on_answer(now, call, outcome)
 
     # Timers.
 
     def next_due(self) -> float:
-        """Returns when `on_timer` has something to do, in seconds of this process's clock."""
+        """Returns when `on_timer` is due next, in seconds of this process's clock."""
         return min(
             self.claims.next_due(),
             self.ledger.next_due(),
@@ -196,10 +197,10 @@
         )
 
     def on_timer(self, now: float) -> tuple[list[PlacementResult], list[StoreCall]]:
-        """Does what is due; returns the searches that ended, and calls to the store."""
-        self._follow_list(now)
+        """Does what is due; returns the searches that ended and the calls to the store."""
+        self._update_groups(now)
         calls = self.claims.on_timer(now)
-        self._follow_claims(now)
+        self._update_coordinated(now)
         self.ledger.on_timer(now)
         self._emit_all(self.coordinator.on_timer(now))
         found = self.requests.on_timer(now)
@@ -207,7 +208,7 @@
         self.ledger.validate()
         return found, calls
 
-    def _follow_list(self, now: float) -> None:
+    def _update_groups(self, now: float) -> None:
         """Groups the engines again if the list changed."""
         if self._engines.list_changes == self._list_changes:
             return
@@ -216,8 +217,8 @@
         self.groups.update(present)
         self.coordinator.on_list_changed(now)
 
-    def _follow_claims(self, now: float) -> None:
-        """Begins and ends to coordinate groups according to the claims."""
+    def _update_coordinated(self, now: float) -> None:
+        """Starts and stops coordinating groups according to the claims."""
         own = {group.name for group in self.groups.all() if self.claims.is_own(group.name)}
         coordinated = set(self.coordinator.coordinated)
         for group in sorted(own - coordinated):
--- a/src/troutswitch/decisions/slots/group_search.py
+++ b/src/troutswitch/decisions/slots/group_search.py
@@ -1,25 +1,25 @@
 """Decides which group is tried next for a request's slot, and which wait is accepted there.
 
 Inputs: the groups of the request's service, from the engine list that this daemon read last; the
-waits that coordinators replied within this search, in seconds, each some milliseconds old; the
-longest wait that the request accepts, in seconds.
+waits that coordinators replied during this search, in seconds, each some milliseconds old; the
+maximum wait that the request accepts, in seconds.
 
 Rule:
 
-1. At most `MAX_GROUPS_TRIED` groups are tried, one after the other in random order; those that
-   span zones or are of this daemon's zone come first.
-2. A group is accepted only if the wait there is `SHORT_WAIT_SECONDS` at most, as long as there is
-   another group to try, or one was tried before. If there is none, its wait is accepted up to the
-   request's own bound.
-3. If no group was accepted, the one with the shortest wait is tried again, and takes the request
-   to its queue. If that wait is longer than the request accepts, there is no slot in time.
+1. At most `MAX_GROUPS_TRIED` groups are tried, one after the other in random order. Groups that
+   span zones or are in this daemon's zone come first.
+2. While there is another group to try, or another one has been tried before, a group is accepted
+   only if its wait is at most `SHORT_WAIT_SECONDS`. If there is only one group, any wait up to the
+   request's own limit is accepted.
+3. If no group was accepted, the request joins the queue of the group with the shortest wait: that
+   group is tried again. If its wait is longer than the request accepts, there is no slot in time.
 
 Why: a free slot in another zone is worth one more message of a few milliseconds, but trying every
 group would cost more than the wait that it saves. The order is random so that daemons which send
-at the same time spread over the groups.
+requests at the same time spread over the groups.
 
 Measured: coordinators as a whole, in docs/POLICY.md, "Rounds with coordinators of slots" and
-"Ablation". Other ways that were weighed are in docs/SLOTS.md.
+"Ablation". docs/SLOTS.md has the alternatives that were considered.
 """
 
 import random
@@ -30,14 +30,14 @@
 from troutswitch.decisions.slots.groups import Group
 
 MAX_GROUPS_TRIED = 3
-"""Groups that are tried for one request before it joins the shortest queue."""
+"""Number of groups that are tried for one request before it joins the shortest queue."""
 SHORT_WAIT_SECONDS = 0.02
-"""Wait for a slot up to which no other group is tried: about what a message and its reply
-take."""
+"""Maximum wait for a slot at which no other group is tried: about the time that a message and its
+reply take."""
 
 
 def groups_in_order(groups: list[Group], zone: str, rng: random.Random) -> list[Group]:
-    """Returns the groups to ask, in order, for a daemon of a zone."""
+    """Returns the groups to try, in order, for a daemon in `zone`."""
     ordered = list(groups)
     rng.shuffle(ordered)
     ordered.sort(key=lambda group: group.zone not in ("", zone))
@@ -64,37 +64,38 @@
         self._joins_queue = False
 
     def next_group(self) -> Group | None:
-        """Moves to the next group and returns it; None when all were tried."""
+        """Moves to the next group and returns it, or None if all groups were tried."""
         if not self._groups:
             return None
         self.group = self._groups.pop(0)
         return self.group
 
     def max_accepted_wait(self) -> float:
-        """Returns the longest wait to accept of the group that is tried now, in seconds."""
+        """Returns the maximum wait to accept in the current group, in seconds."""
         has_alternative = bool(self._groups) or self._shortest is not None
         if self._joins_queue or not has_alternative:
             return self.request.longest_wait
         return min(SHORT_WAIT_SECONDS, self.request.longest_wait)
 
     def record_wait(self, group: Group, estimate: Estimate) -> None:
-        """Notes the wait at a group that was not accepted."""
+        """Records the wait at a group that was not accepted."""
         if estimate.slots == 0:
             return  # the group has no engine for the request
         if self._shortest is None or estimate.wait < self._shortest.estimate.wait:
             self._shortest = _GroupWait(group, estimate)
 
     def too_long_wait(self) -> Estimate | None:
-        """Returns the shortest wait that was replied if it is longer than the request accepts."""
+        """Returns the shortest replied wait if it is longer than the request accepts, else None."""
         if self._shortest is None or self._joins_queue:
             return None
         estimate = self._shortest.estimate
         return estimate if estimate.wait > self.request.longest_wait else None
 
     def join_queue(self) -> Group | None:
-        """Moves to the group with the shortest wait, whose queue is joined.
+        """Moves to the group with the shortest wait, whose queue the request joins.
 
-        Returns None if no group has an engine for the request, or if the queue was tried already.
+        Returns None if no group has an engine for the request, or if the search has joined a queue
+        already.
         """
         if self._shortest is None or self._joins_queue:
             return None
--- a/src/troutswitch/decisions/slots/ledger.py
+++ b/src/troutswitch/decisions/slots/ledger.py
@@ -1,14 +1,15 @@
-"""Counts what other daemons have in flight on the engines that this daemon coordinates.
+"""Counts the requests of other daemons in flight on the engines that this daemon coordinates.
 
-A peer's share of an engine is what its newest report states, plus what this daemon granted or
-retracted since that report was made. Grants to a peer are numbered, and a report carries the
-number of the newest grant that it includes. So a count is exact as long as no datagram is lost.
+A peer's share of an engine is the share in its newest report, plus what this daemon granted or
+retracted since that report was made. Grants to a peer are numbered, and a report has the number of
+the newest grant that it includes. So a count is exact as long as no datagram is lost.
 
-What bounds a loss: a grant that no report includes expires after `GRANT_EXPIRY_SECONDS`, and what a
-peer has in flight counts no more once it was silent for `SILENT_SECONDS`.
+Two timeouts limit the effect of lost datagrams. A grant that no report includes expires after
+`GRANT_EXPIRY_SECONDS`. The requests in flight of a peer that has been silent for `SILENT_SECONDS`
+are no longer counted.
 
-It owns the holders, which are the peers that report here, and it writes the peers' counts of each
-engine in the registry.
+The ledger owns the holders, which are the peers that report to this daemon. It writes the peers'
+counts of each engine to the registry.
 """
 
 from collections import deque
@@ -27,21 +28,22 @@
 from troutswitch.decisions.invariants import ensure
 
 GRANT_EXPIRY_SECONDS = 0.5
-"""Time after which a grant counts no more that no report has included: more than twice the
-longest time until a report includes it, so that one lost report changes nothing."""
+"""Time after which a grant that no report has included is no longer counted: more than twice the
+maximum time until a report includes it, so that one lost report has no effect."""
 SILENT_SECONDS = 2.0
-"""Silence after which what a peer has in flight counts no more: four of its refreshed reports."""
+"""Silence after which a peer's requests in flight are no longer counted: four of its periodic
+reports."""
 FORGET_SECONDS = 60.0
-"""Silence after which a peer is forgotten."""
+"""Silence after which a peer is removed."""
 CHECK_SECONDS = 0.1
 """Interval between checks for expired grants and silent peers."""
 MIN_UNUSABLE_REPORTS = 2
-"""Daemons that must report an engine as unusable before no daemon is sent there."""
+"""Number of daemons that must report an engine as unusable before all daemons avoid it."""
 
 
 @dataclass(frozen=True, slots=True)
 class Grant:
-    """Slots that a peer was granted; negative counts retract some."""
+    """Slots granted to a peer; negative counts retract slots."""
 
     number: int
     granted_at: float
@@ -52,8 +54,8 @@
 class Holder:
     """A peer with work at the engines that this daemon coordinates.
 
-    `reported` is what its newest report states, `grants` what was granted since, and `shares`
-    both together, each by the engine's key. Times are in seconds of this process's clock.
+    `reported` has the shares in its newest report, `grants` the grants since then, and `shares` the
+    sum of both. Shares are stored by engine key. Times are in seconds of this process's clock.
     """
 
     address: Address
@@ -71,17 +73,17 @@
     unusable: frozenset[int] = frozenset()
 
     def batch_at(self, key: int) -> int:
-        """Returns the batch items that it has at the engine of a key."""
+        """Returns the number of the peer's batch items at the engine with the given key."""
         share = self.shares.get(key)
         return share.batch if share is not None else 0
 
     @property
     def unreported_batch_grants(self) -> int:
-        """Slots for batch items that it was granted since its newest report."""
+        """Number of slots for batch items granted since the newest report."""
         return sum(grant.share.batch for grant in self.grants if grant.share.batch > 0)
 
     def apply_report(self, now: float, report: HoldingsReport) -> None:
-        """Takes the content of a report that is newer than the last one."""
+        """Replaces the reported state with that of a newer report."""
         self.address, self.zone = report.address, report.zone
         self.incarnation, self.sequence = report.incarnation, report.sequence
         self.last_seen_at = now
@@ -92,7 +94,7 @@
         self.reported = {share.engine_key: share for share in report.shares}
 
     def drop_reported_grants(self, last_seen: int) -> None:
-        """Drops the grants up to a number, which the newest report includes."""
+        """Drops the grants up to `last_seen`, which the newest report includes."""
         while self.grants and self.grants[0].number <= last_seen:
             self.grants.popleft()
 
@@ -102,7 +104,7 @@
             self.grants.popleft()
 
     def clear(self) -> None:
-        """Counts the peer as having nothing, since it is silent."""
+        """Drops everything that a silent peer reported or was granted."""
         self.reported = {}
         self.grants.clear()
         self.waiting_items = 0
@@ -112,7 +114,7 @@
 
 
 class SlotLedger:
-    """All holders, and the counts of engines that follow from them."""
+    """All holders, and the engine counts that follow from them."""
 
     def __init__(self, engines: EngineRegistry, incarnation: int) -> None:
         self.holders: dict[str, Holder] = {}
@@ -121,7 +123,7 @@
         self._checked_at = float("-inf")
 
     def on_report(self, now: float, report: HoldingsReport) -> bool:
-        """Takes a report; returns whether it was taken, as no newer one came before it."""
+        """Applies a report; returns False if a newer report was applied before."""
         holder = self.holders.get(report.sender)
         if holder is None:
             holder = Holder(report.address, report.zone, report.incarnation, -1, now)
@@ -137,7 +139,7 @@
         return True
 
     def grant(self, now: float, name: str, share: EngineShare) -> int:
-        """Counts a grant to a holder from now; returns the grant's number."""
+        """Counts a grant to a holder from now on; returns the grant's number."""
         holder = self.holders[name]
         holder.last_grant += 1
         holder.grants.append(Grant(holder.last_grant, now, share))
@@ -145,7 +147,7 @@
         return holder.last_grant
 
     def _apply(self, now: float, holder: Holder) -> None:
-        """Updates the counts of engines to what a holder has now."""
+        """Updates the counts of engines to a holder's current shares."""
         shares = dict(holder.reported)
         for grant in holder.grants:
             key = grant.share.engine_key
@@ -167,7 +169,7 @@
         engine.peers_prefill_tokens = max(0, engine.peers_prefill_tokens + tokens)
 
     def recount(self, now: float, engines: Iterable[Engine]) -> None:
-        """Counts some engines again from the holders, after engines joined or changed groups."""
+        """Counts engines again from the holders, after engines were added or changed groups."""
         for engine in engines:
             engine.change_peers_online(now, -engine.peers_online)
             engine.peers_batch = 0
@@ -178,30 +180,30 @@
                 if share is not None:
                     self._change(now, _empty_share(key), share)
 
-    # What the holders have.
+    # Queries.
 
     def batch_holders(self, key: int) -> list[tuple[str, int]]:
-        """Returns the peers that have batch items at the engine of a key, with how many."""
+        """Returns the peers with batch items at an engine, and their numbers of items."""
         counts = ((name, holder.batch_at(key)) for name, holder in self.holders.items())
         return [(name, count) for name, count in counts if count > 0]
 
     def is_avoided(self, key: int) -> bool:
-        """Returns whether several daemons report the engine of a key as unusable."""
+        """Returns whether `MIN_UNUSABLE_REPORTS` daemons report the engine as unusable."""
         reports = sum(key in holder.unusable for holder in self.holders.values())
         return reports >= MIN_UNUSABLE_REPORTS
 
     def open_items(self) -> int:
-        """Returns the number of batch items that peers have to finish."""
+        """Returns the number of the peers' unfinished batch items."""
         return sum(holder.open_items for holder in self.holders.values())
 
     # Timers.
 
     def next_due(self) -> float:
-        """Returns when `on_timer` has something to do, in seconds of this process's clock."""
+        """Returns when `on_timer` is due next, in seconds of this process's clock."""
         return self._checked_at + CHECK_SECONDS if self.holders else float("inf")
 
     def on_timer(self, now: float) -> None:
-        """Drops expired grants, and what silent peers had in flight."""
+        """Drops expired grants and the requests in flight of silent peers."""
         if now < self.next_due():
             return
         self._checked_at = now
@@ -215,15 +217,18 @@
                 del self.holders[name]
 
     def validate(self) -> None:
-        """Asserts what must hold between events.
+        """Checks the invariants that hold between events.
 
         Raises:
-            InvariantViolated: the grants to a holder aren't numbered in their order.
+            InvariantViolated: The grants to a holder are not numbered in order.
         """
         for holder in self.holders.values():
             numbers = [grant.number for grant in holder.grants]
             ensure(numbers == sorted(set(numbers)), "grants to a peer are out of order")
-            ensure(not numbers or numbers[-1] <= holder.last_grant, "a grant has no number")
+            ensure(
+                not numbers or numbers[-1] <= holder.last_grant,
+                "a grant has a number above the last one",
+            )
 
 
 def _empty_share(key: int) -> EngineShare:
--- a/src/troutswitch/decisions/slots/local_placement.py
+++ b/src/troutswitch/decisions/slots/local_placement.py
@@ -1,20 +1,20 @@
-"""Decides where a request goes if no coordinator decides it.
+"""Decides which engine a request is sent to if no coordinator decides it.
 
-Inputs: the engines that this daemon may send the request to, from its newest engine list and its
-own failed attempts; the online requests and items at each engine in this daemon's local view,
-which is up to some hundred milliseconds old.
+Inputs: the engines to which this daemon may send the request, by its newest engine list and its own
+failed attempts; the online requests and items at each engine in this daemon's local view, which is
+up to some hundred milliseconds old.
 
 Rule:
 
-1. A long prompt goes to the home engine of its session (`forwarding/long_prompts.py`), whatever
-   the coordinators count.
-2. If no coordinator is known or none replies in time, the better of two engines drawn at random
-   is taken, near ones first (`TwoChoices`). If the request may go to none of them any more, any
-   engine of its service that is usable is drawn from.
-3. Without any engine the request ends with `NoEngine`.
+1. A long prompt is sent to the home engine of its session (`forwarding/long_prompts.py`),
+   regardless of the coordinators' counts.
+2. If no coordinator is known, or none replies in time, the better of two randomly drawn engines is
+   chosen, preferably in this daemon's zone (`TwoChoices`). If all engines that the request may use
+   are unavailable, the candidates are all usable engines of its service.
+3. If there is no such engine, the request ends with `NoEngine`.
 
-Why two choices: while no coordinator replies, the local view is old, and daemons that all took
-the best engine would take the same one.
+Why two choices: while no coordinator replies, the local view is old, and daemons that all chose the
+best engine would choose the same one.
 
 Measured: homes in docs/POLICY.md, "Rounds with coordinators of slots" (round 16). A daemon that
 uses no coordinators at all (policy `own_counts`) decides in `forwarding/placer.py` instead.
@@ -36,15 +36,15 @@
 
 
 class RequestCandidates(Protocol):
-    """Knows which engines a request may still be sent to."""
+    """Provides the engines to which a request may still be sent."""
 
     def candidates(self, now: float, token: int) -> list[Engine]:
-        """Returns the engines for the request that `token` names within this process."""
+        """Returns the engines for the request that `token` identifies within this process."""
         ...
 
 
 class LocalPlacement:
-    """Placements that this daemon makes from its local view."""
+    """Assigns requests to engines by this daemon's local view."""
 
     def __init__(
         self,
@@ -64,7 +64,7 @@
     def home(
         self, now: float, request: PlacementRequest, candidates: list[Engine]
     ) -> Assignment | None:
-        """Assigns a request to its home engine, if it has one."""
+        """Assigns a request to its home engine; returns None if it has none."""
         engine = self._homes.home(candidates, request.prompt)
         return _assignment(now, engine, AssignedBy.HOME) if engine is not None else None
 
@@ -78,14 +78,14 @@
         engine = self._fallback.choose(now, candidates, request.prompt, self._zone, self._rng)
         return _assignment(now, engine, AssignedBy.FALLBACK)
 
-    def permitted(self, now: float, token: int, key: int) -> Engine | None:
-        """Returns the engine of a key, unless it is unknown here or the request may not use it."""
+    def permitted_engine(self, now: float, token: int, key: int) -> Engine | None:
+        """Returns the engine with a key, or None if it is unknown or the request may not use it."""
         engine = self._engines.by_key(key)
         allowed = self._requests.candidates(now, token)
         return engine if engine is not None and engine in allowed else None
 
-    def excluded(self, now: float, token: int, engines: list[Engine]) -> frozenset[int]:
-        """Returns the keys of those engines that a request may not be sent to."""
+    def excluded_keys(self, now: float, token: int, engines: list[Engine]) -> frozenset[int]:
+        """Returns the keys of those `engines` to which a request may not be sent."""
         allowed = {e.record.engine_id for e in self._requests.candidates(now, token)}
         ids = [engine.record.engine_id for engine in engines]
         return frozenset(engine_key(engine_id) for engine_id in ids if engine_id not in allowed)
--- a/src/troutswitch/decisions/slots/messages.py
+++ b/src/troutswitch/decisions/slots/messages.py
@@ -10,7 +10,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SendToPeers:
-    """Instruction: send a message to daemons, one datagram to each address."""
+    """Instruction: send a message to daemons, one datagram per address."""
 
     addresses: tuple[Address, ...]
     message: PeerMessage
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PeerMessageReceived:
-    """Event: a datagram of another daemon was received and decoded."""
+    """Event: a datagram from another daemon was received and decoded."""
 
     message: PeerMessage
 
@@ -27,7 +27,8 @@
 class WaitingItems:
     """Batch items that a daemon could start now.
 
-    `in_time` of them can still meet their job's objective; the `late` ones will miss it.
+    `in_time` counts those that can still meet their job's objective, `late` those that will miss
+    it.
     """
 
     in_time: int = 0
@@ -38,7 +39,7 @@
 class StartItems:
     """Instruction: start up to `count` of this daemon's batch items at an engine.
 
-    A negative `count` is the number of running items to stop there.
+    A negative `count` means that number of running items is stopped there.
     """
 
     engine_id: str
@@ -50,10 +51,10 @@
 
 @dataclass(frozen=True, slots=True)
 class FleetShare:
-    """What the batch items of the whole fleet have to share.
+    """The capacity and demand that the batch items of all daemons share.
 
-    `free_slots` is the mean number of slots that online requests leave; `open_items` counts
-    the items that other daemons have to finish.
+    `free_slots` is the mean number of slots that online requests leave free. `open_items` counts
+    the unfinished items of the other daemons.
     """
 
     free_slots: float
@@ -70,5 +71,5 @@
 
     @property
     def open_items(self) -> int:
-        """Number of items that are not finished."""
+        """Number of unfinished items."""
         ...
--- a/src/troutswitch/decisions/slots/preemption.py
+++ b/src/troutswitch/decisions/slots/preemption.py
@@ -1,17 +1,17 @@
-"""Decides which batch item stops so that an online request gets its slot.
+"""Decides which batch items are stopped so that online requests get their slots.
 
-Inputs: online requests and batch items at an engine as the coordinator counts them, exact but for
-reports in flight (some 10 ms); this daemon's own items there, exact.
+Inputs: online requests and batch items at an engine as the coordinator counts them, exact except
+for reports in flight (some 10 ms); this daemon's own items there, exact.
 
-Rule: as many items stop as online requests and items together exceed the engine's slots, at most
-all items. Each time one holder is drawn at random, by how many items it has there; it chooses
-which of its items stops (`jobs/owner.py`).
+Rule: the number of stopped items is the number by which online requests and items together exceed
+the engine's slots, at most all items. For each of them a daemon is drawn at random, weighted by its
+number of items at the engine. That daemon chooses which of its items to stop (`jobs/owner.py`).
 
-Why: engines admit in the order of arrival and know no priorities, so an item gives up its slot
-only by being stopped. Drawing by the number of items lets all daemons lose alike.
+Why: engines admit requests in order of arrival and have no priorities, so a batch item gives up its
+slot only if it is stopped. The weights make the loss proportional for all daemons.
 
-Measured in docs/POLICY.md: "Rounds" (round 1); a slot that stays free for a while afterwards was
-worse ("Rounds with coordinators of slots", round 15).
+Measured in docs/POLICY.md: "Rounds" (round 1). Keeping a slot free for a while afterwards was worse
+("Rounds with coordinators of slots", round 15).
 """
 
 import random
@@ -36,13 +36,14 @@
         self._grants = grants
         self._rng = rng
         self._own_stops: dict[str, int] = {}
-        """Own items by engine that are to stop in this step, and still count as running."""
+        """Number of own items by engine that will be stopped in this step but still count as
+        running."""
 
     def preempt(self, now: float, engine: Engine, about_to_send: int = 0) -> list[SlotInstruction]:
-        """Stops the items that are above the engine's slots.
+        """Stops the items in excess of the engine's slots.
 
-        `about_to_send` is the number of online requests of this daemon that are sent to the engine
-        in this step and do not count there yet.
+        `about_to_send` is the number of this daemon's online requests that are sent to the engine
+        in this step and are not counted yet.
         """
         instructions: list[SlotInstruction] = []
         surplus = engine.online() + engine.batch() + about_to_send - engine.slots
@@ -51,7 +52,7 @@
         return instructions
 
     def end_step(self) -> None:
-        """Forgets which own items were to stop: they are stopped at the end of the step."""
+        """Resets the own items to stop: they are stopped at the end of the step."""
         self._own_stops.clear()
 
     def _stop_one(self, now: float, engine: Engine) -> list[SlotInstruction]:
@@ -66,7 +67,7 @@
         return [self._grants.grant(now, holder, engine, -1), line]
 
     def _draw_holder(self, engine: Engine) -> str | None:
-        """Draws a daemon with items at an engine, by how many it has; None if there is none."""
+        """Draws a daemon, weighted by its items at an engine; None if there are no items."""
         engine_id = engine.record.engine_id
         own = engine.batch_in_flight - self._own_stops.get(engine_id, 0)
         holders = [(SELF, own)] if own > 0 else []
--- a/src/troutswitch/decisions/slots/reports.py
+++ b/src/troutswitch/decisions/slots/reports.py
@@ -1,12 +1,12 @@
-"""Reports to coordinators what this daemon has in flight at their engines.
+"""Reports this daemon's requests in flight to the coordinators of the engines.
 
-A report is sent some milliseconds after a change that the coordinator does not know, and
-repeatedly while anything is in flight or waits. A daemon without work sends none, so the number of
-reports follows the number of requests, not of daemons.
+A report is sent some milliseconds after a change that the coordinator does not know of, and
+periodically while requests are in flight or items are unfinished. A daemon without work sends no
+reports, so their number depends on the number of requests, not of daemons.
 
-It owns what each coordinator was last sent, the number of its newest grant that was received, and
-the sequence number of this daemon's reports. It relies on the claims for who coordinates which
-group.
+`HoldingsReports` owns what was last sent to each coordinator, the number of the newest grant that
+each one sent, and the sequence number of this daemon's reports. It relies on the claims for which
+daemon coordinates a group.
 """
 
 from collections.abc import Iterator
@@ -27,17 +27,17 @@
 from troutswitch.decisions.slots.messages import OwnItems, SendToPeers, WaitingItems
 
 REPORT_SECONDS = 0.01
-"""Least interval between reports to one coordinator: changes within it go together."""
+"""Minimum interval between reports to one coordinator. Changes within it are reported together."""
 ACKNOWLEDGE_SECONDS = 0.2
-"""Longest time until a report acknowledges a grant, well before the grant expires."""
+"""Maximum time until a report acknowledges a grant, well before the grant expires."""
 REFRESH_SECONDS = 0.5
-"""Interval between reports while something is in flight or waits, for a coordinator that is new
-or lost a report."""
+"""Interval between reports while requests are in flight or items are unfinished, for a coordinator
+that is new or lost a report."""
 
 
 @dataclass(frozen=True, slots=True)
 class _Holdings:
-    """What one coordinator is to know of this daemon."""
+    """The state of this daemon that one coordinator needs to know."""
 
     shares: tuple[EngineShare, ...] = ()
     waiting: WaitingItems = field(default_factory=WaitingItems)
@@ -45,13 +45,13 @@
 
     @property
     def is_empty(self) -> bool:
-        """Whether there is no need to repeat the report."""
+        """Whether the report need not be repeated."""
         return not self.shares and not self.open_items
 
 
 @dataclass(slots=True)
 class _Coordinator:
-    """One coordinator as this daemon reports to it."""
+    """State of the reports to one coordinator."""
 
     address: Address
     reported: _Holdings = field(default_factory=_Holdings)
@@ -65,7 +65,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _State:
-    """What holdings follow from; they are worked out again when it differs."""
+    """The inputs of the holdings, which are computed again when an input changes."""
 
     engine_changes: int
     claim_changes: int
@@ -98,11 +98,11 @@
     # Grants of coordinators.
 
     def record_grant(self, claim: Claim, incarnation: int, number: int) -> bool:
-        """Notes a numbered grant; returns whether it is new, so that it may be acted on."""
+        """Records a numbered grant; returns whether it is new and may be used."""
         coordinator = self._coordinator(claim)
         if coordinator.incarnation != incarnation:
             coordinator.incarnation, coordinator.last_grant_seen = incarnation, 0
-            coordinator.has_unacknowledged = True  # a new process has no reports yet
+            coordinator.has_unacknowledged = True  # the new process has received no report
         if number <= coordinator.last_grant_seen:
             return False
         coordinator.last_grant_seen = number
@@ -110,19 +110,22 @@
         return True
 
     def on_unused_grant(self, claim: Claim) -> None:
-        """Gives a slot back with the next report: the request no longer needs it.
+        """Schedules a report that returns a slot, because the request no longer needs it.
 
-        Otherwise the slot would stay empty until the next acknowledgement.
+        Without it the slot would stay empty until the next acknowledgement.
         """
         self._coordinator(claim).has_unused_grant = True
 
     def has_reported_all(self, claim: Claim) -> bool:
-        """Returns whether a coordinator was sent what this daemon has there now."""
+        """Returns whether a coordinator was sent this daemon's current state."""
         self._update()
         return self._coordinator(claim).reported == self._holdings_for(claim)
 
     def mark_reported(self, claim: Claim) -> None:
-        """Counts what this daemon has now as reported: the coordinator has just granted it."""
+        """Marks this daemon's current state as reported.
+
+        The coordinator has just granted the slot, so it knows the state without a report.
+        """
         self._update()
         self._coordinator(claim).reported = self._holdings_for(claim)
 
@@ -137,10 +140,10 @@
     def _holdings_for(self, claim: Claim) -> _Holdings:
         return self._holdings.get(claim.daemon, _Holdings())
 
-    # What there is to report.
+    # Computation of the holdings.
 
     def _update(self) -> None:
-        """Works out the holdings for each coordinator, if anything changed."""
+        """Computes the holdings for each coordinator, if an input changed."""
         state = _State(
             self._engines.changes,
             self._claims.changes,
@@ -159,7 +162,7 @@
             self._holdings[claim.daemon] = _Holdings(in_flight, state.waiting, state.open_items)
 
     def _shares(self) -> dict[str, list[EngineShare]]:
-        """Returns what is in flight here, by the coordinator that counts it."""
+        """Returns the requests and items in flight, by the coordinator that counts them."""
         shares: dict[str, list[EngineShare]] = {}
         for engine_id, engine in self._engines.engines.items():
             if engine.online_in_flight or engine.batch_in_flight:
@@ -179,7 +182,7 @@
     # Reports.
 
     def report(self, now: float, claim: Claim) -> HoldingsReport:
-        """Returns a report for a coordinator, which counts as sent now."""
+        """Returns a report for a coordinator, and marks it as sent now."""
         self._update()
         return self._report(now, self._coordinator(claim), self._holdings_for(claim))
 
@@ -214,7 +217,7 @@
     # Timers.
 
     def next_due(self) -> float:
-        """Returns when `on_timer` has something to do, in seconds of this process's clock."""
+        """Returns when `on_timer` is due next, in seconds of this process's clock."""
         self._update()
         return min((self._due(name) for name in self._holdings), default=float("inf"))
 
--- a/src/troutswitch/decisions/slots/slot_requests.py
+++ b/src/troutswitch/decisions/slots/slot_requests.py
@@ -1,16 +1,16 @@
 """Requests slots for this daemon's online requests from coordinators, and awaits the replies.
 
-    (new)     -> AWAITING    a group's coordinator was sent a request
-    AWAITING  -> AWAITING    no slot soon: the next group's coordinator was sent a request
-    AWAITING  -> assigned    a slot was granted, or the queue of the best group was joined
+    (new)     -> AWAITING    a request was sent to a group's coordinator
+    AWAITING  -> AWAITING    no slot soon: a request was sent to the next group's coordinator
+    AWAITING  -> assigned    a slot was granted, or the request joined the best group's queue
     AWAITING  -> no slot     the wait is too long in every group
     AWAITING  -> fallback    no reply within `REPLY_TIMEOUT_SECONDS`: this daemon decides alone
 
-A group that this daemon coordinates itself is decided at once, without a message.
+If this daemon coordinates a group itself, it decides immediately, without a message.
 
-It owns the searches that await a reply. Which group comes next and which wait is accepted is
-decided in `group_search.py`, placements without a coordinator in `local_placement.py`. It reports
-to the claims whether coordinators reply, so that a silent one is replaced.
+`SlotRequests` owns the searches that await a reply. `group_search.py` decides which group comes
+next and which wait is accepted; `local_placement.py` decides placements without a coordinator.
+Whether coordinators reply is reported to the claims, so that a silent coordinator is replaced.
 """
 
 import enum
@@ -46,19 +46,19 @@
 from troutswitch.decisions.slots.slot_choice import SlotQuery
 
 REPLY_TIMEOUT_SECONDS = 0.03
-"""Time within which a coordinator must reply: a tenth of an objective of 300 ms, and several
-times what a reply from another zone takes."""
+"""Time within which a coordinator must reply: a tenth of an objective of 300 ms, and several times
+what a reply from another zone takes."""
 
 
 class _Pending(enum.Enum):
-    """A coordinator was sent a request, and its reply is awaited."""
+    """A request was sent to a coordinator, and its reply is awaited."""
 
     REPLY = enum.auto()
 
 
 @dataclass(slots=True)
 class _OpenSearch:
-    """A search that awaits the reply to the slot request of a number."""
+    """A search that awaits the reply to the slot request with number `number`."""
 
     search: GroupSearch
     number: int
@@ -72,7 +72,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PlacementResult:
-    """How the search for the request that `token` names ended."""
+    """The result of the search for the request that `token` identifies."""
 
     token: int
     placement: Placement
@@ -102,7 +102,7 @@
         self._rng = rng
         self._open: dict[int, _OpenSearch] = {}
         self._tokens: dict[int, int] = {}
-        """Tokens of requests by the number of the slot request whose reply is awaited."""
+        """Tokens of requests, by the number of the slot request whose reply is awaited."""
         self._numbers = itertools.count(1)
 
     # `Placer`.
@@ -110,7 +110,7 @@
     def place(
         self, now: float, request: PlacementRequest, candidates: list[Engine]
     ) -> Placement | None:
-        """Begins a search; returns its end if no reply has to be awaited."""
+        """Starts a search; returns its result if no reply needs to be awaited."""
         home = self._local.home(now, request, candidates)
         if home is not None:
             return home
@@ -119,15 +119,15 @@
         return self._advance(now, search)
 
     def withdraw(self, now: float, token: int) -> None:
-        """Forgets a search; a slot that is still granted to it is given back (`is_awaited`)."""
+        """Drops a search. A slot that is granted to it later is returned (`is_awaited`)."""
         open_search = self._open.pop(token, None)
         if open_search is not None:
             self._tokens.pop(open_search.number, None)
 
-    # The course of a search.
+    # Progress of a search.
 
     def _advance(self, now: float, search: GroupSearch) -> Placement | None:
-        """Tries the groups that are left; returns None if a reply is awaited."""
+        """Tries the remaining groups; returns None if a reply is awaited."""
         while (group := search.next_group()) is not None:
             outcome = self._try_group(now, search, group)
             if outcome is _Pending.REPLY:
@@ -150,7 +150,7 @@
     def _try_group(
         self, now: float, search: GroupSearch, group: Group
     ) -> Placement | _Pending | None:
-        """Decides for a group of this daemon's, or sends a request to the group's coordinator.
+        """Decides if this daemon coordinates the group, else sends its coordinator a request.
 
         Returns None if the group has no slot soon, or no coordinator is known.
         """
@@ -194,7 +194,7 @@
 
     def _excluded(self, now: float, search: GroupSearch, group: Group) -> frozenset[int]:
         engines = self._coordinator.engines_of(group.name)
-        return self._local.excluded(now, search.request.token, engines)
+        return self._local.excluded_keys(now, search.request.token, engines)
 
     # Replies.
 
@@ -203,9 +203,9 @@
         return reply.number in self._tokens
 
     def on_reply(self, now: float, reply: SlotReply) -> PlacementResult | None:
-        """Takes a coordinator's reply; returns the search's end if it ends.
+        """Handles a coordinator's reply; returns the search's result if it ends the search.
 
-        A reply that comes too late, or to a request that was withdrawn, changes nothing.
+        A late reply, or a reply to a withdrawn request, has no effect.
         """
         token = self._tokens.pop(reply.number, None)
         open_search = self._open.get(token) if token is not None else None
@@ -215,7 +215,7 @@
         return self._finish(now, open_search.search, placement)
 
     def _after_reply(self, now: float, search: GroupSearch, reply: SlotReply) -> Placement | None:
-        """Returns where a reply leads; None if another reply is awaited."""
+        """Returns the placement that follows from a reply; None if another reply is awaited."""
         if not reply.is_coordinator:
             self._claims.on_not_coordinator(now, reply.group)
             return self._advance(now, search)
@@ -224,7 +224,7 @@
             if search.group is not None:
                 search.record_wait(search.group, _estimate(reply))
             return self._advance(now, search)
-        engine = self._local.permitted(now, search.request.token, reply.engine_key)
+        engine = self._local.permitted_engine(now, search.request.token, reply.engine_key)
         if engine is None:
             return self._local.fall_back(now, search.request)
         return Assignment(engine, AssignedBy.COORDINATOR, reply.wait_ms > 0)
@@ -240,7 +240,7 @@
     # Timers.
 
     def next_due(self) -> float:
-        """Returns when `on_timer` has something to do, in seconds of this process's clock."""
+        """Returns when `on_timer` is due next, in seconds of this process's clock."""
         return min((search.due_at for search in self._open.values()), default=float("inf"))
 
     def on_timer(self, now: float) -> list[PlacementResult]:
@@ -261,5 +261,5 @@
 
 
 def _estimate(reply: SlotReply) -> Estimate:
-    """Returns the wait in a reply, which doesn't state how long requests use their slots."""
+    """Returns the wait in a reply, which does not state how long requests use their slots."""
     return Estimate(reply.wait_ms / 1000, reply.queued, reply.slots, 0.0)
