--- a/src/troutswitch/daemons/messages.py
+++ b/src/troutswitch/daemons/messages.py
@@ -43,7 +43,7 @@
     """The requests of one daemon in flight on one engine.
 
     `prefill_units` counts the prompt tokens of these requests that the engine has not processed
-    yet.
+    yet, in units of `PREFILL_UNIT_TOKENS`.
     """
 
     engine_key: int
@@ -83,9 +83,9 @@
     """Requests a slot for one online request from the coordinator of a group.
 
     `number` identifies the slot request within the sender's incarnation. `prefill_units` is the
-    part of the prompt that the engine will have to process. `max_wait_ms` is the maximum wait for a
-    slot that the request accepts; a negative value means no limit. `excluded` has the keys of
-    engines to which the request can't be sent.
+    number of prompt tokens that the engine will have to process, in units of `PREFILL_UNIT_TOKENS`.
+    `max_wait_ms` is the maximum wait for a slot that the request accepts; a negative value means no
+    limit. `excluded` has the keys of engines to which the request can't be sent.
     """
 
     report: HoldingsReport
--- a/src/troutswitch/decisions/slots/local_placement.py
+++ b/src/troutswitch/decisions/slots/local_placement.py
@@ -9,8 +9,8 @@
 1. A long prompt is sent to the home engine of its session (`forwarding/long_prompts.py`),
    regardless of the coordinators' counts.
 2. If no coordinator is known, or none replies in time, the better of two randomly drawn engines is
-   chosen, preferably in this daemon's zone (`TwoChoices`). If all engines that the request may use
-   are unavailable, the candidates are all usable engines of its service.
+   chosen, preferably in this daemon's zone (`TwoChoices`). If the request may no longer be sent to
+   any of its engines, the two are drawn from all usable engines of its service.
 3. If there is no such engine, the request ends with `NoEngine`.
 
 Why two choices: while no coordinator replies, the local view is old, and daemons that all chose the
--- a/src/troutswitch/decisions/tenants/__init__.py
+++ b/src/troutswitch/decisions/tenants/__init__.py
@@ -1,1 +1,1 @@
-"""Tenants: whose key a caller shows, and how much each tenant may send over all daemons."""
+"""Tenants: identification by API key, and quotas over all daemons."""
--- a/src/troutswitch/decisions/tenants/coordinated_quota.py
+++ b/src/troutswitch/decisions/tenants/coordinated_quota.py
@@ -1,23 +1,24 @@
-"""Decides on a request's quota by a request to the daemon that counts for its tenant.
+"""Decides on a request's quota by asking the daemon that counts the requests of its tenant.
 
-Inputs: the coordinator of the tenant's group (`quota_groups.py`) as the claims known here have it;
-its decisions; the tenant's limit in this daemon's configuration.
+Inputs: the coordinator of the tenant's group (`quota_groups.py`), by the claims known here; its
+decisions; the tenant's limit in this daemon's configuration.
 
 Rule:
 
-1. A tenant without a limit costs no message, nor does a request that a lease covers.
-2. If this daemon coordinates the tenant's group, it counts by itself (`quota_coordinator.py`).
-3. Otherwise the coordinator is sent a request, and once more after `RESEND_SECONDS`. After
+1. A request of a tenant without a limit, or one that a lease covers, needs no message.
+2. If this daemon coordinates the tenant's group, it counts the request itself
+   (`quota_coordinator.py`).
+3. Otherwise a request is sent to the coordinator, and sent again after `RESEND_SECONDS`. After
    `DECISION_TIMEOUT_SECONDS` without a decision the coordinator counts as silent, as for slots.
 4. If there is no coordinator, or it is silent or denies that it is one, this daemon decides alone
-   (`uncoordinated_quota.py`). What it admits so is reported to the next coordinator, which counts
-   it then.
+   (`uncoordinated_quota.py`). The requests that it admits alone are reported to the next
+   coordinator, which then counts them.
 
 With leases, a coordinator may grant `MAX_LEASED_REQUESTS` more requests in advance, to be used
 within `LEASE_SECONDS`, while the tenant has used less than half of its quota.
 
-Why: one count over all daemons neither exceeds a quota nor refuses what is inside it. The second
-message makes up for a lost datagram within the time for a decision. Measured in
+Why: a single count over all daemons neither exceeds a quota nor refuses requests inside it. The
+second message compensates for a lost datagram within the time for a decision. Measured in
 docs/design/tenants.md.
 """
 
@@ -44,15 +45,15 @@
 DECISION_TIMEOUT_SECONDS = 0.03
 """Time within which a coordinator must decide, as for slots: a tenth of an objective of 300 ms."""
 RESEND_SECONDS = 0.012
-"""Time after which a request without a decision is sent once more."""
+"""Time after which a request without a decision is sent again."""
 LEASE_SECONDS = 0.5
-"""Time for which requests that were granted in advance may be used."""
+"""Time within which requests that were granted in advance may be used."""
 MAX_LEASED_REQUESTS = 4
-"""Requests granted in advance with one decision."""
+"""Maximum number of requests granted in advance with one decision."""
 
 
 class FleetState(Protocol):
-    """What quotas need to know of the daemon and its peers."""
+    """The state of this daemon and its peers on which quotas depend."""
 
     @property
     def configuration_version(self) -> int:
@@ -61,13 +62,13 @@
 
     @property
     def daemons(self) -> int:
-        """Number of daemons, this one included."""
+        """Number of daemons, including this one."""
         ...
 
 
 @dataclass(frozen=True, slots=True)
 class _Pending:
-    """A request that awaits its coordinator's decision. Times are seconds."""
+    """A request that awaits its coordinator's decision. Times are in seconds."""
 
     token: int
     tenant: Tenant
@@ -97,7 +98,7 @@
 
 
 class CoordinatedQuota:
-    """Implements `Quota` by requests to coordinators; with `leases`, some need no request."""
+    """Implements `Quota` with requests to coordinators; `leases` saves some of them."""
 
     def __init__(
         self,
@@ -115,18 +116,18 @@
         self._groups = groups
         self._fleet = fleet
         self._emit = emit
-        self._in_advance = MAX_LEASED_REQUESTS if leases else 0
+        self._leased_requests = MAX_LEASED_REQUESTS if leases else 0
         self._uncoordinated = UncoordinatedQuota(lambda: fleet.daemons, rng)
         self._pending: dict[int, _Pending] = {}
         self._leases: dict[str, _Lease] = {}
         self._numbers = itertools.count(1)
         self._unreported: Counter[str] = Counter()
-        """Requests by tenant that were admitted without a coordinator, and not reported yet."""
+        """Requests by tenant that were admitted without a coordinator and are not reported yet."""
 
     # Requests of this daemon.
 
     def take(self, now: float, token: int, tenant: Tenant) -> QuotaResult | None:
-        """Takes one request from a tenant's quota; None if a coordinator decides on it."""
+        """Counts one request against a tenant's quota; None if a coordinator decides on it."""
         if not tenant.is_limited:
             return UNLIMITED
         if self._use_lease(now, tenant.name):
@@ -146,7 +147,7 @@
         return None
 
     def _send(self, now: float, token: int, tenant: Tenant, group: Group, claim: Claim) -> None:
-        """Sends the coordinator of a tenant's group a request."""
+        """Sends a request to the coordinator of a tenant's group."""
         number = next(self._numbers)
         request = QuotaRequest(
             self._identity.name,
@@ -157,7 +158,7 @@
             tenant.rate,
             tenant.burst,
             self._fleet.configuration_version,
-            1 + self._in_advance,
+            1 + self._leased_requests,
             self._unreported[tenant.name],
         )
         message = SendToPeers((claim.address,), request)
@@ -179,7 +180,7 @@
         return True
 
     def withdraw(self, token: int) -> None:
-        """Forgets a request; what a coordinator grants it counts all the same."""
+        """Drops a request. A grant that a coordinator makes for it still counts."""
         for number, pending in list(self._pending.items()):
             if pending.token == token:
                 del self._pending[number]
@@ -187,12 +188,12 @@
     # Messages.
 
     def on_request(self, now: float, request: QuotaRequest) -> None:
-        """Replies to a peer."""
+        """Replies to a peer's request."""
         decision = self.coordinator.decide(now, request)
         self._emit(SendToPeers((request.address,), decision))
 
     def on_decision(self, now: float, decision: QuotaDecision) -> list[QuotaCompletion]:
-        """Takes a coordinator's decision; one that comes too late changes nothing."""
+        """Handles a coordinator's decision. A late decision has no effect."""
         pending = self._pending.pop(decision.number, None)
         if pending is None:
             return []
@@ -203,7 +204,7 @@
         return [QuotaCompletion(pending.token, self._result(now, pending, decision))]
 
     def _result(self, now: float, pending: _Pending, decision: QuotaDecision) -> QuotaResult:
-        """Notes what a coordinator has counted and granted, and returns the request's result."""
+        """Records a coordinator's decision, and returns the request's result."""
         tenant = pending.tenant.name
         self._unreported[tenant] = max(0, self._unreported[tenant] - pending.unreported)
         is_allowed = decision.granted > 0
@@ -215,7 +216,7 @@
     # Timers.
 
     def next_due(self) -> float:
-        """Returns when `on_timer` has something to do, in seconds of this process's clock."""
+        """Returns when `on_timer` is due next, in seconds of this process's clock."""
         return min((pending.due_at for pending in self._pending.values()), default=float("inf"))
 
     def on_timer(self, now: float) -> list[QuotaCompletion]:
--- a/src/troutswitch/decisions/tenants/quota.py
+++ b/src/troutswitch/decisions/tenants/quota.py
@@ -2,9 +2,9 @@
 
     (taken)   -> allowed    the request counts against the tenant's quota
     (taken)   -> exceeded   with the time after which there is quota for this caller
-    (taken)   -> AWAITING   a coordinator was sent a request; `on_decision` or `on_timer` ends it
+    (taken)   -> AWAITING   a request was sent to a coordinator; `on_decision` or `on_timer` ends it
 
-`quota_policies.py` names the implementations.
+`quota_policies.py` selects the implementation.
 """
 
 from dataclasses import dataclass
@@ -18,8 +18,8 @@
 class QuotaResult:
     """Whether one request is inside its tenant's quota.
 
-    `wait` is the time in seconds after which there is quota for it; `decided_by` says, for logs,
-    who counted.
+    `wait` is the time in seconds after which there is quota for it. `decided_by` states for logs
+    which count decided.
     """
 
     is_allowed: bool
@@ -29,7 +29,7 @@
 
 @dataclass(frozen=True, slots=True)
 class QuotaCompletion:
-    """The result for a request that awaited a coordinator's decision, named by its token."""
+    """The result for a request, identified by its token, that awaited a coordinator's decision."""
 
     token: int
     result: QuotaResult
@@ -42,11 +42,11 @@
     """Counts the requests of tenants over all daemons."""
 
     def take(self, now: float, token: int, tenant: Tenant) -> QuotaResult | None:
-        """Takes one request from a tenant's quota; None if the result comes later."""
+        """Counts one request against a tenant's quota; returns None if the result is pending."""
         ...
 
     def withdraw(self, token: int) -> None:
-        """Forgets a request whose result is not needed any more."""
+        """Drops a pending request whose result is no longer needed."""
         ...
 
     def on_request(self, now: float, request: QuotaRequest) -> None:
@@ -54,11 +54,11 @@
         ...
 
     def on_decision(self, now: float, decision: QuotaDecision) -> list[QuotaCompletion]:
-        """Takes a coordinator's decision."""
+        """Handles a coordinator's decision."""
         ...
 
     def next_due(self) -> float:
-        """Returns when `on_timer` has something to do, in seconds of this process's clock."""
+        """Returns when `on_timer` is due next, in seconds of this process's clock."""
         ...
 
     def on_timer(self, now: float) -> list[QuotaCompletion]:
@@ -67,20 +67,20 @@
 
 
 class NoQuota:
-    """Quota of a daemon that counts nothing."""
+    """A quota that counts nothing and admits all requests."""
 
     def take(self, now: float, token: int, tenant: Tenant) -> QuotaResult | None:
-        """Allows everything."""
+        """Admits the request."""
         return UNLIMITED
 
     def withdraw(self, token: int) -> None:
-        """Has nothing to forget."""
+        """Does nothing, because no request is pending."""
 
     def on_request(self, now: float, request: QuotaRequest) -> None:
-        """Does not reply: the peer decides alone."""
+        """Sends no reply, so the peer decides alone."""
 
     def on_decision(self, now: float, decision: QuotaDecision) -> list[QuotaCompletion]:
-        """Awaits no decision."""
+        """Returns no results, because no request is pending."""
         return []
 
     def next_due(self) -> float:
@@ -88,5 +88,5 @@
         return float("inf")
 
     def on_timer(self, now: float) -> list[QuotaCompletion]:
-        """Has nothing to do."""
+        """Returns no results, because no request is pending."""
         return []
--- a/src/troutswitch/decisions/tenants/quota_coordinator.py
+++ b/src/troutswitch/decisions/tenants/quota_coordinator.py
@@ -1,6 +1,6 @@
-"""The coordinator's part of quotas: counts for the tenants whose group this daemon coordinates.
+"""Counts the requests of the tenants whose group this daemon coordinates.
 
-It owns the ledger of these tenants. It relies on `quota_groups.py` for which groups it
+It owns the ledger of these tenants. It relies on `quota_groups.py` for which groups this daemon
 coordinates, and since when.
 """
 
@@ -25,7 +25,7 @@
         return group in self._groups.coordinated
 
     def take_own(self, now: float, group: str, tenant: str, limit: QuotaLimit) -> QuotaGrant:
-        """Takes one request of this daemon's; it must count for the group."""
+        """Counts one of this daemon's own requests. This daemon must coordinate the group."""
         return self.ledger.take(now, tenant, limit, 1, self._groups.coordinated[group])
 
     def decide(self, now: float, request: QuotaRequest) -> QuotaDecision:
@@ -47,15 +47,15 @@
         return self.ledger.take(now, request.tenant, limit, count, counts_since)
 
     def on_timer(self, now: float) -> None:
-        """Drops accounts that are full again, or that this daemon doesn't count any more."""
-        self.ledger.forget_idle(now)
+        """Drops accounts that are full again, or that this daemon no longer counts."""
+        self.ledger.drop_idle(now)
         if self._counted == self._groups.coordinated:
             return
-        self.ledger.forget({t for t in self.ledger.tenants() if not self._is_still_counted(t)})
+        self.ledger.drop({t for t in self.ledger.tenants() if not self._is_still_counted(t)})
         self._counted = dict(self._groups.coordinated)
 
     def _is_still_counted(self, tenant: str) -> bool:
-        """Returns whether this daemon has coordinated a tenant's group ever since last time."""
+        """Returns whether this daemon has coordinated a tenant's group since the last check."""
         group = self._groups.group_of(tenant)
         if group is None or group.name not in self._groups.coordinated:
             return False
--- a/src/troutswitch/decisions/tenants/quota_groups.py
+++ b/src/troutswitch/decisions/tenants/quota_groups.py
@@ -3,7 +3,7 @@
 Inputs: the groups of this daemon's engine list; the claims of coordinators known here
 (`slots/coordinator_claims.py`).
 
-Rule: of all groups, the one with the highest hash of its name and the tenant's.
+Rule: the group with the highest hash of the group's and the tenant's name.
 
 Why: daemons with the same engine list agree without a message, tenants are spread over the
 coordinators, and a silent coordinator is replaced by the same claims as for slots.
@@ -19,10 +19,10 @@
 
 @dataclass(frozen=True, slots=True)
 class QuotaGroups:
-    """The groups of engines, and who coordinates them.
+    """The groups of engines and their coordinators.
 
-    `coordinated` has the groups that this daemon coordinates, with when it took each over, in
-    seconds of its clock; it changes as the decisions on slots change it.
+    `coordinated` maps the groups that this daemon coordinates to the time at which it took each
+    over, in seconds of its clock. It is a live view of the state of the slot coordinator.
     """
 
     groups: EngineGroups
@@ -30,6 +30,6 @@
     coordinated: Mapping[str, float]
 
     def group_of(self, tenant: str) -> Group | None:
-        """Returns the group whose coordinator counts for a tenant; None without any group."""
+        """Returns the group whose coordinator counts for a tenant, or None if there is no group."""
         groups = self.groups.all()
         return max(groups, key=lambda group: stable_hash(group.name, tenant), default=None)
--- a/src/troutswitch/decisions/tenants/quota_ledger.py
+++ b/src/troutswitch/decisions/tenants/quota_ledger.py
@@ -1,18 +1,20 @@
 """Decides how many of a tenant's requests are inside its quota, as the one daemon that counts.
 
-Inputs: the limit in the newest configuration that any daemon reported, in requests a second and
-requests of burst; the requests taken so far; when this daemon began to count for the tenant, in
+Inputs: the limit in the newest configuration that any daemon reported, as requests per second and a
+burst in requests; the requests admitted so far; when this daemon began to count for the tenant, in
 seconds of its clock.
 
-Rule: a token bucket for each tenant, filled at the rate. Its depth is the burst and a tolerance:
-`TOLERANCE_SHARE` of what users let pass above a quota (`QuotaBounds`). A daemon that has counted
-for less than one window begins with the tolerance alone. Requests that were admitted without a
-coordinator are taken off afterwards, into debt if needed. A refusal states when
-there is quota for the caller, one after the other, at most `MAX_RETRY_AFTER_SECONDS` later.
+Rule: each tenant has a token bucket that is filled at the rate. Its depth is the burst plus a
+tolerance of `TOLERANCE_SHARE` of the excess that is permitted above a quota (`QuotaBounds`). A
+daemon that has counted for less than one window starts with the tolerance alone. Requests that were
+admitted without a coordinator are subtracted afterwards, into debt if needed. A refusal states when
+there is quota for the caller. Callers get consecutive times, at most `MAX_RETRY_AFTER_SECONDS`
+later.
 
-Why: in any window no more than rate x window + burst passes, and the tolerance, so a caller at the
-limit is not refused for a request that is counted late. The rest of what may pass is for two
-daemons that both count for a while. Callers that are given distinct times don't all return at once.
+Why: in any window at most rate x window + burst requests pass, plus the tolerance, so a caller at
+the limit is not refused for a request that is counted late. The rest of the permitted excess is for
+two daemons that both count for a while. Callers with distinct times don't all return at the same
+time.
 
 Measured in docs/design/tenants.md.
 """
@@ -23,16 +25,16 @@
 from troutswitch.decisions.tenants.types import QuotaBounds
 
 TOLERANCE_SHARE = 0.4
-"""Part of what may pass above a quota that a coordinator allows."""
+"""Share of the permitted excess above a quota that a coordinator uses."""
 MAX_RETRY_AFTER_SECONDS = 30.0
-"""Longest time after which a caller is to retry."""
+"""Maximum time after which a caller is told to retry."""
 
 
 @dataclass(frozen=True, slots=True)
 class QuotaLimit:
-    """A tenant's limit in one version of the configuration; of two, the newer is in force.
+    """A tenant's limit in one version of the configuration; the newest version is in force.
 
-    `rate` is in requests a second, `burst` in requests.
+    `rate` is in requests per second, `burst` in requests.
     """
 
     rate: float
@@ -42,7 +44,10 @@
 
 @dataclass(frozen=True, slots=True)
 class QuotaGrant:
-    """How many requests are granted; if none, the seconds until there is quota for one."""
+    """The number of requests that are granted.
+
+    If it is 0, `wait` is the time in seconds until there is quota for one request.
+    """
 
     granted: int
     wait: float
@@ -50,7 +55,7 @@
 
 @dataclass(slots=True)
 class _Account:
-    """What one tenant has left. `scheduled_retries` counts callers that got a time to retry."""
+    """State of one tenant's quota. `scheduled_retries` counts callers that got a time to retry."""
 
     limit: QuotaLimit
     bucket: TokenBucket
@@ -58,7 +63,7 @@
 
 
 class QuotaLedger:
-    """The accounts of tenants. One that nobody uses fills up, and is dropped then."""
+    """The accounts of tenants. An unused account fills up and is then dropped."""
 
     def __init__(self, bounds: QuotaBounds) -> None:
         self._bounds = bounds
@@ -69,50 +74,50 @@
         return len(self._accounts)
 
     def tolerance(self, limit: QuotaLimit) -> float:
-        """Returns the requests above the limit that are allowed in a window."""
+        """Returns the number of requests above the limit that are allowed in a window."""
         in_window = limit.rate * self._bounds.window + limit.burst
         return TOLERANCE_SHARE * (self._bounds.overshoot * in_window + self._bounds.slack)
 
     def _depth(self, limit: QuotaLimit) -> float:
-        """Returns the requests that a full account allows at once."""
+        """Returns the number of requests that a full account allows at the same time."""
         return max(1.0, limit.burst + self.tolerance(limit))
 
     def take(
         self, now: float, tenant: str, limit: QuotaLimit, count: int, counts_since: float
     ) -> QuotaGrant:
-        """Takes up to `count` requests, at least one if there is quota.
+        """Grants up to `count` requests, at least one if there is quota.
 
         `counts_since` is when this daemon began to count for the tenant, in seconds of its clock.
         """
         account = self._account(now, tenant, limit, counts_since)
         rate, depth = account.limit.rate, self._depth(account.limit)
         before = account.bucket.filled_at
-        left = account.bucket.refill(now, rate, depth)
+        available = account.bucket.refill(now, rate, depth)
         account.scheduled_retries = max(0.0, account.scheduled_retries - (now - before) * rate)
-        if left >= 1.0:
-            granted = min(count, int(left))
+        if available >= 1.0:
+            granted = min(count, int(available))
             account.bucket.tokens -= granted
             return QuotaGrant(granted, 0.0)
-        wait = min(MAX_RETRY_AFTER_SECONDS, (1.0 - left + account.scheduled_retries) / rate)
+        wait = min(MAX_RETRY_AFTER_SECONDS, (1.0 - available + account.scheduled_retries) / rate)
         account.scheduled_retries += 1.0
         return QuotaGrant(0, wait)
 
     def debit(
         self, now: float, tenant: str, limit: QuotaLimit, spent: int, counts_since: float
     ) -> None:
-        """Takes off requests that a daemon admitted while it had no coordinator.
+        """Subtracts requests that a daemon admitted while it had no coordinator.
 
-        Otherwise they would come on top of what the account has gathered meanwhile. The account
-        may run into debt, at most as deep as it is when full.
+        Otherwise they would be admitted in addition to the tokens that the account has gathered
+        meanwhile. The account may run into debt, at most to its negative depth.
         """
         if spent > 0:
             account = self._account(now, tenant, limit, counts_since)
             depth = self._depth(account.limit)
-            left = account.bucket.refill(now, account.limit.rate, depth)
-            account.bucket.tokens = max(-depth, left - spent)
+            available = account.bucket.refill(now, account.limit.rate, depth)
+            account.bucket.tokens = max(-depth, available - spent)
 
     def has_ample_quota(self, tenant: str) -> bool:
-        """Returns whether a tenant has used less than half of what it may send at once."""
+        """Returns whether a tenant has used less than half of its account's depth."""
         account = self._accounts.get(tenant)
         return account is not None and account.bucket.tokens > self._depth(account.limit) / 2
 
@@ -126,8 +131,8 @@
             account.limit = limit
         return account
 
-    def forget_idle(self, now: float) -> None:
-        """Drops accounts that have filled up again; checks once in a window."""
+    def drop_idle(self, now: float) -> None:
+        """Drops accounts that have filled up again. Checks once per window."""
         if now < self._checked_at + self._bounds.window:
             return
         self._checked_at = now
@@ -136,11 +141,11 @@
             if account.bucket.refill(now, account.limit.rate, depth) >= depth:
                 del self._accounts[tenant]
 
-    def forget(self, tenants: set[str]) -> None:
-        """Drops accounts for which another daemon counts now."""
+    def drop(self, tenants: set[str]) -> None:
+        """Drops accounts that another daemon counts now."""
         for tenant in tenants:
             self._accounts.pop(tenant, None)
 
     def tenants(self) -> list[str]:
-        """Returns the tenants with an account."""
+        """Returns the tenants that have an account."""
         return list(self._accounts)
--- a/src/troutswitch/decisions/tenants/quota_policies.py
+++ b/src/troutswitch/decisions/tenants/quota_policies.py
@@ -1,4 +1,4 @@
-"""Makes the quota that a policy names; docs/OPERATIONS.md says what each policy does."""
+"""Creates the quota for a policy. docs/OPERATIONS.md describes the policies."""
 
 import random
 from collections.abc import Callable
--- a/src/troutswitch/decisions/tenants/types.py
+++ b/src/troutswitch/decisions/tenants/types.py
@@ -4,16 +4,16 @@
 from dataclasses import dataclass
 
 NO_KEY = ""
-"""Stands for a caller that shows no key."""
+"""The key digest of a caller that sends no key."""
 NO_TENANT = ""
-"""The tenant of a caller without a key, on a route that needs none."""
+"""The tenant name of a caller without a key, on a route that needs none."""
 
 
 def key_digest(key: str) -> str:
-    """Returns the digest that names an API key, SHA-256 in hexadecimal; empty for no key.
+    """Returns the digest that identifies an API key, SHA-256 in hexadecimal; empty for no key.
 
-    Callers' keys are turned into digests where requests come in, so that no key reaches a log
-    line, a record or a peer.
+    Callers' keys are replaced by digests on receipt, so that no key reaches a log line, a record or
+    a peer.
     """
     return hashlib.sha256(key.encode()).hexdigest() if key else NO_KEY
 
@@ -22,8 +22,9 @@
 class Tenant:
     """One tenant.
 
-    `keys` are digests. `rate` is in requests a second, over all daemons, with `burst` requests on
-    top; a rate of 0 is no limit. `priority` overrides a route's, unless it is None.
+    `keys` are digests. `rate` is the limit over all daemons in requests per second, with `burst`
+    more requests; a rate of 0 means no limit. `priority` overrides the priority of a route, unless
+    it is None.
     """
 
     name: str
@@ -40,9 +41,10 @@
 
 @dataclass(frozen=True, slots=True)
 class QuotaBounds:
-    """How exactly quotas are to be kept: what may pass above them in any `window` seconds.
+    """How far quotas may be exceeded in any `window` seconds.
 
-    That is the share `overshoot` of what the window allows, and `slack` requests.
+    The permitted excess is the share `overshoot` of the requests that the quota allows in the
+    window, plus `slack` requests.
     """
 
     window: float = 5.0
--- a/src/troutswitch/decisions/tenants/uncoordinated_quota.py
+++ b/src/troutswitch/decisions/tenants/uncoordinated_quota.py
@@ -3,12 +3,12 @@
 Inputs: the decisions of coordinators on the tenant's requests from this daemon, of the last
 `DECISION_HISTORY_SECONDS`; this daemon's equal share of the quota (`equal_shares.py`).
 
-Rule: if some of the tenant's recent requests were refused, a request is refused with the
-probability of the refused part. What remains is admitted up to `UNCOORDINATED_FACTOR` times the
-equal share.
+Rule: if some of the tenant's recent requests were refused, a request is refused with a probability
+equal to the refused fraction. The other requests are admitted up to `UNCOORDINATED_FACTOR` times
+the equal share.
 
-Why: without the first step, each daemon would admit a tenant that is far above its quota up to its
-share of the full rate. The factor allows for callers that are spread over daemons unevenly.
+Why: without the first step, each daemon would admit its share of the full rate from a tenant that
+is far above its quota. The factor allows for callers that are spread over the daemons unevenly.
 Measured in docs/design/tenants.md.
 """
 
@@ -21,11 +21,11 @@
 from troutswitch.decisions.tenants.types import Tenant
 
 UNCOORDINATED_FACTOR = 1.5
-"""How many times its equal share a daemon may admit."""
+"""Multiple of its equal share that a daemon may admit."""
 MIN_SHARE_BURST = 1.0
-"""Least requests at once of a share."""
+"""Minimum number of requests that a share allows at the same time."""
 DECISION_HISTORY_SECONDS = 5.0
-"""Time for which coordinators' decisions show how much of a tenant's requests to admit."""
+"""Time for which coordinators' decisions determine the fraction of a tenant's requests to admit."""
 
 
 @dataclass(slots=True)
@@ -38,7 +38,7 @@
 
 
 class UncoordinatedQuota:
-    """Decides alone: the part that was admitted recently, at most a share of the quota."""
+    """Admits the fraction that was admitted recently, up to a share of the quota."""
 
     def __init__(self, daemons: Callable[[], int], rng: random.Random) -> None:
         self._shares = EqualShares(daemons, UNCOORDINATED_FACTOR, MIN_SHARE_BURST)
@@ -46,7 +46,7 @@
         self._decisions: dict[str, _Decisions] = {}
 
     def on_decision(self, now: float, tenant: str, is_allowed: bool) -> None:
-        """Notes a coordinator's decision on one request."""
+        """Records a coordinator's decision on one request."""
         decisions = self._decisions.get(tenant)
         if decisions is None or now - decisions.newest_at > DECISION_HISTORY_SECONDS:
             decisions = self._decisions[tenant] = _Decisions(now)
@@ -60,8 +60,8 @@
         """Decides on one request of a tenant that has a quota."""
         decisions = self._recent(now, tenant.name)
         if decisions is not None and decisions.refused:
-            admitted_part = decisions.allowed / (decisions.allowed + decisions.refused)
-            if self._rng.random() >= admitted_part:
+            admitted_fraction = decisions.allowed / (decisions.allowed + decisions.refused)
+            if self._rng.random() >= admitted_fraction:
                 return QuotaResult(False, 1.0 / tenant.rate, "recent decisions")
         return self._shares.take(now, 0, tenant)
 
--- a/tests/decisions/tenants/test_quota_ledger.py
+++ b/tests/decisions/tenants/test_quota_ledger.py
@@ -94,5 +94,5 @@
     book = ledger()
     book.take(0.0, "t", QuotaLimit(5.0, 5.0, 1), 1, LONG_AGO)
     assert len(book) == 1
-    book.forget_idle(20.0)
+    book.drop_idle(20.0)
     assert len(book) == 0
