--- a/tests/daemons/test_datagram.py
+++ b/tests/daemons/test_datagram.py
@@ -1,4 +1,4 @@
-"""Datagrams between daemons are decoded as they were encoded, or refused."""
+"""Datagrams between daemons are decoded to the message that was encoded, or rejected."""
 
 import cbor2
 import pytest
@@ -67,7 +67,7 @@
 
 @DETERMINISTIC
 @given(st.binary(max_size=60))
-def test_other_bytes_are_refused(data: bytes) -> None:
+def test_arbitrary_bytes_are_rejected(data: bytes) -> None:
     with pytest.raises(DatagramError):
         decode(data)
 
@@ -83,7 +83,7 @@
         VERSION,
     ],
 )
-def test_another_version_and_wrong_fields_are_refused(fields: object) -> None:
+def test_other_versions_and_wrong_fields_are_rejected(fields: object) -> None:
     with pytest.raises(DatagramError):
         decode(cbor2.dumps(fields))
 
@@ -92,14 +92,14 @@
     address = Address("10.255.255.255", 65535)
     shares = tuple(EngineShare(2**32 - n, 99, 99, 999) for n in range(1, 33))
     report = HoldingsReport("edge-guediawaye-31", "guediawaye", address, 2**31, 9999, shares)
-    ask = SlotRequest(report, 2**20, "ordonnance-llm|guediawaye|0", 36, 180)
-    assert len(encode(ask)) < ETHERNET_PAYLOAD
+    request = SlotRequest(report, 2**20, "ordonnance-llm|guediawaye|0", 36, 180)
+    assert len(encode(request)) < ETHERNET_PAYLOAD
 
 
-def test_few_prompt_tokens_are_not_reported_and_many_are_rounded_up() -> None:
+def test_prompt_tokens_below_the_minimum_are_not_reported_and_others_are_rounded_up() -> None:
     assert prefill_units(MIN_REPORTED_PREFILL_TOKENS - 1) == 0
     assert prefill_units(9 * PREFILL_UNIT_TOKENS + 1) == 10
 
 
-def test_no_engine_has_the_key_that_stands_for_none() -> None:
+def test_no_engine_has_the_key_that_means_no_engine() -> None:
     assert all(engine_key(f"s{number}") > 0 for number in range(2000))
--- a/tests/decisions/slots/test_batch_coordination.py
+++ b/tests/decisions/slots/test_batch_coordination.py
@@ -1,6 +1,6 @@
-"""When batch items wait for a slot to be granted, and when they start without."""
+"""Batch items wait for a coordinator's grants, or start without them if it is silent."""
 
-from tests.decisions.slots.worlds import SlotsOf, deliver, record
+from tests.decisions.slots.worlds import SlotsDaemon, deliver, record
 from troutswitch.decisions.slots.batch_coordination import UNCOORDINATED_SECONDS
 from troutswitch.decisions.slots.coordinator import DIGEST_SECONDS
 
@@ -8,34 +8,34 @@
 TICK = 0.05
 
 
-def pair() -> tuple[SlotsOf, SlotsOf]:
+def pair() -> tuple[SlotsDaemon, SlotsDaemon]:
     records = [record(f"s{n}") for n in range(2)]
-    first, second = SlotsOf("first", records), SlotsOf("second", records)
+    first, second = SlotsDaemon("first", records), SlotsDaemon("second", records)
     first.coordinate(NOW, second)
     first.messages()
     second.messages()
     return first, second
 
 
-def checks(daemon: SlotsOf, now: float, seconds: float) -> list[bool]:
-    """Checks at intervals whether slots at an engine are granted by a coordinator."""
+def coordinated_over(daemon: SlotsDaemon, now: float, seconds: float) -> list[bool]:
+    """Checks at intervals whether items at an engine need a coordinator's grant."""
     return [
         daemon.fleet.is_coordinated(now + tick * TICK, "s0") for tick in range(int(seconds / TICK))
     ]
 
 
-def test_after_a_time_without_need_items_wait_for_the_coordinator_s_grants() -> None:
+def test_items_wait_for_grants_again_after_a_time_without_waiting_items() -> None:
     _, second = pair()
-    assert all(checks(second, NOW, UNCOORDINATED_SECONDS))
+    assert all(coordinated_over(second, NOW, UNCOORDINATED_SECONDS))
     later = NOW + 60.0
-    assert all(checks(second, later, UNCOORDINATED_SECONDS))
+    assert all(coordinated_over(second, later, UNCOORDINATED_SECONDS))
 
 
-def test_items_start_without_a_coordinator_that_stays_silent() -> None:
+def test_items_start_without_grants_if_the_coordinator_stays_silent() -> None:
     _, second = pair()
-    seen = checks(second, NOW, 2 * UNCOORDINATED_SECONDS)
-    assert not seen[-1]
-    assert seen.index(False) >= UNCOORDINATED_SECONDS / TICK
+    coordinated = coordinated_over(second, NOW, 2 * UNCOORDINATED_SECONDS)
+    assert not coordinated[-1]
+    assert coordinated.index(False) >= UNCOORDINATED_SECONDS / TICK
 
 
 def test_items_wait_for_a_coordinator_that_sends_digests() -> None:
@@ -51,6 +51,6 @@
         assert second.fleet.is_coordinated(now, "s0")
 
 
-def test_the_coordinator_grants_its_own_items_slots() -> None:
+def test_items_of_the_coordinator_always_wait_for_its_own_grants() -> None:
     first, _ = pair()
-    assert all(checks(first, NOW, 3 * UNCOORDINATED_SECONDS))
+    assert all(coordinated_over(first, NOW, 3 * UNCOORDINATED_SECONDS))
--- a/tests/decisions/slots/test_coordinator_claims.py
+++ b/tests/decisions/slots/test_coordinator_claims.py
@@ -1,4 +1,4 @@
-"""Each group has one coordinator, and another one soon when that one is silent."""
+"""Each group has one coordinator, which is replaced soon after it falls silent."""
 
 import random
 
@@ -27,33 +27,33 @@
 from troutswitch.decisions.storage.read_attempts import CallNumbers
 
 
-class Store:
-    """One daemon's claims, with the store's answers."""
+class ClaimingDaemon:
+    """The claims of one daemon, with the store's answers to its calls."""
 
     def __init__(self, name: str = "me", engines: int = 2, zone: str = ZONE) -> None:
         groups = EngineGroups()
         groups.update(
             [record(f"s{n}", zone="there" if engines > 16 else ZONE) for n in range(engines)]
         )
-        self.lines: list[str] = []
+        self.log_events: list[str] = []
         self.claims = CoordinatorClaims(
             DaemonIdentity(name, zone, address_of(name), 1),
             groups,
             CallNumbers(),
             random.Random(1),
-            lambda event, **fields: self.lines.append(event),
+            lambda event, **fields: self.log_events.append(event),
         )
         self.read(0.0, ())
 
     def read(self, now: float, records: tuple[KeyedRecord, ...]) -> None:
-        """Answers the call in flight with a first page, or with records."""
+        """Answers the read in flight with a page of records."""
         (call,) = [
-            made for made in self.claims.on_timer(now) if not isinstance(made, AppendRecords)
+            call for call in self.claims.on_timer(now) if not isinstance(call, AppendRecords)
         ]
         self.claims.on_answer(now, call.call, NewestPage(records, False, len(records)))
 
     def appends(self, now: float) -> list[AppendRecords]:
-        return [made for made in self.claims.on_timer(now) if isinstance(made, AppendRecords)]
+        return [call for call in self.claims.on_timer(now) if isinstance(call, AppendRecords)]
 
 
 def claim_record(name: str, offset: int, group: str = GROUP) -> KeyedRecord:
@@ -65,101 +65,101 @@
     return KnownClaim(group, name, address_of(name), offset)
 
 
-def test_a_group_without_a_coordinator_is_claimed_on_condition() -> None:
-    store = Store()
-    store.appends(0.0)
-    (claim,) = store.appends(CLAIM_SPREAD_SECONDS + 0.01)
+def test_a_group_without_a_coordinator_is_claimed_at_the_expected_end() -> None:
+    daemon = ClaimingDaemon()
+    daemon.appends(0.0)
+    (claim,) = daemon.appends(CLAIM_SPREAD_SECONDS + 0.01)
     assert claim.expected_end == 0
-    assert not store.claims.is_own(GROUP)
-    store.claims.on_answer(1.0, claim.call, Appended(0, 1))
-    assert store.claims.is_own(GROUP)
+    assert not daemon.claims.is_own(GROUP)
+    daemon.claims.on_answer(1.0, claim.call, Appended(0, 1))
+    assert daemon.claims.is_own(GROUP)
 
 
-def test_a_claim_that_comes_second_is_not_in_force() -> None:
-    store = Store()
-    store.appends(0.0)
-    (claim,) = store.appends(CLAIM_SPREAD_SECONDS + 0.01)
-    store.claims.add_claims((known_claim("other", 0),))
-    store.claims.on_answer(1.0, claim.call, EndMoved(1))
-    assert not store.claims.is_own(GROUP)
-    assert store.appends(9.0) == []
+def test_a_claim_that_is_not_appended_is_not_in_force() -> None:
+    daemon = ClaimingDaemon()
+    daemon.appends(0.0)
+    (claim,) = daemon.appends(CLAIM_SPREAD_SECONDS + 0.01)
+    daemon.claims.add_claims((known_claim("other", 0),))
+    daemon.claims.on_answer(1.0, claim.call, EndMoved(1))
+    assert not daemon.claims.is_own(GROUP)
+    assert daemon.appends(9.0) == []
 
 
-def test_daemons_do_not_claim_all_at_once_and_other_zones_wait() -> None:
+def test_claims_of_daemons_are_spread_and_those_of_other_zones_are_later() -> None:
     due = set()
     for number in range(20):
-        store = Store(f"daemon-{number}")
-        store.appends(0.0)
-        due.add(round(store.claims.next_due(), 4))
+        daemon = ClaimingDaemon(f"daemon-{number}")
+        daemon.appends(0.0)
+        due.add(round(daemon.claims.next_due(), 4))
     assert len(due) > 10
-    far = Store("far", engines=17)
+    far = ClaimingDaemon("far", engines=17)
     far.appends(0.0)
     assert far.appends(CLAIM_SPREAD_SECONDS + 0.01) == []
     assert len(far.appends(OTHER_ZONE_SECONDS + CLAIM_SPREAD_SECONDS + 0.01)) == 1
 
 
-def test_the_newest_claim_is_in_force_in_whatever_order_they_come() -> None:
-    store = Store()
-    store.claims.add_claims((known_claim("new", 5), known_claim("old", 2)))
-    store.claims.add_claims((known_claim("older", 1),))
-    claim = store.claims.claim_of(GROUP)
+def test_the_newest_claim_is_in_force_whatever_the_order_of_receipt() -> None:
+    daemon = ClaimingDaemon()
+    daemon.claims.add_claims((known_claim("new", 5), known_claim("old", 2)))
+    daemon.claims.add_claims((known_claim("older", 1),))
+    claim = daemon.claims.claim_of(GROUP)
     assert claim is not None
     assert claim.daemon == "new"
 
 
-def test_a_silent_coordinator_is_suspected_and_its_group_claimed_at_the_end_read() -> None:
-    store = Store()
-    store.claims.add_claims((known_claim("other", 0),))
+def test_a_silent_coordinator_is_suspected_and_its_group_is_claimed() -> None:
+    daemon = ClaimingDaemon()
+    daemon.claims.add_claims((known_claim("other", 0),))
     for _ in range(SUSPECT_MISSES):
-        assert store.claims.coordinator(1.0, GROUP) is not None
-        store.claims.on_reply_timeout(1.0, GROUP)
-    assert store.claims.coordinator(1.0, GROUP) is None
-    (claim,) = store.appends(1.0 + CLAIM_SPREAD_SECONDS + 0.01)
-    store.claims.on_answer(1.4, claim.call, Appended(1, 2))
-    assert store.claims.is_own(GROUP)
+        assert daemon.claims.coordinator(1.0, GROUP) is not None
+        daemon.claims.on_reply_timeout(1.0, GROUP)
+    assert daemon.claims.coordinator(1.0, GROUP) is None
+    (claim,) = daemon.appends(1.0 + CLAIM_SPREAD_SECONDS + 0.01)
+    daemon.claims.on_answer(1.4, claim.call, Appended(1, 2))
+    assert daemon.claims.is_own(GROUP)
 
 
 def test_a_coordinator_that_sends_a_message_is_no_longer_suspected() -> None:
-    store = Store()
-    store.claims.add_claims((known_claim("other", 0),))
+    daemon = ClaimingDaemon()
+    daemon.claims.add_claims((known_claim("other", 0),))
     for _ in range(SUSPECT_MISSES):
-        store.claims.on_reply_timeout(1.0, GROUP)
-    store.claims.on_activity(GROUP, "other")
-    assert store.claims.coordinator(1.0, GROUP) is not None
-    assert store.appends(9.0) == []
+        daemon.claims.on_reply_timeout(1.0, GROUP)
+    daemon.claims.on_activity(GROUP, "other")
+    assert daemon.claims.coordinator(1.0, GROUP) is not None
+    assert daemon.appends(9.0) == []
 
 
 def test_a_suspected_coordinator_is_tried_again_after_a_while() -> None:
-    store = Store()
-    store.claims.add_claims((known_claim("other", 0),))
+    daemon = ClaimingDaemon()
+    daemon.claims.add_claims((known_claim("other", 0),))
     for _ in range(SUSPECT_MISSES):
-        store.claims.on_reply_timeout(1.0, GROUP)
-    assert store.claims.coordinator(1.0 + SUSPECT_SECONDS, GROUP) is not None
+        daemon.claims.on_reply_timeout(1.0, GROUP)
+    assert daemon.claims.coordinator(1.0 + SUSPECT_SECONDS, GROUP) is not None
 
 
-def test_while_the_store_cannot_be_read_nobody_claims() -> None:
-    store = Store()
-    calls: list[StoreCall] = store.claims.on_timer(0.0)
+def test_no_group_is_claimed_while_the_store_cannot_be_read() -> None:
+    daemon = ClaimingDaemon()
+    calls: list[StoreCall] = daemon.claims.on_timer(0.0)
     for call in calls:
-        store.claims.on_answer(0.0, call.call, CallFailed("down", False))
-    assert store.appends(0.35) == []
+        daemon.claims.on_answer(0.0, call.call, CallFailed("down", False))
+    assert daemon.appends(0.35) == []
 
 
-def test_a_daemon_that_drains_coordinates_nothing() -> None:
-    store = Store()
-    store.claims.add_claims((known_claim("me", 3),))
-    assert store.claims.is_own(GROUP)
-    store.claims.is_draining = True
-    assert not store.claims.is_own(GROUP)
-    assert store.appends(9.0) == []
+def test_a_draining_daemon_coordinates_and_claims_no_group() -> None:
+    daemon = ClaimingDaemon()
+    daemon.claims.add_claims((known_claim("me", 3),))
+    assert daemon.claims.is_own(GROUP)
+    daemon.claims.is_draining = True
+    assert not daemon.claims.is_own(GROUP)
+    assert daemon.appends(9.0) == []
 
 
 def test_claims_are_read_from_the_store_and_malformed_ones_are_logged() -> None:
-    store = Store()
-    (call,) = store.claims.on_timer(0.0)
+    daemon = ClaimingDaemon()
+    (call,) = daemon.claims.on_timer(0.0)
     records = (KeyedRecord(GROUP, b"\xff", 0), claim_record("other", 1))
-    store.claims.on_answer(0.1, call.call, RecordsRead(records, 2, 2))
-    claim = store.claims.claim_of(GROUP)
+    daemon.claims.on_answer(0.1, call.call, RecordsRead(records, 2, 2))
+    claim = daemon.claims.claim_of(GROUP)
     assert claim is not None
     assert claim.daemon == "other"
-    assert "claim malformed" in store.lines
+    assert "claim malformed" in daemon.log_events
--- a/tests/decisions/slots/test_groups.py
+++ b/tests/decisions/slots/test_groups.py
@@ -1,4 +1,4 @@
-"""Engines are grouped, the same on all daemons with the same list."""
+"""Engines are grouped in the same way on all daemons with the same list."""
 
 import random
 
@@ -11,7 +11,7 @@
 )
 
 
-def test_few_engines_are_one_group_wherever_they_are() -> None:
+def test_few_engines_form_one_group_regardless_of_zone() -> None:
     records = [record(f"s{n}", zone=f"z{n % 3}") for n in range(MAX_SINGLE_GROUP_ENGINES)]
     groups = set(assign_groups(records).values())
     assert [group.name for group in groups] == ["service||0"]
@@ -24,7 +24,7 @@
     assert len(set(groups.values())) == 3
 
 
-def test_many_engines_of_a_zone_are_several_groups_of_bounded_size() -> None:
+def test_many_engines_of_a_zone_form_several_groups_of_limited_size() -> None:
     records = [record(f"s{n}") for n in range(10 * TARGET_GROUP_ENGINES)]
     groups = EngineGroups()
     groups.update(records)
--- a/tests/decisions/slots/test_machine.py
+++ b/tests/decisions/slots/test_machine.py
@@ -1,9 +1,11 @@
-"""Coordinator and holders under joins, deaths, pauses, and lost, doubled and late messages.
-
-Truth is what the holders have at engines; the coordinator counts it by their reports and its
-own grants. Its count of batch items is never below the truth while grants arrive before they
-expire, so it never grants a slot that is not free; after messages were lost it is right again
-once holders have refreshed, and what a dead holder had is free after its silence.
+"""State machine of a coordinator and holders that start, die and pause, over an unreliable network.
+
+Messages are lost, duplicated and late. The requests and items that the holders actually have at
+engines are compared with the coordinator's counts, which follow from reports and from its own
+grants. While grants arrive before they expire, the count of batch items is never too low, so the
+coordinator never grants a slot that is not free. After messages were lost, the counts are correct
+again once the holders have refreshed their reports, and the slots of a dead holder are free after
+its silence.
 """
 
 import pytest
@@ -18,7 +20,7 @@
     run_state_machine_as_test,
 )
 
-from tests.decisions.slots.worlds import SlotsOf, incarnation_of, record
+from tests.decisions.slots.worlds import SlotsDaemon, incarnation_of, record
 from troutswitch.common import Address
 from troutswitch.daemons.messages import HoldingsReport, PeerMessage
 from troutswitch.decisions.slots import ledger
@@ -33,95 +35,95 @@
 HOLDERS = ("h1", "h2", "h3")
 SETTLE_SECONDS = SILENT_SECONDS + GRANT_EXPIRY_SECONDS + REFRESH_SECONDS + 2 * CHECK_SECONDS
 MAX_SEARCH_SECONDS = (MAX_GROUPS_TRIED + 1) * REPLY_TIMEOUT_SECONDS
-"""Longest time for which a request may wait for its slot."""
-PLACES = st.integers(0, 10_000)
+"""Maximum time for which a request may wait for its slot."""
+INDEXES = st.integers(0, 10_000)
 
 
 class SlotsMachine(RuleBasedStateMachine):
-    """One coordinator and three holders; messages wait in a bag until a rule takes them."""
+    """One coordinator and three holders. Messages stay in transit until a rule removes them."""
 
     def __init__(self) -> None:
         super().__init__()
         self.now = 1.0
-        self.bag: list[tuple[Address, PeerMessage]] = []
-        self.daemons: dict[str, SlotsOf] = {}
-        self.wanted: dict[int, float] = {}
+        self.in_transit: list[tuple[Address, PeerMessage]] = []
+        self.daemons: dict[str, SlotsDaemon] = {}
+        self.requested_at: dict[int, float] = {}
         self.tokens = 0
         self.incarnations = 0
-        self.has_lost = False
+        self.has_loss = False
 
     @initialize()
-    def begin(self) -> None:
+    def start(self) -> None:
         records = [record(f"s{n}", slots=SLOTS) for n in range(ENGINES)]
-        self.daemons = {name: SlotsOf(name, records) for name in ("c", *HOLDERS)}
+        self.daemons = {name: SlotsDaemon(name, records) for name in ("c", *HOLDERS)}
         coordinator = self.daemons["c"]
         coordinator.coordinate(self.now, *(self.daemons[name] for name in HOLDERS))
         self.now += GRACE_SECONDS
-        self.collect()
+        self.collect_messages()
 
-    def collect(self) -> None:
+    def collect_messages(self) -> None:
         for daemon in self.daemons.values():
-            for made in daemon.out:
-                self.bag += [(address, made.message) for address in made.addresses]
-            daemon.out = []
+            for sent in daemon.outbox:
+                self.in_transit += [(address, sent.message) for address in sent.addresses]
+            daemon.outbox = []
 
-    def holder(self, place: int) -> SlotsOf:
-        return self.daemons[HOLDERS[place % len(HOLDERS)]]
+    def holder(self, index: int) -> SlotsDaemon:
+        return self.daemons[HOLDERS[index % len(HOLDERS)]]
 
     def pass_time(self, seconds: float) -> None:
         self.now += seconds
         for daemon in self.daemons.values():
             daemon.tick(self.now)
-            for token, _ in daemon.ended:
-                self.wanted.pop(token, None)
-        self.collect()
+            for token, _ in daemon.placements:
+                self.requested_at.pop(token, None)
+        self.collect_messages()
 
-    # What requests and items do.
+    # Requests and items.
 
-    @rule(place=PLACES)
-    def want(self, place: int) -> None:
+    @rule(index=INDEXES)
+    def request_slot(self, index: int) -> None:
         self.tokens += 1
-        self.wanted[self.tokens] = self.now
-        self.holder(place).want(self.now, self.tokens)
-        self.collect()
+        self.requested_at[self.tokens] = self.now
+        self.holder(index).request_slot(self.now, self.tokens)
+        self.collect_messages()
 
-    @rule(place=PLACES)
-    def end(self, place: int) -> None:
-        holder = self.holder(place)
+    @rule(index=INDEXES)
+    def end(self, index: int) -> None:
+        holder = self.holder(index)
         if holder.online:
             holder.end(self.now, next(iter(holder.online)))
 
-    @rule(place=PLACES, items=st.integers(1, 6))
-    def hand_in(self, place: int, items: int) -> None:
-        self.holder(place).waiting += items
+    @rule(index=INDEXES, items=st.integers(1, 6))
+    def add_items(self, index: int, items: int) -> None:
+        self.holder(index).waiting += items
 
-    @rule(place=PLACES)
-    def finish_item(self, place: int) -> None:
-        holder = self.holder(place)
+    @rule(index=INDEXES)
+    def finish_item(self, index: int) -> None:
+        holder = self.holder(index)
         if holder.items:
             holder.end_item(self.now, holder.items[0])
 
-    # What messages do.
+    # Messages.
 
-    @precondition(lambda self: self.bag)
-    @rule(place=PLACES)
-    def deliver(self, place: int) -> None:
-        address, message = self.bag.pop(place % len(self.bag))
+    @precondition(lambda self: self.in_transit)
+    @rule(index=INDEXES)
+    def deliver(self, index: int) -> None:
+        address, message = self.in_transit.pop(index % len(self.in_transit))
         for daemon in self.daemons.values():
             if daemon.address == address:
-                daemon.take(self.now, message)
-        self.collect()
+                daemon.receive(self.now, message)
+        self.collect_messages()
 
-    @precondition(lambda self: self.bag)
-    @rule(place=PLACES)
-    def double(self, place: int) -> None:
-        self.bag.append(self.bag[place % len(self.bag)])
+    @precondition(lambda self: self.in_transit)
+    @rule(index=INDEXES)
+    def duplicate(self, index: int) -> None:
+        self.in_transit.append(self.in_transit[index % len(self.in_transit)])
 
-    @precondition(lambda self: self.bag)
-    @rule(place=PLACES)
-    def lose(self, place: int) -> None:
-        _, message = self.bag.pop(place % len(self.bag))
-        self.has_lost = self.has_lost or isinstance(message, HoldingsReport)
+    @precondition(lambda self: self.in_transit)
+    @rule(index=INDEXES)
+    def drop(self, index: int) -> None:
+        _, message = self.in_transit.pop(index % len(self.in_transit))
+        self.has_loss = self.has_loss or isinstance(message, HoldingsReport)
 
     @rule(seconds=st.floats(0.001, 0.05))
     def wait(self, seconds: float) -> None:
@@ -129,69 +131,69 @@
 
     @rule()
     def wait_long(self) -> None:
-        """Grants that are on the way may expire before they are received."""
-        self.has_lost = True
+        """Lets grants in transit expire before they are received."""
+        self.has_loss = True
         self.pass_time(GRANT_EXPIRY_SECONDS)
 
-    @rule(place=PLACES)
-    def die(self, place: int) -> None:
-        """A holder ends with all that it had, and begins again as another incarnation."""
-        name = HOLDERS[place % len(HOLDERS)]
+    @rule(index=INDEXES)
+    def restart(self, index: int) -> None:
+        """Ends a holder with all its requests and items, and starts a new incarnation of it."""
+        name = HOLDERS[index % len(HOLDERS)]
         records = [engine.record for engine in self.daemons[name].engines.engines.values()]
-        claim = self.daemons["c"].fleet.claims.known_claims()
+        claims = self.daemons["c"].fleet.claims.known_claims()
         self.incarnations += 1
         incarnation = incarnation_of(name) + 1000 * self.incarnations
-        restarted = SlotsOf(name, records, incarnation=incarnation)
-        restarted.fleet.claims.add_claims(claim)
+        restarted = SlotsDaemon(name, records, incarnation=incarnation)
+        restarted.fleet.claims.add_claims(claims)
         self.daemons[name] = restarted
         restarted.tick(self.now)
-        for token in [t for t in self.wanted if t not in self.alive_tokens()]:
-            del self.wanted[token]
+        for token in [t for t in self.requested_at if t not in self.open_tokens()]:
+            del self.requested_at[token]
 
-    def alive_tokens(self) -> set[int]:
+    def open_tokens(self) -> set[int]:
         return {token for d in self.daemons.values() for token in d.fleet.requests._open}
 
-    # What holds.
+    # Invariants.
 
-    def batch_truth(self, engine_id: str) -> int:
+    def actual_batch(self, engine_id: str) -> int:
         return sum(daemon.items.count(engine_id) for daemon in self.daemons.values())
 
     @invariant()
-    def a_slot_is_granted_only_where_one_is_free(self) -> None:
-        """Without grants received after they expired, items never exceed what an engine has."""
-        if self.has_lost:
+    def no_slot_is_granted_that_is_not_free(self) -> None:
+        """Items never exceed an engine's slots unless a grant is received after it expired."""
+        if self.has_loss:
             return
         for number in range(ENGINES):
-            assert self.batch_truth(f"s{number}") <= SLOTS
+            assert self.actual_batch(f"s{number}") <= SLOTS
 
     @invariant()
-    def a_bound_holds_also_when_reports_are_lost(self) -> None:
-        """What a silent holder has is granted once more, for each such holder."""
+    def items_are_bounded_even_if_reports_are_lost(self) -> None:
+        """The slots of each silent holder are granted at most once more."""
         for number in range(ENGINES):
-            assert self.batch_truth(f"s{number}") <= SLOTS * (1 + len(HOLDERS))
+            assert self.actual_batch(f"s{number}") <= SLOTS * (1 + len(HOLDERS))
 
     @invariant()
-    def no_request_waits_for_its_slot_beyond_the_stated_time(self) -> None:
-        for token, since in self.wanted.items():
-            if token in self.alive_tokens():
-                assert self.now - since <= MAX_SEARCH_SECONDS + GRANT_EXPIRY_SECONDS
+    def no_request_waits_longer_than_the_maximum(self) -> None:
+        for token, requested in self.requested_at.items():
+            if token in self.open_tokens():
+                assert self.now - requested <= MAX_SEARCH_SECONDS + GRANT_EXPIRY_SECONDS
 
     @rule()
     def settle(self) -> None:
-        """After a while without loss the counts are the truth, and the dead hold nothing."""
+        """After a time without loss the counts are exact, and dead holders are not counted."""
         steps = round(SETTLE_SECONDS / 0.05)
         for _ in range(steps):
-            while self.bag:
+            while self.in_transit:
                 self.deliver(0)
             self.pass_time(0.05)
-        while self.bag:
+        while self.in_transit:
             self.deliver(0)
-        self.has_lost = False  # what was granted too much was taken back
+        self.has_loss = False  # the excess grants have been retracted
         coordinator = self.daemons["c"]
         for number in range(ENGINES):
             engine = coordinator.engine(f"s{number}")
             online = sum(list(d.online.values()).count(f"s{number}") for d in self.daemons.values())
-            assert engine.batch() == self.batch_truth(f"s{number}")
+            assert engine.batch() == self.actual_batch(f"s{number}")
             assert engine.online() == online
 
 
@@ -203,12 +205,12 @@
     phases=[Phase.generate],
     report_multiple_bugs=False,
 )
-"""Without shrinking, which takes minutes here; the steps that failed are printed as they were."""
+"""Shrinking is omitted, as it takes minutes here; the failing steps are printed unshrunk."""
 SlotsMachine.TestCase.settings = SETTINGS
 TestSlots = SlotsMachine.TestCase
 
 
-def test_without_forgetting_the_silent_what_the_dead_had_is_lost(
+def test_the_slots_of_dead_holders_stay_counted_without_timeouts(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(ledger, "SILENT_SECONDS", 1e9)
--- a/tests/decisions/slots/test_slot_requests.py
+++ b/tests/decisions/slots/test_slot_requests.py
@@ -1,8 +1,8 @@
-"""A request's slot is sought in one group after another, and never waits on a silent daemon."""
+"""Groups are tried for a slot one after the other, and a silent coordinator delays no request."""
 
 import pytest
 
-from tests.decisions.slots.worlds import GROUP, SlotsOf, deliver, record
+from tests.decisions.slots.worlds import GROUP, SlotsDaemon, deliver, record
 from troutswitch.daemons.messages import SlotRequest
 from troutswitch.decisions.forwarding.placer import AssignedBy, Assignment, NoEngine, NoSlotInTime
 from troutswitch.decisions.slots.coordinator_health import SUSPECT_SECONDS
@@ -11,136 +11,140 @@
 NOW = 5.0
 
 
-def fleet(engines: int = 2, slots: int = 2) -> tuple[SlotsOf, SlotsOf]:
+def pair(engines: int = 2, slots: int = 2) -> tuple[SlotsDaemon, SlotsDaemon]:
     records = [record(f"s{n}", slots=slots) for n in range(engines)]
-    first, second = SlotsOf("first", records), SlotsOf("second", records)
+    first, second = SlotsDaemon("first", records), SlotsDaemon("second", records)
     first.coordinate(NOW, second)
     return first, second
 
 
-def found_by(daemon: SlotsOf) -> list[AssignedBy]:
-    return [placing.assigned_by for _, placing in daemon.ended if isinstance(placing, Assignment)]
+def assigned_by(daemon: SlotsDaemon) -> list[AssignedBy]:
+    return [
+        placement.assigned_by
+        for _, placement in daemon.placements
+        if isinstance(placement, Assignment)
+    ]
 
 
-def test_the_coordinator_assigns_its_own_requests_at_once() -> None:
-    first, _ = fleet()
-    first.want(NOW, 1)
-    assert found_by(first) == [AssignedBy.COORDINATOR]
+def test_the_coordinator_assigns_its_own_requests_immediately() -> None:
+    first, _ = pair()
+    first.request_slot(NOW, 1)
+    assert assigned_by(first) == [AssignedBy.COORDINATOR]
 
 
 def test_other_daemons_send_a_request_and_get_a_reply() -> None:
-    first, second = fleet()
-    second.want(NOW, 1)
-    assert second.ended == []
+    first, second = pair()
+    second.request_slot(NOW, 1)
+    assert second.placements == []
     deliver(NOW, first, second)
-    assert found_by(second) == [AssignedBy.COORDINATOR]
+    assert assigned_by(second) == [AssignedBy.COORDINATOR]
     assert first.engine(second.online[1]).online() == 1
 
 
-def test_no_request_waits_longer_than_stated_on_a_silent_coordinator() -> None:
-    _, second = fleet()
-    second.want(NOW, 1)
+def test_no_request_waits_longer_than_the_timeout_for_a_silent_coordinator() -> None:
+    _, second = pair()
+    second.request_slot(NOW, 1)
     assert second.fleet.requests.next_due() == pytest.approx(NOW + REPLY_TIMEOUT_SECONDS)
     second.tick(NOW + REPLY_TIMEOUT_SECONDS)
-    assert found_by(second) == [AssignedBy.FALLBACK]
+    assert assigned_by(second) == [AssignedBy.FALLBACK]
 
 
 def test_a_coordinator_that_stays_silent_is_sent_no_requests_for_a_while() -> None:
-    _, second = fleet()
+    _, second = pair()
     now = NOW
     for token in (1, 2):
-        second.want(now, token)
+        second.request_slot(now, token)
         now += REPLY_TIMEOUT_SECONDS
         second.tick(now)
     second.messages()
-    second.want(now, 3)
-    assert found_by(second) == [AssignedBy.FALLBACK] * 3
-    assert not any(isinstance(made, SlotRequest) for made in second.messages())
-    second.want(now + SUSPECT_SECONDS, 4)
-    assert any(isinstance(made, SlotRequest) for made in second.messages())
+    second.request_slot(now, 3)
+    assert assigned_by(second) == [AssignedBy.FALLBACK] * 3
+    assert not any(isinstance(message, SlotRequest) for message in second.messages())
+    second.request_slot(now + SUSPECT_SECONDS, 4)
+    assert any(isinstance(message, SlotRequest) for message in second.messages())
 
 
-def test_a_reply_that_comes_too_late_assigns_nothing() -> None:
-    first, second = fleet()
-    second.want(NOW, 1)
+def test_a_late_reply_assigns_nothing() -> None:
+    first, second = pair()
+    second.request_slot(NOW, 1)
     second.tick(NOW + REPLY_TIMEOUT_SECONDS)
     deliver(NOW + 0.1, first, second)
-    assert len(second.ended) == 1
+    assert len(second.placements) == 1
 
 
-def test_a_withdrawn_search_ends_nothing() -> None:
-    first, second = fleet()
-    second.want(NOW, 1)
+def test_a_withdrawn_search_has_no_result() -> None:
+    first, second = pair()
+    second.request_slot(NOW, 1)
     second.fleet.requests.withdraw(NOW, 1)
     deliver(NOW, first, second)
     second.tick(NOW + 1.0)
-    assert second.ended == []
+    assert second.placements == []
 
 
-def test_when_all_are_full_a_request_is_deferred_or_joins_the_queue() -> None:
-    first, second = fleet(engines=1, slots=1)
+def test_a_request_is_deferred_or_joins_the_queue_if_all_engines_are_full() -> None:
+    first, second = pair(engines=1, slots=1)
     first.times.on_completed("service", 0.06, 0.6, was_queued=False)
-    first.want(NOW, 1)
-    second.want(NOW, 2, longest_wait=0.1)
+    first.request_slot(NOW, 1)
+    second.request_slot(NOW, 2, max_wait=0.1)
     deliver(NOW, first, second)
-    assert isinstance(second.ended[0][1], NoSlotInTime)
-    assert second.ended[0][1].estimate.wait > 0.3
-    second.want(NOW, 3)
+    assert isinstance(second.placements[0][1], NoSlotInTime)
+    assert second.placements[0][1].estimate.wait > 0.3
+    second.request_slot(NOW, 3)
     deliver(NOW, first, second)
-    placed = second.ended[1][1]
-    assert isinstance(placed, Assignment)
-    assert placed.is_queued
+    placement = second.placements[1][1]
+    assert isinstance(placement, Assignment)
+    assert placement.is_queued
 
 
-def test_without_an_engine_there_is_no_assignment() -> None:
-    _, second = fleet(engines=1)
-    second.want(NOW, 1)
+def test_a_request_without_a_usable_engine_is_not_assigned() -> None:
+    _, second = pair(engines=1)
+    second.request_slot(NOW, 1)
     second.engines.mark_draining("s0")
     second.tick(NOW + REPLY_TIMEOUT_SECONDS)
-    assert isinstance(second.ended[0][1], NoEngine)
+    assert isinstance(second.placements[0][1], NoEngine)
 
 
-def test_an_engine_that_left_is_not_used_though_it_is_granted() -> None:
-    first, second = fleet(engines=2)
-    second.want(NOW, 1)
+def test_a_granted_engine_that_is_draining_is_not_used() -> None:
+    first, second = pair(engines=2)
+    second.request_slot(NOW, 1)
     second.engines.mark_draining("s0")
     second.engines.mark_draining("s1")
     deliver(NOW, first, second)
-    assert isinstance(second.ended[0][1], NoEngine)
+    assert isinstance(second.placements[0][1], NoEngine)
 
 
-def zones() -> tuple[SlotsOf, SlotsOf, SlotsOf]:
+def zones() -> tuple[SlotsDaemon, SlotsDaemon, SlotsDaemon]:
     """Returns coordinators of two zones, and a daemon of the first zone."""
     records = [record(f"a{n}", zone="a", slots=1) for n in range(9)]
     records += [record(f"b{n}", zone="b", slots=1) for n in range(9)]
-    here, there = SlotsOf("here", records, "a"), SlotsOf("there", records, "b")
-    asker = SlotsOf("asker", records, "a")
-    here.coordinate(NOW, there, asker, group="service|a|0", offset=1)
-    there.coordinate(NOW, here, asker, group="service|b|0", offset=2)
-    return here, there, asker
+    here, there = SlotsDaemon("here", records, "a"), SlotsDaemon("there", records, "b")
+    requester = SlotsDaemon("asker", records, "a")
+    here.coordinate(NOW, there, requester, group="service|a|0", offset=1)
+    there.coordinate(NOW, here, requester, group="service|b|0", offset=2)
+    return here, there, requester
 
 
-def test_the_own_zone_comes_first_and_another_one_when_it_is_full() -> None:
-    here, there, asker = zones()
+def test_the_own_zone_is_used_first_and_another_one_if_it_is_full() -> None:
+    here, there, requester = zones()
     for daemon in (here, there):
         daemon.times.on_completed("service", 0.06, 0.6, was_queued=False)
     for token in range(18):
-        asker.want(NOW, token)
-        deliver(NOW, here, there, asker)
-    engines = [asker.online[token] for token in range(18)]
+        requester.request_slot(NOW, token)
+        deliver(NOW, here, there, requester)
+    engines = [requester.online[token] for token in range(18)]
     assert {name[0] for name in engines[:9]} == {"a"}
     assert {name[0] for name in engines[9:]} == {"b"}
     assert len(set(engines)) == 18
-    asker.want(NOW, 99)
-    deliver(NOW, here, there, asker)
-    assert asker.online[99]
+    requester.request_slot(NOW, 99)
+    deliver(NOW, here, there, requester)
+    assert requester.online[99]
 
 
 def test_a_former_coordinator_is_not_sent_another_request() -> None:
-    first, second = fleet()
+    first, second = pair()
     first.fleet.drain()
     first.tick(NOW)
-    second.want(NOW, 1)
+    second.request_slot(NOW, 1)
     deliver(NOW, first, second)
-    assert found_by(second) == [AssignedBy.FALLBACK]
+    assert assigned_by(second) == [AssignedBy.FALLBACK]
     assert second.fleet.claims.coordinator(NOW, GROUP) is None
--- a/tests/decisions/slots/worlds.py
+++ b/tests/decisions/slots/worlds.py
@@ -1,4 +1,4 @@
-"""Small worlds for tests of decisions on slots."""
+"""Daemons for tests of the decisions on slots."""
 
 import random
 from collections.abc import Callable
@@ -45,17 +45,23 @@
 
 
 def report(
-    sender: str = "peer", sequence: int = 1, incarnation: int = 1, waiting: int = 0, **held: int
+    sender: str = "peer",
+    sequence: int = 1,
+    incarnation: int = 1,
+    waiting: int = 0,
+    **batch_items: int,
 ) -> HoldingsReport:
-    """Returns a report of batch items at engines."""
-    shares = tuple(EngineShare(engine_key(name), 0, count, 0) for name, count in held.items())
+    """Returns a report of `batch_items`, the numbers of batch items by engine."""
+    shares = tuple(
+        EngineShare(engine_key(name), 0, count, 0) for name, count in batch_items.items()
+    )
     return HoldingsReport(sender, ZONE, address_of(sender), incarnation, sequence, shares, waiting)
 
 
-class OwnItemsOf:
-    """The batch items of a daemon of this world."""
+class DaemonItems:
+    """The batch items of a `SlotsDaemon`."""
 
-    def __init__(self, daemon: "SlotsOf") -> None:
+    def __init__(self, daemon: "SlotsDaemon") -> None:
         self._daemon = daemon
 
     @property
@@ -67,8 +73,8 @@
         return self._daemon.waiting + self._daemon.late + len(self._daemon.items)
 
 
-class SlotsOf:
-    """One daemon's decisions on slots, with the requests and items that follow from them."""
+class SlotsDaemon:
+    """One daemon's decisions on slots, which also runs the requests and items that they start."""
 
     def __init__(
         self, name: str, records: list[EngineRecord], zone: str = ZONE, incarnation: int = 0
@@ -79,18 +85,18 @@
         self.engines.on_list(0.0, records)
         self.waiting = 0
         self.late = 0
-        self.out: list[SendToPeers] = []
+        self.outbox: list[SendToPeers] = []
         self.online: dict[int, str] = {}
         self.items: list[str] = []
-        self.ended: list[tuple[int, Placement]] = []
-        self.lines: list[str] = []
+        self.placements: list[tuple[int, Placement]] = []
+        self.log_events: list[str] = []
         self.times = RunTimes()
         self.fleet = FleetSlots(
             DaemonIdentity(name, zone, self.address, incarnation or incarnation_of(name)),
             self.engines,
             self.times,
             SlotPolicies(NoHomes(), SlotCapacity()),
-            OwnItemsOf(self),
+            DaemonItems(self),
             self,
             CallNumbers(),
             self._emit,
@@ -103,11 +109,11 @@
     def _emit(self, instruction: SlotInstruction) -> None:
         match instruction:
             case SendToPeers():
-                self.out.append(instruction)
+                self.outbox.append(instruction)
             case StartItems():
                 self._start_items(instruction)
             case LogLine():
-                self.lines.append(instruction.event)
+                self.log_events.append(instruction.event)
             case _:
                 assert_never(instruction)
 
@@ -130,9 +136,9 @@
             self.engines.on_stopped(now, engine_id, NO_SIZE, begun=True)
 
     def coordinate(
-        self, now: float, *others: "SlotsOf", group: str = GROUP, offset: int = 1
+        self, now: float, *others: "SlotsDaemon", group: str = GROUP, offset: int = 1
     ) -> None:
-        """Lets this daemon and others know that it coordinates a group."""
+        """Makes this daemon the coordinator of a group, for itself and for `others`."""
         claim = KnownClaim(group, self.name, self.address, offset)
         for daemon in (self, *others):
             daemon.fleet.claims.add_claims((claim,))
@@ -140,26 +146,26 @@
 
     def tick(self, now: float) -> None:
         found, _ = self.fleet.on_timer(now)
-        for one in found:
-            self._take(now, one.token, one.placement)
-
-    def want(self, now: float, token: int, longest_wait: float = float("inf")) -> None:
-        """Seeks a slot for a request."""
-        request = PlacementRequest(token, SERVICE, PromptShape(), longest_wait)
-        placing = self.fleet.requests.place(now, request, self.engines.usable(now, SERVICE))
-        if placing is not None:
-            self._take(now, token, placing)
-
-    def take(self, now: float, message: PeerMessage) -> None:
-        """Takes a peer's message about slots."""
+        for result in found:
+            self._record_placement(now, result.token, result.placement)
+
+    def request_slot(self, now: float, token: int, max_wait: float = float("inf")) -> None:
+        """Requests a slot for an online request."""
+        request = PlacementRequest(token, SERVICE, PromptShape(), max_wait)
+        placement = self.fleet.requests.place(now, request, self.engines.usable(now, SERVICE))
+        if placement is not None:
+            self._record_placement(now, token, placement)
+
+    def receive(self, now: float, message: PeerMessage) -> None:
+        """Handles a peer's message about slots."""
         assert isinstance(message, SlotMessage)
-        for one in self.fleet.on_message(now, message):
-            self._take(now, one.token, one.placement)
+        for result in self.fleet.on_message(now, message):
+            self._record_placement(now, result.token, result.placement)
 
-    def _take(self, now: float, token: int, placing: Placement) -> None:
-        self.ended.append((token, placing))
-        if isinstance(placing, Assignment):
-            engine_id = placing.engine.record.engine_id
+    def _record_placement(self, now: float, token: int, placement: Placement) -> None:
+        self.placements.append((token, placement))
+        if isinstance(placement, Assignment):
+            engine_id = placement.engine.record.engine_id
             self.online[token] = engine_id
             self.engines.on_sent(now, engine_id, False, NO_SIZE)
 
@@ -172,9 +178,9 @@
         return self.engines.engines[name]
 
     def messages(self) -> list[PeerMessage]:
-        """Returns what was sent since the last call."""
-        sent, self.out = self.out, []
-        return [made.message for made in sent]
+        """Returns the messages sent since the last call."""
+        sent, self.outbox = self.outbox, []
+        return [instruction.message for instruction in sent]
 
 
 def incarnation_of(name: str) -> int:
@@ -182,17 +188,17 @@
 
 
 def deliver(
-    now: float, *daemons: SlotsOf, keep: Callable[[object], bool] = lambda made: True
+    now: float, *daemons: SlotsDaemon, keep: Callable[[object], bool] = lambda message: True
 ) -> int:
-    """Delivers what daemons sent to each other until nothing is left; returns how many."""
+    """Delivers messages between daemons until none are left; returns their number."""
     by_address = {daemon.address: daemon for daemon in daemons}
     count = 0
-    while any(daemon.out for daemon in daemons):
+    while any(daemon.outbox for daemon in daemons):
         for daemon in daemons:
-            sent, daemon.out = daemon.out, []
-            for made in sent:
-                for address in made.addresses:
-                    if address in by_address and keep(made.message):
-                        by_address[address].take(now, made.message)
+            sent, daemon.outbox = daemon.outbox, []
+            for instruction in sent:
+                for address in instruction.addresses:
+                    if address in by_address and keep(instruction.message):
+                        by_address[address].receive(now, instruction.message)
                         count += 1
     return count
--- a/tests/decisions/tenants/test_coordinated_quota.py
+++ b/tests/decisions/tenants/test_coordinated_quota.py
@@ -1,4 +1,4 @@
-"""Quotas that coordinators count: requests, decisions, silence, and changes of who counts."""
+"""Quotas counted by coordinators: requests, decisions, silence and changes of the coordinator."""
 
 import random
 
@@ -24,13 +24,13 @@
 from troutswitch.decisions.tenants.types import QuotaBounds, Tenant
 
 TENANT = Tenant("t", frozenset(), rate=2.0, burst=2.0)
-FREE = Tenant("free", frozenset())
+UNLIMITED_TENANT = Tenant("free", frozenset())
 HERE = Address("127.0.0.1", 1)
 THERE = Address("127.0.0.1", 2)
 
 
 class Daemon:
-    """One daemon's quota, with what it sends."""
+    """The quota of one daemon, and the messages that it sends."""
 
     def __init__(self, name: str, address: Address, *, leases: bool = False) -> None:
         self.sent: list[SendToPeers] = []
@@ -53,9 +53,9 @@
             leases=leases,
         )
 
-    def _emit(self, made: object) -> None:
-        if isinstance(made, SendToPeers):
-            self.sent.append(made)
+    def _emit(self, instruction: object) -> None:
+        if isinstance(instruction, SendToPeers):
+            self.sent.append(instruction)
 
     def coordinate(self, since: float = -100.0) -> None:
         self.coordinated[self.group] = since
@@ -71,122 +71,126 @@
 
 
 def pair(*, leases: bool = False) -> tuple[Daemon, Daemon]:
-    asking, counting = Daemon("a", HERE, leases=leases), Daemon("b", THERE)
-    counting.coordinate()
-    asking.know_coordinator("b", THERE)
-    return asking, counting
+    requester, coordinator = Daemon("a", HERE, leases=leases), Daemon("b", THERE)
+    coordinator.coordinate()
+    requester.know_coordinator("b", THERE)
+    return requester, coordinator
 
 
-def request(now: float, token: int, asking: Daemon, counting: Daemon) -> QuotaResult:
-    result = asking.quota.take(now, token, TENANT)
+def request(now: float, token: int, requester: Daemon, coordinator: Daemon) -> QuotaResult:
+    result = requester.quota.take(now, token, TENANT)
     if result is not None:
         return result
-    message = asking.message()
+    message = requester.message()
     assert isinstance(message, QuotaRequest)
-    counting.quota.on_request(now, message)
-    decision = counting.message()
+    coordinator.quota.on_request(now, message)
+    decision = coordinator.message()
     assert isinstance(decision, QuotaDecision)
-    ended = asking.quota.on_decision(now, decision)
-    assert [end.token for end in ended] == [token]
-    return ended[0].result
+    completions = requester.quota.on_decision(now, decision)
+    assert [completion.token for completion in completions] == [token]
+    return completions[0].result
 
 
-def test_a_tenant_without_a_limit_costs_no_message() -> None:
-    asking, _ = pair()
-    result = asking.quota.take(0.0, 1, FREE)
+def test_a_tenant_without_a_limit_needs_no_message() -> None:
+    requester, _ = pair()
+    result = requester.quota.take(0.0, 1, UNLIMITED_TENANT)
     assert result is not None
     assert result.is_allowed
-    assert not asking.sent
+    assert not requester.sent
 
 
-def test_many_daemons_share_one_count() -> None:
-    asking, counting = pair()
-    results = [request(0.0, n, asking, counting).is_allowed for n in range(40)]
-    results += [request(0.0, n, counting, counting).is_allowed for n in range(40, 60)]
+def test_requests_of_several_daemons_are_counted_together() -> None:
+    requester, coordinator = pair()
+    results = [request(0.0, n, requester, coordinator).is_allowed for n in range(40)]
+    results += [request(0.0, n, coordinator, coordinator).is_allowed for n in range(40, 60)]
     assert 0 < sum(results) <= (2 * 5 + 2) * 1.1 + 20
     assert not results[-1]
 
 
 def test_a_refusal_states_when_there_is_quota() -> None:
-    asking, counting = pair()
-    while (result := request(0.0, 1, asking, counting)).is_allowed:
+    requester, coordinator = pair()
+    while (result := request(0.0, 1, requester, coordinator)).is_allowed:
         pass
     assert 0 < result.wait <= 1.0
     assert result.decided_by == "counted by b"
 
 
-def test_a_silent_coordinator_is_waited_for_a_moment_and_then_suspected() -> None:
-    asking, _ = pair()
-    assert asking.quota.take(0.0, 1, TENANT) is None
-    asking.sent.clear()
-    assert asking.quota.next_due() == RESEND_SECONDS
-    assert asking.quota.on_timer(RESEND_SECONDS) == []
-    assert len(asking.sent) == 1, "a request is sent once more"
-    assert asking.quota.next_due() == DECISION_TIMEOUT_SECONDS
-    ended = asking.quota.on_timer(DECISION_TIMEOUT_SECONDS)
-    assert [(end.token, end.result.is_allowed) for end in ended] == [(1, True)]
-    asking.quota.take(0.1, 2, TENANT)
-    asking.quota.on_timer(0.2)
-    assert asking.claims.coordinator(0.2, asking.group) is None
-    assert asking.quota.take(0.3, 3, TENANT) is not None
-
-
-def test_a_late_decision_changes_nothing() -> None:
-    asking, counting = pair()
-    asking.quota.take(0.0, 1, TENANT)
-    message = asking.message()
+def test_a_silent_coordinator_is_awaited_until_the_timeout_and_then_suspected() -> None:
+    requester, _ = pair()
+    assert requester.quota.take(0.0, 1, TENANT) is None
+    requester.sent.clear()
+    assert requester.quota.next_due() == RESEND_SECONDS
+    assert requester.quota.on_timer(RESEND_SECONDS) == []
+    assert len(requester.sent) == 1, "a request is sent once more"
+    assert requester.quota.next_due() == DECISION_TIMEOUT_SECONDS
+    completions = requester.quota.on_timer(DECISION_TIMEOUT_SECONDS)
+    assert [(completion.token, completion.result.is_allowed) for completion in completions] == [
+        (1, True)
+    ]
+    requester.quota.take(0.1, 2, TENANT)
+    requester.quota.on_timer(0.2)
+    assert requester.claims.coordinator(0.2, requester.group) is None
+    assert requester.quota.take(0.3, 3, TENANT) is not None
+
+
+def test_a_late_decision_has_no_effect() -> None:
+    requester, coordinator = pair()
+    requester.quota.take(0.0, 1, TENANT)
+    message = requester.message()
     assert isinstance(message, QuotaRequest)
-    counting.quota.on_request(0.0, message)
-    asking.quota.on_timer(1.0)
-    decision = counting.message()
+    coordinator.quota.on_request(0.0, message)
+    requester.quota.on_timer(1.0)
+    decision = coordinator.message()
     assert isinstance(decision, QuotaDecision)
-    assert asking.quota.on_decision(1.0, decision) == []
+    assert requester.quota.on_decision(1.0, decision) == []
 
 
 def test_a_withdrawn_request_gets_no_result() -> None:
-    asking, counting = pair()
-    asking.quota.take(0.0, 1, TENANT)
-    asking.quota.withdraw(1)
-    assert asking.quota.on_timer(1.0) == []
-    assert counting.quota.next_due() == float("inf")
+    requester, coordinator = pair()
+    requester.quota.take(0.0, 1, TENANT)
+    requester.quota.withdraw(1)
+    assert requester.quota.on_timer(1.0) == []
+    assert coordinator.quota.next_due() == float("inf")
 
 
-def test_a_daemon_that_does_not_count_replies_so_and_the_sender_decides() -> None:
-    asking, counting = pair()
-    counting.coordinated.clear()
-    result = request(0.0, 1, asking, counting)
+def test_the_sender_decides_alone_if_the_daemon_denies_being_the_coordinator() -> None:
+    requester, coordinator = pair()
+    coordinator.coordinated.clear()
+    result = request(0.0, 1, requester, coordinator)
     assert result.is_allowed
-    assert asking.claims.coordinator(0.0, asking.group) is None
+    assert requester.claims.coordinator(0.0, requester.group) is None
 
 
-def test_without_a_coordinator_a_tenant_gets_as_large_a_part_as_before() -> None:
-    """Else each of many daemons would allow the tenant's whole rate for as long as that lasts."""
-    asking, counting = pair()
+def test_without_a_coordinator_a_tenant_is_admitted_at_its_recent_fraction() -> None:
+    """Otherwise each of many daemons would admit the whole rate while there is no coordinator."""
+    requester, coordinator = pair()
     for number in range(200):
-        request(0.0, number, asking, counting)
-    asking.claims.on_not_coordinator(0.0, asking.group)
-    alone = [asking.quota.take(0.01 * n, n, TENANT) for n in range(100)]
-    assert sum(result is not None and result.is_allowed for result in alone) <= 3
+        request(0.0, number, requester, coordinator)
+    requester.claims.on_not_coordinator(0.0, requester.group)
+    results = [requester.quota.take(0.01 * n, n, TENANT) for n in range(100)]
+    assert sum(result is not None and result.is_allowed for result in results) <= 3
 
 
-def test_with_leases_requests_go_without_a_message_while_much_is_left() -> None:
-    asking, counting = pair(leases=True)
-    results = [request(0.0, number, asking, counting) for number in range(6)]
+def test_leases_save_messages_while_the_quota_is_ample() -> None:
+    requester, coordinator = pair(leases=True)
+    results = [request(0.0, number, requester, coordinator) for number in range(6)]
     assert all(result.is_allowed for result in results)
     assert [result.decided_by for result in results] == ["counted by b"] * 2 + ["lease"] * 4
 
 
 def test_a_lease_expires() -> None:
-    asking, counting = pair(leases=True)
-    request(0.0, 1, asking, counting)
-    request(0.0, 2, asking, counting)
-    assert asking.quota.take(10.0, 3, TENANT) is None
+    requester, coordinator = pair(leases=True)
+    request(0.0, 1, requester, coordinator)
+    request(0.0, 2, requester, coordinator)
+    assert requester.quota.take(10.0, 3, TENANT) is None
 
 
 @pytest.mark.parametrize("rate", [0.0, -1.0])
-def test_a_request_with_a_senseless_rate_gets_a_decision(rate: float) -> None:
-    _, counting = pair()
-    counting.quota.on_request(0.0, QuotaRequest("a", HERE, 1, counting.group, "t", rate, 1.0, 1, 1))
-    decision = counting.message()
+def test_a_request_with_an_invalid_rate_gets_a_decision_without_a_grant(rate: float) -> None:
+    _, coordinator = pair()
+    coordinator.quota.on_request(
+        0.0, QuotaRequest("a", HERE, 1, coordinator.group, "t", rate, 1.0, 1, 1)
+    )
+    decision = coordinator.message()
     assert isinstance(decision, QuotaDecision)
     assert decision.granted == 0
--- a/tests/decisions/tenants/test_machine.py
+++ b/tests/decisions/tenants/test_machine.py
@@ -1,8 +1,8 @@
-"""A state machine over messages that are lost, doubled and late, and changes of who counts.
+"""State machine of quotas with lost, duplicated and late messages, and changes of the coordinator.
 
-Bound that it asserts, for any window of the bounds: what one ledger may allow, the tolerance once
-more for each daemon that began to count within the window before, and each daemon's share of the
-times in which nobody answered it.
+In any window of the bounds, the number of admitted requests is at most the sum of: the requests
+that one ledger may admit; the tolerance, once more for each daemon that began to count within the
+window before; each daemon's share of the quota for times in which no coordinator answered it.
 """
 
 import random
@@ -46,9 +46,9 @@
         self.now = 100.0
         self.offset = 0
         self.tokens = 0
-        self.on_the_way: list[tuple[int, QuotaRequest | QuotaDecision]] = []
-        self.allowed: list[float] = []
-        self.begun: list[float] = []
+        self.in_transit: list[tuple[int, QuotaRequest | QuotaDecision]] = []
+        self.allowed_at: list[float] = []
+        self.coordinated_at: list[float] = []
         groups = EngineGroups()
         groups.update([engine("s0")])
         self.group = groups.all()[0].name
@@ -65,13 +65,15 @@
         ]
         self.quotas = [self.quota(n, groups) for n in range(DAEMONS)]
         self.waiting: list[set[int]] = [set() for _ in range(DAEMONS)]
-        self.begin(0)
+        self.coordinate(0)
 
     def quota(self, number: int, groups: EngineGroups) -> CoordinatedQuota:
-        def emit(made: object) -> None:
-            if isinstance(made, SendToPeers):
-                assert isinstance(made.message, QuotaRequest | QuotaDecision)
-                self.on_the_way += [(address.port, made.message) for address in made.addresses]
+        def emit(instruction: object) -> None:
+            if isinstance(instruction, SendToPeers):
+                assert isinstance(instruction.message, QuotaRequest | QuotaDecision)
+                self.in_transit += [
+                    (address.port, instruction.message) for address in instruction.addresses
+                ]
 
         return CoordinatedQuota(
             identity_of(number),
@@ -82,10 +84,10 @@
             random.Random(number),
         )
 
-    def begin(self, number: int) -> None:
-        """One daemon begins to count, and all know it."""
+    def coordinate(self, number: int) -> None:
+        """Makes one daemon the coordinator, which all daemons know."""
         self.offset += 1
-        self.begun.append(self.now)
+        self.coordinated_at.append(self.now)
         claim = Claim(self.group, f"d{number}", Address("10.0.0.1", number), self.offset)
         for other in range(DAEMONS):
             self.claims[other].add_claim(claim)
@@ -93,8 +95,8 @@
         self.coordinated[number][self.group] = self.now
 
     @rule(number=NUMBERS)
-    def another_counts(self, number: int) -> None:
-        self.begin(number)
+    def change_coordinator(self, number: int) -> None:
+        self.coordinate(number)
 
     @rule(number=NUMBERS, count=st.integers(1, 12))
     def send(self, number: int, count: int) -> None:
@@ -104,48 +106,48 @@
             if result is None:
                 self.waiting[number].add(self.tokens)
             elif result.is_allowed:
-                self.allowed.append(self.now)
+                self.allowed_at.append(self.now)
 
-    @rule(drawn=st.integers(0, 1000), fate=st.sampled_from(["taken", "lost", "doubled"]))
-    def deliver(self, drawn: int, fate: str) -> None:
-        if not self.on_the_way:
+    @rule(index=st.integers(0, 1000), fate=st.sampled_from(["delivered", "lost", "duplicated"]))
+    def deliver(self, index: int, fate: str) -> None:
+        if not self.in_transit:
             return
-        number, message = self.on_the_way.pop(drawn % len(self.on_the_way))
-        if fate == "doubled":
-            self.on_the_way.append((number, message))
+        number, message = self.in_transit.pop(index % len(self.in_transit))
+        if fate == "duplicated":
+            self.in_transit.append((number, message))
         if fate == "lost":
             return
         if isinstance(message, QuotaRequest):
             self.quotas[number].on_request(self.now, message)
         else:
-            self.end(number, self.quotas[number].on_decision(self.now, message))
+            self.on_completions(number, self.quotas[number].on_decision(self.now, message))
 
     @rule(seconds=st.sampled_from([0.001, 0.012, 0.03, 0.5, 2.0]))
-    def let_pass(self, seconds: float) -> None:
+    def pass_time(self, seconds: float) -> None:
         self.now += seconds
         for number, quota in enumerate(self.quotas):
-            self.end(number, quota.on_timer(self.now))
+            self.on_completions(number, quota.on_timer(self.now))
 
-    def end(self, number: int, ended: list[QuotaCompletion]) -> None:
-        for end in ended:
-            assert end.token in self.waiting[number], "a request has two results"
-            self.waiting[number].discard(end.token)
-            if end.result.is_allowed:
-                self.allowed.append(self.now)
+    def on_completions(self, number: int, completions: list[QuotaCompletion]) -> None:
+        for completion in completions:
+            assert completion.token in self.waiting[number], "a request has two results"
+            self.waiting[number].discard(completion.token)
+            if completion.result.is_allowed:
+                self.allowed_at.append(self.now)
 
     @invariant()
-    def no_window_has_too_many(self) -> None:
+    def no_window_exceeds_the_bound(self) -> None:
         ledger = self.quotas[0].coordinator.ledger
         since = self.now - BOUNDS.window
-        in_window = sum(at > since for at in self.allowed)
+        in_window = sum(time > since for time in self.allowed_at)
         counted = TENANT.rate * BOUNDS.window + TENANT.burst + ledger.tolerance(LIMIT)
-        begun = sum(at > since - BOUNDS.window for at in self.begun) - 1
-        anew = max(0, begun) * max(1.0, ledger.tolerance(LIMIT), TENANT.burst)
-        alone = UNCOORDINATED_FACTOR * (TENANT.rate * BOUNDS.window + TENANT.burst)
-        assert in_window <= counted + anew + alone + DAEMONS * MIN_SHARE_BURST
+        takeovers = sum(time > since - BOUNDS.window for time in self.coordinated_at) - 1
+        restarted = max(0, takeovers) * max(1.0, ledger.tolerance(LIMIT), TENANT.burst)
+        uncoordinated = UNCOORDINATED_FACTOR * (TENANT.rate * BOUNDS.window + TENANT.burst)
+        assert in_window <= counted + restarted + uncoordinated + DAEMONS * MIN_SHARE_BURST
 
     @invariant()
-    def nobody_waits_longer_than_stated(self) -> None:
+    def no_request_waits_longer_than_the_maximum(self) -> None:
         assert all(quota.next_due() >= self.now - 2.0 for quota in self.quotas)
 
 
