--- a/src/troutswitch/decisions/slots/batch_coordination.py
+++ b/src/troutswitch/decisions/slots/batch_coordination.py
@@ -14,7 +14,7 @@
 group over, it does so earlier than that (`coordinator_claims.py`).
 
 docs/SLOTS.md, "When the other side is silent", lists the cases;
-`tests/decisions/slots/test_fleet.py` tests them.
+`tests/decisions/slots/test_batch_coordination.py` tests them.
 """
 
 from dataclasses import dataclass
--- a/src/troutswitch/decisions/slots/batch_slots.py
+++ b/src/troutswitch/decisions/slots/batch_slots.py
@@ -9,7 +9,7 @@
 
 Rule: slots are assigned engine by engine, the least loaded engine first. Each slot goes to a daemon
 drawn at random, weighted by its number of items that can still meet their objective and by
-`NEAR_WEIGHT` if it is in the engine's zone. Every `LATE_SLOT_INTERVAL`th slot goes to a daemon
+`SAME_ZONE_WEIGHT` if it is in the engine's zone. Every `LATE_SLOT_INTERVAL`th slot goes to a daemon
 drawn by its number of late items, and so does every slot if no other items wait.
 
 Why: late items come second, because starting them earlier does not restore a missed objective.
@@ -33,7 +33,7 @@
 ASSIGN_SECONDS = 0.02
 """Interval between checks for free slots while items wait: about the time between two events of an
 engine's stream, so a slot stays idle for about that long."""
-NEAR_WEIGHT = 3
+SAME_ZONE_WEIGHT = 3
 """Weight of an item that waits at a daemon in the engine's zone; other items have weight 1."""
 LATE_SLOT_INTERVAL = 8
 """One slot out of this many goes to a daemon that has late items."""
@@ -154,7 +154,7 @@
 
     def _weight(self, name: str, engine: Engine) -> int:
         zone = self._zone if name == SELF else self._ledger.holders[name].zone
-        return NEAR_WEIGHT if zone == engine.record.zone else 1
+        return SAME_ZONE_WEIGHT if zone == engine.record.zone else 1
 
     def _demand(self, engine: Engine) -> _Demand:
         demand = _Demand()
--- a/src/troutswitch/decisions/slots/coordinator.py
+++ b/src/troutswitch/decisions/slots/coordinator.py
@@ -74,12 +74,12 @@
 
     # Coordinated groups.
 
-    def begin(self, now: float, group: str) -> None:
+    def start_coordinating(self, now: float, group: str) -> None:
         """Takes a group over. Its counts become complete as the holders report."""
         self.coordinated[group] = now
         self._ledger.recount(now, self.engines_of(group))
 
-    def end(self, group: str) -> None:
+    def stop_coordinating(self, group: str) -> None:
         """Stops coordinating a group."""
         self.coordinated.pop(group, None)
 
--- a/src/troutswitch/decisions/slots/coordinator_claims.py
+++ b/src/troutswitch/decisions/slots/coordinator_claims.py
@@ -185,13 +185,13 @@
 
     def on_reply_timeout(self, now: float, group: str) -> None:
         """Handles a request to the coordinator of a group that got no reply in time."""
-        self._log_suspicion(group, self._health.on_reply_timeout(now, group))
+        self._on_missing_coordinator(group, self._health.on_reply_timeout(now, group))
 
     def on_not_coordinator(self, now: float, group: str) -> None:
         """Handles a reply in which a daemon denies that it coordinates the group."""
-        self._log_suspicion(group, self._health.on_not_coordinator(now, group))
+        self._on_missing_coordinator(group, self._health.on_not_coordinator(now, group))
 
-    def _log_suspicion(self, group: str, is_new: bool) -> None:
+    def _on_missing_coordinator(self, group: str, is_new: bool) -> None:
         self._schedule_next_claim()
         if is_new:
             claim = self._claims.get(group)
--- a/src/troutswitch/decisions/slots/fleet.py
+++ b/src/troutswitch/decisions/slots/fleet.py
@@ -129,8 +129,8 @@
                     return []
             if reply.grant_number and not self.requests.is_awaited(reply):
                 self.reports.on_unused_grant(claim)
-        found = self.requests.on_reply(now, reply)
-        return [found] if found is not None else []
+        result = self.requests.on_reply(now, reply)
+        return [result] if result is not None else []
 
     def _is_duplicate(self, claim: Claim, reply: SlotReply) -> bool:
         """Records the grant in a reply; returns whether it was received before."""
@@ -203,10 +203,10 @@
         self._update_coordinated(now)
         self.ledger.on_timer(now)
         self._emit_all(self.coordinator.on_timer(now))
-        found = self.requests.on_timer(now)
+        results = self.requests.on_timer(now)
         self._emit_all(self.reports.on_timer(now))
         self.ledger.validate()
-        return found, calls
+        return results, calls
 
     def _update_groups(self, now: float) -> None:
         """Groups the engines again if the list changed."""
@@ -223,10 +223,10 @@
         coordinated = set(self.coordinator.coordinated)
         for group in sorted(own - coordinated):
             self._log("coordination begun", group=group)
-            self.coordinator.begin(now, group)
+            self.coordinator.start_coordinating(now, group)
         for group in sorted(coordinated - own):
             self._log("coordination ended", group=group)
-            self.coordinator.end(group)
+            self.coordinator.stop_coordinating(group)
 
     def drain(self) -> None:
         """Stops coordinating groups, so that other daemons claim them."""
--- a/src/troutswitch/decisions/slots/reports.py
+++ b/src/troutswitch/decisions/slots/reports.py
@@ -64,7 +64,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _State:
+class _HoldingsInputs:
     """The inputs of the holdings, which are computed again when an input changes."""
 
     engine_changes: int
@@ -92,7 +92,7 @@
         self._own_items = own_items
         self._sequence = 0
         self._coordinators: dict[str, _Coordinator] = {}
-        self._seen_state: _State | None = None
+        self._inputs: _HoldingsInputs | None = None
         self._holdings: dict[str, _Holdings] = {}
 
     # Grants of coordinators.
@@ -144,22 +144,22 @@
 
     def _update(self) -> None:
         """Computes the holdings for each coordinator, if an input changed."""
-        state = _State(
+        inputs = _HoldingsInputs(
             self._engines.changes,
             self._claims.changes,
             self._groups.changes,
             self._own_items.waiting,
             self._own_items.open_items,
         )
-        if state == self._seen_state:
+        if inputs == self._inputs:
             return
-        self._seen_state = state
+        self._inputs = inputs
         shares = self._shares()
         self._holdings = {}
         for claim in self._peers_claims():
             self._coordinator(claim)
             in_flight = tuple(shares.get(claim.daemon, ()))
-            self._holdings[claim.daemon] = _Holdings(in_flight, state.waiting, state.open_items)
+            self._holdings[claim.daemon] = _Holdings(in_flight, inputs.waiting, inputs.open_items)
 
     def _shares(self) -> dict[str, list[EngineShare]]:
         """Returns the requests and items in flight, by the coordinator that counts them."""
--- a/src/troutswitch/decisions/slots/slot_choice.py
+++ b/src/troutswitch/decisions/slots/slot_choice.py
@@ -2,9 +2,9 @@
 
 The coordinator of the group uses this module for its own requests and for those of its peers.
 
-Inputs: online requests and batch items at each engine, exact except for reports in flight (some 10
-ms); engines that daemons currently cannot use, as last reported (0.5 s); the average time for which
-a request of the service uses its slot; the maximum wait that the request accepts, in seconds.
+Inputs: online requests and batch items at each engine, exact except for reports in flight (some
+10 ms); engines that daemons currently cannot use, as last reported (0.5 s); the average time for
+which a request of the service uses its slot; the maximum wait that the request accepts, in seconds.
 
 Rule:
 
--- a/src/troutswitch/decisions/tenants/coordinated_quota.py
+++ b/src/troutswitch/decisions/tenants/coordinated_quota.py
@@ -98,7 +98,7 @@
 
 
 class CoordinatedQuota:
-    """Implements `Quota` with requests to coordinators; `leases` saves some of them."""
+    """Implements `Quota` with requests to coordinators. With `leases`, some need no message."""
 
     def __init__(
         self,
--- a/src/troutswitch/decisions/tenants/quota.py
+++ b/src/troutswitch/decisions/tenants/quota.py
@@ -1,8 +1,8 @@
 """The interface of quotas: whether a tenant may send one more request now, over all daemons.
 
-    (taken)   -> allowed    the request counts against the tenant's quota
-    (taken)   -> exceeded   with the time after which there is quota for this caller
-    (taken)   -> AWAITING   a request was sent to a coordinator; `on_decision` or `on_timer` ends it
+    (new)     -> allowed    the request counts against the tenant's quota
+    (new)     -> exceeded   with the time after which there is quota for this caller
+    (new)     -> AWAITING   a request was sent to a coordinator; `on_decision` or `on_timer` ends it
 
 `quota_policies.py` selects the implementation.
 """
--- a/tests/decisions/slots/test_batch_coordination.py
+++ b/tests/decisions/slots/test_batch_coordination.py
@@ -10,11 +10,11 @@
 
 def pair() -> tuple[SlotsDaemon, SlotsDaemon]:
     records = [record(f"s{n}") for n in range(2)]
-    first, second = SlotsDaemon("first", records), SlotsDaemon("second", records)
-    first.coordinate(NOW, second)
-    first.messages()
-    second.messages()
-    return first, second
+    coordinator, peer = SlotsDaemon("first", records), SlotsDaemon("second", records)
+    coordinator.coordinate(NOW, peer)
+    coordinator.messages()
+    peer.messages()
+    return coordinator, peer
 
 
 def coordinated_over(daemon: SlotsDaemon, now: float, seconds: float) -> list[bool]:
@@ -25,32 +25,32 @@
 
 
 def test_items_wait_for_grants_again_after_a_time_without_waiting_items() -> None:
-    _, second = pair()
-    assert all(coordinated_over(second, NOW, UNCOORDINATED_SECONDS))
+    _, peer = pair()
+    assert all(coordinated_over(peer, NOW, UNCOORDINATED_SECONDS))
     later = NOW + 60.0
-    assert all(coordinated_over(second, later, UNCOORDINATED_SECONDS))
+    assert all(coordinated_over(peer, later, UNCOORDINATED_SECONDS))
 
 
 def test_items_start_without_grants_if_the_coordinator_stays_silent() -> None:
-    _, second = pair()
-    coordinated = coordinated_over(second, NOW, 2 * UNCOORDINATED_SECONDS)
+    _, peer = pair()
+    coordinated = coordinated_over(peer, NOW, 2 * UNCOORDINATED_SECONDS)
     assert not coordinated[-1]
     assert coordinated.index(False) >= UNCOORDINATED_SECONDS / TICK
 
 
 def test_items_wait_for_a_coordinator_that_sends_digests() -> None:
-    first, second = pair()
-    second.waiting = 3
+    coordinator, peer = pair()
+    peer.waiting = 3
     now = NOW
     for _ in range(int(4 * UNCOORDINATED_SECONDS / DIGEST_SECONDS)):
         now += DIGEST_SECONDS
-        second.tick(now)
-        deliver(now, first, second)
-        first.tick(now)
-        deliver(now, first, second)
-        assert second.fleet.is_coordinated(now, "s0")
+        peer.tick(now)
+        deliver(now, coordinator, peer)
+        coordinator.tick(now)
+        deliver(now, coordinator, peer)
+        assert peer.fleet.is_coordinated(now, "s0")
 
 
 def test_items_of_the_coordinator_always_wait_for_its_own_grants() -> None:
-    first, _ = pair()
-    assert all(coordinated_over(first, NOW, 3 * UNCOORDINATED_SECONDS))
+    coordinator, _ = pair()
+    assert all(coordinated_over(coordinator, NOW, 3 * UNCOORDINATED_SECONDS))
--- a/tests/decisions/slots/test_fleet.py
+++ b/tests/decisions/slots/test_fleet.py
@@ -8,25 +8,25 @@
 
 def pair() -> tuple[SlotsDaemon, SlotsDaemon]:
     records = [record(f"s{n}") for n in range(2)]
-    first, second = SlotsDaemon("first", records), SlotsDaemon("second", records)
-    first.coordinate(NOW, second)
-    first.messages()
-    second.messages()
-    return first, second
+    coordinator, peer = SlotsDaemon("first", records), SlotsDaemon("second", records)
+    coordinator.coordinate(NOW, peer)
+    coordinator.messages()
+    peer.messages()
+    return coordinator, peer
 
 
 def test_a_grant_from_a_daemon_that_is_not_the_coordinator_is_not_used() -> None:
-    _, second = pair()
-    second.waiting = 3
-    second.receive(NOW, BatchSlotGrant("stranger", 1, GROUP, 1, engine_key("s0"), 3))
-    assert second.items == []
-    assert "grant of another coordinator" in second.log_events
+    _, peer = pair()
+    peer.waiting = 3
+    peer.receive(NOW, BatchSlotGrant("stranger", 1, GROUP, 1, engine_key("s0"), 3))
+    assert peer.items == []
+    assert "grant of another coordinator" in peer.log_events
 
 
 def test_a_grant_that_is_received_twice_is_used_once() -> None:
-    _, second = pair()
-    second.waiting = 9
+    _, peer = pair()
+    peer.waiting = 9
     grant = BatchSlotGrant("first", incarnation_of("first"), GROUP, 1, engine_key("s0"), 2)
-    second.receive(NOW, grant)
-    second.receive(NOW, grant)
-    assert len(second.items) == 2
+    peer.receive(NOW, grant)
+    peer.receive(NOW, grant)
+    assert len(peer.items) == 2
--- a/tests/decisions/slots/test_machine.py
+++ b/tests/decisions/slots/test_machine.py
@@ -88,10 +88,10 @@
         self.collect_messages()
 
     @rule(index=INDEXES)
-    def end(self, index: int) -> None:
+    def end_request(self, index: int) -> None:
         holder = self.holder(index)
         if holder.online:
-            holder.end(self.now, next(iter(holder.online)))
+            holder.end_request(self.now, next(iter(holder.online)))
 
     @rule(index=INDEXES, items=st.integers(1, 6))
     def add_items(self, index: int, items: int) -> None:
--- a/tests/decisions/slots/test_reports.py
+++ b/tests/decisions/slots/test_reports.py
@@ -10,11 +10,11 @@
 
 def pair() -> tuple[SlotsDaemon, SlotsDaemon]:
     records = [record(f"s{n}") for n in range(2)]
-    first, second = SlotsDaemon("first", records), SlotsDaemon("second", records)
-    first.coordinate(NOW, second)
-    first.messages()
-    second.messages()
-    return first, second
+    coordinator, peer = SlotsDaemon("first", records), SlotsDaemon("second", records)
+    coordinator.coordinate(NOW, peer)
+    coordinator.messages()
+    peer.messages()
+    return coordinator, peer
 
 
 def sent_reports(daemon: SlotsDaemon, now: float) -> list[HoldingsReport]:
@@ -23,43 +23,43 @@
 
 
 def test_a_daemon_without_work_reports_nothing() -> None:
-    _, second = pair()
-    assert [sent_reports(second, NOW + tick) for tick in range(10)] == [[]] * 10
+    _, peer = pair()
+    assert [sent_reports(peer, NOW + tick) for tick in range(10)] == [[]] * 10
 
 
 def test_a_change_is_reported_immediately_and_repeated_while_requests_are_in_flight() -> None:
-    _, second = pair()
-    second.engines.on_sent(NOW, "s0", True, NO_SIZE)
-    (report,) = sent_reports(second, NOW)
+    _, peer = pair()
+    peer.engines.on_sent(NOW, "s0", True, NO_SIZE)
+    (report,) = sent_reports(peer, NOW)
     assert [share.batch for share in report.shares] == [1]
-    assert sent_reports(second, NOW + REFRESH_SECONDS / 2) == []
-    assert len(sent_reports(second, NOW + REFRESH_SECONDS)) == 1
-    second.engines.on_stopped(NOW, "s0", NO_SIZE, begun=True)
-    (last_report,) = sent_reports(second, NOW + REFRESH_SECONDS + REPORT_SECONDS)
+    assert sent_reports(peer, NOW + REFRESH_SECONDS / 2) == []
+    assert len(sent_reports(peer, NOW + REFRESH_SECONDS)) == 1
+    peer.engines.on_stopped(NOW, "s0", NO_SIZE, begun=True)
+    (last_report,) = sent_reports(peer, NOW + REFRESH_SECONDS + REPORT_SECONDS)
     assert last_report.shares == ()
-    assert sent_reports(second, NOW + 9.0) == []
+    assert sent_reports(peer, NOW + 9.0) == []
 
 
 def test_changes_in_quick_succession_are_reported_together() -> None:
-    _, second = pair()
-    second.engines.on_sent(NOW, "s0", True, NO_SIZE)
-    assert len(sent_reports(second, NOW)) == 1
+    _, peer = pair()
+    peer.engines.on_sent(NOW, "s0", True, NO_SIZE)
+    assert len(sent_reports(peer, NOW)) == 1
     for _ in range(5):
-        second.engines.on_sent(NOW, "s1", True, NO_SIZE)
-        assert sent_reports(second, NOW + REPORT_SECONDS / 2) == []
-    (report,) = sent_reports(second, NOW + REPORT_SECONDS)
+        peer.engines.on_sent(NOW, "s1", True, NO_SIZE)
+        assert sent_reports(peer, NOW + REPORT_SECONDS / 2) == []
+    (report,) = sent_reports(peer, NOW + REPORT_SECONDS)
     assert sorted(share.batch for share in report.shares) == [1, 5]
 
 
 def test_a_granted_slot_is_reported_later_with_the_number_of_the_grant() -> None:
-    first, second = pair()
-    second.request_slot(NOW, 1)
-    claim = second.fleet.claims.claim_of("service||0")
+    coordinator, peer = pair()
+    peer.request_slot(NOW, 1)
+    claim = peer.fleet.claims.claim_of("service||0")
     assert claim is not None
-    deliver(NOW, first, second)
-    second.fleet.reports.mark_reported(claim)
-    assert sent_reports(second, NOW + REPORT_SECONDS) == []
-    (report,) = sent_reports(second, NOW + ACKNOWLEDGE_SECONDS)
+    deliver(NOW, coordinator, peer)
+    peer.fleet.reports.mark_reported(claim)
+    assert sent_reports(peer, NOW + REPORT_SECONDS) == []
+    (report,) = sent_reports(peer, NOW + ACKNOWLEDGE_SECONDS)
     assert report.last_grant_seen == 1
     assert [share.online for share in report.shares] == [1]
 
@@ -70,11 +70,11 @@
     The slot was granted but not used, and the coordinator counted it as used for
     `ACKNOWLEDGE_SECONDS`, 20 times as long as `REPORT_SECONDS`.
     """
-    first, second = pair()
-    second.request_slot(NOW, 1)
-    second.fleet.requests.withdraw(NOW, 1)
-    deliver(NOW, first, second)
-    (report,) = sent_reports(second, NOW + REPORT_SECONDS)
+    coordinator, peer = pair()
+    peer.request_slot(NOW, 1)
+    peer.fleet.requests.withdraw(NOW, 1)
+    deliver(NOW, coordinator, peer)
+    (report,) = sent_reports(peer, NOW + REPORT_SECONDS)
     assert (report.last_grant_seen, report.shares) == (1, ())
 
 
@@ -91,8 +91,8 @@
 
 
 def test_unusable_engines_are_reported() -> None:
-    _, second = pair()
-    second.engine("s0").ejected_until = NOW + 1.0
-    second.engines.on_sent(NOW, "s1", True, NO_SIZE)
-    (report,) = sent_reports(second, NOW)
+    _, peer = pair()
+    peer.engine("s0").ejected_until = NOW + 1.0
+    peer.engines.on_sent(NOW, "s1", True, NO_SIZE)
+    (report,) = sent_reports(peer, NOW)
     assert len(report.unusable) == 1
--- a/tests/decisions/slots/test_slot_requests.py
+++ b/tests/decisions/slots/test_slot_requests.py
@@ -13,9 +13,9 @@
 
 def pair(engines: int = 2, slots: int = 2) -> tuple[SlotsDaemon, SlotsDaemon]:
     records = [record(f"s{n}", slots=slots) for n in range(engines)]
-    first, second = SlotsDaemon("first", records), SlotsDaemon("second", records)
-    first.coordinate(NOW, second)
-    return first, second
+    coordinator, peer = SlotsDaemon("first", records), SlotsDaemon("second", records)
+    coordinator.coordinate(NOW, peer)
+    return coordinator, peer
 
 
 def assigned_by(daemon: SlotsDaemon) -> list[AssignedBy]:
@@ -27,90 +27,90 @@
 
 
 def test_the_coordinator_assigns_its_own_requests_immediately() -> None:
-    first, _ = pair()
-    first.request_slot(NOW, 1)
-    assert assigned_by(first) == [AssignedBy.COORDINATOR]
+    coordinator, _ = pair()
+    coordinator.request_slot(NOW, 1)
+    assert assigned_by(coordinator) == [AssignedBy.COORDINATOR]
 
 
 def test_other_daemons_send_a_request_and_get_a_reply() -> None:
-    first, second = pair()
-    second.request_slot(NOW, 1)
-    assert second.placements == []
-    deliver(NOW, first, second)
-    assert assigned_by(second) == [AssignedBy.COORDINATOR]
-    assert first.engine(second.online[1]).online() == 1
+    coordinator, peer = pair()
+    peer.request_slot(NOW, 1)
+    assert peer.placements == []
+    deliver(NOW, coordinator, peer)
+    assert assigned_by(peer) == [AssignedBy.COORDINATOR]
+    assert coordinator.engine(peer.online[1]).online() == 1
 
 
 def test_no_request_waits_longer_than_the_timeout_for_a_silent_coordinator() -> None:
-    _, second = pair()
-    second.request_slot(NOW, 1)
-    assert second.fleet.requests.next_due() == pytest.approx(NOW + REPLY_TIMEOUT_SECONDS)
-    second.tick(NOW + REPLY_TIMEOUT_SECONDS)
-    assert assigned_by(second) == [AssignedBy.FALLBACK]
+    _, peer = pair()
+    peer.request_slot(NOW, 1)
+    assert peer.fleet.requests.next_due() == pytest.approx(NOW + REPLY_TIMEOUT_SECONDS)
+    peer.tick(NOW + REPLY_TIMEOUT_SECONDS)
+    assert assigned_by(peer) == [AssignedBy.FALLBACK]
 
 
 def test_a_coordinator_that_stays_silent_is_sent_no_requests_for_a_while() -> None:
-    _, second = pair()
+    _, peer = pair()
     now = NOW
     for token in (1, 2):
-        second.request_slot(now, token)
+        peer.request_slot(now, token)
         now += REPLY_TIMEOUT_SECONDS
-        second.tick(now)
-    second.messages()
-    second.request_slot(now, 3)
-    assert assigned_by(second) == [AssignedBy.FALLBACK] * 3
-    assert not any(isinstance(message, SlotRequest) for message in second.messages())
-    second.request_slot(now + SUSPECT_SECONDS, 4)
-    assert any(isinstance(message, SlotRequest) for message in second.messages())
+        peer.tick(now)
+    peer.messages()
+    peer.request_slot(now, 3)
+    assert assigned_by(peer) == [AssignedBy.FALLBACK] * 3
+    assert not any(isinstance(message, SlotRequest) for message in peer.messages())
+    peer.request_slot(now + SUSPECT_SECONDS, 4)
+    assert any(isinstance(message, SlotRequest) for message in peer.messages())
 
 
 def test_a_late_reply_assigns_nothing() -> None:
-    first, second = pair()
-    second.request_slot(NOW, 1)
-    second.tick(NOW + REPLY_TIMEOUT_SECONDS)
-    deliver(NOW + 0.1, first, second)
-    assert len(second.placements) == 1
+    coordinator, peer = pair()
+    peer.request_slot(NOW, 1)
+    peer.tick(NOW + REPLY_TIMEOUT_SECONDS)
+    deliver(NOW + 0.1, coordinator, peer)
+    assert len(peer.placements) == 1
 
 
 def test_a_withdrawn_search_has_no_result() -> None:
-    first, second = pair()
-    second.request_slot(NOW, 1)
-    second.fleet.requests.withdraw(NOW, 1)
-    deliver(NOW, first, second)
-    second.tick(NOW + 1.0)
-    assert second.placements == []
+    coordinator, peer = pair()
+    peer.request_slot(NOW, 1)
+    peer.fleet.requests.withdraw(NOW, 1)
+    deliver(NOW, coordinator, peer)
+    peer.tick(NOW + 1.0)
+    assert peer.placements == []
 
 
 def test_a_request_is_deferred_or_joins_the_queue_if_all_engines_are_full() -> None:
-    first, second = pair(engines=1, slots=1)
-    first.times.on_completed("service", 0.06, 0.6, was_queued=False)
-    first.request_slot(NOW, 1)
-    second.request_slot(NOW, 2, max_wait=0.1)
-    deliver(NOW, first, second)
-    assert isinstance(second.placements[0][1], NoSlotInTime)
-    assert second.placements[0][1].estimate.wait > 0.3
-    second.request_slot(NOW, 3)
-    deliver(NOW, first, second)
-    placement = second.placements[1][1]
+    coordinator, peer = pair(engines=1, slots=1)
+    coordinator.times.on_completed("service", 0.06, 0.6, was_queued=False)
+    coordinator.request_slot(NOW, 1)
+    peer.request_slot(NOW, 2, max_wait=0.1)
+    deliver(NOW, coordinator, peer)
+    assert isinstance(peer.placements[0][1], NoSlotInTime)
+    assert peer.placements[0][1].estimate.wait > 0.3
+    peer.request_slot(NOW, 3)
+    deliver(NOW, coordinator, peer)
+    placement = peer.placements[1][1]
     assert isinstance(placement, Assignment)
     assert placement.is_queued
 
 
 def test_a_request_without_a_usable_engine_is_not_assigned() -> None:
-    _, second = pair(engines=1)
-    second.request_slot(NOW, 1)
-    second.engines.mark_draining("s0")
-    second.tick(NOW + REPLY_TIMEOUT_SECONDS)
-    assert isinstance(second.placements[0][1], NoEngine)
+    _, peer = pair(engines=1)
+    peer.request_slot(NOW, 1)
+    peer.engines.mark_draining("s0")
+    peer.tick(NOW + REPLY_TIMEOUT_SECONDS)
+    assert isinstance(peer.placements[0][1], NoEngine)
 
 
 def test_a_granted_engine_that_is_draining_is_not_used() -> None:
-    first, second = pair(engines=2)
-    second.request_slot(NOW, 1)
-    second.engines.mark_draining("s0")
-    second.engines.mark_draining("s1")
-    deliver(NOW, first, second)
-    assert isinstance(second.placements[0][1], NoEngine)
+    coordinator, peer = pair(engines=2)
+    peer.request_slot(NOW, 1)
+    peer.engines.mark_draining("s0")
+    peer.engines.mark_draining("s1")
+    deliver(NOW, coordinator, peer)
+    assert isinstance(peer.placements[0][1], NoEngine)
 
 
 def zones() -> tuple[SlotsDaemon, SlotsDaemon, SlotsDaemon]:
@@ -141,10 +141,10 @@
 
 
 def test_a_former_coordinator_is_not_sent_another_request() -> None:
-    first, second = pair()
-    first.fleet.drain()
-    first.tick(NOW)
-    second.request_slot(NOW, 1)
-    deliver(NOW, first, second)
-    assert assigned_by(second) == [AssignedBy.FALLBACK]
-    assert second.fleet.claims.coordinator(NOW, GROUP) is None
+    coordinator, peer = pair()
+    coordinator.fleet.drain()
+    coordinator.tick(NOW)
+    peer.request_slot(NOW, 1)
+    deliver(NOW, coordinator, peer)
+    assert assigned_by(peer) == [AssignedBy.FALLBACK]
+    assert peer.fleet.claims.coordinator(NOW, GROUP) is None
--- a/tests/decisions/slots/worlds.py
+++ b/tests/decisions/slots/worlds.py
@@ -169,7 +169,7 @@
             self.online[token] = engine_id
             self.engines.on_sent(now, engine_id, False, NO_SIZE)
 
-    def end(self, now: float, token: int) -> None:
+    def end_request(self, now: float, token: int) -> None:
         """Ends a request at its engine."""
         engine_id = self.online.pop(token)
         self.engines.on_ended(now, engine_id, False, NO_SIZE, begun=True, failed=False)
