--- a/src/troutswitch/cli/gateway.py
+++ b/src/troutswitch/cli/gateway.py
@@ -45,7 +45,7 @@
         if signals.reload_requested.is_set():
             signals.reload_requested.clear()
             logger.info("settings reload requested")
-        changed = settings_file.changed()
+        changed = settings_file.reload_if_changed()
         if changed is not None:
             process.reload(changed)
     if process.failure is None:
--- a/src/troutswitch/gateway/callers/application.py
+++ b/src/troutswitch/gateway/callers/application.py
@@ -8,9 +8,9 @@
 
 from troutswitch.decisions.forwarding.messages import RequestUnserved
 from troutswitch.decisions.gateway_interface import GatewayEvent
-from troutswitch.gateway.callers.listener import CONNECTION
-from troutswitch.gateway.callers.relay import Relay, WholeAnswer
-from troutswitch.gateway.callers.relay_registry import Relays
+from troutswitch.gateway.callers.listener import CONNECTION_KEY
+from troutswitch.gateway.callers.relay import CompleteAnswer, Relay
+from troutswitch.gateway.callers.relay_registry import RelayRegistry
 from troutswitch.gateway.engines.connection_pool import EngineConnections
 from troutswitch.gateway.engines.engine_activity import EngineActivityReporter
 from troutswitch.outcomes import Cut, MayHaveRun, NotRun
@@ -42,7 +42,7 @@
 
     def __init__(
         self,
-        relays: Relays,
+        relays: RelayRegistry,
         connections: EngineConnections,
         post: Callable[[GatewayEvent], None],
         engine_activity: EngineActivityReporter,
@@ -82,26 +82,26 @@
         relay = Relay(
             token, request, body, self._relays, self._connections, self._post, self._engine_activity
         )
-        self._relays.begin(token, environ[CONNECTION])
+        self._relays.register_caller(token, environ[CONNECTION_KEY])
         chunks = relay.run()
         try:
             first = next(chunks, None)
         except BaseException:
-            self._relays.end(token)
+            self._relays.unregister_caller(token)
             raise
         if first is None:
-            self._relays.end(token)
-            return self._send_whole(relay, start_response)
+            self._relays.unregister_caller(token)
+            return self._send_complete(relay, start_response)
         assert relay.head is not None
         start_response(status_line(relay.head.status), relay.head.headers)
         return self._stream(relay, first, chunks)
 
-    def _send_whole(self, relay: Relay, start_response: StartResponse) -> Iterable[bytes]:
+    def _send_complete(self, relay: Relay, start_response: StartResponse) -> Iterable[bytes]:
         finish = relay.finish
         if finish is not None and not finish.passes_on:
-            return send(final_answer(finish.outcome, relay.request.request_id), start_response)
-        if relay.whole is not None:
-            return _pass_on(relay.whole, start_response)
+            return send(error_response(finish.outcome, relay.request.request_id), start_response)
+        if relay.complete_answer is not None:
+            return _forward_answer(relay.complete_answer, start_response)
         assert relay.head is not None
         start_response(status_line(relay.head.status), relay.head.headers)
         return []
@@ -114,10 +114,10 @@
                 raise AnswerCut(relay.finish.outcome.reason)
         finally:
             chunks.close()  # type: ignore[attr-defined]
-            self._relays.end(relay.token)
+            self._relays.unregister_caller(relay.token)
 
 
-def final_answer(outcome: NotRun | MayHaveRun | Cut, request_id: str) -> Response:
+def error_response(outcome: NotRun | MayHaveRun | Cut, request_id: str) -> Response:
     """Returns the answer of a request that ends without an engine's answer."""
     status = outcome.status if isinstance(outcome, NotRun | MayHaveRun) else 502
     headers = [(names.REQUEST_ID, request_id)] if request_id else []
@@ -131,7 +131,7 @@
     return Response(status, f"{text}\n".encode(), "text/plain")
 
 
-def _pass_on(answer: WholeAnswer, start_response: StartResponse) -> list[bytes]:
+def _forward_answer(answer: CompleteAnswer, start_response: StartResponse) -> list[bytes]:
     headers = [*answer.head.headers, ("Content-Length", str(len(answer.body)))]
     start_response(status_line(answer.head.status), headers)
     return [answer.body]
--- a/src/troutswitch/gateway/callers/caller_watch.py
+++ b/src/troutswitch/gateway/callers/caller_watch.py
@@ -13,12 +13,12 @@
 import threading
 from collections.abc import Callable
 
-WATCHED = select.EPOLLRDHUP | select.EPOLLONESHOT
+WATCHED_EVENTS = select.EPOLLRDHUP | select.EPOLLONESHOT
 TCP_INFO_BYTES = 64
-STATE_OFFSET = 0
-STATE_CLOSE_WAIT = 8
+TCP_INFO_STATE_OFFSET = 0
+TCP_CLOSE_WAIT = 8
 """The peer sent its end (`TCP_CLOSE_WAIT` of the kernel's `tcp_states.h`)."""
-LAST_ACKNOWLEDGEMENT_OFFSET = 56
+TCP_INFO_LAST_ACK_OFFSET = 56
 """Place of `tcpi_last_ack_recv`, in milliseconds, in the kernel's `struct tcp_info`."""
 
 
@@ -42,9 +42,9 @@
         info = connection.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, TCP_INFO_BYTES)
     except OSError:
         return 0.0  # waitress closed it meanwhile
-    if info[STATE_OFFSET] != STATE_CLOSE_WAIT:
+    if info[TCP_INFO_STATE_OFFSET] != TCP_CLOSE_WAIT:
         return 0.0
-    (milliseconds,) = struct.unpack_from("=I", info, LAST_ACKNOWLEDGEMENT_OFFSET)
+    (milliseconds,) = struct.unpack_from("=I", info, TCP_INFO_LAST_ACK_OFFSET)
     return float(milliseconds) / 1000
 
 
@@ -52,11 +52,11 @@
     """Reports each watched connection once when its caller closes it.
 
     Args:
-        on_gone: called on the watch's thread with a request's token and the close's age.
+        on_disconnect: called on the watch's thread with a request's token and the close's age.
     """
 
-    def __init__(self, on_gone: Callable[[int, float], None]) -> None:
-        self._on_gone = on_gone
+    def __init__(self, on_disconnect: Callable[[int, float], None]) -> None:
+        self._on_disconnect = on_disconnect
         self._lock = threading.Lock()
         self._watched: dict[int, tuple[int, socket.socket]] = {}
         self._epoll = select.epoll()
@@ -74,13 +74,13 @@
                 self._watched[descriptor] = (token, connection)
                 self._register(descriptor)
                 return
-        self._on_gone(token, 0.0)
+        self._on_disconnect(token, 0.0)
 
     def _register(self, descriptor: int) -> None:
         try:
-            self._epoll.register(descriptor, WATCHED)
+            self._epoll.register(descriptor, WATCHED_EVENTS)
         except FileExistsError:
-            self._epoll.modify(descriptor, WATCHED)  # the connection's earlier request
+            self._epoll.modify(descriptor, WATCHED_EVENTS)  # the connection's earlier request
 
     def remove(self, token: int, connection: socket.socket) -> None:
         """Ends the watch of a request's connection, which may be closed already."""
@@ -99,7 +99,7 @@
                 return
             self._forget(descriptor)
             age = close_age(connection)
-        self._on_gone(watched[0], age)
+        self._on_disconnect(watched[0], age)
 
     def _forget(self, descriptor: int) -> None:
         del self._watched[descriptor]
@@ -119,6 +119,6 @@
             self._forget(descriptor)
             token, connection = watched
             age = close_age(connection)
-        self._on_gone(token, age)
+        self._on_disconnect(token, age)
         with contextlib.suppress(OSError):  # waitress closed it meanwhile
             connection.shutdown(socket.SHUT_RDWR)  # wakes a thread that waits for its window
--- a/src/troutswitch/gateway/callers/dispatcher.py
+++ b/src/troutswitch/gateway/callers/dispatcher.py
@@ -8,24 +8,24 @@
 
 import waitress.task
 
-THREADS_FIRST = 4
+INITIAL_THREADS = 4
 """Threads that run from the start."""
 
 
 class GrowingDispatcher(waitress.task.ThreadedTaskDispatcher):  # type: ignore[misc]
     """Starts one more thread whenever a task finds none idle, up to a limit."""
 
-    def __init__(self, threads_most: int) -> None:
+    def __init__(self, max_threads: int) -> None:
         super().__init__()
-        self._threads_most = threads_most
-        self.set_thread_count(min(THREADS_FIRST, threads_most))
+        self._max_threads = max_threads
+        self.set_thread_count(min(INITIAL_THREADS, max_threads))
 
     def add_task(self, task: Any) -> None:
         """Queues a task, and starts a thread for it if all are busy."""
         with self.lock:
             waiting = len(self.queue) + 1
             idle = len(self.threads) - self.stop_count - self.active_count
-            wanted = min(len(self.threads) + waiting - idle, self._threads_most)
+            wanted = min(len(self.threads) + waiting - idle, self._max_threads)
         if wanted > len(self.threads):
             self.set_thread_count(wanted)
         super().add_task(task)
--- a/src/troutswitch/gateway/callers/job_calls.py
+++ b/src/troutswitch/gateway/callers/job_calls.py
@@ -26,7 +26,7 @@
 from troutswitch.platform.requests import IncomingRequest
 from troutswitch.runtime.http import Response
 
-ANSWER_SECONDS = 35.0
+ANSWER_TIMEOUT_SECONDS = 35.0
 """Longest wait for the loop's answer; beyond it the loop is taken for dead."""
 
 
@@ -59,10 +59,10 @@
         token = next(self._tokens)
         try:
             if target is not None:
-                return self._decide(token, read_call(token, request, target))
+                return self._post_and_wait(token, read_call(token, request, target))
             if not request.request_id:
                 raise JobFormatError(f"missing {names.REQUEST_ID}")
-            return self._decide(token, read_submission(token, request, body))
+            return self._post_and_wait(token, read_submission(token, request, body))
         except JobFormatError as error:
             return Response(400, f"{error}\n".encode(), "text/plain")
 
@@ -70,14 +70,14 @@
         route = self._routes.match(request.host, request.path)
         return request.method == "POST" and route is not None and route.kind is RouteKind.JOBS
 
-    def _decide(self, token: int, event: JobEvent) -> Response:
+    def _post_and_wait(self, token: int, event: JobEvent) -> Response:
         """Posts a call and waits for the loop's answer."""
         future: Future[JobAnswer] = Future()
         with self._lock:
             self._answers[token] = future
         self._post(event)
         try:
-            return write_answer(future.result(ANSWER_SECONDS))
+            return write_answer(future.result(ANSWER_TIMEOUT_SECONDS))
         except FutureTimeoutError:
             return Response(504, b"no decision in time\n", "text/plain")
         finally:
--- a/src/troutswitch/gateway/callers/listener.py
+++ b/src/troutswitch/gateway/callers/listener.py
@@ -27,12 +27,12 @@
 """Connections that the kernel holds until they are accepted."""
 CONNECTION_IDLE_SECONDS = 60
 """Least idle time after which a caller's connection is closed."""
-LOOKAHEAD = 1
+LOOKAHEAD_REQUESTS = 1
 """Requests read ahead of the one in progress, so that waitress reads on and sees a close."""
-CLEANUP_SECONDS = 10
+CLEANUP_INTERVAL_SECONDS = 10
 """Interval between checks for idle connections."""
 
-CONNECTION = "troutswitch.connection"
+CONNECTION_KEY = "troutswitch.connection"
 """Key of the WSGI environment that holds the socket of a request's connection."""
 
 
@@ -48,7 +48,7 @@
     def get_environment(self) -> dict[str, Any]:
         """Returns the request's environment, with its connection."""
         environment: dict[str, Any] = super().get_environment()
-        environment[CONNECTION] = self.channel.connection
+        environment[CONNECTION_KEY] = self.channel.connection
         return environment
 
 
@@ -83,7 +83,7 @@
 
     Args:
         threads: requests that are served at once; more wait.
-        connections_most: connections that are open at once; more wait to be accepted.
+        max_connections: connections that are open at once; more wait to be accepted.
         before_close: called with a connection's socket before this process closes it.
         on_unserved: called with the headers of a request whose caller left before it was
             served, and the age of the caller's close in seconds.
@@ -98,7 +98,7 @@
         address: Address,
         threads: int,
         name: str,
-        connections_most: int,
+        max_connections: int,
         before_close: Callable[[socket.socket], None] = lambda connection: None,
         on_unserved: Callable[[dict[str, str], float], None] = lambda headers, age: None,
     ) -> None:
@@ -113,10 +113,10 @@
             _dispatcher=GrowingDispatcher(threads),
             backlog=BACKLOG,
             asyncore_use_poll=True,
-            connection_limit=connections_most,
+            connection_limit=max_connections,
             channel_timeout=CONNECTION_IDLE_SECONDS,
-            cleanup_interval=CLEANUP_SECONDS,
-            channel_request_lookahead=LOOKAHEAD,
+            cleanup_interval=CLEANUP_INTERVAL_SECONDS,
+            channel_request_lookahead=LOOKAHEAD_REQUESTS,
             max_request_header_size=RequestLimits().header_bytes,
             max_request_body_size=RequestLimits().body_bytes,
             log_socket_errors=False,
--- a/src/troutswitch/gateway/callers/relay.py
+++ b/src/troutswitch/gateway/callers/relay.py
@@ -18,10 +18,10 @@
     SendRequest,
 )
 from troutswitch.decisions.gateway_interface import GatewayEvent
-from troutswitch.gateway.callers.relay_registry import Relays
+from troutswitch.gateway.callers.relay_registry import RelayRegistry
 from troutswitch.gateway.engines.connection_pool import EngineConnections
 from troutswitch.gateway.engines.engine_activity import EngineActivityReporter
-from troutswitch.gateway.engines.event_stream import BrokenEvents, EventSplitter
+from troutswitch.gateway.engines.event_stream import EventSplitter, EventStreamError
 from troutswitch.gateway.engines.exchange import (
     AnswerLost,
     Exchange,
@@ -32,12 +32,12 @@
 from troutswitch.platform import names
 from troutswitch.platform.requests import AnswerHead, IncomingRequest, engine_headers, read_head
 
-DIRECTIVE_SECONDS = 60.0
+DIRECTIVE_TIMEOUT_SECONDS = 60.0
 """Longest wait for the loop's next directive; beyond it the loop is taken for dead."""
 
 
 @dataclass(frozen=True, slots=True)
-class WholeAnswer:
+class CompleteAnswer:
     """A whole answer of an engine, to be passed on as it is."""
 
     head: AnswerHead
@@ -58,13 +58,13 @@
     token: int
     request: IncomingRequest
     body: bytes
-    relays: Relays
+    relays: RelayRegistry
     connections: EngineConnections
     post: Callable[[GatewayEvent], None]
     engine_activity: EngineActivityReporter
     head: AnswerHead | None = None
     """The head of the answer that is streamed to the caller."""
-    whole: WholeAnswer | None = None
+    complete_answer: CompleteAnswer | None = None
     finish: FinishRequest | None = None
     _splitter: EventSplitter = field(default_factory=EventSplitter)
     _delivered: int = 0
@@ -77,24 +77,24 @@
         Raises:
             TimeoutError: the loop gave no directive.
         """
-        channel = self.relays.open(self.token)
+        channel = self.relays.open_channel(self.token)
         self._splitter = EventSplitter(self.request.last_event_id)
         try:
-            self.post(self._arrival())
+            self.post(self._arrival_event())
             self.relays.watch(self.token)
             while not self._is_completed and self.finish is None:
-                directive = channel.get(DIRECTIVE_SECONDS)
+                directive = channel.get(DIRECTIVE_TIMEOUT_SECONDS)
                 if isinstance(directive, FinishRequest):
                     self.finish = directive
                 else:
                     yield from self._attempt(directive)
         finally:
-            self.relays.close(self.token)
+            self.relays.close_channel(self.token)
             if not self._is_completed and self.finish is None:
                 now = steady_seconds()
                 self.post(CallerGone(self.token, now, now))
 
-    def _arrival(self) -> RequestArrived:
+    def _arrival_event(self) -> RequestArrived:
         request = self.request
         return RequestArrived(
             self.token,
@@ -167,8 +167,8 @@
             if head.status == 200 and head.is_event_stream:
                 yield from self._stream(directive, exchange, head)
             else:
-                self._take_whole_answer(directive, head, exchange.body())
-        except (AnswerLost, BrokenEvents) as error:
+                self._handle_complete_answer(directive, head, exchange.body())
+        except (AnswerLost, EventStreamError) as error:
             self._end(directive, AttemptKind.CUT, str(error), head)
 
     def _stream(
@@ -178,7 +178,7 @@
         self._splitter = splitter
         event_at = steady_seconds()
         for data in exchange.chunks():
-            self.engine_activity.note(directive.engine_id)
+            self.engine_activity.record(directive.engine_id)
             events = splitter.feed(data)
             if not events:
                 continue
@@ -194,7 +194,9 @@
         self._is_completed = True
         self._end(directive, AttemptKind.COMPLETED, "", head)
 
-    def _take_whole_answer(self, directive: SendRequest, head: AnswerHead, body: bytes) -> None:
+    def _handle_complete_answer(
+        self, directive: SendRequest, head: AnswerHead, body: bytes
+    ) -> None:
         """Takes an answer that is no stream; a failure is kept, should no attempt do better."""
         if head.not_run:
             reason = f"server said not run, status {head.status}"
@@ -204,7 +206,7 @@
             reason = f"status {head.status} in the middle of a stream"
             self._end(directive, AttemptKind.CUT, reason, head)
             return
-        self.whole = WholeAnswer(head, body)
+        self.complete_answer = CompleteAnswer(head, body)
         if head.status >= 500:
             reason = f"server failed, status {head.status}"
             self._end(directive, AttemptKind.CUT, reason, head, has_answer=True)
@@ -221,7 +223,7 @@
         has_answer: bool = False,
     ) -> None:
         """Reports an attempt's end, unless the caller left: then it ended for that reason."""
-        if self.relays.is_gone(self.token):
+        if self.relays.is_caller_gone(self.token):
             return
         self.post(
             RequestAttemptEnded(
--- a/src/troutswitch/gateway/callers/relay_registry.py
+++ b/src/troutswitch/gateway/callers/relay_registry.py
@@ -33,10 +33,10 @@
     attempt: int = 0
     exchange: Exchange | None = None
     aborted_attempt: int = 0
-    is_gone: bool = False
+    is_caller_gone: bool = False
 
 
-class Relays:
+class RelayRegistry:
     """Channels and exchanges of the requests in progress.
 
     Args:
@@ -45,7 +45,7 @@
 
     def __init__(self, post: Callable[[GatewayEvent], None]) -> None:
         self._post = post
-        self.caller_watch = CallerWatch(self._on_gone)
+        self.caller_watch = CallerWatch(self._on_disconnect)
         self._tokens = itertools.count(1)
         self._entries: dict[int, _Entry] = {}
         self._callers: dict[int, socket.socket] = {}
@@ -60,7 +60,7 @@
         """Requests of callers in progress."""
         return len(self._callers)
 
-    def begin(self, token: int, connection: socket.socket) -> None:
+    def register_caller(self, token: int, connection: socket.socket) -> None:
         """Registers a caller's connection, until `end`."""
         self._callers[token] = connection
 
@@ -74,19 +74,19 @@
         if connection is not None:
             self.caller_watch.add(token, connection)
 
-    def end(self, token: int) -> None:
+    def unregister_caller(self, token: int) -> None:
         """Ends the watch of a caller's connection."""
         connection = self._callers.pop(token, None)
         if connection is not None:
             self.caller_watch.remove(token, connection)
 
-    def is_gone(self, token: int) -> bool:
+    def is_caller_gone(self, token: int) -> bool:
         """Returns whether a request's caller closed its connection."""
         with self._lock:
             entry = self._entries.get(token)
-            return entry is not None and entry.is_gone
+            return entry is not None and entry.is_caller_gone
 
-    def _on_gone(self, token: int, age: float) -> None:
+    def _on_disconnect(self, token: int, age: float) -> None:
         """Aborts the attempt at once, and reports the close, which was `age` seconds ago.
 
         Guards against a loop that is busy or late: the engine was freed only after it.
@@ -96,21 +96,21 @@
             entry = self._entries.get(token)
             exchange = entry.exchange if entry is not None else None
             if entry is not None:
-                entry.is_gone = True
+                entry.is_caller_gone = True
         aborted_at = float("inf")
         if exchange is not None:
             exchange.abort()
             aborted_at = steady_seconds()
         self._post(CallerGone(token, closed_at, aborted_at))
 
-    def open(self, token: int) -> Channel[Directive]:
+    def open_channel(self, token: int) -> Channel[Directive]:
         """Opens the channel on which a request's directives come."""
         channel: Channel[Directive] = Channel()
         with self._lock:
             self._entries[token] = _Entry(channel)
         return channel
 
-    def close(self, token: int) -> None:
+    def close_channel(self, token: int) -> None:
         """Closes a request's channel."""
         with self._lock:
             self._entries.pop(token, None)
@@ -128,8 +128,8 @@
                 entry.exchange = exchange
         if entry is None:
             return
-        entry.is_gone |= self._has_closed(token)
-        if entry.is_gone or entry.aborted_attempt == attempt:
+        entry.is_caller_gone |= self._has_closed(token)
+        if entry.is_caller_gone or entry.aborted_attempt == attempt:
             exchange.abort()  # the abort came before the exchange was known
 
     def end_attempt(self, token: int) -> None:
@@ -143,14 +143,14 @@
         connection = self._callers.get(token)
         return connection is not None and is_closed(connection)
 
-    def direct(self, directive: Directive) -> None:
+    def send_directive(self, directive: Directive) -> None:
         """Hands a directive to the request's thread."""
         with self._lock:
             entry = self._entries.get(directive.token)
         if entry is not None:
             entry.channel.put(directive)
 
-    def abort(self, instruction: AbortAttempt) -> None:
+    def abort_attempt(self, instruction: AbortAttempt) -> None:
         """Ends an attempt's exchange."""
         with self._lock:
             entry = self._entries.get(instruction.token)
--- a/src/troutswitch/gateway/callers/stop_gate.py
+++ b/src/troutswitch/gateway/callers/stop_gate.py
@@ -10,7 +10,7 @@
 from troutswitch.platform import names
 from troutswitch.runtime.http import Environ, Response, StartResponse, WsgiApplication, send
 
-RETRY_SECONDS = 0.05
+RETRY_AFTER_SECONDS = 0.05
 """Retry-After of a refusal: at once, since another daemon takes the connection."""
 
 
@@ -24,7 +24,7 @@
         self._application = application
         self._lock = threading.Lock()
         self._is_closed = False
-        self._inside = 0
+        self._in_flight = 0
 
     def close(self) -> None:
         """Refuses requests from now on."""
@@ -32,9 +32,9 @@
             self._is_closed = True
 
     @property
-    def inside(self) -> int:
+    def in_flight(self) -> int:
         """Requests that were let in and are not finished."""
-        return self._inside
+        return self._in_flight
 
     def __call__(self, environ: Environ, start_response: StartResponse) -> Iterable[bytes]:
         """Lets a request in, or refuses it before anything ran."""
@@ -51,12 +51,12 @@
 
     def _enter(self) -> bool:
         with self._lock:
-            self._inside += not self._is_closed
+            self._in_flight += not self._is_closed
             return not self._is_closed
 
     def _leave(self) -> None:
         with self._lock:
-            self._inside -= 1
+            self._in_flight -= 1
 
 
 class _CountedList(list[bytes]):
@@ -92,7 +92,7 @@
 
 
 def _refusal(environ: Environ) -> Response:
-    headers = [(names.RETRY_AFTER, f"{RETRY_SECONDS:.3f}")]
+    headers = [(names.RETRY_AFTER, f"{RETRY_AFTER_SECONDS:.3f}")]
     request_id = str(environ.get("HTTP_" + names.REQUEST_ID.upper().replace("-", "_"), ""))
     if request_id:
         headers.append((names.REQUEST_ID, request_id))
--- a/src/troutswitch/gateway/daemons/peer_socket.py
+++ b/src/troutswitch/gateway/daemons/peer_socket.py
@@ -13,7 +13,7 @@
 from troutswitch.decisions.gateway_interface import GatewayEvent
 from troutswitch.decisions.slots.messages import PeerMessageReceived, SendToPeers
 
-DATAGRAM_BYTES_MOST = 8192
+MAX_DATAGRAM_BYTES = 8192
 """Longest datagram that is received whole."""
 
 
@@ -51,7 +51,7 @@
     def _run(self) -> None:
         while True:
             try:
-                datagram = self._socket.recv(DATAGRAM_BYTES_MOST)
+                datagram = self._socket.recv(MAX_DATAGRAM_BYTES)
             except ConnectionRefusedError:
                 continue
             except OSError:
--- a/src/troutswitch/gateway/daemons/peer_state.py
+++ b/src/troutswitch/gateway/daemons/peer_state.py
@@ -21,7 +21,7 @@
 
 PEER_STATE_PATH = "/peer-state"
 CONTENT_TYPE = "application/cbor"
-STATE_BYTES_MOST = 8 * 1024 * 1024
+MAX_STATE_BYTES = 8 * 1024 * 1024
 
 ShareState = Callable[[float, int], PeerState]
 
@@ -37,7 +37,7 @@
             "GET", f"{PEER_STATE_PATH}?version={instruction.version}&encoding={VERSION}"
         )
         response = connection.getresponse()
-        data = response.read(STATE_BYTES_MOST)
+        data = response.read(MAX_STATE_BYTES)
         state = decode_state(data) if response.status == 200 else None
     except (OSError, http.client.HTTPException, PeerStateError):
         state = None
--- a/src/troutswitch/gateway/engines/connection.py
+++ b/src/troutswitch/gateway/engines/connection.py
@@ -17,11 +17,11 @@
 
 CONNECT_SECONDS = 0.5
 READ_BYTES = 1 << 16
-IDLE_SECONDS_DEFAULT = 4.0
+DEFAULT_IDLE_SECONDS = 4.0
 """Time for which an idle connection is kept where the engine names none."""
-IDLE_SHARE = 0.6
+IDLE_TIMEOUT_SHARE = 0.6
 """Share of the idle time named by an engine for which a connection is used again."""
-RESET_AT_CLOSE = struct.pack("ii", 1, 0)
+RESET_ON_CLOSE = struct.pack("ii", 1, 0)
 """`SO_LINGER` of zero seconds."""
 
 
@@ -47,16 +47,16 @@
 class EngineConnection(http.client.HTTPConnection):
     """A connection whose answers are read through one shared buffer.
 
-    `idle_since` is when its last answer was whole, in seconds of this process's clock;
-    `idle_most` is for how long it may then be used again, in seconds. `last_request_id` is the id
-    of the last request sent on it.
+    `idle_since` is the time at which its last response was complete, in seconds of the process's
+    steady clock. The connection may be reused for `max_idle_seconds` from then on.
+    `last_request_id` is the id of the last request sent on it.
     """
 
     def __init__(self, address: Address) -> None:
         super().__init__(address.host, address.port, timeout=CONNECT_SECONDS)
         self.reader: _SharedReader | None = None
         self.idle_since = 0.0
-        self.idle_most = IDLE_SECONDS_DEFAULT
+        self.max_idle_seconds = DEFAULT_IDLE_SECONDS
         self.last_request_id = ""
         self._is_reading_head = False
         self.response_class = self._make_response  # type: ignore[assignment]
@@ -111,7 +111,7 @@
         from the answer to this one. Nor while bytes wait that no request asked for.
         """
         age = steady_seconds() - self.idle_since
-        if age >= self.idle_most or self.last_request_id == request_id:
+        if age >= self.max_idle_seconds or self.last_request_id == request_id:
             return False
         return not self._has_waiting_bytes()
 
@@ -121,11 +121,11 @@
         readable, _, _ = select.select([self.sock], [], [], 0)
         return bool(readable)
 
-    def take_idle_time(self, keep_alive: str | None) -> None:
+    def apply_keep_alive(self, keep_alive: str | None) -> None:
         """Follows the idle time that an answer's `Keep-Alive` header names, if it does."""
         seconds = _idle_seconds(keep_alive)
         if seconds is not None:
-            self.idle_most = seconds * IDLE_SHARE
+            self.max_idle_seconds = seconds * IDLE_TIMEOUT_SHARE
 
 
 def shut_down(sock: socket.socket) -> None:
@@ -135,7 +135,7 @@
     send what it holds of it, and an engine that reads late runs it.
     """
     try:
-        sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_AT_CLOSE)
+        sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
         sock.shutdown(socket.SHUT_RDWR)
     except OSError:
         return  # it was closed already
--- a/src/troutswitch/gateway/engines/connection_pool.py
+++ b/src/troutswitch/gateway/engines/connection_pool.py
@@ -13,7 +13,7 @@
 from troutswitch.common import Address
 from troutswitch.gateway.engines.connection import EngineConnection
 
-IDLE_CONNECTIONS_PER_ENGINE = 6
+MAX_IDLE_CONNECTIONS_PER_ENGINE = 6
 
 
 def _ignore(engine_id: str, closed: int) -> None:
@@ -33,7 +33,7 @@
         self._idle: dict[str, deque[EngineConnection]] = {}
         self._lock = threading.Lock()
 
-    def take(self, engine_id: str, address: Address, request_id: str) -> EngineConnection:
+    def acquire(self, engine_id: str, address: Address, request_id: str) -> EngineConnection:
         """Returns an idle connection that may be reused, or a new one not yet connected."""
         while True:
             with self._lock:
@@ -45,12 +45,12 @@
                 return connection
             connection.close()
 
-    def keep(self, engine_id: str, connection: EngineConnection) -> None:
+    def release(self, engine_id: str, connection: EngineConnection) -> None:
         """Keeps a connection whose answer was read whole."""
         connection.idle_since = steady_seconds()
         with self._lock:
             idle = self._idle.setdefault(engine_id, deque())
-            if len(idle) < IDLE_CONNECTIONS_PER_ENGINE:
+            if len(idle) < MAX_IDLE_CONNECTIONS_PER_ENGINE:
                 idle.append(connection)
                 return
         connection.close()
@@ -69,7 +69,7 @@
         if suspects:
             self._on_suspects_closed(engine_id, len(suspects))
 
-    def drop_engines(self, engine_ids: list[str]) -> None:
+    def remove_engines(self, engine_ids: list[str]) -> None:
         """Closes the idle connections of engines that left."""
         with self._lock:
             dropped = [self._idle.pop(engine_id, deque()) for engine_id in engine_ids]
--- a/src/troutswitch/gateway/engines/engine_activity.py
+++ b/src/troutswitch/gateway/engines/engine_activity.py
@@ -9,7 +9,7 @@
 from troutswitch.decisions.forwarding.messages import EngineActivity
 from troutswitch.decisions.gateway_interface import GatewayEvent
 
-ACTIVITY_REPORT_SECONDS = 0.2
+ACTIVITY_REPORT_INTERVAL_SECONDS = 0.2
 """Least interval between two reports of one engine."""
 
 
@@ -24,9 +24,12 @@
         self._post = post
         self._reported_at: dict[str, float] = {}
 
-    def note(self, engine_id: str) -> None:
+    def record(self, engine_id: str) -> None:
         """Notes that bytes came; two threads at once may report it twice, which does no harm."""
         now = steady_seconds()
-        if now - self._reported_at.get(engine_id, float("-inf")) >= ACTIVITY_REPORT_SECONDS:
+        if (
+            now - self._reported_at.get(engine_id, float("-inf"))
+            >= ACTIVITY_REPORT_INTERVAL_SECONDS
+        ):
             self._reported_at[engine_id] = now
             self._post(EngineActivity(engine_id))
--- a/src/troutswitch/gateway/engines/event_stream.py
+++ b/src/troutswitch/gateway/engines/event_stream.py
@@ -6,10 +6,10 @@
 
 from dataclasses import dataclass
 
-EVENT_BYTES_MOST = 4 * 1024 * 1024
+MAX_EVENT_BYTES = 4 * 1024 * 1024
 
 
-class BrokenEvents(Exception):
+class EventStreamError(Exception):
     """Bytes that are not the next event of the stream."""
 
 
@@ -41,7 +41,7 @@
         """Returns the events that became whole.
 
         Raises:
-            BrokenEvents: an event is too long, or ids do not follow one another.
+            EventStreamError: an event is too long, or ids do not follow one another.
         """
         self._rest += data
         events: list[StreamEvent] = []
@@ -49,18 +49,18 @@
             raw, self._rest = self._rest[:end], self._rest[end:]
             if raw.strip():
                 events.append(self._event(raw))
-        if len(self._rest) > EVENT_BYTES_MOST:
-            raise BrokenEvents("an event is too long")
+        if len(self._rest) > MAX_EVENT_BYTES:
+            raise EventStreamError("an event is too long")
         return events
 
     def check_ended(self) -> None:
         """Checks that the stream ended between two events.
 
         Raises:
-            BrokenEvents: a part of an event is left.
+            EventStreamError: a part of an event is left.
         """
         if not self.is_between_events:
-            raise BrokenEvents("the stream ended inside an event")
+            raise EventStreamError("the stream ended inside an event")
 
     def _event(self, raw: bytes) -> StreamEvent:
         event_id = ""
@@ -77,10 +77,10 @@
 
     def _check_id(self, event_id: str) -> None:
         if not event_id:
-            raise BrokenEvents("an event has no id")
+            raise EventStreamError("an event has no id")
         is_numbered = event_id.isdigit() and self.last_id.isdigit()
         if is_numbered and int(event_id) != int(self.last_id) + 1:
-            raise BrokenEvents(f"event {event_id} follows {self.last_id}")
+            raise EventStreamError(f"event {event_id} follows {self.last_id}")
         self.last_id = event_id
 
 
--- a/src/troutswitch/gateway/engines/exchange.py
+++ b/src/troutswitch/gateway/engines/exchange.py
@@ -20,9 +20,9 @@
 """Least silence that makes other connections suspect: longer than the kernel's first
 retransmission (0.2 s), so that one lost packet is none, and shorter than the least wait for a
 next event (0.3 s), so that each attempt left for silence is one."""
-WAIT_LEAST_SECONDS = 0.01
+MIN_TIMEOUT_SECONDS = 0.01
 """Least time-out of a socket, as 0 stands for none."""
-SURPLUS_ANSWERS_MOST = 3
+MAX_SURPLUS_RESPONSES = 3
 
 Headers = list[tuple[str, str]]
 
@@ -83,7 +83,7 @@
             self.close()
             raise NotConnected("aborted before it was sent")
         try:
-            connection.sock.settimeout(max(WAIT_LEAST_SECONDS, first_wait))
+            connection.sock.settimeout(max(MIN_TIMEOUT_SECONDS, first_wait))
             self.last_seen_at = steady_seconds()
             self._send(connection)
             response = self._read_head(connection)
@@ -94,7 +94,7 @@
 
     def _take_connection(self) -> EngineConnection:
         request_id = self.request.request_id
-        connection = self.connections.take(self.engine_id, self.address, request_id)
+        connection = self.connections.acquire(self.engine_id, self.address, request_id)
         connection.last_request_id = request_id
         with self._lock:
             self._connection = connection
@@ -125,12 +125,12 @@
         try:
             connection.send(request.body)
         except (BrokenPipeError, ConnectionResetError):
-            connection.idle_most = 0.0  # the answer may have come before the end of the body
+            connection.max_idle_seconds = 0.0  # the answer may have come before the end of the body
 
     def _read_head(self, connection: EngineConnection) -> http.client.HTTPResponse:
         """Reads heads up to that of this request's answer."""
         response = connection.getresponse()
-        for _ in range(SURPLUS_ANSWERS_MOST):
+        for _ in range(MAX_SURPLUS_RESPONSES):
             if response.getheader(self.id_header) == self.request.request_id:
                 self.response = response
                 return response
@@ -144,7 +144,7 @@
         """Bounds how long the next bytes may take."""
         connection = self._connection
         if connection is not None and connection.sock is not None:
-            connection.sock.settimeout(max(WAIT_LEAST_SECONDS, seconds))
+            connection.sock.settimeout(max(MIN_TIMEOUT_SECONDS, seconds))
 
     def chunks(self) -> Iterator[bytes]:
         """Yields the body's bytes as they come; the connection is kept after a whole one.
@@ -177,14 +177,14 @@
         connection, response = self._connection, self.response
         assert connection is not None and response is not None
         response.close()  # read by length, it does not notice its end by itself
-        connection.take_idle_time(response.getheader("Keep-Alive"))
+        connection.apply_keep_alive(response.getheader("Keep-Alive"))
         is_open = not response.will_close and connection.sock is not None
-        if not is_open or connection.idle_most <= 0:
+        if not is_open or connection.max_idle_seconds <= 0:
             self.close()
             return
         with self._lock:
             self._connection = None
-        self.connections.keep(self.engine_id, connection)
+        self.connections.release(self.engine_id, connection)
 
     def _lost(self, error: Exception) -> AnswerLost:
         """Closes the connection, and the suspect others if this one timed out."""
--- a/src/troutswitch/gateway/engines/item_runs.py
+++ b/src/troutswitch/gateway/engines/item_runs.py
@@ -23,7 +23,7 @@
 )
 from troutswitch.gateway.engines.connection_pool import EngineConnections
 from troutswitch.gateway.engines.engine_activity import EngineActivityReporter
-from troutswitch.gateway.engines.event_stream import BrokenEvents, EventSplitter
+from troutswitch.gateway.engines.event_stream import EventSplitter, EventStreamError
 from troutswitch.gateway.engines.exchange import (
     AnswerLost,
     Exchange,
@@ -36,7 +36,7 @@
 
 ITEM_THREADS = 64
 """Runs at once."""
-PROGRESS_SECONDS = 0.4
+PROGRESS_INTERVAL_SECONDS = 0.4
 """Least interval between two reports of a run's progress."""
 
 
@@ -92,17 +92,17 @@
         """Runs an item; an error of ours ends the run too, or it would be in flight for good."""
         run = _ItemRun(instruction, self._post, self._engine_activity)
         try:
-            ended = run.play(self._open(instruction))
+            end_event = run.execute(self._open_exchange(instruction))
         except Exception as error:
             self._logger.exception("item run failed")
-            ended = run.ended(AttemptKind.CUT, f"{type(error).__name__}: {error}")
+            end_event = run.end_event(AttemptKind.CUT, f"{type(error).__name__}: {error}")
         finally:
             with self._lock:
                 self._exchanges.pop(instruction.run, None)
                 self._stopped.discard(instruction.run)
-        self._post(ended)
+        self._post(end_event)
 
-    def _open(self, instruction: RunItem) -> Exchange:
+    def _open_exchange(self, instruction: RunItem) -> Exchange:
         """Registers a run's exchange, so that it can be stopped."""
         exchange = Exchange(
             self._connections,
@@ -127,47 +127,49 @@
     engine_activity: EngineActivityReporter
     events: list[OutputEvent] = field(default_factory=list)
 
-    def play(self, exchange: Exchange) -> ItemRunEnded:
+    def execute(self, exchange: Exchange) -> ItemRunEnded:
         """Makes the exchange, and returns how it ended."""
         try:
             head = read_head(exchange.open(self.instruction.first_wait))
         except NotConnected as error:
-            return self.ended(AttemptKind.UNREACHABLE, str(error))
+            return self.end_event(AttemptKind.UNREACHABLE, str(error))
         except AnswerLost as error:
-            return self.ended(AttemptKind.CUT, str(error))
+            return self.end_event(AttemptKind.CUT, str(error))
         try:
             if head.status != 200 or not head.is_event_stream:
-                return self._refused(exchange, head)
+                return self._refusal(exchange, head)
             self.post(ItemBegun(self.instruction.run))
             self._read(exchange)
-        except (AnswerLost, BrokenEvents) as error:
-            return self.ended(AttemptKind.CUT, str(error), head)
+        except (AnswerLost, EventStreamError) as error:
+            return self.end_event(AttemptKind.CUT, str(error), head)
         finally:
             exchange.close()
-        return self.ended(AttemptKind.COMPLETED, "", head)
+        return self.end_event(AttemptKind.COMPLETED, "", head)
 
     def _read(self, exchange: Exchange) -> None:
         """Reads the stream, and reports its events from time to time."""
         splitter = EventSplitter(self.instruction.resume_after)
         reported_at = steady_seconds()
         for data in exchange.chunks():
-            self.engine_activity.note(self.instruction.engine_id)
+            self.engine_activity.record(self.instruction.engine_id)
             events = splitter.feed(data)
             if events:
                 exchange.set_wait(self.instruction.gap_wait)
             self.events.extend(OutputEvent(event.event_id, event.data) for event in events)
-            if self.events and steady_seconds() - reported_at >= PROGRESS_SECONDS:
+            if self.events and steady_seconds() - reported_at >= PROGRESS_INTERVAL_SECONDS:
                 reported_at = steady_seconds()
                 self.post(ItemProgressed(self.instruction.run, tuple(self.events)))
                 self.events.clear()
         splitter.check_ended()
 
-    def _refused(self, exchange: Exchange, head: AnswerHead) -> ItemRunEnded:
+    def _refusal(self, exchange: Exchange, head: AnswerHead) -> ItemRunEnded:
         exchange.body()
         kind = AttemptKind.REFUSED if head.not_run else AttemptKind.CUT
-        return self.ended(kind, f"status {head.status}", head)
+        return self.end_event(kind, f"status {head.status}", head)
 
-    def ended(self, kind: AttemptKind, reason: str, head: AnswerHead | None = None) -> ItemRunEnded:
+    def end_event(
+        self, kind: AttemptKind, reason: str, head: AnswerHead | None = None
+    ) -> ItemRunEnded:
         """Returns the run's end, with the events not yet reported."""
         return ItemRunEnded(
             self.instruction.run,
--- a/src/troutswitch/gateway/instruction_executor.py
+++ b/src/troutswitch/gateway/instruction_executor.py
@@ -39,7 +39,7 @@
     StoreOutcome,
 )
 from troutswitch.decisions.storage.read_attempts import READS_IN_FLIGHT_MOST
-from troutswitch.gateway.callers.relay_registry import Relays
+from troutswitch.gateway.callers.relay_registry import RelayRegistry
 from troutswitch.gateway.engines.connection_pool import EngineConnections
 from troutswitch.gateway.engines.engine_check import check_engine
 from troutswitch.gateway.engines.item_runs import ItemRuns
@@ -60,7 +60,7 @@
     return at once, as they run on the loop's thread.
     """
 
-    relays: Relays
+    relays: RelayRegistry
     connections: EngineConnections
     items: ItemRuns
     call_store: Callable[[StoreCall], StoreOutcome]
@@ -72,7 +72,7 @@
 
 
 class InstructionExecutor:
-    """Passes each instruction to what carries it out; `carry_out` never blocks."""
+    """Passes each instruction to what carries it out; `execute` never blocks."""
 
     def __init__(
         self,
@@ -92,16 +92,16 @@
         """Blocking calls that run or wait for a thread."""
         return len(self._blocking_calls)
 
-    def carry_out(self, instruction: GatewayInstruction) -> None:
+    def execute(self, instruction: GatewayInstruction) -> None:
         """Carries one instruction out; called on the loop's thread."""
         executors = self._executors
         match instruction:
             case LogLine():
                 self._write(instruction)
             case SendRequest() | FinishRequest():
-                executors.relays.direct(instruction)
+                executors.relays.send_directive(instruction)
             case AbortAttempt():
-                executors.relays.abort(instruction)
+                executors.relays.abort_attempt(instruction)
             case RunItem():
                 executors.items.start(instruction)
             case StopItem():
@@ -117,7 +117,7 @@
             case LimitsChanged():
                 executors.set_limits(instruction)
             case EnginesLeft():
-                executors.connections.drop_engines(list(instruction.engine_ids))
+                executors.connections.remove_engines(list(instruction.engine_ids))
             case ReadNewest() | ReadRecords():
                 is_fleet = instruction.partition.topic in FLEET_TOPICS
                 threads = self._fleet_threads if is_fleet else self._threads
--- a/src/troutswitch/gateway/logging.py
+++ b/src/troutswitch/gateway/logging.py
@@ -13,7 +13,7 @@
 
 from troutswitch.clock import steady_seconds
 
-QUEUE_LINES_MOST = 4096
+MAX_QUEUE_LINES = 4096
 """Lines that wait to be written."""
 FLUSH_POLL_SECONDS = 0.01
 
@@ -27,7 +27,7 @@
 
     def __init__(self, descriptor: int) -> None:
         self.dropped = 0
-        self._lines: queue.Queue[str] = queue.Queue(QUEUE_LINES_MOST)
+        self._lines: queue.Queue[str] = queue.Queue(MAX_QUEUE_LINES)
         self._descriptor = descriptor
         self._thread = threading.Thread(target=self._run, name="log", daemon=True)
         self._thread.start()
--- a/src/troutswitch/gateway/loop.py
+++ b/src/troutswitch/gateway/loop.py
@@ -15,7 +15,7 @@
 from troutswitch.decisions.gateway_interface import GatewayEvent, GatewayInstruction
 from troutswitch.decisions.gateway_messages import ClockCompared, ProcessResumed, TimerFired
 
-IDLE_SECONDS = 1.0
+MAX_WAIT_SECONDS = 1.0
 """Longest wait when nothing is due."""
 SUSPENSION_SECONDS = 0.8
 """Delay of a turn from which this process counts as having been suspended: below the shortest
@@ -29,7 +29,7 @@
 
     Args:
         events: the queue of events, to which any thread may add.
-        carry_out: carries an instruction out; called on the loop's thread, must not block.
+        execute: carries an instruction out; called on the loop's thread, must not block.
         on_failure: called with the error that ended the loop.
     """
 
@@ -37,11 +37,11 @@
         self,
         core: GatewayCore,
         events: queue.SimpleQueue[GatewayEvent],
-        carry_out: Callable[[GatewayInstruction], None],
+        execute: Callable[[GatewayInstruction], None],
         on_failure: Callable[[BaseException], None],
     ) -> None:
         self.core = core
-        self._carry_out = carry_out
+        self._execute = execute
         self._on_failure = on_failure
         self._events = events
         self._compared_at = float("-inf")
@@ -65,14 +65,14 @@
         try:
             self._compare_clocks(steady_seconds())
             while not self._is_stopping:
-                self._turn()
+                self._run_once()
         except BaseException as error:
             self._on_failure(error)
             raise
 
-    def _turn(self) -> None:
+    def _run_once(self) -> None:
         now = steady_seconds()
-        wait = min(max(0.0, self.core.next_due() - now), IDLE_SECONDS)
+        wait = min(max(0.0, self.core.next_due() - now), MAX_WAIT_SECONDS)
         event: GatewayEvent
         try:
             event = self._events.get(timeout=wait) if wait else self._events.get_nowait()
@@ -94,7 +94,7 @@
 
     def _step(self, event: GatewayEvent) -> None:
         for instruction in self.core.step(steady_seconds(), event):
-            self._carry_out(instruction)
+            self._execute(instruction)
 
     def _compare_clocks(self, now: float) -> None:
         if now - self._compared_at < CLOCK_COMPARISON_SECONDS:
--- a/src/troutswitch/gateway/metrics.py
+++ b/src/troutswitch/gateway/metrics.py
@@ -16,7 +16,7 @@
 from troutswitch.decisions.gateway import GatewayCore
 
 SECONDS_BUCKETS = (0.01, 0.025, 0.05, 0.1, 0.2, 0.4, 0.8, 1.6, 3.2, 6.4)
-OTHER = "other"
+MISSING_LABEL = "other"
 """Label value where a log line has no such field."""
 NO_FIRST_EVENT_MILLISECONDS = 60_000
 """Times to the first event of this length and more stand for attempts without one."""
@@ -47,16 +47,16 @@
             "requests_refused", "Requests refused on arrival, by HTTP status", "status"
         )
         self._events = self._counter("decisions", "Log lines of decisions, by event", "event")
-        self._add_gauges_of_work(core)
-        self._add_gauges_of_fleet(core)
-        self._add_gauges_of_configuration(core)
+        self._add_workload_gauges(core)
+        self._add_fleet_gauges(core)
+        self._add_configuration_gauges(core)
         self._gauge(
             "blocking_calls",
             "Calls to the store, peers and engines' ports that run or wait for a thread",
             blocking_calls,
         )
 
-    def _add_gauges_of_work(self, core: GatewayCore) -> None:
+    def _add_workload_gauges(self, core: GatewayCore) -> None:
         self._gauge(
             "requests_in_flight",
             "Callers' requests in progress",
@@ -73,7 +73,7 @@
             lambda: len(core.jobs.ownership.owned()),
         )
 
-    def _add_gauges_of_fleet(self, core: GatewayCore) -> None:
+    def _add_fleet_gauges(self, core: GatewayCore) -> None:
         engines, suspects = core.engines, core.suspects
         self._gauge("servers_known", "Engines in the registry", lambda: len(engines.engines))
         self._gauge(
@@ -101,7 +101,7 @@
             lambda: len(suspects.refused),
         )
 
-    def _add_gauges_of_configuration(self, core: GatewayCore) -> None:
+    def _add_configuration_gauges(self, core: GatewayCore) -> None:
         configuration = core.configuration
         self._gauge(
             "configuration_version",
@@ -149,7 +149,7 @@
         gauge = Gauge(f"troutswitch_{name}", text, registry=self.registry)
         gauge.set_function(read)
 
-    def on_line(self, line: LogLine) -> None:
+    def on_log_line(self, line: LogLine) -> None:
         """Counts a log line of the core; called on the loop's thread."""
         self._events.labels(line.event).inc()
         match line.event:
@@ -173,7 +173,7 @@
         if isinstance(first, int) and first < NO_FIRST_EVENT_MILLISECONDS:
             self._first_event.observe(first / 1000)
 
-    def text(self) -> bytes:
+    def render(self) -> bytes:
         """Returns all figures in the text format."""
         return generate_latest(self.registry)
 
@@ -183,4 +183,4 @@
 
 
 def _label(line: LogLine, field: str) -> str:
-    return str(line.fields.get(field, OTHER))
+    return str(line.fields.get(field, MISSING_LABEL))
--- a/src/troutswitch/gateway/process.py
+++ b/src/troutswitch/gateway/process.py
@@ -31,7 +31,7 @@
 from troutswitch.gateway.callers.application import CallerApplication
 from troutswitch.gateway.callers.job_calls import JobCalls
 from troutswitch.gateway.callers.listener import HttpListener
-from troutswitch.gateway.callers.relay_registry import Relays
+from troutswitch.gateway.callers.relay_registry import RelayRegistry
 from troutswitch.gateway.callers.stop_gate import StopGate
 from troutswitch.gateway.daemons.peer_socket import PeerSocket
 from troutswitch.gateway.daemons.peer_state import PEER_STATE_PATH, answer_peer, request_peer_state
@@ -53,9 +53,9 @@
 READINESS_THREADS = 1
 INTERNAL_THREADS = 2
 METRICS_PATH = "/metrics"
-CONNECTIONS_MOST = 2000
+MAX_CONNECTIONS = 2000
 """Connections at once to each of the listeners."""
-DRAIN_STAY_SECONDS = 3.2
+MIN_DRAIN_SECONDS = 3.2
 """Least time for which a stopping daemon serves callers that still take it for ready."""
 STOP_RESERVE_SECONDS = 0.6
 """Part of the grace time that is left for the end of the process."""
@@ -80,7 +80,7 @@
         self._logger = logger
         events: queue.SimpleQueue[GatewayEvent] = queue.SimpleQueue()
         self._post: Callable[[GatewayEvent], None] = events.put
-        self._relays = Relays(self._post)
+        self._relays = RelayRegistry(self._post)
         self._connections = EngineConnections(self._on_suspect_connections)
         self._peers = PeerSocket(Address(settings.peer_host, settings.peer_ports[0]), self._post)
         self._engine_activity = EngineActivityReporter(self._post)
@@ -94,7 +94,7 @@
         self._callers = self._make_callers()
         self._readiness = self._make_readiness()
         self._executor = InstructionExecutor(self._make_executors(), self._post, logger)
-        self.loop = GatewayLoop(self.core, events, self._executor.carry_out, self._on_failure)
+        self.loop = GatewayLoop(self.core, events, self._executor.execute, self._on_failure)
 
     def _make_executors(self) -> Executors:
         store = StoreClient(
@@ -110,7 +110,7 @@
             send_to_peers=self._peers.send,
             answer_job=self._jobs.answer,
             set_limits=self._set_limits,
-            count_log_line=self._metrics.on_line,
+            count_log_line=self._metrics.on_log_line,
         )
 
     def _make_callers(self) -> HttpListener | None:
@@ -125,7 +125,7 @@
             self.settings.callers,
             CALLER_THREADS,
             "callers",
-            CONNECTIONS_MOST,
+            MAX_CONNECTIONS,
             self._relays.caller_watch.before_close,
             application.on_unserved,
         )
@@ -138,7 +138,7 @@
             self.settings.readiness,
             READINESS_THREADS,
             "readiness",
-            CONNECTIONS_MOST,
+            MAX_CONNECTIONS,
         )
 
     def _make_internal(self) -> HttpListener | None:
@@ -148,7 +148,7 @@
             return None
         address = Address(self.settings.peer_host, last)
         return HttpListener(
-            self._answer_internal, address, INTERNAL_THREADS, "internal", CONNECTIONS_MOST
+            self._answer_internal, address, INTERNAL_THREADS, "internal", MAX_CONNECTIONS
         )
 
     def _answer_internal(self, environ: Environ, start_response: StartResponse) -> Iterable[bytes]:
@@ -156,7 +156,7 @@
             return answer_peer(self.core.share_state, environ, start_response)
         if environ.get("PATH_INFO") != METRICS_PATH:
             return send(Response(404, b"", "text/plain"), start_response)
-        return send(Response(200, self._metrics.text(), CONTENT_TYPE), start_response)
+        return send(Response(200, self._metrics.render(), CONTENT_TYPE), start_response)
 
     def _answer_readiness(self, environ: Environ, start_response: StartResponse) -> Iterable[bytes]:
         is_known = environ.get("PATH_INFO") == READINESS_PATH
@@ -208,19 +208,19 @@
         if self._callers is not None:
             self._callers.drain()
         while steady_seconds() < end:
-            if steady_seconds() - began >= DRAIN_STAY_SECONDS and self._is_finished():
+            if steady_seconds() - began >= MIN_DRAIN_SECONDS and self._try_finish():
                 time.sleep(FLUSH_SECONDS)
                 break
             time.sleep(DRAIN_POLL_SECONDS)
         left = self._relays.count
         self._logger.info("daemon stopped", seconds=steady_seconds() - began, unfinished=left)
 
-    def _is_finished(self) -> bool:
+    def _try_finish(self) -> bool:
         """Refuses new requests, and returns whether nothing is left to do."""
         if self._gate is not None:
             self._gate.close()
-        inside = self._gate.inside if self._gate is not None else 0
-        return inside + self._relays.count + self._jobs.count == 0
+        in_flight = self._gate.in_flight if self._gate is not None else 0
+        return in_flight + self._relays.count + self._jobs.count == 0
 
     def stop(self) -> None:
         """Ends loop and executors."""
@@ -237,7 +237,7 @@
         peer_address,
         bounds.drain,
         bounds.configuration_apply,
-        store.member_ttl_least,
+        store.min_member_ttl,
         bounds.job_kept,
         StoreLimits(store.record_bytes, store.call_bytes, store.partitions),
         store.reads_per_second,
--- a/src/troutswitch/gateway/settings.py
+++ b/src/troutswitch/gateway/settings.py
@@ -19,7 +19,7 @@
     """The store's address and limits.
 
     `partitions` counts those of each topic; `record_bytes` and `call_bytes` bound a record and a
-    call. `member_ttl_least` is the shortest time to live that the store takes for a member of a
+    call. `min_member_ttl` is the shortest time to live that the store takes for a member of a
     group. `reads_per_second` bounds the reads of all daemons together, 0 is no bound.
     """
 
@@ -27,7 +27,7 @@
     partitions: int = 8
     record_bytes: int = 262_144
     call_bytes: int = 2_097_152
-    member_ttl_least: float = 1.0
+    min_member_ttl: float = 1.0
     reads_per_second: float = 0.0
 
 
--- a/src/troutswitch/gateway/settings_file.py
+++ b/src/troutswitch/gateway/settings_file.py
@@ -37,7 +37,7 @@
         except OSError:
             return None
 
-    def changed(self) -> GatewaySettings | None:
+    def reload_if_changed(self) -> GatewaySettings | None:
         """Returns the settings if the file changed and is valid, else None.
 
         A file that is missing or wrong is logged once, and leaves the settings as they are.
--- a/src/troutswitch/platform/configuration.py
+++ b/src/troutswitch/platform/configuration.py
@@ -32,7 +32,7 @@
 """The platform's names for kinds of routes."""
 DRAINING = "draining"
 """State of an engine that takes no new requests."""
-SLOTS_MOST = 65_536
+MAX_ENGINE_SLOTS = 65_536
 """Most requests that an engine may say it runs at once: more is no figure of an engine, and would
 draw all requests to it."""
 DEFAULT_TIME_LIMIT_MS = 30_000.0
@@ -112,7 +112,7 @@
     address: _Text
     zone: _Text
     version: str | int  # of its software
-    slots: Annotated[int, msgspec.Meta(ge=1, le=SLOTS_MOST)]
+    slots: Annotated[int, msgspec.Meta(ge=1, le=MAX_ENGINE_SLOTS)]
     state: Literal["ready", "draining"]
     coldRemainingMs: float
     sequence: int
--- a/src/troutswitch/platform/jobs.py
+++ b/src/troutswitch/platform/jobs.py
@@ -27,7 +27,7 @@
 from troutswitch.platform.requests import IncomingRequest
 from troutswitch.runtime.http import JSON_TYPE, Response
 
-ITEMS_MOST = 200
+MAX_JOB_ITEMS = 200
 """Items of one job, by the contract."""
 RESULT_STATES = {DONE: "completed"}
 """The platform's names for states of results; all others are `DEAD_STATE`."""
@@ -121,8 +121,8 @@
         )
     except (msgspec.DecodeError, ValueError) as error:
         raise JobFormatError(f"malformed job: {error}") from error
-    if not items or len(items) > ITEMS_MOST:
-        raise JobFormatError(f"expected 1 to {ITEMS_MOST} items, got {len(items)}")
+    if not items or len(items) > MAX_JOB_ITEMS:
+        raise JobFormatError(f"expected 1 to {MAX_JOB_ITEMS} items, got {len(items)}")
     if len({item.item_id for item in items}) != len(items):
         raise JobFormatError("an item's id stands twice")
     digest = hashlib.blake2b(body, digest_size=12).hexdigest()
--- a/src/troutswitch/platform/requests.py
+++ b/src/troutswitch/platform/requests.py
@@ -18,7 +18,7 @@
 
 MISDIRECTED = 421
 """Status of an engine that is not the one that a request names."""
-DEADLINE_DEFAULT_SECONDS = 30.0
+DEFAULT_DEADLINE_SECONDS = 30.0
 """Time that a caller is taken to wait where its request names none."""
 
 
@@ -107,7 +107,7 @@
     try:
         return max(0.0, float(milliseconds) / 1000)
     except ValueError:
-        return DEADLINE_DEFAULT_SECONDS
+        return DEFAULT_DEADLINE_SECONDS
 
 
 def read_prompt(usage: str, parts: str) -> PromptShape:
--- a/src/troutswitch/platform/stand_in_forms.py
+++ b/src/troutswitch/platform/stand_in_forms.py
@@ -13,7 +13,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class RouteForm:
+class RouteSpec:
     """A route as an operator writes it; `kind` is the platform's name of it."""
 
     name: str
@@ -23,7 +23,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class TenantForm:
+class TenantSpec:
     """A tenant as an operator writes it, without a limit."""
 
     name: str
@@ -31,16 +31,16 @@
 
 
 @dataclass(frozen=True, slots=True)
-class RouteLimitsForm:
+class RouteLimitsSpec:
     """Limits that all routes of a configuration share; times are seconds."""
 
     time_limit: float
     objective: float
     gap_limit: float
-    attempts_most: int
+    max_attempts: int
     completion_target: float
     retention: float
-    queued_tokens_most: int
+    max_queued_tokens: int
 
 
 def results_path(job_id: str, position: int) -> str:
@@ -68,19 +68,19 @@
     host: str,
     service: str,
     slots: int,
-    routes: Sequence[RouteForm],
-    limits: RouteLimitsForm,
-    tenants: Sequence[TenantForm] = (),
+    routes: Sequence[RouteSpec],
+    limits: RouteLimitsSpec,
+    tenants: Sequence[TenantSpec] = (),
 ) -> bytes:
     """Writes a configuration; one without tenants asks for no keys."""
     shared = {
         "timeoutMs": limits.time_limit * 1000,
         "targetLatencyMs": limits.objective * 1000,
         "gapTargetMs": limits.gap_limit * 1000,
-        "maxAttempts": limits.attempts_most,
+        "maxAttempts": limits.max_attempts,
         "completionTargetMs": limits.completion_target * 1000,
         "retentionS": limits.retention,
-        "maxQueuedTokens": limits.queued_tokens_most,
+        "maxQueuedTokens": limits.max_queued_tokens,
     }
     rows = [
         {
--- a/src/troutswitch/platform/store.py
+++ b/src/troutswitch/platform/store.py
@@ -40,7 +40,7 @@
 
 NOT_DONE_STATUSES = frozenset({400, 403, 404, 429, 503, 507})
 """Statuses after which the store has done nothing."""
-READ_KILOBYTES_MOST = 1024
+MAX_READ_KILOBYTES = 1024
 """Bytes that one read of records may bring, in kilobytes."""
 NO_ANSWER = 0
 """Stands for the status of a call that was sent and not answered: it may have acted."""
@@ -167,7 +167,7 @@
     def _read(self, call: ReadRecords) -> StoreOutcome:
         query = _partition_query(call.partition) | {
             "from": call.offset,
-            "max_kb": READ_KILOBYTES_MOST,
+            "max_kb": MAX_READ_KILOBYTES,
         }
         if call.wait > 0:
             query["waitMs"] = round(call.wait * 1000)
@@ -176,7 +176,7 @@
             "/log-read",
             query,
             timeout=call.timeout + call.wait,
-            waits=call.wait > 0,
+            is_long_poll=call.wait > 0,
             on_new_connection=call.on_new_connection,
         )
         if status == 410:
@@ -257,21 +257,21 @@
         body: bytes | None = None,
         *,
         timeout: float,
-        waits: bool = False,
+        is_long_poll: bool = False,
         on_new_connection: bool = False,
     ) -> tuple[int, bytes]:
         """Makes one exchange and returns its status and body.
 
         The status is `NO_ANSWER` or `NOT_SENT`, and the body the error's text, if it failed.
         """
-        pooled = self.connections.take(waits, on_new_connection)
+        pooled = self.connections.acquire(is_long_poll, on_new_connection)
         connection = pooled.connection
         url = f"{path}?{urlencode(query, quote_via=quote)}" if query else path
         headers = {"Content-Type": "application/json"} if body is not None else {}
         try:
             pooled.connect()
         except OSError as error:
-            self.connections.drop(pooled, error)
+            self.connections.discard(pooled, error)
             return NOT_SENT, str(error).encode()
         try:
             connection.sock.settimeout(timeout)
@@ -279,9 +279,9 @@
             response = connection.getresponse()
             answer = response.read()
         except (OSError, http.client.HTTPException) as error:
-            self.connections.drop(pooled, error)
+            self.connections.discard(pooled, error)
             return NO_ANSWER, f"{type(error).__name__}: {error}".encode()
-        self.connections.keep(pooled)
+        self.connections.release(pooled)
         return response.status, answer
 
 
--- a/src/troutswitch/runtime/connection_pool.py
+++ b/src/troutswitch/runtime/connection_pool.py
@@ -23,22 +23,23 @@
 from troutswitch.runtime.silence import bound_silence
 
 CONNECT_SECONDS = 0.5
-IDLE_CONNECTIONS_MOST = 8
+MAX_IDLE_CONNECTIONS = 8
 
 
 @dataclass
 class PooledConnection:
     """One connection.
 
-    `last_seen_at` is when its last answer was whole, negative infinity if it never answered.
-    `sent_at` is when the call in progress was sent, and `waits` whether the peer may hold the
-    answer back until something happens. Times are seconds of this process's clock.
+    `last_seen_at` is the time at which its last response was complete, or negative infinity if
+    there was none yet. `sent_at` is the time at which the call in progress was sent.
+    `is_long_poll` tells whether the peer may delay the response until data is available. Times are
+    seconds of the process's steady clock.
     """
 
     connection: http.client.HTTPConnection
     last_seen_at: float = float("-inf")
     sent_at: float = field(default_factory=steady_seconds)
-    waits: bool = False
+    is_long_poll: bool = False
 
     @property
     def has_answered(self) -> bool:
@@ -58,7 +59,7 @@
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         bound_silence(sock)
 
-    def is_sound(self) -> bool:
+    def is_usable(self) -> bool:
         """Returns whether neither an end nor unexpected bytes came on an idle connection."""
         return not select.select([self.connection.sock], [], [], 0)[0]
 
@@ -84,20 +85,21 @@
         self._in_use: list[PooledConnection] = []
         self._lock = threading.Lock()
 
-    def take(self, waits: bool = False, is_new: bool = False) -> PooledConnection:
-        """Returns an idle connection that is sound, or a new one not yet connected.
+    def acquire(self, is_long_poll: bool = False, is_new: bool = False) -> PooledConnection:
+        """Returns a usable idle connection, or a new one that is not connected yet.
 
-        `waits` says that the peer may hold the answer back until something happens. With `is_new`,
-        none that is open already is returned.
+        Args:
+            is_long_poll: whether the peer may delay the response until data is available.
+            is_new: whether to return a new connection even if an idle one is usable.
         """
         while True:
             with self._lock:
                 pooled = self._idle.pop() if self._idle and not is_new else self._new()
-            if pooled.connection.sock is None or pooled.is_sound():
+            if pooled.connection.sock is None or pooled.is_usable():
                 break
             pooled.connection.close()
         pooled.sent_at = steady_seconds()
-        pooled.waits = waits
+        pooled.is_long_poll = is_long_poll
         with self._lock:
             self._in_use.append(pooled)
         return pooled
@@ -109,17 +111,17 @@
             )
         )
 
-    def keep(self, pooled: PooledConnection) -> None:
+    def release(self, pooled: PooledConnection) -> None:
         """Takes back a connection whose answer was read whole."""
         with self._lock:
             self._in_use.remove(pooled)
             pooled.last_seen_at = steady_seconds()
-            if pooled.connection.sock is not None and len(self._idle) < IDLE_CONNECTIONS_MOST:
+            if pooled.connection.sock is not None and len(self._idle) < MAX_IDLE_CONNECTIONS:
                 self._idle.append(pooled)
                 return
         pooled.connection.close()
 
-    def drop(self, pooled: PooledConnection, error: Exception) -> None:
+    def discard(self, pooled: PooledConnection, error: Exception) -> None:
         """Closes a connection that failed, and the suspect others if it fell silent."""
         with self._lock:
             self._in_use.remove(pooled)
@@ -133,7 +135,9 @@
             suspects = [c for c in self._idle if c.last_seen_at <= silent_since]
             self._idle = deque(c for c in self._idle if c.last_seen_at > silent_since)
             waiting = [
-                c for c in self._in_use if c.waits and c.has_answered and c.sent_at <= silent_since
+                c
+                for c in self._in_use
+                if c.is_long_poll and c.has_answered and c.sent_at <= silent_since
             ]
             for pooled in waiting:
                 _shut_down(pooled.connection.sock)
--- a/src/troutswitch/runtime/http.py
+++ b/src/troutswitch/runtime/http.py
@@ -11,7 +11,7 @@
 
 JSON_TYPE = "application/json"
 
-REASONS = http.client.responses
+REASON_PHRASES = http.client.responses
 
 
 @dataclass(frozen=True)
@@ -37,4 +37,4 @@
 
 def status_line(status: int) -> str:
     """Returns the status with its reason."""
-    return f"{status} {REASONS.get(status, 'Unknown')}"
+    return f"{status} {REASON_PHRASES.get(status, 'Unknown')}"
--- a/src/troutswitch/runtime/memory.py
+++ b/src/troutswitch/runtime/memory.py
@@ -5,7 +5,7 @@
 
 M_ARENA_MAX = -8
 """Parameter of `mallopt` (glibc, malloc.h) for the number of arenas."""
-ARENAS = 2
+MAX_ARENAS = 2
 
 
 def limit_allocator_arenas() -> bool:
@@ -18,7 +18,7 @@
         Whether the C library took the setting; another one than glibc may not.
     """
     try:
-        return bool(ctypes.CDLL(None).mallopt(M_ARENA_MAX, ARENAS))
+        return bool(ctypes.CDLL(None).mallopt(M_ARENA_MAX, MAX_ARENAS))
     except (OSError, AttributeError):
         return False
 
--- a/src/troutswitch/runtime/silence.py
+++ b/src/troutswitch/runtime/silence.py
@@ -16,7 +16,7 @@
 PROBE_INTERVAL_SECONDS = 1
 """Time between probes: the least the kernel takes. With the time-out above, the first probe
 without an answer ends a connection two seconds after its last byte."""
-PROBES_MOST = 2
+MAX_PROBES = 2
 """Probes without an answer after which a connection ends, where no time-out comes first."""
 
 
@@ -27,6 +27,6 @@
         (socket.TCP_USER_TIMEOUT, USER_TIMEOUT_MILLISECONDS),
         (socket.TCP_KEEPIDLE, PROBE_IDLE_SECONDS),
         (socket.TCP_KEEPINTVL, PROBE_INTERVAL_SECONDS),
-        (socket.TCP_KEEPCNT, PROBES_MOST),
+        (socket.TCP_KEEPCNT, MAX_PROBES),
     ):
         sock.setsockopt(socket.IPPROTO_TCP, option, value)
--- a/src/troutswitch/soak/operator.py
+++ b/src/troutswitch/soak/operator.py
@@ -8,8 +8,8 @@
 from troutswitch.decisions.storage.messages import Appended, AppendRecords, KeyedRecord, Partition
 from troutswitch.platform.names import CONFIGURATION_KEY
 from troutswitch.platform.stand_in_forms import (
-    RouteForm,
-    RouteLimitsForm,
+    RouteLimitsSpec,
+    RouteSpec,
     configuration_record,
     engine_record,
 )
@@ -25,22 +25,22 @@
 CONFIGURATION = Partition("configuration")
 ENGINES = Partition("servers")
 
-LIMITS = RouteLimitsForm(
+LIMITS = RouteLimitsSpec(
     time_limit=5.0,
     objective=1.0,
     gap_limit=1.0,
-    attempts_most=3,
+    max_attempts=3,
     completion_target=20.0,
     retention=600.0,
-    queued_tokens_most=100_000,
+    max_queued_tokens=100_000,
 )
 """Limits of all routes: far above what a fault-free loopback needs, so refusals stay few."""
 ROUTES = (
-    RouteForm("read", f"/{Kind.READ}/", "idempotent"),
-    RouteForm("once", f"/{Kind.ONCE}/", "non_idempotent"),
-    RouteForm("stream", f"/{Kind.STREAM}/", "streaming", is_resumable=True),
-    RouteForm("stream-once", f"/{Kind.STREAM_ONCE}/", "streaming"),
-    RouteForm("batch", "/item/", "batch"),
+    RouteSpec("read", f"/{Kind.READ}/", "idempotent"),
+    RouteSpec("once", f"/{Kind.ONCE}/", "non_idempotent"),
+    RouteSpec("stream", f"/{Kind.STREAM}/", "streaming", is_resumable=True),
+    RouteSpec("stream-once", f"/{Kind.STREAM_ONCE}/", "streaming"),
+    RouteSpec("batch", "/item/", "batch"),
 )
 
 
@@ -72,7 +72,7 @@
         with self._lock:
             self.version += 1
             version = self.version
-            probe = RouteForm(f"version-{version}", version_path(version), "idempotent")
+            probe = RouteSpec(f"version-{version}", version_path(version), "idempotent")
             routes = (*ROUTES, probe)
             record = configuration_record(
                 version, HOST, SERVICE, SLOTS, routes, LIMITS, tenant_forms()
--- a/src/troutswitch/soak/tenants.py
+++ b/src/troutswitch/soak/tenants.py
@@ -1,7 +1,7 @@
 """The tenants of a soak: whose key a request shows follows from its id, so that checks know it."""
 
 from troutswitch.common import stable_hash
-from troutswitch.platform.stand_in_forms import TenantForm
+from troutswitch.platform.stand_in_forms import TenantSpec
 
 NAMES = ("east", "west")
 STRANGER_EACH = 40
@@ -24,6 +24,6 @@
     return stable_hash("stranger", request_id) % STRANGER_EACH == 0
 
 
-def tenant_forms() -> tuple[TenantForm, ...]:
+def tenant_forms() -> tuple[TenantSpec, ...]:
     """Returns the tenants as the operator writes them; none has a limit."""
-    return tuple(TenantForm(name, (key_of(name),)) for name in NAMES)
+    return tuple(TenantSpec(name, (key_of(name),)) for name in NAMES)
--- a/tests/decisions/crashes/test_shared.py
+++ b/tests/decisions/crashes/test_shared.py
@@ -31,7 +31,7 @@
     ReadRecords,
 )
 from troutswitch.decisions.storage.read_attempts import CallNumbers
-from troutswitch.gateway.daemons.peer_socket import DATAGRAM_BYTES_MOST
+from troutswitch.gateway.daemons.peer_socket import MAX_DATAGRAM_BYTES
 
 AT = 1.7e9
 PEERS = [Address(f"10.0.0.{n}", 7) for n in range(20)]
@@ -155,7 +155,7 @@
     told = ReportedCrash(CRASH.content, CRASH.engine_id, int(AT), True)
     news = CrashReport("edge-guediawaye-3", (told,) * CRASHES_A_REPORT)
     data = encode(news)
-    assert len(data) < 1400 < DATAGRAM_BYTES_MOST
+    assert len(data) < 1400 < MAX_DATAGRAM_BYTES
     assert decode(data) == news
 
 
--- a/tests/forms/samples.py
+++ b/tests/forms/samples.py
@@ -66,7 +66,7 @@
 from troutswitch.decisions.storage.read_attempts import CallNumbers
 from troutswitch.decisions.tenants.tenant_keys import TenantKeys
 from troutswitch.decisions.tenants.types import key_digest
-from troutswitch.gateway.callers.application import CallerApplication, final_answer
+from troutswitch.gateway.callers.application import CallerApplication, error_response
 from troutswitch.gateway.daemons.peer_state import PEER_STATE_PATH
 from troutswitch.gateway.metrics import GatewayMetrics
 from troutswitch.gateway.policies import read_policies
@@ -710,7 +710,7 @@
 
 
 def _given_up(outcome: NotRun | MayHaveRun | Cut, request_id: str = "id-1") -> Form:
-    return _answered(final_answer(outcome, request_id))
+    return _answered(error_response(outcome, request_id))
 
 
 def _without_request_id() -> Response:
@@ -789,8 +789,8 @@
     """Returns the rows of the text that count what log lines tell, without their help."""
     figures = GatewayMetrics(MagicMock())
     for event, told in LINES:
-        figures.on_line(LogLine(event, told))
-    rows = figures.text().decode().splitlines()
+        figures.on_log_line(LogLine(event, told))
+    rows = figures.render().decode().splitlines()
     return [row for row in rows if not row.startswith("# HELP") and "_created" not in row]
 
 
--- a/tests/gateway/callers/test_caller_gone.py
+++ b/tests/gateway/callers/test_caller_gone.py
@@ -39,7 +39,7 @@
 )
 from troutswitch.gateway.callers.application import CallerApplication
 from troutswitch.gateway.callers.listener import HttpListener
-from troutswitch.gateway.callers.relay_registry import Relays
+from troutswitch.gateway.callers.relay_registry import RelayRegistry
 from troutswitch.gateway.engines.connection_pool import EngineConnections
 from troutswitch.gateway.engines.engine_activity import EngineActivityReporter
 from troutswitch.outcomes import MayHaveRun, Step
@@ -64,8 +64,8 @@
         self.arrived: list[int] = []
         self.unserved: list[str] = []
         self.attempt_ended = threading.Event()
-        self.told_of_close = threading.Event()
-        self.relays = Relays(self.post)
+        self.close_reported = threading.Event()
+        self.relays = RelayRegistry(self.post)
         self.relays.caller_watch.start()
         application = CallerApplication(
             self.relays,
@@ -95,15 +95,17 @@
             self.unserved.append(event.request_id)
         elif isinstance(event, CallerGone):
             self.gone.append(event)
-            self.told_of_close.set()
+            self.close_reported.set()
 
     def send(self, token: int, attempt: int) -> None:
         address = self.engines[attempt - 1].address
         waits = ENGINE_SECONDS
-        self.relays.direct(SendRequest(token, attempt, f"s-{attempt}", address, waits, waits, ""))
+        self.relays.send_directive(
+            SendRequest(token, attempt, f"s-{attempt}", address, waits, waits, "")
+        )
 
     def finish(self, token: int) -> None:
-        self.relays.direct(FinishRequest(token, MayHaveRun("left", Step.RELAY, "")))
+        self.relays.send_directive(FinishRequest(token, MayHaveRun("left", Step.RELAY, "")))
 
     def finish_all(self) -> None:
         """Ends the threads of all requests, as the loop does once it has time."""
@@ -148,9 +150,9 @@
         loop.listener.stop()
 
 
-def assert_left(loop: BusyLoop) -> None:
+def assert_engine_freed(loop: BusyLoop) -> None:
     assert loop.engines[0].ended.wait(WAIT_SECONDS)
-    assert loop.told_of_close.wait(WAIT_SECONDS)
+    assert loop.close_reported.wait(WAIT_SECONDS)
     loop.finish_all()
 
 
@@ -159,7 +161,7 @@
     with loop.connect() as caller:
         caller.sendall(request("a"))
         assert loop.engines[0].arrived.wait(WAIT_SECONDS)
-    assert_left(loop)
+    assert_engine_freed(loop)
     assert loop.gone[0].aborted_at >= loop.gone[0].closed_at
 
 
@@ -168,7 +170,7 @@
     with loop.connect() as caller:
         caller.sendall(request("a"))
         assert caller.recv(1)
-    assert_left(loop)
+    assert_engine_freed(loop)
 
 
 @pytest.mark.parametrize("is_reset", [True, False])
@@ -185,7 +187,7 @@
         caller.close()
     else:
         caller.shutdown(socket.SHUT_WR)
-    assert_left(loop)
+    assert_engine_freed(loop)
     wait_for(lambda: not loop.open_channels(), "the connection closed")
     caller.close()
 
@@ -196,7 +198,7 @@
         caller.sendall(request("a") + request("b") + request("c"))
         assert loop.engines[0].arrived.wait(WAIT_SECONDS)
         wait_for(lambda: any(len(c.requests) > 1 for c in loop.open_channels()), "a queue")
-    assert_left(loop)
+    assert_engine_freed(loop)
     wait_for(lambda: not loop.open_channels(), "the connection closed")
     assert len(loop.engines[0].requests) == 1
 
@@ -207,7 +209,7 @@
     with loop.connect() as caller:
         caller.sendall(request("a"))
         assert loop.attempt_ended.wait(WAIT_SECONDS)
-    assert loop.told_of_close.wait(WAIT_SECONDS)
+    assert loop.close_reported.wait(WAIT_SECONDS)
     loop.send(loop.arrived[0], 2)
     loop.finish_all()
     assert not loop.engines[1].arrived.is_set()
@@ -251,7 +253,7 @@
     with loop.connect() as caller:
         caller.sendall(request("a", body))
         assert loop.engines[0].arrived.wait(WAIT_SECONDS)
-    assert loop.told_of_close.wait(WAIT_SECONDS)
+    assert loop.close_reported.wait(WAIT_SECONDS)
     loop.finish_all()
     loop.engines[0].may_go_on.set()
     assert loop.engines[0].ended.wait(WAIT_SECONDS)
--- a/tests/gateway/callers/test_dispatcher.py
+++ b/tests/gateway/callers/test_dispatcher.py
@@ -1,6 +1,6 @@
 import threading
 
-from troutswitch.gateway.callers.dispatcher import THREADS_FIRST, GrowingDispatcher
+from troutswitch.gateway.callers.dispatcher import INITIAL_THREADS, GrowingDispatcher
 
 WAIT_SECONDS = 10.0
 
@@ -23,7 +23,7 @@
 def test_threads_start_when_they_are_needed_and_no_more_than_allowed() -> None:
     let_go = threading.Event()
     dispatcher = GrowingDispatcher(10)
-    assert len(dispatcher.threads) == THREADS_FIRST
+    assert len(dispatcher.threads) == INITIAL_THREADS
     tasks = [Task(let_go) for _ in range(10)]
     for task in tasks:
         dispatcher.add_task(task)
--- a/tests/gateway/callers/test_relay.py
+++ b/tests/gateway/callers/test_relay.py
@@ -8,7 +8,7 @@
 )
 from troutswitch.decisions.forwarding.types import PromptShape
 from troutswitch.gateway.callers.relay import Relay
-from troutswitch.gateway.callers.relay_registry import Relays
+from troutswitch.gateway.callers.relay_registry import RelayRegistry
 from troutswitch.gateway.engines.connection_pool import EngineConnections
 from troutswitch.gateway.engines.engine_activity import EngineActivityReporter
 from troutswitch.outcomes import AttemptKind
@@ -22,7 +22,7 @@
     tells the next attempt to begin at the beginning.
     """
 
-    def __init__(self, relays: Relays, engines: list[EngineStandin]) -> None:
+    def __init__(self, relays: RelayRegistry, engines: list[EngineStandin]) -> None:
         self.ended: list[RequestAttemptEnded] = []
         self._relays = relays
         self._engines = engines
@@ -38,13 +38,13 @@
     def _send(self, token: int, attempt: int) -> None:
         engine = self._engines[attempt - 1]
         send = SendRequest(token, attempt, engine.engine_id, engine.address, 5.0, 2.0, "")
-        threading.Timer(0.0, lambda: self._relays.direct(send)).start()
+        threading.Timer(0.0, lambda: self._relays.send_directive(send)).start()
 
 
 def run() -> tuple[list[EngineStandin], LateLoop, bytes]:
     engines = [EngineStandin("one"), EngineStandin("two")]
     engines[0].break_after = 2
-    relays = Relays(lambda event: None)
+    relays = RelayRegistry(lambda event: None)
     loop = LateLoop(relays, engines)
     request = IncomingRequest("x", "POST", "/a", "h", "/a", "", [], 5.0, "", PromptShape())
     request.headers.append(("X-Troutswitch-Request-Id", "x"))
--- a/tests/gateway/callers/test_stop_gate.py
+++ b/tests/gateway/callers/test_stop_gate.py
@@ -27,18 +27,18 @@
 def test_a_whole_answer_counts_until_the_engine_closes_it() -> None:
     gate = StopGate(whole_answer)
     answer: Any = gate({}, Heads())
-    assert (list(answer), len(answer), gate.inside) == ([b"whole"], 1, 1)
+    assert (list(answer), len(answer), gate.in_flight) == ([b"whole"], 1, 1)
     answer.close()
-    assert gate.inside == 0
+    assert gate.in_flight == 0
 
 
 def test_pieces_count_until_the_engine_closes_them_and_are_closed_too() -> None:
     gate = StopGate(pieces)
     answer: Any = gate({}, Heads())
     assert next(iter(answer)) == b"a"
-    assert gate.inside == 1
+    assert gate.in_flight == 1
     answer.close()
-    assert (list(answer), gate.inside) == ([], 0)
+    assert (list(answer), gate.in_flight) == ([], 0)
 
 
 def test_a_failure_of_the_application_is_counted_out() -> None:
@@ -49,7 +49,7 @@
     try:
         gate({}, Heads())
     except OSError:
-        assert gate.inside == 0
+        assert gate.in_flight == 0
     else:
         raise AssertionError("the failure was swallowed")
 
@@ -63,4 +63,4 @@
     assert status.startswith("503")
     assert ("X-Troutswitch-Request-Id", "one") in headers
     assert float(dict(headers)["Retry-After"]) > 0
-    assert gate.inside == 0
+    assert gate.in_flight == 0
--- a/tests/gateway/engines/test_event_stream.py
+++ b/tests/gateway/engines/test_event_stream.py
@@ -4,7 +4,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from troutswitch.gateway.engines.event_stream import BrokenEvents, EventSplitter
+from troutswitch.gateway.engines.event_stream import EventSplitter, EventStreamError
 
 STREAM = b"".join(f"id: {n}\ndata: a{n}\ndata: b\n\n".encode() for n in range(1, 6))
 
@@ -30,7 +30,7 @@
 
 @pytest.mark.parametrize("data", [b"id: 3\ndata: x\n\n", b"id: 1\ndata: x\n\n", b"data: x\n\n"])
 def test_an_event_that_does_not_follow_is_an_error(data: bytes) -> None:
-    with pytest.raises(BrokenEvents):
+    with pytest.raises(EventStreamError):
         EventSplitter("1").feed(data)
 
 
--- a/tests/gateway/engines/test_silent_engines.py
+++ b/tests/gateway/engines/test_silent_engines.py
@@ -25,7 +25,7 @@
 )
 from troutswitch.decisions.forwarding.types import PromptShape
 from troutswitch.gateway.callers.relay import Relay
-from troutswitch.gateway.callers.relay_registry import Relays
+from troutswitch.gateway.callers.relay_registry import RelayRegistry
 from troutswitch.gateway.engines import exchange as exchange_module
 from troutswitch.gateway.engines.connection_pool import EngineConnections
 from troutswitch.gateway.engines.engine_activity import EngineActivityReporter
@@ -120,11 +120,11 @@
     monkeypatch.setattr(exchange_module, "SUSPECT_SILENCE_SECONDS", 0.0)
     world.keep(KEPT)
     world.proxy.silence()
-    relays = Relays(lambda event: None)
-    relays.open(1)
+    relays = RelayRegistry(lambda event: None)
+    relays.open_channel(1)
     exchange = world.exchange("left")
     relays.begin_attempt(1, 1, exchange)
-    threading.Timer(0.1, lambda: relays.abort(AbortAttempt(1, 1, is_silent=True))).start()
+    threading.Timer(0.1, lambda: relays.abort_attempt(AbortAttempt(1, 1, is_silent=True))).start()
     with pytest.raises(AnswerLost):
         exchange.open(LONG_WAIT_SECONDS)
     world.works("next")
@@ -165,7 +165,7 @@
 def test_the_kernel_bounds_the_silence_of_a_connection(world: World) -> None:
     """No loopback peer leaves probes without an answer, so the options themselves are read."""
     world.keep(1)
-    connection = world.connections.take("one", world.proxy.address, "other")
+    connection = world.connections.acquire("one", world.proxy.address, "other")
     sock = connection.sock
     assert sock.getsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE) == 1
     timeout = sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT)
@@ -178,7 +178,7 @@
 class ScriptedLoop:
     """Sends a request to one address after the other."""
 
-    def __init__(self, relays: Relays, addresses: list[tuple[str, Address]]) -> None:
+    def __init__(self, relays: RelayRegistry, addresses: list[tuple[str, Address]]) -> None:
         self.ended: list[RequestAttemptEnded] = []
         self._relays = relays
         self._addresses = addresses
@@ -195,13 +195,13 @@
         engine_id, address = self._addresses[attempt - 1]
         wait = SHORT_WAIT_SECONDS if attempt == 1 else LONG_WAIT_SECONDS
         send = SendRequest(token, attempt, engine_id, address, LONG_WAIT_SECONDS, wait, "", wait)
-        threading.Timer(0.0, lambda: self._relays.direct(send)).start()
+        threading.Timer(0.0, lambda: self._relays.send_directive(send)).start()
 
 
 def relay(silent: Address) -> tuple[EngineStandin, ScriptedLoop, bytes]:
     """Relays a stream whose first engine falls silent, up to its end at the second."""
     second = EngineStandin("two")
-    relays = Relays(lambda event: None)
+    relays = RelayRegistry(lambda event: None)
     loop = ScriptedLoop(relays, [("one", silent), ("two", second.address)])
     request = IncomingRequest("x", "POST", "/a", "h", "/a", "", [], 5.0, "", PromptShape())
     request.headers.append((names.REQUEST_ID, "x"))
--- a/tests/gateway/test_instruction_executor.py
+++ b/tests/gateway/test_instruction_executor.py
@@ -66,10 +66,10 @@
     executor = InstructionExecutor(executors, events.put, MagicMock())
     record = KeyedRecord("k", b"v")
     for number in range(1, 2 * STORE_THREADS):
-        executor.carry_out(AppendRecords(number, Partition("items"), (record,)))
-    executor.carry_out(ReadRecords(1001, Partition(CONFIGURATION_TOPIC), 0))
-    executor.carry_out(ReadNewest(1002, Partition(ENGINES_TOPIC)))
-    executor.carry_out(RequestPeerState("peer", 1, 1.0))
+        executor.execute(AppendRecords(number, Partition("items"), (record,)))
+    executor.execute(ReadRecords(1001, Partition(CONFIGURATION_TOPIC), 0))
+    executor.execute(ReadNewest(1002, Partition(ENGINES_TOPIC)))
+    executor.execute(RequestPeerState("peer", 1, 1.0))
     found = [events.get(timeout=WAIT_SECONDS) for _ in range(3)]
     calls = {event.call for event in found if isinstance(event, StoreAnswered)}
     assert calls == {1001, 1002}
--- a/tests/gateway/test_logging.py
+++ b/tests/gateway/test_logging.py
@@ -1,7 +1,7 @@
 import os
 import time
 
-from troutswitch.gateway.logging import QUEUE_LINES_MOST, LineWriter
+from troutswitch.gateway.logging import MAX_QUEUE_LINES, LineWriter
 
 
 def test_nobody_waits_for_an_output_that_nobody_reads() -> None:
@@ -9,7 +9,7 @@
     _, writer = os.pipe()
     lines = LineWriter(writer)
     line = "x" * 1000 + "\n"
-    for _ in range(3 * QUEUE_LINES_MOST):
+    for _ in range(3 * MAX_QUEUE_LINES):
         lines.write(line)
     assert lines.dropped > 0
 
--- a/tests/gateway/test_settings_file.py
+++ b/tests/gateway/test_settings_file.py
@@ -24,27 +24,27 @@
 
 
 def test_an_unchanged_file_tells_nothing(tmp_path: Path) -> None:
-    assert watched(tmp_path / "settings").changed() is None
+    assert watched(tmp_path / "settings").reload_if_changed() is None
 
 
 def test_a_changed_file_is_read_once(tmp_path: Path) -> None:
     path = tmp_path / "settings"
     held = watched(path)
     path.write_text("3")
-    changed = held.changed()
+    changed = held.reload_if_changed()
     assert changed is not None
     assert changed.bounds.drain == 3.0
-    assert held.changed() is None
+    assert held.reload_if_changed() is None
 
 
 def test_a_file_that_is_wrong_or_gone_leaves_the_settings_in_force(tmp_path: Path) -> None:
     path = tmp_path / "settings"
     held = watched(path)
     path.write_text("two")
-    assert held.changed() is None
+    assert held.reload_if_changed() is None
     path.unlink()
-    assert held.changed() is None
+    assert held.reload_if_changed() is None
     path.write_text("4")
-    again = held.changed()
+    again = held.reload_if_changed()
     assert again is not None
     assert again.bounds.drain == 4.0
--- a/tests/gateway/test_suspension.py
+++ b/tests/gateway/test_suspension.py
@@ -22,7 +22,7 @@
 from troutswitch.gateway import loop as loop_module
 from troutswitch.gateway.callers import relay as relay_module
 from troutswitch.gateway.callers.relay import Relay
-from troutswitch.gateway.callers.relay_registry import Relays
+from troutswitch.gateway.callers.relay_registry import RelayRegistry
 from troutswitch.gateway.engines.connection_pool import EngineConnections
 from troutswitch.gateway.engines.engine_activity import EngineActivityReporter
 from troutswitch.gateway.loop import SUSPENSION_SECONDS, GatewayLoop
@@ -75,7 +75,7 @@
         return get()
 
     monkeypatch.setattr(loop, "_events", type("Queue", (), {"get_nowait": staticmethod(get_late)}))
-    loop._turn()
+    loop._run_once()
     return core.events
 
 
@@ -98,7 +98,7 @@
         self.suspended = suspended
         monkeypatch.setattr(relay_module, "steady_seconds", self.clock)
         self.engine = EngineStandin("one")
-        self.relays = Relays(lambda event: None)
+        self.relays = RelayRegistry(lambda event: None)
         self.arrived: list[RequestArrived] = []
         self.ended: list[RequestAttemptEnded] = []
         request = IncomingRequest("x", "POST", "/a", "h", "/a", "", [], 5.0, "", PromptShape())
@@ -121,11 +121,11 @@
             decided_at = self.clock.now
             send = SendRequest(1, 1, "one", address, GIVEN_SECONDS, 2.0, "", decided_at=decided_at)
             self.clock.now += self.suspended
-            self.relays.direct(send)
+            self.relays.send_directive(send)
         elif isinstance(event, RequestAttemptEnded):
             self.ended.append(event)
             if event.kind is not AttemptKind.COMPLETED:
-                self.relays.direct(FinishRequest(1, MayHaveRun("over", Step.RELAY)))
+                self.relays.send_directive(FinishRequest(1, MayHaveRun("over", Step.RELAY)))
 
 
 def test_an_engine_is_given_the_time_that_is_left_on_waking(
--- a/tests/platform/test_silent_store.py
+++ b/tests/platform/test_silent_store.py
@@ -61,14 +61,14 @@
 
     def keep(self, count: int) -> None:
         """Leaves some connections idle, all of which have answered."""
-        held = [self.client.connections.take() for _ in range(count)]
+        held = [self.client.connections.acquire() for _ in range(count)]
         for kept in held:
             kept.connect()
             kept.connection.sock.settimeout(LONG_SECONDS)  # that of connecting is short
             kept.connection.request("GET", "/log-newest?topic=records&part=0")
             kept.connection.getresponse().read()
         for kept in held:
-            self.client.connections.keep(kept)
+            self.client.connections.release(kept)
         assert self.proxy.connections == count
 
 
@@ -126,11 +126,11 @@
     """A store that is slow or away would else cost each of its connections again and again."""
     world.keep(KEPT)
     connections = world.client.connections
-    held = [connections.take() for _ in range(KEPT + 1)]
+    held = [connections.acquire() for _ in range(KEPT + 1)]
     assert [kept.has_answered for kept in held] == [True] * KEPT + [False]
     for kept in held[:KEPT]:
-        connections.keep(kept)
-    connections.drop(held[KEPT], TimeoutError())
+        connections.release(kept)
+    connections.discard(held[KEPT], TimeoutError())
     assert world.suspects_closed == []
 
 
