--- a/src/troutswitch/gateway/__main__.py
+++ b/src/troutswitch/gateway/__main__.py
@@ -3,8 +3,8 @@
 import signal
 import sys
 
-# A reload asked for while the program is still loading needs nothing: the settings are read
-# later. Without this it would end the process, so it stands before the long imports.
+# SIGHUP terminates a process that has no handler for it. Ignore it before the slow imports below:
+# the settings have not been read yet, so a reload requested now has no work to do.
 signal.signal(signal.SIGHUP, signal.SIG_IGN)
 
 import click  # noqa: E402
--- a/src/troutswitch/gateway/callers/__init__.py
+++ b/src/troutswitch/gateway/callers/__init__.py
@@ -1,1 +1,1 @@
-"""Everything that callers reach: the listener, their requests, and the threads that answer them."""
+"""Caller-facing side of the gateway: the HTTP listener, request handling and worker threads."""
--- a/src/troutswitch/gateway/callers/application.py
+++ b/src/troutswitch/gateway/callers/application.py
@@ -1,7 +1,7 @@
 """WSGI application for callers on the users' platform.
 
-It owns a request from its first step to the last byte of its answer, on a thread of the listener.
-It relies on `JobCalls` for calls about batch jobs and on `Relay` for all others.
+Each request is handled on one thread of the listener until the last byte of its response.
+`JobCalls` answers calls about batch jobs; `Relay` forwards all other requests.
 """
 
 from collections.abc import Callable, Iterable, Iterator
@@ -22,10 +22,11 @@
 
 
 class AnswerCut(ConnectionError):
-    """A streamed answer cannot be completed: its connection is closed without an end.
+    """A streamed response cannot be completed.
 
-    So the caller never takes a part for the whole. waitress takes an `OSError` for a lost
-    connection, and closes it without sending anything more.
+    The connection is closed without the final chunk, so that the caller cannot mistake a truncated
+    response for a complete one. waitress treats an `OSError` as a lost connection and closes it
+    without sending anything else.
     """
 
 
@@ -33,11 +34,11 @@
     """Serves the callers of one daemon.
 
     Args:
-        relays: the requests in progress.
-        connections: connections to engines.
-        post: hands an event to the loop.
-        engine_activity: notes from which engines bytes come.
-        handle_job: answers calls about batch jobs, or returns None for other requests.
+        relays: registry of the requests in progress.
+        connections: pool of connections to engines.
+        post: posts an event to the loop.
+        engine_activity: records which engines send bytes.
+        handle_job: answers a call about a batch job; returns None for any other request.
     """
 
     def __init__(
@@ -66,7 +67,7 @@
         return self._forward(environ, request, body, start_response)
 
     def on_unserved(self, headers: dict[str, str], age: float) -> None:
-        """Reports a request whose caller left `age` seconds ago, before it was served."""
+        """Reports a request not served because its caller disconnected `age` seconds ago."""
         request_id = headers.get(names.REQUEST_ID.upper().replace("-", "_"), "")
         self._post(RequestUnserved(request_id, age))
 
@@ -77,7 +78,7 @@
         body: bytes,
         start_response: StartResponse,
     ) -> Iterable[bytes]:
-        """Relays a request; its answer is a stream once a first event came."""
+        """Relays a request; the response becomes a stream with its first event."""
         token = self._relays.next_token()
         relay = Relay(
             token, request, body, self._relays, self._connections, self._post, self._engine_activity
@@ -118,7 +119,7 @@
 
 
 def error_response(outcome: NotRun | MayHaveRun | Cut, request_id: str) -> Response:
-    """Returns the answer of a request that ends without an engine's answer."""
+    """Returns the response to a request for which no engine's response can be forwarded."""
     status = outcome.status if isinstance(outcome, NotRun | MayHaveRun) else 502
     headers = [(names.REQUEST_ID, request_id)] if request_id else []
     if isinstance(outcome, NotRun) and outcome.retry_after is not None:
--- a/src/troutswitch/gateway/callers/caller_watch.py
+++ b/src/troutswitch/gateway/callers/caller_watch.py
@@ -1,9 +1,9 @@
-"""Watches the connections of callers whose requests are in progress, on a thread of its own.
+"""Detects callers that disconnect while their requests are in progress, on a dedicated thread.
 
-It owns the watch of a connection from `add` to the caller's close or `remove`; the connection
-itself is waitress's. It relies on the kernel, which reports a close or a reset (`EPOLLRDHUP`) also
-while waitress has no reason to read the connection (an answer waits for the caller's window, or
-requests are queued on it), and while the loop is busy. Nothing else sees a close in these states.
+A connection is watched from `add` until the caller closes it or `remove` is called; waitress owns
+the connection itself. Detection uses epoll (`EPOLLRDHUP`), which reports a close or a reset even
+while the loop is busy or waitress does not read the connection (the caller's receive window is
+full, or further requests are queued on it). Nothing else detects a close in these states.
 """
 
 import contextlib
@@ -17,13 +17,13 @@
 TCP_INFO_BYTES = 64
 TCP_INFO_STATE_OFFSET = 0
 TCP_CLOSE_WAIT = 8
-"""The peer sent its end (`TCP_CLOSE_WAIT` of the kernel's `tcp_states.h`)."""
+"""The peer has sent FIN (`TCP_CLOSE_WAIT` in the kernel's `tcp_states.h`)."""
 TCP_INFO_LAST_ACK_OFFSET = 56
-"""Place of `tcpi_last_ack_recv`, in milliseconds, in the kernel's `struct tcp_info`."""
+"""Offset of `tcpi_last_ack_recv`, in milliseconds, in the kernel's `struct tcp_info`."""
 
 
 def is_closed(connection: socket.socket) -> bool:
-    """Returns whether the other end closed or reset a connection, read or not."""
+    """Returns whether the peer closed or reset a connection, even if unread bytes remain."""
     descriptor = connection.fileno()
     if descriptor < 0:
         return True
@@ -33,15 +33,15 @@
 
 
 def close_age(connection: socket.socket) -> float:
-    """Returns how long ago the other end's close arrived, in seconds; 0 after a reset.
+    """Returns how long ago the peer's close arrived, in seconds; 0 after a reset.
 
-    The close is the last thing that the other end sends, so its age is that of the last
-    acknowledgement. It counts from the arrival even if this process was suspended since.
+    The FIN is the last segment that the peer sends, so its age is that of the last acknowledgement
+    received. The kernel measures it, so it is correct even if this process was suspended since.
     """
     try:
         info = connection.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, TCP_INFO_BYTES)
     except OSError:
-        return 0.0  # waitress closed it meanwhile
+        return 0.0  # waitress has closed it
     if info[TCP_INFO_STATE_OFFSET] != TCP_CLOSE_WAIT:
         return 0.0
     (milliseconds,) = struct.unpack_from("=I", info, TCP_INFO_LAST_ACK_OFFSET)
@@ -49,10 +49,11 @@
 
 
 class CallerWatch:
-    """Reports each watched connection once when its caller closes it.
+    """Reports each watched connection once, when its caller closes it.
 
     Args:
-        on_disconnect: called on the watch's thread with a request's token and the close's age.
+        on_disconnect: called with the request's token and the age of the close in seconds. The call
+            is made on the watch's thread, or on the thread that calls `add` or `before_close`.
     """
 
     def __init__(self, on_disconnect: Callable[[int, float], None]) -> None:
@@ -67,7 +68,7 @@
         self._thread.start()
 
     def add(self, token: int, connection: socket.socket) -> None:
-        """Watches a request's connection; one that is closed already is reported at once."""
+        """Watches a request's connection; reports it immediately if it is already closed."""
         with self._lock:
             descriptor = connection.fileno()
             if descriptor >= 0:
@@ -80,10 +81,12 @@
         try:
             self._epoll.register(descriptor, WATCHED_EVENTS)
         except FileExistsError:
-            self._epoll.modify(descriptor, WATCHED_EVENTS)  # the connection's earlier request
+            self._epoll.modify(
+                descriptor, WATCHED_EVENTS
+            )  # an earlier request used this connection
 
     def remove(self, token: int, connection: socket.socket) -> None:
-        """Ends the watch of a request's connection, which may be closed already."""
+        """Stops watching a request's connection, which may already be closed."""
         with self._lock:
             descriptor = connection.fileno()
             watched = self._watched.get(descriptor)
@@ -91,7 +94,7 @@
                 self._forget(descriptor)
 
     def before_close(self, connection: socket.socket) -> None:
-        """Reports a watched connection that this process closes now."""
+        """Reports a watched connection that this process is about to close."""
         with self._lock:
             descriptor = connection.fileno()
             watched = self._watched.get(descriptor)
@@ -103,7 +106,7 @@
 
     def _forget(self, descriptor: int) -> None:
         del self._watched[descriptor]
-        with contextlib.suppress(FileNotFoundError):  # the kernel forgets closed ones itself
+        with contextlib.suppress(FileNotFoundError):  # the kernel removes closed ones
             self._epoll.unregister(descriptor)
 
     def _run(self) -> None:
@@ -115,10 +118,10 @@
         with self._lock:
             watched = self._watched.get(descriptor)
             if watched is None or not is_closed(watched[1]):
-                return  # its watch ended meanwhile, and the number names another connection
+                return  # no longer watched, and the descriptor may have been reused
             self._forget(descriptor)
             token, connection = watched
             age = close_age(connection)
         self._on_disconnect(token, age)
-        with contextlib.suppress(OSError):  # waitress closed it meanwhile
-            connection.shutdown(socket.SHUT_RDWR)  # wakes a thread that waits for its window
+        with contextlib.suppress(OSError):  # waitress may have closed it
+            connection.shutdown(socket.SHUT_RDWR)  # wakes a thread blocked on a full window
--- a/src/troutswitch/gateway/callers/dispatcher.py
+++ b/src/troutswitch/gateway/callers/dispatcher.py
@@ -1,7 +1,7 @@
-"""Threads for callers' requests that start only when they are needed.
+"""A waitress task dispatcher that starts its worker threads on demand.
 
-waitress starts all of its threads at once. Most daemons need few of them at a time, and many
-daemons on one machine would use up its threads. It owns the threads; waitress owns the tasks.
+waitress starts all of its threads at startup. Most daemons use only a few of them, and many daemons
+on one machine would exhaust its thread limit.
 """
 
 from typing import Any
@@ -9,11 +9,11 @@
 import waitress.task
 
 INITIAL_THREADS = 4
-"""Threads that run from the start."""
+"""Number of threads started with the dispatcher."""
 
 
 class GrowingDispatcher(waitress.task.ThreadedTaskDispatcher):  # type: ignore[misc]
-    """Starts one more thread whenever a task finds none idle, up to a limit."""
+    """Starts another thread when a task finds no idle thread, up to `max_threads`."""
 
     def __init__(self, max_threads: int) -> None:
         super().__init__()
@@ -21,7 +21,7 @@
         self.set_thread_count(min(INITIAL_THREADS, max_threads))
 
     def add_task(self, task: Any) -> None:
-        """Queues a task, and starts a thread for it if all are busy."""
+        """Queues a task, and starts a thread for it if all threads are busy."""
         with self.lock:
             waiting = len(self.queue) + 1
             idle = len(self.threads) - self.stop_count - self.active_count
--- a/src/troutswitch/gateway/callers/job_calls.py
+++ b/src/troutswitch/gateway/callers/job_calls.py
@@ -1,7 +1,7 @@
-"""Calls about batch jobs, on their callers' threads.
+"""Handles calls about batch jobs on the callers' threads.
 
-A call is decoded, posted as an event, and answered as the loop decides. It owns the calls in
-progress by token; the loop owns all about the jobs.
+A call is decoded and posted to the loop as an event; the thread then waits for the loop's answer.
+This module holds the calls in progress by token. The loop owns all state of the jobs.
 """
 
 import itertools
@@ -27,15 +27,15 @@
 from troutswitch.runtime.http import Response
 
 ANSWER_TIMEOUT_SECONDS = 35.0
-"""Longest wait for the loop's answer; beyond it the loop is taken for dead."""
+"""Longest wait for the loop's answer, after which the loop is considered dead."""
 
 
 class JobCalls:
-    """Calls in progress between callers' threads and the loop.
+    """Pending calls of the callers' threads to the loop.
 
     Args:
-        routes: say which requests submit a job.
-        post: hands an event to the loop.
+        routes: table that determines which requests submit a job.
+        post: posts an event to the loop.
     """
 
     def __init__(self, routes: RouteTable, post: Callable[[GatewayEvent], None]) -> None:
@@ -47,11 +47,11 @@
 
     @property
     def count(self) -> int:
-        """Calls in progress."""
+        """Number of calls in progress."""
         return len(self._answers)
 
     def handle(self, request: IncomingRequest, body: bytes) -> Response | None:
-        """Answers a call about a job, or returns None for any other request."""
+        """Answers a call about a job; returns None for any other request."""
         target = call_target(request)
         is_submission = target is None and self._is_submission(request)
         if target is None and not is_submission:
@@ -85,7 +85,7 @@
                 self._answers.pop(token, None)
 
     def answer(self, instruction: AnswerJobCall) -> None:
-        """Hands an answer to the thread that waits for it."""
+        """Passes an answer to the thread that waits for it."""
         with self._lock:
             future = self._answers.get(instruction.token)
         if future is not None:
--- a/src/troutswitch/gateway/callers/listener.py
+++ b/src/troutswitch/gateway/callers/listener.py
@@ -1,8 +1,8 @@
-"""The HTTP listener: a waitress server on a port, with its own threads.
+"""The HTTP listener: a waitress server on one port, with its own threads.
 
-It owns the port and callers' connections. While it drains, each answer asks its caller to close the
-connection. It relies on the application to answer, and reports closes of connections to the caller
-watch and requests whose callers left before they were served.
+It owns the port and the connections; the application produces the responses. While the listener
+drains, each response carries `Connection: close`. The listener reports connections that it closes,
+and requests whose callers disconnected before they were served.
 """
 
 import logging
@@ -22,31 +22,31 @@
 from troutswitch.runtime.http import WsgiApplication
 
 THREAD_STACK_BYTES = 256 * 1024
-"""Small, as most threads only wait."""
+"""Small, because most threads only wait for I/O."""
 BACKLOG = 1024
-"""Connections that the kernel holds until they are accepted."""
+"""Connections that the kernel queues until they are accepted."""
 CONNECTION_IDLE_SECONDS = 60
-"""Least idle time after which a caller's connection is closed."""
+"""Minimum idle time after which a caller's connection is closed."""
 LOOKAHEAD_REQUESTS = 1
-"""Requests read ahead of the one in progress, so that waitress reads on and sees a close."""
+"""Requests read ahead of the one in progress: waitress keeps reading, and so detects a close."""
 CLEANUP_INTERVAL_SECONDS = 10
-"""Interval between checks for idle connections."""
+"""Interval between sweeps for idle connections."""
 
 CONNECTION_KEY = "troutswitch.connection"
-"""Key of the WSGI environment that holds the socket of a request's connection."""
+"""Key of the connection's socket in a request's WSGI environment."""
 
 
 class _Task(waitress.task.WSGITask):  # type: ignore[misc]
-    """A request whose answer says `Connection: close` while the listener drains."""
+    """A request whose response carries `Connection: close` while the listener drains."""
 
     def build_response_header(self) -> bytes:
-        """Returns the answer's head."""
+        """Returns the head of the response."""
         if self.channel.server.is_draining:
             self.set_close_on_finish()
         return bytes(super().build_response_header())
 
     def get_environment(self) -> dict[str, Any]:
-        """Returns the request's environment, with its connection."""
+        """Returns the request's WSGI environment, including the connection's socket."""
         environment: dict[str, Any] = super().get_environment()
         environment[CONNECTION_KEY] = self.channel.connection
         return environment
@@ -62,19 +62,19 @@
         super().__init__(server, connection, *rest, **named)
 
     def handle_close(self) -> None:
-        """Closes the connection, after its watch learnt of it."""
+        """Reports the close, then closes the connection."""
         self.server.before_close(self.connection)
         super().handle_close()
 
     def service(self) -> None:
-        """Serves a request, unless its caller left while it waited to be read or for a thread.
+        """Serves a request, unless its caller disconnected while the request was queued.
 
-        Without this check a daemon that was suspended sent such requests to engines, and read
-        only then that their callers were gone.
+        A daemon that resumes after a suspension finds such requests unread in its sockets. Without
+        this check it sent them to engines before it read that their callers had closed.
         """
         if is_closed(self.connection):
             self.server.on_unserved(self.requests[0].headers, close_age(self.connection))
-            self.connected = False  # the base class then serves nothing
+            self.connected = False  # makes the base class skip the request
         super().service()
 
 
@@ -82,11 +82,11 @@
     """A waitress server with its own threads.
 
     Args:
-        threads: requests that are served at once; more wait.
-        max_connections: connections that are open at once; more wait to be accepted.
+        threads: maximum number of requests served concurrently; further requests wait.
+        max_connections: maximum number of open connections; further ones wait to be accepted.
         before_close: called with a connection's socket before this process closes it.
-        on_unserved: called with the headers of a request whose caller left before it was
-            served, and the age of the caller's close in seconds.
+        on_unserved: called with the headers of a request whose caller disconnected before it was
+            served, and the age of that disconnect in seconds.
 
     Raises:
         OSError: the address cannot be bound.
@@ -134,20 +134,20 @@
         self._thread.start()
 
     def set_limits(self, limits: RequestLimits) -> None:
-        """Sets the configuration's limits for requests read from now on."""
+        """Applies the configuration's limits to requests that are read from now on."""
         self._server.adj.max_request_header_size = limits.header_bytes
         self._server.adj.max_request_body_size = limits.body_bytes
         self._server.adj.channel_timeout = max(CONNECTION_IDLE_SECONDS, 2 * limits.idle_seconds)
 
     def drain(self) -> None:
-        """Asks callers from now on to close their connections."""
+        """Asks callers, with each response from now on, to close their connections."""
         self._server.is_draining = True
 
     def _run(self) -> None:
         try:
             self._server.run()
         except OSError:
-            return  # the listening socket was closed by `stop`
+            return  # `stop` closed the listening socket
 
     def stop(self) -> None:
         """Stops listening."""
--- a/src/troutswitch/gateway/callers/relay.py
+++ b/src/troutswitch/gateway/callers/relay.py
@@ -1,7 +1,8 @@
-"""Relays one forwarded request between its caller and engines, on the caller's thread.
+"""Relays one request between its caller and engines, on the caller's thread.
 
-It owns the request's body, the attempt in progress and what was delivered. The loop decides: it
-gives the directives, each to make an attempt or to finish, and gets an event for each step.
+A relay holds the request's body, the attempt in progress, and how much has been delivered. The loop
+makes the decisions: it sends directives, either to make an attempt or to finish, and receives an
+event for each step.
 """
 
 from collections.abc import Callable, Iterator
@@ -33,12 +34,12 @@
 from troutswitch.platform.requests import AnswerHead, IncomingRequest, engine_headers, read_head
 
 DIRECTIVE_TIMEOUT_SECONDS = 60.0
-"""Longest wait for the loop's next directive; beyond it the loop is taken for dead."""
+"""Longest wait for the loop's next directive, after which the loop is considered dead."""
 
 
 @dataclass(frozen=True, slots=True)
 class CompleteAnswer:
-    """A whole answer of an engine, to be passed on as it is."""
+    """An engine's complete response, to be forwarded unchanged."""
 
     head: AnswerHead
     body: bytes
@@ -48,11 +49,12 @@
 class Relay:
     """One request.
 
-    `run` yields the bytes of a streamed answer. Once it has ended, `finish` is set if the loop gave
-    the final answer; without it `whole` is the engine's answer, or the stream was completed.
+    `run` yields the bytes of a streamed response. After it ends, `finish` is set if the loop ended
+    the request. Otherwise `complete_answer` holds the engine's response, or the stream was
+    completed.
 
     Args:
-        post: hands an event to the loop.
+        post: posts an event to the loop.
     """
 
     token: int
@@ -63,7 +65,7 @@
     post: Callable[[GatewayEvent], None]
     engine_activity: EngineActivityReporter
     head: AnswerHead | None = None
-    """The head of the answer that is streamed to the caller."""
+    """Head of the response that is streamed to the caller."""
     complete_answer: CompleteAnswer | None = None
     finish: FinishRequest | None = None
     _splitter: EventSplitter = field(default_factory=EventSplitter)
@@ -72,10 +74,10 @@
     _longest_gap: float = 0.0
 
     def run(self) -> Iterator[bytes]:
-        """Yields the answer's bytes; `head` is set before the first, `finish` after the last.
+        """Yields the response's bytes; `head` is set before the first, `finish` after the last.
 
         Raises:
-            TimeoutError: the loop gave no directive.
+            TimeoutError: the loop sent no directive in time.
         """
         channel = self.relays.open_channel(self.token)
         self._splitter = EventSplitter(self.request.last_event_id)
@@ -110,16 +112,18 @@
         )
 
     def _attempt(self, decided: SendRequest) -> Iterator[bytes]:
-        """Makes one attempt, with what is left of its time.
+        """Makes one attempt within the time that remains since it was decided.
 
-        Guards against a process that was suspended between decision and sending: the engine was
-        given seconds more than the caller waits.
+        If the process was suspended between the decision and the sending, the time limit computed
+        by the loop would let the engine run for seconds after the caller's deadline.
         """
         delay = max(0.0, steady_seconds() - decided.decided_at)
         time_left = decided.time_left - delay
         directive = replace(decided, time_left=time_left)
         if time_left <= 0:
-            self._end(directive, AttemptKind.UNREACHABLE, "time ran out before it was sent")
+            self._end(
+                directive, AttemptKind.UNREACHABLE, "time limit passed before the request was sent"
+            )
             return
         exchange = Exchange(
             self.connections,
@@ -136,10 +140,10 @@
             exchange.close()
 
     def _resume_after(self, directive: SendRequest) -> str:
-        """Returns the event after which an attempt goes on.
+        """Returns the id of the event after which an attempt resumes the stream.
 
-        What this thread gave to the caller counts, not what the loop knows of: it may have
-        left an engine before it took the report that events had come.
+        The last event delivered to the caller takes precedence over the loop's value: the loop may
+        have abandoned an engine before it processed the report of that engine's events.
         """
         return self._splitter.last_id if self._delivered else directive.resume_after
 
@@ -197,9 +201,9 @@
     def _handle_complete_answer(
         self, directive: SendRequest, head: AnswerHead, body: bytes
     ) -> None:
-        """Takes an answer that is no stream; a failure is kept, should no attempt do better."""
+        """Handles a complete response; keeps a failure in case no later attempt succeeds."""
         if head.not_run:
-            reason = f"server said not run, status {head.status}"
+            reason = f"engine did not run the request, status {head.status}"
             self._end(directive, AttemptKind.REFUSED, reason, head)
             return
         if self._delivered:
@@ -208,7 +212,7 @@
             return
         self.complete_answer = CompleteAnswer(head, body)
         if head.status >= 500:
-            reason = f"server failed, status {head.status}"
+            reason = f"engine failed, status {head.status}"
             self._end(directive, AttemptKind.CUT, reason, head, has_answer=True)
             return
         self._is_completed = True
@@ -222,7 +226,7 @@
         head: AnswerHead | None = None,
         has_answer: bool = False,
     ) -> None:
-        """Reports an attempt's end, unless the caller left: then it ended for that reason."""
+        """Reports the end of an attempt, unless it ended because the caller disconnected."""
         if self.relays.is_caller_gone(self.token):
             return
         self.post(
--- a/src/troutswitch/gateway/callers/relay_registry.py
+++ b/src/troutswitch/gateway/callers/relay_registry.py
@@ -1,7 +1,8 @@
-"""The requests in progress, known by token to the loop's thread and to their own.
+"""Registry of the requests in progress, shared by the loop's thread and the callers' threads.
 
-It owns the channel on which each request gets its directives, and knows the caller's connection
-and the exchange of the attempt in progress. It relies on `CallerWatch` for callers' closes.
+For each request, identified by a token, it holds the channel for the loop's directives, the
+caller's connection, and the exchange of the attempt in progress. `CallerWatch` detects callers that
+disconnect.
 """
 
 import itertools
@@ -27,7 +28,7 @@
 
 @dataclass(slots=True)
 class _Entry:
-    """One request; `attempt` and `exchange` are those of the attempt in progress."""
+    """One request; `attempt` and `exchange` belong to the attempt in progress."""
 
     channel: Channel[Directive]
     attempt: int = 0
@@ -37,10 +38,10 @@
 
 
 class RelayRegistry:
-    """Channels and exchanges of the requests in progress.
+    """Channels, connections and exchanges of the requests in progress.
 
     Args:
-        post: hands an event to the loop.
+        post: posts an event to the loop.
     """
 
     def __init__(self, post: Callable[[GatewayEvent], None]) -> None:
@@ -52,44 +53,44 @@
         self._lock = threading.Lock()
 
     def next_token(self) -> int:
-        """Returns a number that names a request within this process."""
+        """Returns a new token, which identifies a request within this process."""
         return next(self._tokens)
 
     @property
     def count(self) -> int:
-        """Requests of callers in progress."""
+        """Number of callers' requests in progress."""
         return len(self._callers)
 
     def register_caller(self, token: int, connection: socket.socket) -> None:
-        """Registers a caller's connection, until `end`."""
+        """Registers a caller's connection until `unregister_caller`."""
         self._callers[token] = connection
 
     def watch(self, token: int) -> None:
-        """Reports the caller's close from now on.
+        """Starts watching for the caller's disconnect.
 
-        The request's arrival must have been posted before, or the loop would not know whose
-        close it is.
+        The request's arrival must be posted first: the loop cannot relate the disconnect to a
+        request that it does not know.
         """
         connection = self._callers.get(token)
         if connection is not None:
             self.caller_watch.add(token, connection)
 
     def unregister_caller(self, token: int) -> None:
-        """Ends the watch of a caller's connection."""
+        """Unregisters a caller's connection and stops watching it."""
         connection = self._callers.pop(token, None)
         if connection is not None:
             self.caller_watch.remove(token, connection)
 
     def is_caller_gone(self, token: int) -> bool:
-        """Returns whether a request's caller closed its connection."""
+        """Returns whether a request's caller is known to have disconnected."""
         with self._lock:
             entry = self._entries.get(token)
             return entry is not None and entry.is_caller_gone
 
     def _on_disconnect(self, token: int, age: float) -> None:
-        """Aborts the attempt at once, and reports the close, which was `age` seconds ago.
+        """Aborts the attempt, then reports the disconnect, which happened `age` seconds ago.
 
-        Guards against a loop that is busy or late: the engine was freed only after it.
+        The abort does not wait for the loop: a busy loop would keep the engine occupied.
         """
         closed_at = steady_seconds() - age
         with self._lock:
@@ -104,7 +105,7 @@
         self._post(CallerGone(token, closed_at, aborted_at))
 
     def open_channel(self, token: int) -> Channel[Directive]:
-        """Opens the channel on which a request's directives come."""
+        """Opens the channel on which a request receives its directives."""
         channel: Channel[Directive] = Channel()
         with self._lock:
             self._entries[token] = _Entry(channel)
@@ -118,8 +119,9 @@
     def begin_attempt(self, token: int, attempt: int, exchange: Exchange) -> None:
         """Registers the exchange of an attempt, so that it can be aborted.
 
-        It is aborted before anything is sent if its caller left, even if the watch has not
-        reported that yet: a process that was suspended wakes with its threads in any order.
+        If the caller has disconnected, the exchange is aborted before anything is sent, even if the
+        watch has not reported the disconnect yet: the threads of a process that resumes after a
+        suspension run in any order.
         """
         with self._lock:
             entry = self._entries.get(token)
@@ -130,10 +132,10 @@
             return
         entry.is_caller_gone |= self._has_closed(token)
         if entry.is_caller_gone or entry.aborted_attempt == attempt:
-            exchange.abort()  # the abort came before the exchange was known
+            exchange.abort()  # aborted before it was registered
 
     def end_attempt(self, token: int) -> None:
-        """Forgets the exchange of an attempt that ended."""
+        """Unregisters the exchange of an attempt that ended."""
         with self._lock:
             entry = self._entries.get(token)
             if entry is not None:
@@ -144,14 +146,14 @@
         return connection is not None and is_closed(connection)
 
     def send_directive(self, directive: Directive) -> None:
-        """Hands a directive to the request's thread."""
+        """Sends a directive to the request's thread."""
         with self._lock:
             entry = self._entries.get(directive.token)
         if entry is not None:
             entry.channel.put(directive)
 
     def abort_attempt(self, instruction: AbortAttempt) -> None:
-        """Ends an attempt's exchange."""
+        """Aborts the exchange of an attempt, now or when it is registered."""
         with self._lock:
             entry = self._entries.get(instruction.token)
             exchange = entry.exchange if entry is not None else None
--- a/src/troutswitch/gateway/callers/stop_gate.py
+++ b/src/troutswitch/gateway/callers/stop_gate.py
@@ -1,7 +1,7 @@
-"""The last part of a planned stop: new requests are refused, those taken in are finished.
+"""Final phase of a planned stop: new requests are refused, accepted requests are completed.
 
-It owns the count of requests inside the application, from their first step until the server has
-taken the whole answer.
+The gate counts the requests in flight, from their admission until the server has consumed the
+complete response.
 """
 
 import threading
@@ -11,13 +11,13 @@
 from troutswitch.runtime.http import Environ, Response, StartResponse, WsgiApplication, send
 
 RETRY_AFTER_SECONDS = 0.05
-"""Retry-After of a refusal: at once, since another daemon takes the connection."""
+"""Retry-After of a refusal; short, because another daemon accepts the next connection."""
 
 
 class StopGate:
-    """Wraps the callers' application, counts the requests inside, and refuses new ones once closed.
+    """Wraps the callers' application, counts requests in flight, and refuses new ones once closed.
 
-    Entering and closing take one lock, so no request is let in uncounted.
+    Admission and closing share one lock, so that no request is admitted without being counted.
     """
 
     def __init__(self, application: WsgiApplication) -> None:
@@ -33,11 +33,11 @@
 
     @property
     def in_flight(self) -> int:
-        """Requests that were let in and are not finished."""
+        """Number of admitted requests that are not finished."""
         return self._in_flight
 
     def __call__(self, environ: Environ, start_response: StartResponse) -> Iterable[bytes]:
-        """Lets a request in, or refuses it before anything ran."""
+        """Admits a request, or refuses it before any part of it is executed."""
         if not self._enter():
             return send(_refusal(environ), start_response)
         try:
@@ -60,19 +60,19 @@
 
 
 class _CountedList(list[bytes]):
-    """A whole answer; a list, as the server takes its length from it."""
+    """A complete response; a list, because the server computes its length from one."""
 
     def __init__(self, chunks: list[bytes], on_close: Callable[[], None]) -> None:
         super().__init__(chunks)
         self._on_close = on_close
 
     def close(self) -> None:
-        """Counts the request out; the server calls it once."""
+        """Ends the request's count; the server calls this once."""
         self._on_close()
 
 
 class _CountedChunks:
-    """An answer that comes piece by piece."""
+    """A response that is produced in chunks."""
 
     def __init__(self, chunks: Iterable[bytes], on_close: Callable[[], None]) -> None:
         self._chunks = chunks
@@ -82,7 +82,7 @@
         return iter(self._chunks)
 
     def close(self) -> None:
-        """Ends the answer and counts the request out; the server calls it once."""
+        """Closes the response and ends the request's count; the server calls this once."""
         try:
             close = getattr(self._chunks, "close", None)
             if close is not None:
--- a/src/troutswitch/gateway/daemons/__init__.py
+++ b/src/troutswitch/gateway/daemons/__init__.py
@@ -1,1 +1,1 @@
-"""The transport between daemons: datagrams, and state over HTTP."""
+"""Transport between daemons: messages over UDP, and state transfer over HTTP."""
--- a/src/troutswitch/gateway/daemons/peer_socket.py
+++ b/src/troutswitch/gateway/daemons/peer_socket.py
@@ -1,7 +1,7 @@
 """The UDP socket on which daemons exchange messages.
 
-It owns the socket and the thread that receives. Datagrams may be lost, repeated or reordered: the
-decisions rely on none of them.
+It owns the socket and the receiving thread. Datagrams may be lost, duplicated or reordered: the
+decisions tolerate all three.
 """
 
 import socket
@@ -14,15 +14,15 @@
 from troutswitch.decisions.slots.messages import PeerMessageReceived, SendToPeers
 
 MAX_DATAGRAM_BYTES = 8192
-"""Longest datagram that is received whole."""
+"""Longest datagram that is received without truncation."""
 
 
 class PeerSocket:
-    """Sends messages to peers without blocking, and receives theirs on a thread.
+    """Sends messages to peers without blocking, and receives their messages on a thread.
 
     Args:
-        address: where this daemon takes messages; port 0 takes a free one.
-        post: hands an event to the loop.
+        address: address to bind; port 0 selects a free port.
+        post: posts an event to the loop.
 
     Raises:
         OSError: the address cannot be bound.
@@ -40,7 +40,7 @@
         self._thread.start()
 
     def send(self, instruction: SendToPeers) -> None:
-        """Sends a message; a full buffer drops it, as the network may."""
+        """Sends a message; drops it if the send buffer is full, as the network may do."""
         datagram = encode(instruction.message)
         for address in instruction.addresses:
             try:
--- a/src/troutswitch/gateway/daemons/peer_state.py
+++ b/src/troutswitch/gateway/daemons/peer_state.py
@@ -1,6 +1,6 @@
-"""Requests a peer's state, and answers peers' requests, over HTTP at the internal port.
+"""Requests peers' state, and serves this daemon's state to peers, over HTTP at the internal port.
 
-It owns nothing; the core gives the state, and decides when which peer is asked.
+This module is stateless: the core provides the state, and decides which peer is asked and when.
 """
 
 import http.client
@@ -27,9 +27,10 @@
 
 
 def request_peer_state(port: int, instruction: RequestPeerState) -> PeerStateReceived:
-    """Requests one peer's state; blocks for `instruction.timeout` seconds a step at most.
+    """Requests the state of one peer.
 
-    A peer that doesn't answer in time, or not well-formed, gives no state.
+    Each step (connecting, each read) blocks for at most `instruction.timeout` seconds. The returned
+    state is None if the peer does not answer in time or its answer is malformed.
     """
     connection = http.client.HTTPConnection(instruction.host, port, timeout=instruction.timeout)
     try:
--- a/src/troutswitch/gateway/engines/connection.py
+++ b/src/troutswitch/gateway/engines/connection.py
@@ -1,7 +1,8 @@
-"""One HTTP connection to an engine, on which more answers may come than were asked for.
+"""An HTTP connection to an engine that tolerates unsolicited responses.
 
-The answers are read through one buffer that belongs to the connection, so that a surplus answer
-that came with the one before is not lost with it, and can be read and dropped.
+All responses are read through one buffer that belongs to the connection. `http.client` creates a
+buffer for each response, and would lose the beginning of a surplus response that arrived together
+with the previous one. Here the surplus response can be read and dropped.
 """
 
 import http.client
@@ -18,22 +19,22 @@
 CONNECT_SECONDS = 0.5
 READ_BYTES = 1 << 16
 DEFAULT_IDLE_SECONDS = 4.0
-"""Time for which an idle connection is kept where the engine names none."""
+"""How long an idle connection is kept if the engine specifies no idle timeout."""
 IDLE_TIMEOUT_SHARE = 0.6
-"""Share of the idle time named by an engine for which a connection is used again."""
+"""Share of an engine's idle timeout within which a connection is reused."""
 RESET_ON_CLOSE = struct.pack("ii", 1, 0)
 """`SO_LINGER` of zero seconds."""
 
 
 class _SharedReader(io.BufferedReader):
-    """A reader that outlives the responses read from it."""
+    """A reader that stays open after the responses that are read from it."""
 
     def close(self) -> None:
         """Does nothing: the connection closes the raw stream."""
 
 
 class _ReaderSource:
-    """Stands for a socket whose `makefile` gives the shared reader."""
+    """Adapter that passes the shared reader to `HTTPResponse`, which expects a socket."""
 
     def __init__(self, reader: _SharedReader | None) -> None:
         self._reader = reader
@@ -45,7 +46,7 @@
 
 
 class EngineConnection(http.client.HTTPConnection):
-    """A connection whose answers are read through one shared buffer.
+    """A connection whose responses are read through one shared buffer.
 
     `idle_since` is the time at which its last response was complete, in seconds of the process's
     steady clock. The connection may be reused for `max_idle_seconds` from then on.
@@ -62,10 +63,10 @@
         self.response_class = self._make_response  # type: ignore[assignment]
 
     def connect(self) -> None:
-        """Connects, with bounds on what a silent peer can hold up.
+        """Connects, and bounds how long the connection may be silent.
 
         Raises:
-            OSError: no connection was made.
+            OSError: the connection could not be made.
         """
         super().connect()
         self.sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
@@ -74,7 +75,7 @@
         self.reader = _SharedReader(raw, READ_BYTES)
 
     def getresponse(self) -> http.client.HTTPResponse:
-        """Reads the head of an answer; the connection stays open for its body."""
+        """Reads the head of a response; the connection stays open for its body."""
         self._is_reading_head = True
         try:
             return super().getresponse()
@@ -82,7 +83,7 @@
             self._is_reading_head = False
 
     def next_response(self, method: str) -> http.client.HTTPResponse:
-        """Reads the head of one more answer, after one that was not asked for."""
+        """Reads the head of the next response, after an unsolicited one."""
         response = self._make_response(self.sock, method=method)
         response.begin()
         return response
@@ -93,9 +94,10 @@
     def close(self) -> None:
         """Closes the connection and its reader.
 
-        While a head is read this does nothing: the base class closes a connection as soon
-        as a head says that it will close, and leaves the body to the response's own
-        reader, which here is the connection's. Whoever reads a head closes afterwards.
+        Does nothing while a head is being read. The base class closes the connection as soon as a
+        head announces `Connection: close`, because the response normally has a reader of its own;
+        here that reader belongs to the connection, and the body would be lost. The caller of
+        `getresponse` closes the connection after it has read the body.
         """
         if self._is_reading_head:
             return
@@ -107,8 +109,9 @@
     def is_reusable(self, request_id: str) -> bool:
         """Returns whether a request may be sent on this idle connection.
 
-        Not after one with the same id: a late surplus answer to that one could not be told
-        from the answer to this one. Nor while bytes wait that no request asked for.
+        A connection is not reusable after a request with the same id, because a late surplus
+        response to that request would be indistinguishable from the response to this one. It is
+        not reusable either while it has unsolicited bytes to read.
         """
         age = steady_seconds() - self.idle_since
         if age >= self.max_idle_seconds or self.last_request_id == request_id:
@@ -116,33 +119,33 @@
         return not self._has_waiting_bytes()
 
     def _has_waiting_bytes(self) -> bool:
-        """Returns whether bytes, or an end, came that no request asked for."""
+        """Returns whether unsolicited bytes, or the end of the stream, can be read."""
         assert self.reader is not None
         readable, _, _ = select.select([self.sock], [], [], 0)
         return bool(readable)
 
     def apply_keep_alive(self, keep_alive: str | None) -> None:
-        """Follows the idle time that an answer's `Keep-Alive` header names, if it does."""
+        """Applies the idle timeout of a response's `Keep-Alive` header, if it has one."""
         seconds = _idle_seconds(keep_alive)
         if seconds is not None:
             self.max_idle_seconds = seconds * IDLE_TIMEOUT_SHARE
 
 
 def shut_down(sock: socket.socket) -> None:
-    """Ends a connection under its reader, with a reset at its close.
+    """Shuts a connection down while another thread reads it, and resets it when it is closed.
 
-    Guards against a request that was sent in part: without the reset the kernel goes on to
-    send what it holds of it, and an engine that reads late runs it.
+    Without the reset the kernel would continue to send the buffered rest of a partly sent request,
+    and an engine that reads it late would run the request.
     """
     try:
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
         sock.shutdown(socket.SHUT_RDWR)
     except OSError:
-        return  # it was closed already
+        return  # already closed
 
 
 def _idle_seconds(header: str | None) -> float | None:
-    """Returns the idle time in a `Keep-Alive` header."""
+    """Returns the timeout of a `Keep-Alive` header in seconds, or None if it has none."""
     for part in (header or "").split(","):
         name, _, value = part.strip().partition("=")
         if name.lower() == "timeout" and value.strip().isdigit():
--- a/src/troutswitch/gateway/engines/connection_pool.py
+++ b/src/troutswitch/gateway/engines/connection_pool.py
@@ -1,8 +1,8 @@
-"""The idle connections to engines, for reuse by any thread.
+"""Pool of the idle connections to engines, shared by all threads.
 
-It owns a connection from `keep` to `take`. A connection that falls silent makes the others of its
-engine suspect that brought nothing since: these are closed before they are used, not after each
-cost a request its whole time-out.
+The pool owns a connection from `release` to `acquire`. When a connection times out, the engine's
+idle connections that have received nothing since are suspect. The pool closes them, because
+otherwise each of them could cost another request its whole timeout.
 """
 
 import threading
@@ -17,15 +17,15 @@
 
 
 def _ignore(engine_id: str, closed: int) -> None:
-    """Takes no note of closed connections."""
+    """Ignores closed connections."""
 
 
 class EngineConnections:
     """Idle connections by engine id.
 
     Args:
-        on_suspects_closed: called with an engine's id and how many of its connections were closed
-            because another one had fallen silent.
+        on_suspects_closed: called with an engine's id and the number of its idle connections that
+            were closed because another connection timed out.
     """
 
     def __init__(self, on_suspects_closed: Callable[[str, int], None] = _ignore) -> None:
@@ -34,7 +34,7 @@
         self._lock = threading.Lock()
 
     def acquire(self, engine_id: str, address: Address, request_id: str) -> EngineConnection:
-        """Returns an idle connection that may be reused, or a new one not yet connected."""
+        """Returns a reusable idle connection, or a new one that is not connected yet."""
         while True:
             with self._lock:
                 idle = self._idle.get(engine_id)
@@ -46,7 +46,7 @@
             connection.close()
 
     def release(self, engine_id: str, connection: EngineConnection) -> None:
-        """Keeps a connection whose answer was read whole."""
+        """Returns a connection to the pool after its response was read completely."""
         connection.idle_since = steady_seconds()
         with self._lock:
             idle = self._idle.setdefault(engine_id, deque())
@@ -56,9 +56,11 @@
         connection.close()
 
     def close_suspects(self, engine_id: str, silent_since: float) -> None:
-        """Closes an engine's idle connections that brought nothing since another fell silent.
+        """Closes an engine's idle connections that have received nothing since another timed out.
 
-        `silent_since` is a time of this process's clock, in seconds.
+        Args:
+            engine_id: the engine.
+            silent_since: time at which the silence began, in seconds of the process's steady clock.
         """
         with self._lock:
             idle = self._idle.pop(engine_id, deque())
@@ -70,7 +72,7 @@
             self._on_suspects_closed(engine_id, len(suspects))
 
     def remove_engines(self, engine_ids: list[str]) -> None:
-        """Closes the idle connections of engines that left."""
+        """Closes the idle connections to engines that have left the fleet."""
         with self._lock:
             dropped = [self._idle.pop(engine_id, deque()) for engine_id in engine_ids]
         for connections in dropped:
--- a/src/troutswitch/gateway/engines/engine_activity.py
+++ b/src/troutswitch/gateway/engines/engine_activity.py
@@ -1,6 +1,6 @@
-"""Reports to the loop which engines send bytes, a few times a second at most.
+"""Reports to the loop which engines are sending bytes, at a limited rate.
 
-It relies on the threads that read engines' answers to note what comes.
+The threads that read engines' responses call `record`.
 """
 
 from collections.abc import Callable
@@ -10,14 +10,14 @@
 from troutswitch.decisions.gateway_interface import GatewayEvent
 
 ACTIVITY_REPORT_INTERVAL_SECONDS = 0.2
-"""Least interval between two reports of one engine."""
+"""Minimum interval between two reports about one engine."""
 
 
 class EngineActivityReporter:
-    """Notes from which engines bytes came, for all threads that read answers.
+    """Rate-limited reports of engine activity, shared by all threads that read responses.
 
     Args:
-        post: hands an event to the loop.
+        post: posts an event to the loop.
     """
 
     def __init__(self, post: Callable[[GatewayEvent], None]) -> None:
@@ -25,7 +25,7 @@
         self._reported_at: dict[str, float] = {}
 
     def record(self, engine_id: str) -> None:
-        """Notes that bytes came; two threads at once may report it twice, which does no harm."""
+        """Records received bytes; concurrent calls may post a report twice, which is harmless."""
         now = steady_seconds()
         if (
             now - self._reported_at.get(engine_id, float("-inf"))
--- a/src/troutswitch/gateway/engines/engine_check.py
+++ b/src/troutswitch/gateway/engines/engine_check.py
@@ -1,6 +1,6 @@
-"""Checks whether an engine still takes connections, after an answer of it was lost.
+"""Checks whether an engine still accepts connections, after one of its responses was lost.
 
-It relies on the engine's port alone: nothing is sent, so nothing runs.
+The check only connects to the engine's port. It sends no request, so nothing is executed.
 """
 
 import socket
@@ -9,11 +9,11 @@
 from troutswitch.decisions.crashes.messages import CheckEngine, EngineChecked, EngineFound
 
 CHECK_SECONDS = 0.5
-"""Longest wait for a connection: as long as requests wait for one."""
+"""Connect timeout, the same as that of requests."""
 
 
 def check_engine(check: CheckEngine) -> EngineChecked:
-    """Connects to an engine and closes at once; blocks for `CHECK_SECONDS` at most."""
+    """Connects to an engine and closes the connection; blocks for at most `CHECK_SECONDS`."""
     return EngineChecked(check.engine_id, _connect(check.address))
 
 
--- a/src/troutswitch/gateway/engines/event_stream.py
+++ b/src/troutswitch/gateway/engines/event_stream.py
@@ -1,7 +1,7 @@
-"""Splits a stream of server-sent events into whole events.
+"""Splits a stream of server-sent events into complete events.
 
-Source: the HTML standard, section "Server-sent events". A part of an event is kept until the event
-is whole, so an answer that breaks off never delivers a part of one.
+Source: the HTML standard, section "Server-sent events". A partial event is buffered until it is
+complete, so that a response that breaks off never delivers part of an event.
 """
 
 from dataclasses import dataclass
@@ -10,12 +10,12 @@
 
 
 class EventStreamError(Exception):
-    """Bytes that are not the next event of the stream."""
+    """The received bytes are not the next event of the stream."""
 
 
 @dataclass(frozen=True, slots=True)
 class StreamEvent:
-    """One whole event: its bytes as they came, its id, and its data lines joined."""
+    """A complete event: its raw bytes, its id, and its data lines joined by newlines."""
 
     raw: bytes
     event_id: str
@@ -23,9 +23,9 @@
 
 
 class EventSplitter:
-    """Collects bytes into events, and checks that their ids rise by one.
+    """Collects bytes into events, and checks that numeric ids increase by one.
 
-    `last_id` is the id of the last whole event, at first that after which the stream goes on.
+    `last_id` is the id of the last complete event, initially the id after which the stream resumes.
     """
 
     def __init__(self, last_id: str = "") -> None:
@@ -34,14 +34,14 @@
 
     @property
     def is_between_events(self) -> bool:
-        """Whether no part of an event is left."""
+        """Whether no partial event is buffered."""
         return not self._rest.strip()
 
     def feed(self, data: bytes) -> list[StreamEvent]:
-        """Returns the events that became whole.
+        """Returns the events that `data` completes.
 
         Raises:
-            EventStreamError: an event is too long, or ids do not follow one another.
+            EventStreamError: an event is too long, has no id, or is out of sequence.
         """
         self._rest += data
         events: list[StreamEvent] = []
@@ -57,7 +57,7 @@
         """Checks that the stream ended between two events.
 
         Raises:
-            EventStreamError: a part of an event is left.
+            EventStreamError: the stream ended inside an event.
         """
         if not self.is_between_events:
             raise EventStreamError("the stream ended inside an event")
@@ -80,12 +80,12 @@
             raise EventStreamError("an event has no id")
         is_numbered = event_id.isdigit() and self.last_id.isdigit()
         if is_numbered and int(event_id) != int(self.last_id) + 1:
-            raise EventStreamError(f"event {event_id} follows {self.last_id}")
+            raise EventStreamError(f"event {event_id} does not follow event {self.last_id}")
         self.last_id = event_id
 
 
 def _end_of_event(data: bytes) -> int:
-    """Returns the length of the first event with its blank line, or 0 if it is not whole."""
+    """Returns the length of the first event with its blank line, or 0 if it is incomplete."""
     ends = [
         position + len(mark)
         for mark in (b"\n\n", b"\r\n\r\n")
--- a/src/troutswitch/gateway/engines/exchange.py
+++ b/src/troutswitch/gateway/engines/exchange.py
@@ -1,8 +1,8 @@
-"""One HTTP exchange with an engine: a request is sent and its answer read.
+"""One HTTP exchange with an engine: sends a request and reads its response.
 
-It owns its connection while it lasts, and gives it to the pool (`EngineConnections`) after a whole
-answer. Answers are matched by the request's id; a surplus answer that comes in the place of the
-next one is read and dropped.
+An exchange owns its connection until the response is complete, then returns it to the pool
+(`EngineConnections`). Responses are matched to the request by the request id; a surplus response
+that precedes the expected one is read and dropped.
 """
 
 import http.client
@@ -17,27 +17,27 @@
 from troutswitch.gateway.engines.connection_pool import EngineConnections
 
 SUSPECT_SILENCE_SECONDS = 0.25
-"""Least silence that makes other connections suspect: longer than the kernel's first
-retransmission (0.2 s), so that one lost packet is none, and shorter than the least wait for a
-next event (0.3 s), so that each attempt left for silence is one."""
+"""Minimum silence that makes other connections suspect. It is longer than the kernel's first
+retransmission timeout (0.2 s), so that a single lost packet does not count, and shorter than the
+minimum wait for a next event (0.3 s), so that every attempt abandoned for silence counts."""
 MIN_TIMEOUT_SECONDS = 0.01
-"""Least time-out of a socket, as 0 stands for none."""
+"""Minimum socket timeout; 0 would make the socket non-blocking."""
 MAX_SURPLUS_RESPONSES = 3
 
 Headers = list[tuple[str, str]]
 
 
 class NotConnected(Exception):
-    """No connection was made, so nothing was sent."""
+    """The connection could not be made, so nothing was sent."""
 
 
 class AnswerLost(Exception):
-    """The request was sent, at least in part, and its whole answer did not come."""
+    """The request was sent, at least in part, but its response was not received completely."""
 
 
 @dataclass(frozen=True, slots=True)
 class OutgoingRequest:
-    """A request as it goes to an engine."""
+    """A request as it is sent to an engine."""
 
     request_id: str
     method: str
@@ -48,10 +48,10 @@
 
 @dataclass
 class Exchange:
-    """One exchange, in the order `open`, `chunks` or `body`, `close`.
+    """One exchange: call `open`, then `chunks` or `body`, then `close`.
 
-    It runs on one thread; only `abort` may be called from any. `id_header` names the header in
-    which an answer repeats the request's id.
+    All calls must come from one thread, except `abort`, which is thread-safe. `id_header` is the
+    name of the header in which a response repeats the request's id.
     """
 
     connections: EngineConnections
@@ -62,26 +62,26 @@
     response: http.client.HTTPResponse | None = None
     is_aborted: bool = False
     last_seen_at: float = field(default_factory=steady_seconds)
-    """When the request was begun to be sent, or the last bytes of its answer came, in seconds of
-    this process's clock."""
+    """Time at which the sending began or the last bytes of the response arrived, in seconds of the
+    process's steady clock."""
     _connection: EngineConnection | None = None
     _lock: threading.Lock = field(default_factory=threading.Lock)
 
     def open(self, first_wait: float) -> http.client.HTTPResponse:
-        """Sends the request and reads the head of its answer.
+        """Sends the request and reads the head of its response.
 
         Args:
-            first_wait: longest wait for the head, in seconds.
+            first_wait: timeout of each send and of each read of the head, in seconds.
 
         Raises:
-            NotConnected: no connection was made.
-            AnswerLost: the request was sent and no head of its answer came.
+            NotConnected: nothing was sent.
+            AnswerLost: the request was sent, but no head of its response was received.
         """
         connection = self._take_connection()
         self._connect(connection)
         if self.is_aborted:
             self.close()
-            raise NotConnected("aborted before it was sent")
+            raise NotConnected("aborted before the request was sent")
         try:
             connection.sock.settimeout(max(MIN_TIMEOUT_SECONDS, first_wait))
             self.last_seen_at = steady_seconds()
@@ -110,7 +110,7 @@
             raise NotConnected(f"{type(error).__name__}: {error}") from error
 
     def _send(self, connection: EngineConnection) -> None:
-        """Sends head and body; an engine may answer and close before it read all."""
+        """Sends head and body; an engine may respond and close before it has read everything."""
         request = self.request
         connection.putrequest(
             request.method, request.url, skip_host=True, skip_accept_encoding=True
@@ -125,10 +125,10 @@
         try:
             connection.send(request.body)
         except (BrokenPipeError, ConnectionResetError):
-            connection.max_idle_seconds = 0.0  # the answer may have come before the end of the body
+            connection.max_idle_seconds = 0.0  # a response may still be readable
 
     def _read_head(self, connection: EngineConnection) -> http.client.HTTPResponse:
-        """Reads heads up to that of this request's answer."""
+        """Reads heads until that of this request's response; drops surplus responses."""
         response = connection.getresponse()
         for _ in range(MAX_SURPLUS_RESPONSES):
             if response.getheader(self.id_header) == self.request.request_id:
@@ -138,19 +138,19 @@
             if response.will_close or connection.sock is None:
                 break
             response = connection.next_response(self.request.method)
-        raise http.client.HTTPException("the answer is of another request")
+        raise http.client.HTTPException("the response belongs to another request")
 
     def set_wait(self, seconds: float) -> None:
-        """Bounds how long the next bytes may take."""
+        """Sets the timeout of the next reads, in seconds."""
         connection = self._connection
         if connection is not None and connection.sock is not None:
             connection.sock.settimeout(max(MIN_TIMEOUT_SECONDS, seconds))
 
     def chunks(self) -> Iterator[bytes]:
-        """Yields the body's bytes as they come; the connection is kept after a whole one.
+        """Yields the body's bytes as they arrive; keeps the connection after a complete body.
 
         Raises:
-            AnswerLost: the answer broke off, or its bytes stayed away too long.
+            AnswerLost: the response broke off, or a read timed out.
         """
         assert self.response is not None
         try:
@@ -161,22 +161,22 @@
             raise self._lost(error) from error
         if self.is_aborted or (self.response.length or 0) > 0:
             self.close()
-            raise AnswerLost("the answer broke off")
+            raise AnswerLost("the response ended early")
         self._finish()
 
     def body(self) -> bytes:
-        """Returns the whole body.
+        """Returns the complete body.
 
         Raises:
-            AnswerLost: it did not come whole.
+            AnswerLost: the body was not received completely.
         """
         return b"".join(self.chunks())
 
     def _finish(self) -> None:
-        """Keeps the connection if it may be used again."""
+        """Returns the connection to the pool if it is reusable, and closes it otherwise."""
         connection, response = self._connection, self.response
         assert connection is not None and response is not None
-        response.close()  # read by length, it does not notice its end by itself
+        response.close()  # reading a body with a length does not close it
         connection.apply_keep_alive(response.getheader("Keep-Alive"))
         is_open = not response.will_close and connection.sock is not None
         if not is_open or connection.max_idle_seconds <= 0:
@@ -187,7 +187,7 @@
         self.connections.release(self.engine_id, connection)
 
     def _lost(self, error: Exception) -> AnswerLost:
-        """Closes the connection, and the suspect others if this one timed out."""
+        """Closes the connection and, after a timeout, the engine's suspect connections."""
         self.close()
         if isinstance(error, TimeoutError):
             self._close_suspects()
@@ -198,10 +198,12 @@
             self.connections.close_suspects(self.engine_id, self.last_seen_at)
 
     def abort(self, is_silent: bool = False) -> None:
-        """Ends the exchange from any thread: its reader sees the connection's end.
+        """Aborts the exchange from any thread; its reader sees the end of the connection.
 
-        If `is_silent`, the engine sends nothing any more: suspect connections are closed at
-        once, as the next attempt may come before the reader of this one wakes.
+        Args:
+            is_silent: whether the reason is that the engine stopped sending. Suspect connections
+                are then closed immediately, because the next attempt may acquire one before the
+                reader of this exchange wakes.
         """
         if is_silent:
             self._close_suspects()
@@ -213,7 +215,7 @@
                 shut_down(sock)
 
     def close(self) -> None:
-        """Closes the connection unless it was kept."""
+        """Closes the connection unless it was returned to the pool."""
         with self._lock:
             connection, self._connection = self._connection, None
         if connection is not None:
--- a/src/troutswitch/gateway/engines/item_runs.py
+++ b/src/troutswitch/gateway/engines/item_runs.py
@@ -1,7 +1,7 @@
 """Runs batch items at engines, each on a thread of its own.
 
-It owns the threads and the exchanges of the runs in progress; the loop owns everything else about
-an item, and learns of a run by the events that are posted here.
+This module owns the threads and the exchanges of the runs in progress. The loop owns all other
+state of an item; the events posted here inform it about a run.
 """
 
 import threading
@@ -35,16 +35,19 @@
 from troutswitch.platform.requests import AnswerHead, item_headers, read_head
 
 ITEM_THREADS = 64
-"""Runs at once."""
+"""Maximum number of concurrent runs."""
 PROGRESS_INTERVAL_SECONDS = 0.4
-"""Least interval between two reports of a run's progress."""
+"""Minimum interval between two reports of a run's progress."""
 
 
 class ItemRuns:
     """The runs in progress.
 
     Args:
-        post: hands an event to the loop.
+        connections: pool of connections to engines.
+        post: posts an event to the loop.
+        engine_activity: records which engines send bytes.
+        logger: logs unexpected errors.
     """
 
     def __init__(
@@ -60,7 +63,7 @@
         self._logger = logger
         self._exchanges: dict[int, Exchange] = {}
         self._stopped: set[int] = set()
-        """Runs that were stopped before their exchange began."""
+        """Runs that were stopped before their exchange was registered."""
         self._lock = threading.Lock()
         self._executor = ThreadPoolExecutor(ITEM_THREADS, "items")
 
@@ -69,10 +72,10 @@
         try:
             self._executor.submit(self._run, instruction)
         except RuntimeError:
-            return  # the process stops
+            return  # the process is stopping
 
     def stop(self, instruction: StopItem) -> None:
-        """Closes the connection of a run."""
+        """Aborts a run, or prevents it from sending anything if it has not begun."""
         with self._lock:
             exchange = self._exchanges.get(instruction.run)
             if exchange is None:
@@ -81,7 +84,7 @@
             exchange.abort()
 
     def shut_down(self) -> None:
-        """Closes all runs."""
+        """Aborts all runs."""
         self._executor.shutdown(wait=False, cancel_futures=True)
         with self._lock:
             exchanges = list(self._exchanges.values())
@@ -89,7 +92,7 @@
             exchange.abort()
 
     def _run(self, instruction: RunItem) -> None:
-        """Runs an item; an error of ours ends the run too, or it would be in flight for good."""
+        """Runs an item; an unexpected error also ends the run, which would else stay in flight."""
         run = _ItemRun(instruction, self._post, self._engine_activity)
         try:
             end_event = run.execute(self._open_exchange(instruction))
@@ -120,7 +123,7 @@
 
 @dataclass
 class _ItemRun:
-    """One run; `events` are those not yet reported."""
+    """One run; `events` are the events that are not reported yet."""
 
     instruction: RunItem
     post: Callable[[GatewayEvent], None]
@@ -128,7 +131,7 @@
     events: list[OutputEvent] = field(default_factory=list)
 
     def execute(self, exchange: Exchange) -> ItemRunEnded:
-        """Makes the exchange, and returns how it ended."""
+        """Performs the exchange and returns the event that reports its end."""
         try:
             head = read_head(exchange.open(self.instruction.first_wait))
         except NotConnected as error:
@@ -147,7 +150,7 @@
         return self.end_event(AttemptKind.COMPLETED, "", head)
 
     def _read(self, exchange: Exchange) -> None:
-        """Reads the stream, and reports its events from time to time."""
+        """Reads the stream, and reports its events periodically."""
         splitter = EventSplitter(self.instruction.resume_after)
         reported_at = steady_seconds()
         for data in exchange.chunks():
@@ -170,7 +173,7 @@
     def end_event(
         self, kind: AttemptKind, reason: str, head: AnswerHead | None = None
     ) -> ItemRunEnded:
-        """Returns the run's end, with the events not yet reported."""
+        """Returns the event that reports the run's end, with the events not reported yet."""
         return ItemRunEnded(
             self.instruction.run,
             kind,
--- a/src/troutswitch/gateway/instruction_executor.py
+++ b/src/troutswitch/gateway/instruction_executor.py
@@ -1,9 +1,10 @@
-"""Carries the instructions of the gateway's core out.
+"""Executes the instructions of the gateway's core.
 
-It owns the threads that call the store, peers and engines' ports. What doesn't block is done on the
-loop's thread at once; each blocking call runs on a thread, and its outcome is posted as an event.
-Calls that bring the configuration and the engine list have threads of their own: while the store is
-silent, those for jobs take a thread each until their time-outs, and as many come as clients submit.
+Non-blocking instructions are executed immediately on the loop's thread. Blocking calls to the
+store, to peers and to engines' ports run on thread pools, and their outcomes are posted as events.
+Reads of the configuration and the engine list, and requests for peers' state, have a pool of their
+own: while the store does not respond, each call for jobs occupies a thread until its timeout, and
+clients may submit any number of jobs.
 """
 
 from collections.abc import Callable
@@ -45,19 +46,20 @@
 from troutswitch.gateway.engines.item_runs import ItemRuns
 
 STORE_THREADS = 48
-"""Blocking calls at once: a read may wait some seconds at the store."""
+"""Maximum number of concurrent blocking calls; a read may wait some seconds at the store."""
 FLEET_THREADS = 4 * READS_IN_FLIGHT_MOST
-"""Blocking calls at once that bring the configuration and the engine list: twice the reads of both
-that may be in flight, as one that is abandoned holds its thread until its time-out."""
+"""Maximum number of concurrent blocking calls for the configuration and the engine list: twice the
+reads of both that may be in flight, because an abandoned read holds its thread until it times
+out."""
 FLEET_TOPICS = frozenset({CONFIGURATION_TOPIC, ENGINES_TOPIC})
 
 
 @dataclass(frozen=True, slots=True)
 class Executors:
-    """What carries the instructions of each kind out.
+    """The objects and functions that execute each kind of instruction.
 
-    `call_store` and `request_peer_state` block and run on threads of their own; all others must
-    return at once, as they run on the loop's thread.
+    `call_store` and `request_peer_state` may block and run on thread pools. All others run on the
+    loop's thread and must not block.
     """
 
     relays: RelayRegistry
@@ -72,7 +74,7 @@
 
 
 class InstructionExecutor:
-    """Passes each instruction to what carries it out; `execute` never blocks."""
+    """Dispatches each instruction to its executor; `execute` never blocks."""
 
     def __init__(
         self,
@@ -89,11 +91,11 @@
 
     @property
     def blocking_calls(self) -> int:
-        """Blocking calls that run or wait for a thread."""
+        """Number of blocking calls that are running or waiting for a thread."""
         return len(self._blocking_calls)
 
     def execute(self, instruction: GatewayInstruction) -> None:
-        """Carries one instruction out; called on the loop's thread."""
+        """Executes one instruction; called on the loop's thread."""
         executors = self._executors
         match instruction:
             case LogLine():
@@ -132,11 +134,11 @@
         self._logger.info(line.event, **line.fields)
 
     def _submit(self, threads: ThreadPoolExecutor, call: Callable[[], GatewayEvent]) -> None:
-        """Makes a blocking call on a thread; its outcome is posted as an event."""
+        """Runs a blocking call on a thread pool and posts its outcome as an event."""
         try:
             future = threads.submit(lambda: self._post(call()))
         except RuntimeError:
-            return  # the process stops
+            return  # the process is stopping
         self._blocking_calls.add(future)
         future.add_done_callback(self._blocking_calls.discard)
 
@@ -149,7 +151,7 @@
         return StoreAnswered(call.call, outcome)
 
     def stop(self) -> None:
-        """Ends the threads; calls in progress are left to end by themselves."""
+        """Stops the thread pools without waiting for the calls in progress."""
         self._executors.items.shut_down()
         for threads in (self._threads, self._fleet_threads):
             threads.shutdown(wait=False, cancel_futures=True)
--- a/src/troutswitch/gateway/logging.py
+++ b/src/troutswitch/gateway/logging.py
@@ -1,7 +1,7 @@
-"""JSON-line logs that never hold up their writer.
+"""JSON-line logging that never blocks the thread that logs.
 
-It owns a bounded queue and the thread that writes its lines to standard output. While nobody
-reads the output, the lines that the queue can't take are dropped and counted.
+Lines pass through a bounded queue to a thread that writes them to standard output. If the output is
+not read and the queue fills, further lines are dropped and counted.
 """
 
 import queue
@@ -14,7 +14,7 @@
 from troutswitch.clock import steady_seconds
 
 MAX_QUEUE_LINES = 4096
-"""Lines that wait to be written."""
+"""Maximum number of lines waiting to be written."""
 FLUSH_POLL_SECONDS = 0.01
 
 
@@ -22,7 +22,7 @@
     """A file-like object whose `write` queues whole lines.
 
     Args:
-        descriptor: the file to which the lines go.
+        descriptor: file descriptor to which the lines are written.
     """
 
     def __init__(self, descriptor: int) -> None:
@@ -33,7 +33,7 @@
         self._thread.start()
 
     def write(self, text: str) -> int:
-        """Queues a line, or drops and counts it if the queue is full."""
+        """Queues a line; drops and counts it if the queue is full."""
         try:
             self._lines.put_nowait(text)
         except queue.Full:
@@ -41,12 +41,12 @@
         return len(text)
 
     def flush(self) -> None:
-        """Does nothing: the thread flushes when the queue is empty."""
+        """Does nothing; the thread flushes the output when the queue is empty."""
 
     def drain(self, seconds: float) -> None:
-        """Waits until all lines were taken from the queue, `seconds` at most."""
-        until = steady_seconds() + seconds
-        while not self._lines.empty() and steady_seconds() < until:
+        """Waits until the queue is empty, for at most `seconds`."""
+        deadline = steady_seconds() + seconds
+        while not self._lines.empty() and steady_seconds() < deadline:
             time.sleep(FLUSH_POLL_SECONDS)
 
     def _run(self) -> None:
--- a/src/troutswitch/gateway/loop.py
+++ b/src/troutswitch/gateway/loop.py
@@ -1,8 +1,7 @@
-"""The gateway's loop: the one thread that owns all state of the decisions.
+"""The gateway's event loop: the only thread that accesses the state of the decisions.
 
-It owns the thread on which the core decides, takes events from one queue, and gives the core its
-clock. It relies on `GatewayCore` to decide, and on the given function to carry instructions out
-without blocking.
+The loop takes events from one queue, passes each with the current time to `GatewayCore`, and
+executes the instructions that the core returns.
 """
 
 import queue
@@ -16,20 +15,21 @@
 from troutswitch.decisions.gateway_messages import ClockCompared, ProcessResumed, TimerFired
 
 MAX_WAIT_SECONDS = 1.0
-"""Longest wait when nothing is due."""
+"""Longest wait for an event when no timer is due."""
 SUSPENSION_SECONDS = 0.8
-"""Delay of a turn from which this process counts as having been suspended: below the shortest
-lease (1 s), far above the delays of a busy machine."""
+"""Minimum delay of an iteration that counts as a suspension of the process. It is below the
+shortest lease (1 s) and far above the delays of a busy machine."""
 CLOCK_COMPARISON_SECONDS = 2.0
-"""Interval between comparisons with the time of day, which may jump."""
+"""Interval between comparisons of the steady clock with the time of day, which may jump."""
 
 
 class GatewayLoop:
-    """Feeds events to the core and has its instructions carried out.
+    """Passes events to the core and executes its instructions.
 
     Args:
-        events: the queue of events, to which any thread may add.
-        execute: carries an instruction out; called on the loop's thread, must not block.
+        core: makes the decisions.
+        events: queue of events, to which any thread may add.
+        execute: executes an instruction; called on the loop's thread, must not block.
         on_failure: called with the error that ended the loop.
     """
 
@@ -57,7 +57,7 @@
         self._events.put(event)
 
     def stop(self) -> None:
-        """Ends the loop."""
+        """Stops the loop after the event in progress."""
         self._is_stopping = True
         self.post(TimerFired())
 
@@ -83,14 +83,14 @@
         self._compare_clocks(steady_seconds())
 
     def _check_suspension(self, due: float) -> None:
-        """Informs the core before any queued event if this process did not run for a while.
+        """Reports a suspension of this process to the core before any queued event.
 
-        Queued events are of the time before. Leases and deadlines that ended meanwhile must be
-        over before these are acted on.
+        Queued events are from before the suspension. Leases and deadlines that have passed since
+        must expire before the core acts on those events.
         """
-        late = steady_seconds() - due
-        if late >= SUSPENSION_SECONDS:
-            self._step(ProcessResumed(late))
+        delay = steady_seconds() - due
+        if delay >= SUSPENSION_SECONDS:
+            self._step(ProcessResumed(delay))
 
     def _step(self, event: GatewayEvent) -> None:
         for instruction in self.core.step(steady_seconds(), event):
--- a/src/troutswitch/gateway/metrics.py
+++ b/src/troutswitch/gateway/metrics.py
@@ -1,8 +1,8 @@
 """Counters, gauges and histograms of one gateway daemon, in the Prometheus text format.
 
-It owns the figures. Counters and histograms are fed by the core's log lines, gauges read the core
-when they are scraped, from another thread than the loop's. Label values are bounded: routes come
-from the configuration, outcomes and steps from enumerations. Times are seconds.
+Counters and histograms are updated from the core's log lines. Gauges read the core when they are
+scraped, on another thread than the loop's. Label values are bounded: routes come from the
+configuration, outcomes and steps from enumerations. Times are in seconds.
 """
 
 from collections.abc import Callable
@@ -17,14 +17,14 @@
 
 SECONDS_BUCKETS = (0.01, 0.025, 0.05, 0.1, 0.2, 0.4, 0.8, 1.6, 3.2, 6.4)
 MISSING_LABEL = "other"
-"""Label value where a log line has no such field."""
+"""Label value if a log line lacks the field."""
 NO_FIRST_EVENT_MILLISECONDS = 60_000
-"""Times to the first event of this length and more stand for attempts without one."""
+"""A time to the first event that is this long or longer denotes an attempt without events."""
 CONTENT_TYPE = "text/plain; version=0.0.4"
 
 
 class GatewayMetrics:
-    """The figures at the metrics path."""
+    """The metrics of one daemon, as served at the metrics path."""
 
     def __init__(self, core: GatewayCore, blocking_calls: Callable[[], int] = lambda: 0) -> None:
         self.registry = CollectorRegistry()
@@ -150,7 +150,7 @@
         gauge.set_function(read)
 
     def on_log_line(self, line: LogLine) -> None:
-        """Counts a log line of the core; called on the loop's thread."""
+        """Updates the metrics from a log line of the core; called on the loop's thread."""
         self._events.labels(line.event).inc()
         match line.event:
             case "attempt ended":
@@ -174,7 +174,7 @@
             self._first_event.observe(first / 1000)
 
     def render(self) -> bytes:
-        """Returns all figures in the text format."""
+        """Returns all metrics in the Prometheus text format."""
         return generate_latest(self.registry)
 
 
--- a/src/troutswitch/gateway/policies.py
+++ b/src/troutswitch/gateway/policies.py
@@ -1,6 +1,6 @@
-"""Reads which policies are in force: `name=value` pairs, separated by commas.
+"""Parses `TROUTSWITCH_POLICIES`: comma-separated `name=value` pairs that select policies.
 
-It owns the names of `TROUTSWITCH_POLICIES`; the policies register their values themselves.
+This module defines the names; the modules of the policies register the possible values.
 """
 
 from collections.abc import Collection
@@ -16,7 +16,7 @@
 from troutswitch.gateway.settings import GatewaySettingsError
 
 POLICIES_VARIABLE = "TROUTSWITCH_POLICIES"
-"""Environment variable that names policies other than the defaults."""
+"""Environment variable that selects policies other than the defaults."""
 
 DEFAULTS = Policies()
 
@@ -44,7 +44,7 @@
 
 
 def read_policies(text: str) -> Policies:
-    """Reads the policies that a text names; the others are the defaults.
+    """Parses a selection of policies; policies that it does not name keep their defaults.
 
     Raises:
         GatewaySettingsError: a pair is malformed, or a name or value is unknown.
--- a/src/troutswitch/gateway/process.py
+++ b/src/troutswitch/gateway/process.py
@@ -1,7 +1,7 @@
-"""One gateway daemon as a process: start, planned stop and reload of its settings.
+"""A gateway daemon as a process: start, planned stop and reload of its settings.
 
-It makes and owns the listeners, the loop, the executors and the connections, and joins them by one
-queue of events. It relies on `GatewayCore` for all decisions.
+It creates and owns the listeners, the loop, the executors and the connections, and connects them by
+one queue of events. `GatewayCore` makes all decisions.
 """
 
 import os
@@ -49,20 +49,20 @@
 from troutswitch.runtime.http import Response, StartResponse, send
 
 CALLER_THREADS = 96
-"""Callers' requests in progress at once; more wait unread."""
+"""Maximum number of callers' requests in progress; further requests wait unserved."""
 READINESS_THREADS = 1
 INTERNAL_THREADS = 2
 METRICS_PATH = "/metrics"
 MAX_CONNECTIONS = 2000
-"""Connections at once to each of the listeners."""
+"""Maximum number of open connections to each listener."""
 MIN_DRAIN_SECONDS = 3.2
-"""Least time for which a stopping daemon serves callers that still take it for ready."""
+"""Minimum time for which a stopping daemon serves callers that still consider it ready."""
 STOP_RESERVE_SECONDS = 0.6
-"""Part of the grace time that is left for the end of the process."""
+"""Part of the grace period reserved for the termination of the process."""
 DRAIN_POLL_SECONDS = 0.05
-"""Interval between checks whether a stopping daemon has finished."""
+"""Interval between checks whether a stopping daemon has completed its requests."""
 FLUSH_SECONDS = 0.1
-"""Time for waitress to write the last answers, which it has already, to their sockets."""
+"""Time for waitress to write the last buffered responses to their sockets."""
 
 
 class GatewayProcess:
@@ -142,7 +142,7 @@
         )
 
     def _make_internal(self) -> HttpListener | None:
-        """Makes the listener for metrics and peers, at the last of the daemons' ports."""
+        """Creates the listener for metrics and peers on the last internal port, if there is one."""
         first, last = self.settings.peer_ports
         if last <= first:
             return None
@@ -175,7 +175,7 @@
         self._logger.error("loop failed", error=f"{type(error).__name__}: {error}")
 
     def start(self) -> None:
-        """Starts listeners and loop."""
+        """Starts the loop, the peer socket and the listeners."""
         self.loop.start()
         self._relays.caller_watch.start()
         self._peers.start()
@@ -185,7 +185,7 @@
         self._logger.info("daemon started", zone=self.settings.zone)
 
     def reload(self, settings: GatewaySettings) -> None:
-        """Puts changed bounds in force; any other change needs a restart, and is logged."""
+        """Applies changed bounds; any other change requires a restart and is only logged."""
         before, self.settings = self.settings, replace(self.settings, bounds=settings.bounds)
         if before.bounds != settings.bounds:
             bounds = settings.bounds
@@ -198,38 +198,40 @@
         self._logger.info("settings reloaded", need_restart=others)
 
     def drain(self) -> None:
-        """Stops as planned: not ready at once, then finishes every request taken in.
+        """Performs a planned stop: reports not ready, then completes every accepted request.
 
-        Returns when all is finished, or when the grace time is nearly over.
+        Returns when all requests are complete, or shortly before the grace period ends.
         """
-        began = steady_seconds()
-        end = began + self.settings.bounds.grace - STOP_RESERVE_SECONDS
+        started_at = steady_seconds()
+        deadline = started_at + self.settings.bounds.grace - STOP_RESERVE_SECONDS
         self.loop.post(DrainRequested())
         if self._callers is not None:
             self._callers.drain()
-        while steady_seconds() < end:
-            if steady_seconds() - began >= MIN_DRAIN_SECONDS and self._try_finish():
+        while steady_seconds() < deadline:
+            if steady_seconds() - started_at >= MIN_DRAIN_SECONDS and self._try_finish():
                 time.sleep(FLUSH_SECONDS)
                 break
             time.sleep(DRAIN_POLL_SECONDS)
-        left = self._relays.count
-        self._logger.info("daemon stopped", seconds=steady_seconds() - began, unfinished=left)
+        unfinished = self._relays.count
+        self._logger.info(
+            "daemon stopped", seconds=steady_seconds() - started_at, unfinished=unfinished
+        )
 
     def _try_finish(self) -> bool:
-        """Refuses new requests, and returns whether nothing is left to do."""
+        """Refuses new requests, and returns whether no request or job call is in progress."""
         if self._gate is not None:
             self._gate.close()
         in_flight = self._gate.in_flight if self._gate is not None else 0
         return in_flight + self._relays.count + self._jobs.count == 0
 
     def stop(self) -> None:
-        """Ends loop and executors."""
+        """Stops the loop and the executors."""
         self.loop.stop()
         self._executor.stop()
 
 
 def _identity(settings: GatewaySettings, peer_address: Address) -> GatewayIdentity:
-    """Returns what the decisions know of this daemon; `peer_address` is the socket's own."""
+    """Returns this daemon's identity for the core; `peer_address` is the bound UDP address."""
     store, bounds = settings.store, settings.bounds
     return GatewayIdentity(
         settings.name,
@@ -246,9 +248,9 @@
 
 
 class Signals:
-    """Signals that ask this process to stop or to read its settings again.
+    """Handlers of the signals that request a stop or a reload of the settings.
 
-    Made before anything else, so that none is missed.
+    Create it before anything else, so that no signal is missed.
     """
 
     def __init__(self) -> None:
@@ -268,6 +270,6 @@
         self._woken.set()
 
     def wait(self, seconds: float) -> None:
-        """Waits for a signal, `seconds` at most."""
+        """Waits for a signal, for at most `seconds`."""
         self._woken.wait(seconds)
         self._woken.clear()
--- a/src/troutswitch/gateway/settings.py
+++ b/src/troutswitch/gateway/settings.py
@@ -1,7 +1,7 @@
 """Settings of a gateway daemon, in the product's own terms.
 
-`platform/settings.py` decodes and checks the users' file into these types. Times are seconds,
-sizes bytes.
+`platform/settings.py` decodes the users' settings file into these types and validates it. Times are
+in seconds, sizes in bytes.
 """
 
 from dataclasses import dataclass, field
@@ -11,16 +11,17 @@
 
 
 class GatewaySettingsError(Exception):
-    """Settings that cannot be used; the text names the field and the reason."""
+    """The settings are unusable; the message names the field and the reason."""
 
 
 @dataclass(frozen=True, slots=True)
 class StoreSettings:
     """The store's address and limits.
 
-    `partitions` counts those of each topic; `record_bytes` and `call_bytes` bound a record and a
-    call. `min_member_ttl` is the shortest time to live that the store takes for a member of a
-    group. `reads_per_second` bounds the reads of all daemons together, 0 is no bound.
+    `partitions` is the number of partitions of each topic. `record_bytes` and `call_bytes` limit
+    the sizes of a record and of a call. `min_member_ttl` is the shortest time to live that the
+    store accepts for a member of a group. `reads_per_second` limits the reads of all daemons
+    together; 0 means no limit.
     """
 
     address: Address
@@ -33,11 +34,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Bounds:
-    """Bounds that the system keeps, in seconds.
+    """Bounds that the system guarantees; times are in seconds.
 
-    `configuration_apply` is from the acceptance of a configuration until it is in force
-    everywhere, `drain` from an engine's first sign of draining until it gets no more requests,
-    `grace` from SIGTERM to the end of the process, `job_kept` from a job's end until it is removed.
+    `configuration_apply` runs from the acceptance of a configuration until it is in force
+    everywhere. `drain` runs from an engine's first sign of draining until it receives no more
+    requests. `grace` runs from SIGTERM to the end of the process. `job_kept` runs from the end of a
+    job until it is removed. `quota` bounds what a tenant may use beyond its quota.
     """
 
     configuration_apply: float = 2.0
@@ -51,9 +53,9 @@
 class GatewaySettings:
     """All settings of one daemon.
 
-    `callers` and `readiness` are where it listens, None for no such listener. Of `peer_ports`, the
-    first takes peers' datagrams (UDP), the last is the internal HTTP port; equal ones mean that
-    there is no internal port.
+    `callers` and `readiness` are the addresses of its listeners; None disables a listener. The
+    first of `peer_ports` receives peers' datagrams (UDP), the last is the internal HTTP port. There
+    is no internal port unless the last is greater than the first.
     """
 
     name: str
--- a/src/troutswitch/gateway/settings_file.py
+++ b/src/troutswitch/gateway/settings_file.py
@@ -1,7 +1,4 @@
-"""Detects that the settings file changed, with a signal or without one.
-
-It owns the content last read; it relies on the given function to decode and check it.
-"""
+"""Detects changes of the settings file by its content, whether or not a signal announces them."""
 
 from collections.abc import Callable
 from pathlib import Path
@@ -12,12 +9,12 @@
 
 
 class SettingsFile:
-    """The settings file as it was last read.
+    """A settings file and the content that was last read from it.
 
     Args:
-        path: the file.
-        load: reads and checks it; raises `GatewaySettingsError`.
-        logger: logs a file that cannot be used.
+        path: path of the file.
+        load: reads and validates the file; raises `GatewaySettingsError`.
+        logger: logs an unusable file.
     """
 
     def __init__(
@@ -38,9 +35,9 @@
             return None
 
     def reload_if_changed(self) -> GatewaySettings | None:
-        """Returns the settings if the file changed and is valid, else None.
+        """Returns the new settings if the file has changed and is valid, and None otherwise.
 
-        A file that is missing or wrong is logged once, and leaves the settings as they are.
+        A missing or invalid file is logged once; the caller keeps its current settings.
         """
         content = self._content()
         if content == self._last_content:
--- a/src/troutswitch/platform/configuration.py
+++ b/src/troutswitch/platform/configuration.py
@@ -1,7 +1,7 @@
 """Decodes the operators' configuration and the engines' records into the decisions' types.
 
-It owns the form of both on the wire and decides nothing: fields that the decisions don't use are
-checked and left out.
+This module defines the wire format of both. Fields that the decisions do not use are validated and
+dropped.
 """
 
 from typing import Annotated, Literal
@@ -29,18 +29,18 @@
     "streaming": RouteKind.STREAM,
     "batch": RouteKind.JOBS,
 }
-"""The platform's names for kinds of routes."""
+"""Kinds of routes by their names on the platform."""
 DRAINING = "draining"
-"""State of an engine that takes no new requests."""
+"""State of an engine that accepts no new requests."""
 MAX_ENGINE_SLOTS = 65_536
-"""Most requests that an engine may say it runs at once: more is no figure of an engine, and would
-draw all requests to it."""
+"""Maximum number of slots that an engine's entry may report. A larger number is implausible, and
+would attract all requests to that engine."""
 DEFAULT_TIME_LIMIT_MS = 30_000.0
-"""Time limit of a request on a route that names none."""
+"""Time limit of a request on a route that specifies none."""
 
 
 class FormatError(ValueError):
-    """A record that does not have the agreed form."""
+    """A record is malformed."""
 
 
 class _Backend(msgspec.Struct):
@@ -62,8 +62,8 @@
     priority: int = 0
     sticky: bool = False
     resumable: bool = False
-    gapTargetMs: float = 0.0  # a limit, though named a target
-    maxQueuedTokens: int = 0  # of the items of all jobs; 0 is no bound
+    gapTargetMs: float = 0.0  # a limit, despite its name
+    maxQueuedTokens: int = 0  # for the items of all jobs; 0 means unlimited
     completionTargetMs: float = 0.0
     retentionS: float = 0.0
 
@@ -106,17 +106,17 @@
 
 
 class _Server(msgspec.Struct):
-    """An entry of the engine list; one that lacks a field is another writer's."""
+    """An entry of the engine list; an entry that lacks a field is from another writer."""
 
     service: _Text
     address: _Text
     zone: _Text
-    version: str | int  # of its software
+    version: str | int  # of the engine's software
     slots: Annotated[int, msgspec.Meta(ge=1, le=MAX_ENGINE_SLOTS)]
     state: Literal["ready", "draining"]
     coldRemainingMs: float
     sequence: int
-    # Unix millisecond of the engine's start, which its id may outlive.
+    # Unix time of the engine's start in milliseconds. An engine may restart under the same id.
     born: Annotated[int, msgspec.Meta(ge=0)] | None = None
 
 
@@ -125,7 +125,7 @@
 
 
 def decode_configuration(data: bytes) -> FleetConfiguration:
-    """Decodes a whole configuration.
+    """Decodes a complete configuration.
 
     Raises:
         FormatError: the record is malformed.
@@ -187,10 +187,10 @@
 
 
 def decode_engine(instance: str, data: bytes) -> EngineRecord:
-    """Decodes the record of an engine, whose id on the platform is `instance`.
+    """Decodes the record of the engine whose id on the platform is `instance`.
 
-    Other writers may leave entries in the list: one without all fields of an engine's entry, or
-    with other types or values, names no engine.
+    Other programs may write to the engine list. An entry that lacks a required field, or whose
+    fields have other types or values, does not describe an engine.
 
     Raises:
         FormatError: the record is malformed.
@@ -212,12 +212,12 @@
 
 
 class PlatformFormats:
-    """The platform's forms for the gateway's decisions."""
+    """Decoders of the platform's formats, as the gateway's decisions need them."""
 
     def configuration(self, key: str, data: bytes) -> FleetConfiguration | None:
-        """Decodes a record of the operators' topic; None if it is not the configuration."""
+        """Decodes a record of the operators' topic; returns None if it is not the configuration."""
         return decode_configuration(data) if key == CONFIGURATION_KEY and data else None
 
     def engine(self, key: str, data: bytes) -> EngineRecord:
-        """Decodes the record of an engine that stands under a key of the engine list."""
+        """Decodes an engine's record, stored under `key` in the engine list."""
         return decode_engine(key, data)
--- a/src/troutswitch/platform/engine_ids.py
+++ b/src/troutswitch/platform/engine_ids.py
@@ -1,19 +1,19 @@
-"""Names one start of an engine, where the platform names an engine by an id that it may keep.
+"""Converts between the platform's engine ids and the ids of engine incarnations.
 
-An engine may start again under the id that it had; the time of its start tells the two apart. The
-decisions know an engine by one id that names one incarnation, so it is made here from both, and
-taken apart where a request names the engine that is meant. It owns nothing.
+An engine may restart under the same platform id; its start time distinguishes the incarnations. The
+decisions use one id per incarnation, which is composed here from both values. Requests to an engine
+carry the platform id, which is extracted from it.
 """
 
 SEPARATOR = "@"
 
 
 def incarnation_id(instance_id: str, started_at: int | None) -> str:
-    """Returns the id of one start of an engine.
+    """Returns the id of one incarnation of an engine.
 
     Args:
         instance_id: the engine's id on the platform.
-        started_at: Unix millisecond of the start; None if the engine doesn't tell it.
+        started_at: Unix time of the start in milliseconds; None if the engine does not report it.
     """
     if started_at is not None:
         return f"{instance_id}{SEPARATOR}{started_at}"
@@ -21,5 +21,5 @@
 
 
 def instance_id(engine_id: str) -> str:
-    """Returns the id on the platform of the engine of which this names one start."""
+    """Returns the platform id of the engine whose incarnation has the id `engine_id`."""
     return engine_id.rpartition(SEPARATOR)[0] if SEPARATOR in engine_id else engine_id
--- a/src/troutswitch/platform/jobs.py
+++ b/src/troutswitch/platform/jobs.py
@@ -1,6 +1,6 @@
 """Decodes calls about batch jobs into events, and encodes their answers.
 
-It owns the form of submissions, results and calls on the wire, and decides nothing.
+This module defines the wire format of submissions, results and calls; it makes no decisions.
 """
 
 import hashlib
@@ -28,14 +28,14 @@
 from troutswitch.runtime.http import JSON_TYPE, Response
 
 MAX_JOB_ITEMS = 200
-"""Items of one job, by the contract."""
+"""Maximum number of items in one job, set by the platform's contract."""
 RESULT_STATES = {DONE: "completed"}
-"""The platform's names for states of results; all others are `DEAD_STATE`."""
+"""The platform's names for states of results; all other states are `DEAD_STATE`."""
 DEAD_STATE = "dead_lettered"
 
 
 class JobFormatError(ValueError):
-    """A submission or a call that is malformed; the text names the field and the reason."""
+    """A submission or a call is malformed; the message names the field and the reason."""
 
 
 class _Item(msgspec.Struct):
@@ -53,12 +53,12 @@
 class _Result(msgspec.Struct, rename={"text": "message"}):
     id: str
     state: str
-    text: str  # on the wire "message": the item's whole output
+    text: str  # on the wire "message": the item's complete output
 
 
 class _Results(msgspec.Struct, rename={"position": "nextToken"}):
     total: int
-    position: int  # on the wire "nextToken": where the next page begins
+    position: int  # on the wire "nextToken": the position of the next page
     results: list[_Result]
 
 
@@ -67,14 +67,14 @@
 
 @dataclass(frozen=True, slots=True)
 class JobCallTarget:
-    """The job that a call's path names; `is_item` if one of its items is meant."""
+    """The job that a call's path identifies; `is_item` if the call is about one of its items."""
 
     job_id: str
     is_item: bool
 
 
 def call_target(request: IncomingRequest) -> JobCallTarget | None:
-    """Returns the job that a call is about, or None for other requests."""
+    """Returns the job that a call is about; None if the request is no such call."""
     if request.method not in ("GET", "DELETE"):
         return None
     for prefix, is_item in ((names.JOB_PATH, False), (names.ITEM_PATH, True)):
@@ -86,10 +86,10 @@
 def read_call(
     token: int, request: IncomingRequest, target: JobCallTarget
 ) -> ResultsRequested | BodyRequested | JobEndRequested:
-    """Reads a call about a job.
+    """Decodes a call about a job.
 
     Raises:
-        JobFormatError: a parameter is missing or wrong.
+        JobFormatError: a parameter is invalid.
     """
     if request.method == "DELETE":
         return JobEndRequested(token, target.job_id, request.time_left, request.caller_key)
@@ -97,7 +97,7 @@
     if target.is_item:
         item_id = values.get("id", [""])[0]
         return BodyRequested(token, target.job_id, item_id, request.time_left, request.caller_key)
-    position = values.get("afterRevision", ["0"])[0]  # of a page of results, no revision
+    position = values.get("afterRevision", ["0"])[0]  # the position of a page, despite its name
     if not position.isdigit():
         raise JobFormatError(f"afterRevision: expected a number, got {position!r}")
     return ResultsRequested(
@@ -106,10 +106,11 @@
 
 
 def read_submission(token: int, request: IncomingRequest, body: bytes) -> JobSubmitted:
-    """Reads a submission.
+    """Decodes a submission.
 
     Raises:
-        JobFormatError: the body is malformed, or has too many items or one twice.
+        JobFormatError: the body is malformed, or it contains no items, too many items or duplicate
+            item ids.
     """
     try:
         submission = _SUBMISSION.decode(body)
@@ -124,7 +125,7 @@
     if not items or len(items) > MAX_JOB_ITEMS:
         raise JobFormatError(f"expected 1 to {MAX_JOB_ITEMS} items, got {len(items)}")
     if len({item.item_id for item in items}) != len(items):
-        raise JobFormatError("an item's id stands twice")
+        raise JobFormatError("duplicate item id")
     digest = hashlib.blake2b(body, digest_size=12).hexdigest()
     return JobSubmitted(
         token,
@@ -139,7 +140,7 @@
 
 
 def write_answer(answer: JobAnswer) -> Response:
-    """Writes the answer to a call about a job."""
+    """Encodes the answer to a call about a job."""
     match answer:
         case JobAccepted():
             return Response(202, b"{}")
--- a/src/troutswitch/platform/names.py
+++ b/src/troutswitch/platform/names.py
@@ -1,7 +1,7 @@
 """Names that the platform uses on the wire. Source: the users' page PROTOCOL.
 
-The product's own names stand in the decisions' types; only `platform/` and the code at its edge
-use these.
+Only `platform/` and the code that calls it directly use these names. The decisions' types use the
+product's own terms.
 """
 
 REQUEST_ID = "X-Troutswitch-Request-Id"
@@ -11,7 +11,7 @@
 TOKEN_USAGE = "X-Troutswitch-Token-Usage"
 RESPONSE_STAMP = "X-Troutswitch-Response-Stamp"
 EXPECT_INSTANCE = "X-Troutswitch-Expect-Instance"
-"""Id of the engine that is meant; another one at its address answers 421."""
+"""Id of the intended engine; a different engine at its address responds with 421."""
 SERVER_LOAD = "X-Troutswitch-Server-Load"
 NOT_EXECUTED = "X-Troutswitch-Not-Executed"
 LAST_EVENT_ID = "Last-Event-Id"
@@ -20,11 +20,11 @@
 RETRY_AFTER = "Retry-After"
 
 SETTINGS_VARIABLE = "TROUTSWITCH_NODE_FILE"
-"""Variable of the environment that holds the path of the settings file."""
+"""Environment variable with the path of the settings file."""
 
 READINESS_PATH = "/readiness"
 JOB_PATH = "/lots/"
-"""Prefix of the paths of jobs, which the platform calls lots there."""
+"""Path prefix of jobs, which the platform calls lots in URLs."""
 ITEM_PATH = "/items/"
 
 TOPIC_PREFIX = "keyed."
@@ -47,7 +47,7 @@
         "content-length",
     }
 )
-"""Headers of a single connection, in lower case; they are not forwarded."""
+"""Hop-by-hop headers, in lower case; they are not forwarded."""
 
 SYSTEM_HEADERS = frozenset(
     {
@@ -59,5 +59,5 @@
         "host",
     }
 )
-"""Headers that the adapter sets itself on a forwarded request, or keeps from engines, in lower
-case."""
+"""Headers of callers that are not forwarded to engines, because the adapter sets its own values or
+because engines must not see them, in lower case."""
--- a/src/troutswitch/platform/requests.py
+++ b/src/troutswitch/platform/requests.py
@@ -1,7 +1,7 @@
-"""Decodes the headers of callers' requests and engines' answers, and encodes those to engines.
+"""Decodes headers of callers' requests and engines' responses; encodes headers sent to engines.
 
-It owns the form of headers on the wire. What an engine or a caller leaves out or writes wrong is
-read as not given; nothing is decided here.
+This module defines the wire format of headers. A missing or malformed header value is replaced by
+its default; no decisions are made here.
 """
 
 import http.client
@@ -17,18 +17,18 @@
 Headers = list[tuple[str, str]]
 
 MISDIRECTED = 421
-"""Status of an engine that is not the one that a request names."""
+"""Status with which an engine refuses a request that is intended for a different engine."""
 DEFAULT_DEADLINE_SECONDS = 30.0
-"""Time that a caller is taken to wait where its request names none."""
+"""Assumed time limit of a caller whose request specifies no deadline."""
 
 
 @dataclass(frozen=True, slots=True)
 class IncomingRequest:
     """A caller's request.
 
-    `headers` are those that engines get, `time_left` is how long the caller waits, in seconds.
-    `last_event_id` is the event after which a stream is to go on, empty for a new one.
-    `caller_key` is the digest of the key that the caller shows, empty if it shows none.
+    `headers` are the headers to forward to engines. `time_left` is how long the caller waits, in
+    seconds. `last_event_id` is the id of the event after which to resume a stream, empty for a new
+    stream. `caller_key` is the digest of the caller's API key, empty if the request has none.
     """
 
     request_id: str
@@ -46,10 +46,10 @@
 
 @dataclass(frozen=True, slots=True)
 class AnswerHead:
-    """The head of an engine's answer.
+    """The head of an engine's response.
 
-    `not_run` says that the engine did not run the request; `load` is the engine's at the time of
-    the answer, None if it gave none. `retry_after` is in seconds.
+    `not_run` is whether the engine states that it did not run the request. `load` is the engine's
+    load at the time of the response, None if not reported. `retry_after` is in seconds.
     """
 
     status: int
@@ -61,12 +61,12 @@
 
     @property
     def is_wrong_instance(self) -> bool:
-        """Whether another engine has the address now than the one that was meant."""
+        """Whether a different engine than the intended one now has the address."""
         return self.status == MISDIRECTED
 
 
 def read_request(environ: Environ) -> IncomingRequest:
-    """Reads a request from a WSGI environment."""
+    """Decodes a request from a WSGI environment."""
     headers = _incoming_headers(environ)
     url = str(environ.get("REQUEST_URI") or environ.get("PATH_INFO", "/"))
     path, _, query = url.partition("?")
@@ -111,7 +111,7 @@
 
 
 def read_prompt(usage: str, parts: str) -> PromptShape:
-    """Reads the sizes of a prompt; malformed ones count as unknown."""
+    """Decodes the token counts of a prompt; malformed headers yield an unknown shape."""
     try:
         counts = [int(count) for count in usage.split(",")] if usage else [0, 0]
         named = [part.rpartition(":") for part in parts.split(",") if part]
@@ -128,9 +128,14 @@
     resume_after: str,
     tenant: str = NO_TENANT,
 ) -> Headers:
-    """Returns the headers of a request to an engine.
-
-    `time_left` is the deadline in seconds; `resume_after` the event after which a stream goes on.
+    """Returns the headers of a caller's request to an engine.
+
+    Args:
+        request: the caller's request.
+        engine_id: id of the engine's incarnation.
+        time_left: time limit for the engine in seconds, or None for no limit.
+        resume_after: id of the event after which to resume a stream, empty for a new stream.
+        tenant: the caller's tenant, or `NO_TENANT`.
     """
     headers: Headers = [("Host", request.host), *request.headers]
     if tenant:
@@ -144,7 +149,7 @@
 
 
 def read_head(response: http.client.HTTPResponse) -> AnswerHead:
-    """Reads the head of an engine's answer."""
+    """Decodes the head of an engine's response."""
     content_type = response.getheader("Content-Type", "")
     return AnswerHead(
         status=response.status,
--- a/src/troutswitch/platform/settings.py
+++ b/src/troutswitch/platform/settings.py
@@ -1,7 +1,8 @@
 """Decodes the users' settings file into `GatewaySettings`.
 
-It owns the form of the file (TOML). Unknown fields are ignored, as are those of the contract that
-nothing here depends on (`limits`, `heartbeatMs`, `recoveryS` and others).
+This module defines the format of the file (TOML). Unknown fields are ignored. Fields of the
+contract that nothing depends on (`limits`, `heartbeatMs`, `recoveryS` and others) are validated and
+otherwise ignored.
 """
 
 import os
@@ -37,7 +38,7 @@
     recoveryS: float = 12
     settleTimeoutMs: float = 1000
     ackTimeoutMs: float = 4000
-    statusIntervalS: float = 120  # how long an ended job stays readable
+    statusIntervalS: float = 120  # how long an ended job remains readable
     quotaWindowS: float = 5
     quotaOvershoot: float = 0.1
     quotaSlack: float = 20
@@ -78,10 +79,10 @@
 
 
 def load_gateway_settings(path: Path) -> GatewaySettings:
-    """Loads and checks a settings file.
+    """Loads and validates a settings file.
 
     Raises:
-        GatewaySettingsError: the file, a field or a value is missing or wrong.
+        GatewaySettingsError: the file is unreadable, or a field is missing or invalid.
     """
     try:
         data = path.read_bytes()
@@ -96,7 +97,7 @@
 def write_settings(
     name: str, ip: str, front: int, ready: int, internal: tuple[int, int], store: Address
 ) -> str:
-    """Writes the settings of a daemon on one machine, as stand-ins of the platform need them."""
+    """Returns the text of a settings file for a daemon that a test or soak starts locally."""
     return f"""nodeName = "{name}"
 zone = "z"
 ip = "{ip}"
@@ -134,7 +135,7 @@
 
 
 def _check_seeds(seeds: list[str]) -> None:
-    """Checks the seeds' addresses, which are not used: daemons find each other by the store."""
+    """Validates the seeds' addresses; they are unused, as daemons discover peers in the store."""
     for seed in seeds:
         Address.parse(seed)
 
--- a/src/troutswitch/platform/stand_in_forms.py
+++ b/src/troutswitch/platform/stand_in_forms.py
@@ -1,6 +1,6 @@
-"""Encodes what the platform's engines and operators write, for the soak's stand-ins.
+"""Encodes the records that engines and operators write, for the soak's stand-ins.
 
-It owns nothing; `configuration.py` decodes the same records.
+`configuration.py` decodes the same records.
 """
 
 import json
@@ -14,7 +14,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RouteSpec:
-    """A route as an operator writes it; `kind` is the platform's name of it."""
+    """A route in an operator's configuration; `kind` is the platform's name of the route kind."""
 
     name: str
     prefix: str
@@ -24,7 +24,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TenantSpec:
-    """A tenant as an operator writes it, without a limit."""
+    """A tenant in an operator's configuration, without a quota."""
 
     name: str
     keys: tuple[str, ...]
@@ -32,7 +32,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RouteLimitsSpec:
-    """Limits that all routes of a configuration share; times are seconds."""
+    """Limits shared by all routes of a configuration; times are in seconds."""
 
     time_limit: float
     objective: float
@@ -44,12 +44,12 @@
 
 
 def results_path(job_id: str, position: int) -> str:
-    """Returns the path at which a job's results are read from a position."""
+    """Returns the path for reading a job's results from a position."""
     return f"{JOB_PATH}{job_id}?afterRevision={position}"
 
 
 def engine_record(service: str, address: Address, slots: int, is_draining: bool) -> bytes:
-    """Writes an engine's record."""
+    """Encodes an engine's record."""
     row = {
         "service": service,
         "address": str(address),
@@ -72,7 +72,7 @@
     limits: RouteLimitsSpec,
     tenants: Sequence[TenantSpec] = (),
 ) -> bytes:
-    """Writes a configuration; one without tenants asks for no keys."""
+    """Encodes a configuration; without tenants it requires no API keys."""
     shared = {
         "timeoutMs": limits.time_limit * 1000,
         "targetLatencyMs": limits.objective * 1000,
--- a/src/troutswitch/platform/store.py
+++ b/src/troutswitch/platform/store.py
@@ -1,8 +1,8 @@
-"""Client of the platform's store: one blocking call each, typed outcomes.
+"""Blocking client of the platform's store, with typed calls and outcomes.
 
-It owns the connections to the store and translates calls and outcomes between the product's types
-and the platform's HTTP interface. It decides nothing: a failed call is an outcome, and its caller
-repeats it.
+It owns the connections to the store, and translates between the product's types and the platform's
+HTTP interface. It never retries: a failed call is an outcome, and the caller decides whether to
+repeat it.
 """
 
 import http.client
@@ -39,26 +39,26 @@
 from troutswitch.runtime.connection_pool import ConnectionPool
 
 NOT_DONE_STATUSES = frozenset({400, 403, 404, 429, 503, 507})
-"""Statuses after which the store has done nothing."""
+"""Statuses which guarantee that the store has not executed the call."""
 MAX_READ_KILOBYTES = 1024
-"""Bytes that one read of records may bring, in kilobytes."""
+"""Maximum size of the records that one read returns, in kilobytes."""
 NO_ANSWER = 0
-"""Stands for the status of a call that was sent and not answered: it may have acted."""
+"""Pseudo status of a call that was sent but not answered; the store may have executed it."""
 NOT_SENT = -1
-"""Stands for the status of a call that was not sent."""
+"""Pseudo status of a call that was not sent."""
 
 TOPICS = {"configuration": CONFIGURATION_TOPIC, "servers": SERVERS_TOPIC}
-"""The platform's own topics by the product's names."""
+"""Names of the platform's own topics, by the product's names."""
 
 
 class _NewestRow(msgspec.Struct, rename={"key": "tlsKey"}):
-    key: str  # on the wire "tlsKey", though any record has one
+    key: str  # on the wire "tlsKey", for records of any kind
     value: str = ""
     offset: int = -1
 
 
 class _Newest(msgspec.Struct, rename={"rows": "requests"}):
-    rows: list[msgspec.Raw] = []  # on the wire "requests", though they are records
+    rows: list[msgspec.Raw] = []  # on the wire "requests", although they are records
     more: bool = False
     end: int = 0
 
@@ -87,7 +87,7 @@
 
 
 def encode_records(records: tuple[KeyedRecord, ...]) -> bytes:
-    """Encodes keyed records: length, length of the key, key, value."""
+    """Encodes keyed records; each has a length, the length of its key, the key and the value."""
     parts: list[bytes] = []
     for record in records:
         key = record.key.encode()
@@ -98,7 +98,7 @@
 
 
 def decode_records(data: bytes, offset: int) -> tuple[KeyedRecord, ...]:
-    """Decodes keyed records that begin at an offset; a cut last record is left out."""
+    """Decodes keyed records, the first of which has `offset`; drops a truncated last record."""
     records: list[KeyedRecord] = []
     position = 0
     while position + 5 <= len(data):
@@ -114,14 +114,16 @@
 
 
 def _ignore(closed: int) -> None:
-    """Takes no note of closed connections."""
+    """Ignores closed connections."""
 
 
 class StoreClient:
-    """Calls to the store over a pool of connections; safe for many threads.
+    """A thread-safe client that makes calls to the store over a pool of connections.
 
     Args:
-        on_suspects_closed: called with how many connections were closed since another fell silent.
+        address: address of the store.
+        on_suspects_closed: called with the number of connections that were closed because another
+            one timed out.
     """
 
     def __init__(
@@ -130,7 +132,7 @@
         self.connections = ConnectionPool(address, on_suspects_closed)
 
     def call(self, call: StoreCall) -> StoreOutcome:
-        """Makes a call and returns its outcome; it does not raise for the store's faults."""
+        """Makes a call and returns its outcome; a failure is an outcome, not an exception."""
         match call:
             case ReadNewest():
                 return self._newest(call)
@@ -146,7 +148,7 @@
     def _newest(self, call: ReadNewest) -> StoreOutcome:
         query = _partition_query(call.partition)
         if call.after_key:
-            query["afterRevision"] = call.after_key  # a key, no revision
+            query["afterRevision"] = call.after_key  # a key, despite the parameter's name
         status, body = self._exchange(
             "GET",
             "/log-newest",
@@ -260,9 +262,9 @@
         is_long_poll: bool = False,
         on_new_connection: bool = False,
     ) -> tuple[int, bytes]:
-        """Makes one exchange and returns its status and body.
+        """Performs one HTTP exchange and returns the status and the body of the response.
 
-        The status is `NO_ANSWER` or `NOT_SENT`, and the body the error's text, if it failed.
+        If it fails, the status is `NO_ANSWER` or `NOT_SENT` and the body is the error's text.
         """
         pooled = self.connections.acquire(is_long_poll, on_new_connection)
         connection = pooled.connection
@@ -286,10 +288,10 @@
 
 
 def _newest_record(row: msgspec.Raw) -> KeyedRecord | None:
-    """Decodes one row of a page; None if it has no key.
+    """Decodes one row of a page; returns None if the row is malformed or has no key.
 
-    A row that can't be read must not take the others of its page with it: its value is left
-    empty, which its reader refuses or takes for a record that is gone.
+    A malformed row must not make the other rows of its page unreadable. A value that is not valid
+    base64 is replaced by an empty one, which readers reject or take for a deleted record.
     """
     try:
         decoded = msgspec.json.decode(row, type=_NewestRow)
--- a/src/troutswitch/platform/store_service.py
+++ b/src/troutswitch/platform/store_service.py
@@ -1,6 +1,6 @@
-"""A stand-in for the users' store, for tests and soaks: its HTTP protocol, with faults.
+"""A stand-in for the users' store, for tests and soaks: its HTTP protocol with injected faults.
 
-It owns the listener and the faults in force; `KeyedStoreModel` owns the records.
+This module owns the listener and the injected faults; `KeyedStoreModel` owns the records.
 """
 
 import json
@@ -39,35 +39,37 @@
 from troutswitch.standins.loopback import LoopbackHandler, LoopbackServer
 
 POLL_SECONDS = 0.01
-"""Interval at which a waiting read checks for records; far below any wait of callers."""
+"""Interval at which a long-polling read checks for records; far below any caller's wait."""
 FAULTS_PATH = "/faults"
 
 
 @dataclass(slots=True)
 class StoreFaults:
-    """Faults in force.
-
-    Down for all; slow by some seconds; answers lost after the call is done, or before it is
-    done some seconds later. Two happen once: partitions are reassigned, history is dropped.
-    """
+    """Injected faults; the field names are those of the JSON that `FAULTS_PATH` accepts."""
 
     is_down: bool = False
+    """Every call is refused with status 503."""
     slow_seconds: float = 0.0
+    """Delay of each call."""
     loses_answers: bool = False
+    """Calls are executed, but the connection closes without a response."""
     acts_late_seconds: float = 0.0
+    """Writes are executed after this delay; the connection closes first, without a response."""
     deals_anew: bool = False
+    """Partitions of all groups are reassigned, once."""
     drops_history: bool = False
+    """All logs drop their history, once."""
 
 
 class _Handler(LoopbackHandler):
     service: "StoreService"
 
     def do_GET(self) -> None:
-        """Answers a read."""
+        """Serves a read."""
         self._serve(self.service.get)
 
     def do_POST(self) -> None:
-        """Answers a write, or takes new faults."""
+        """Serves a write, or sets the injected faults."""
         if self.path == FAULTS_PATH:
             self.service.set_faults(StoreFaults(**json.loads(self.body())))
             self.reply(200, b"{}")
@@ -96,7 +98,7 @@
 
 
 class StoreService:
-    """The store as an HTTP server on loopback."""
+    """The store's stand-in as an HTTP server on loopback."""
 
     def __init__(self, address: Address = Address("127.0.0.1", 0)) -> None:  # noqa: B008
         self.model = KeyedStoreModel()
@@ -108,18 +110,18 @@
         threading.Thread(target=self.server.serve_forever, daemon=True).start()
 
     def put(self, topic: str, key: str, value: Any) -> None:
-        """Appends one record as the platform itself does."""
+        """Appends one record with a JSON value, as the platform itself does."""
         record = KeyedRecord(key, json.dumps(value).encode())
         with self.lock:
             self.model.log(Partition(topic)).append((record,))
 
     def call(self, call: StoreCall) -> StoreOutcome:
-        """Carries a call out on the model."""
+        """Executes a call on the model."""
         with self.lock:
             return self.model.call(steady_seconds(), call)
 
     def set_faults(self, faults: StoreFaults) -> None:
-        """Puts faults in force; those that happen once happen now."""
+        """Sets the injected faults; one-time faults take effect immediately."""
         self.faults = faults
         with self.lock:
             if faults.deals_anew:
@@ -130,7 +132,7 @@
                     log.drop_history()
 
     def get(self, target: str, body: bytes) -> tuple[int, bytes]:
-        """Answers a read."""
+        """Returns status and body of a read."""
         path, query, partition = _parse_target(target)
         if path == "/log-newest":
             return self._newest(query, partition)
@@ -146,18 +148,18 @@
         return 200, json.dumps({"requests": rows, "more": page.has_more, "end": page.end}).encode()
 
     def _read(self, query: dict[str, str], partition: Partition) -> tuple[int, bytes]:
-        until = steady_seconds() + int(query.get("waitMs", "0")) / 1000
+        deadline = steady_seconds() + int(query.get("waitMs", "0")) / 1000
         while True:
             read = self.call(ReadRecords(0, partition, int(query["from"])))
             if isinstance(read, HistoryGone):
                 return 410, json.dumps({"first": read.first}).encode()
             assert isinstance(read, RecordsRead)
-            if read.records or steady_seconds() >= until:
+            if read.records or steady_seconds() >= deadline:
                 return 200, struct.pack(">QQ", read.end, 0) + encode_records(read.records)
             time.sleep(POLL_SECONDS)
 
     def post(self, target: str, body: bytes) -> tuple[int, bytes]:
-        """Answers a write, a join or a leave."""
+        """Returns status and body of a write, a join or a leave."""
         path, query, partition = _parse_target(target)
         if path == "/log-append":
             return self._append(query, partition, body)
--- a/src/troutswitch/runtime/__init__.py
+++ b/src/troutswitch/runtime/__init__.py
@@ -1,1 +1,1 @@
-"""The real loop, its executors, settings, logging and metrics."""
+"""Low-level building blocks of the daemons: HTTP, connections, channels and memory."""
--- a/src/troutswitch/runtime/channels.py
+++ b/src/troutswitch/runtime/channels.py
@@ -1,4 +1,4 @@
-"""A channel on which one thread passes items to another that waits for them."""
+"""A channel that passes items from one thread to another."""
 
 import threading
 from concurrent.futures import Future
@@ -8,24 +8,27 @@
 
 
 class Channel(Generic[Item]):
-    """A sequence of futures: each `put` fulfils the next one that `get` waits on."""
+    """A queue of futures: each `put` completes the next future that `get` waits for.
+
+    Only one thread may call `get`.
+    """
 
     def __init__(self) -> None:
         self._lock = threading.Lock()
         self._ready: list[Future[Item]] = [Future()]
 
     def put(self, item: Item) -> None:
-        """Adds an item."""
+        """Appends an item."""
         with self._lock:
             future = self._ready[-1]
             self._ready.append(Future())
         future.set_result(item)
 
     def get(self, timeout: float) -> Item:
-        """Waits for the next item.
+        """Waits for the next item, removes it and returns it.
 
         Raises:
-            TimeoutError: no item came in `timeout` seconds.
+            TimeoutError: no item arrived within `timeout` seconds.
         """
         item = self._ready[0].result(timeout)
         with self._lock:
--- a/src/troutswitch/runtime/connection_pool.py
+++ b/src/troutswitch/runtime/connection_pool.py
@@ -1,12 +1,13 @@
-"""A pool of HTTP connections to one peer, for any number of threads.
+"""A thread-safe pool of HTTP connections to one peer.
 
-It owns the connections, idle and in use; it relies on the caller to give each one back whole
-(`keep`) or failed (`drop`).
+The pool owns the connections, both idle and in use. The caller must hand each one back: with
+`release` after a complete response, or with `discard` after a failure.
 
-A connection that had answered before and now times out has fallen silent. So may have all others
-that brought nothing since: the idle ones are closed, and calls that wait at the peer for something
-to happen are ended, so that they are repeated on a fresh connection. A time-out on a connection
-that never answered says only that the peer is slow or away, and closes no other.
+If a connection that has received a response before times out, the network may have dropped it
+silently, and with it all connections that have received nothing since. The pool closes those that
+are idle, and shuts down those that wait in a long poll, so that their calls are repeated on new
+connections. A timeout on a connection that never received a response only shows that the peer is
+slow or unreachable, and affects no other connection.
 """
 
 import http.client
@@ -43,14 +44,14 @@
 
     @property
     def has_answered(self) -> bool:
-        """Whether an answer came on it before."""
+        """Whether a response has been received on it."""
         return self.last_seen_at > float("-inf")
 
     def connect(self) -> None:
-        """Connects if it is not connected.
+        """Connects unless it is connected already.
 
         Raises:
-            OSError: no connection was made.
+            OSError: the connection could not be made.
         """
         if self.connection.sock is not None:
             return
@@ -60,20 +61,21 @@
         bound_silence(sock)
 
     def is_usable(self) -> bool:
-        """Returns whether neither an end nor unexpected bytes came on an idle connection."""
+        """Returns whether an idle connection has neither been closed nor received surplus bytes."""
         return not select.select([self.connection.sock], [], [], 0)[0]
 
 
 def _ignore(closed: int) -> None:
-    """Takes no note of closed connections."""
+    """Ignores closed connections."""
 
 
 class ConnectionPool:
     """The connections to one peer.
 
     Args:
-        address: the peer's.
-        on_suspects_closed: called with how many connections were closed since another fell silent.
+        address: address of the peer.
+        on_suspects_closed: called with the number of connections that were closed because another
+            one timed out.
     """
 
     def __init__(
@@ -112,7 +114,7 @@
         )
 
     def release(self, pooled: PooledConnection) -> None:
-        """Takes back a connection whose answer was read whole."""
+        """Takes back a connection after its response was read completely."""
         with self._lock:
             self._in_use.remove(pooled)
             pooled.last_seen_at = steady_seconds()
@@ -122,7 +124,7 @@
         pooled.connection.close()
 
     def discard(self, pooled: PooledConnection, error: Exception) -> None:
-        """Closes a connection that failed, and the suspect others if it fell silent."""
+        """Closes a connection that failed and, after a timeout, the suspect connections."""
         with self._lock:
             self._in_use.remove(pooled)
         pooled.connection.close()
@@ -130,7 +132,7 @@
             self._close_suspects(pooled.sent_at)
 
     def _close_suspects(self, silent_since: float) -> None:
-        """Closes the connections that brought nothing since another fell silent."""
+        """Closes the connections that have received nothing since another one fell silent."""
         with self._lock:
             suspects = [c for c in self._idle if c.last_seen_at <= silent_since]
             self._idle = deque(c for c in self._idle if c.last_seen_at > silent_since)
@@ -148,9 +150,9 @@
 
 
 def _shut_down(sock: socket.socket | None) -> None:
-    """Ends a connection under its reader, which then closes it."""
+    """Shuts a connection down while a thread reads it; that thread then closes it."""
     try:
         if sock is not None:
             sock.shutdown(socket.SHUT_RDWR)
     except OSError:
-        return  # it ended already
+        return  # already closed
--- a/src/troutswitch/runtime/http.py
+++ b/src/troutswitch/runtime/http.py
@@ -1,4 +1,4 @@
-"""HTTP responses over WSGI, as all listeners of a daemon send them."""
+"""HTTP responses over WSGI, shared by all listeners of a daemon."""
 
 import http.client
 from collections.abc import Callable, Iterable
@@ -16,7 +16,7 @@
 
 @dataclass(frozen=True)
 class Response:
-    """A whole response."""
+    """A complete response."""
 
     status: int
     body: bytes
@@ -25,7 +25,7 @@
 
 
 def send(response: Response, start_response: StartResponse) -> list[bytes]:
-    """Sends a whole response."""
+    """Starts a complete response and returns its body for WSGI."""
     headers = [
         ("Content-Type", response.content_type),
         ("Content-Length", str(len(response.body))),
@@ -36,5 +36,5 @@
 
 
 def status_line(status: int) -> str:
-    """Returns the status with its reason."""
+    """Returns the status code with its reason phrase."""
     return f"{status} {REASON_PHRASES.get(status, 'Unknown')}"
--- a/src/troutswitch/runtime/memory.py
+++ b/src/troutswitch/runtime/memory.py
@@ -1,21 +1,21 @@
-"""Keeps the resident memory of a process with many threads small."""
+"""Reduces the resident memory of a process with many threads."""
 
 import ctypes
 import gc
 
 M_ARENA_MAX = -8
-"""Parameter of `mallopt` (glibc, malloc.h) for the number of arenas."""
+"""Parameter of `mallopt` (glibc, malloc.h) that limits the number of arenas."""
 MAX_ARENAS = 2
 
 
 def limit_allocator_arenas() -> bool:
-    """Limits the C library's allocator to few arenas; call before threads start.
+    """Limits the number of arenas of the C library's allocator; call it before threads start.
 
-    By default it keeps an arena for each of up to eight threads a core, which a relay
-    with hundreds of threads fills with free memory.
+    By default glibc creates up to eight arenas per core. A relay with hundreds of threads would
+    fill all of them with freed memory.
 
     Returns:
-        Whether the C library took the setting; another one than glibc may not.
+        Whether the C library accepted the setting; a library other than glibc may not.
     """
     try:
         return bool(ctypes.CDLL(None).mallopt(M_ARENA_MAX, MAX_ARENAS))
@@ -24,6 +24,6 @@
 
 
 def freeze_startup_objects() -> None:
-    """Takes what the start left alive out of later garbage collections."""
+    """Excludes the objects that are alive after startup from later garbage collections."""
     gc.collect()
     gc.freeze()
--- a/src/troutswitch/runtime/silence.py
+++ b/src/troutswitch/runtime/silence.py
@@ -1,27 +1,27 @@
-"""Bounds on how long a connection may be silent before the kernel ends it.
+"""Limits how long a connection may be silent before the kernel closes it.
 
-A connection may go silent for good without a reset. The peer's kernel acknowledges bytes and
-probes also where its process is slow or loaded, so these bounds tell a dead connection from a
-loaded peer, which a time-out on the answer can't.
+A network can drop a connection permanently without a reset. The peer's kernel acknowledges bytes
+and keepalive probes even if the peer's process is slow or overloaded. These limits therefore
+distinguish a dead connection from an overloaded peer, which a timeout on the response cannot.
 """
 
 import socket
 
 USER_TIMEOUT_MILLISECONDS = 2000
-"""Time after which unacknowledged bytes or probes end a connection (`TCP_USER_TIMEOUT`): three
-retransmissions at the kernel's least interval (0.2, 0.6 and 1.4 s) have then failed, and an
-outage of a second is outlasted."""
+"""Time after which unacknowledged bytes or probes close a connection (`TCP_USER_TIMEOUT`). By then
+three retransmissions at the kernel's minimum interval (0.2, 0.6 and 1.4 s) have failed; a
+connection survives a network outage of one second."""
 PROBE_IDLE_SECONDS = 1
-"""Silence after which a connection is probed: the least the kernel takes."""
+"""Silence after which a connection is probed; the minimum that the kernel accepts."""
 PROBE_INTERVAL_SECONDS = 1
-"""Time between probes: the least the kernel takes. With the time-out above, the first probe
-without an answer ends a connection two seconds after its last byte."""
+"""Interval between probes; the minimum that the kernel accepts. With the timeout above, the first
+unanswered probe closes a connection two seconds after its last byte."""
 MAX_PROBES = 2
-"""Probes without an answer after which a connection ends, where no time-out comes first."""
+"""Number of unanswered probes that close a connection if no timeout applies earlier."""
 
 
 def bound_silence(sock: socket.socket) -> None:
-    """Has the kernel end a connection whose peer acknowledges nothing any more."""
+    """Makes the kernel close a connection whose peer stops acknowledging."""
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
     for option, value in (
         (socket.TCP_USER_TIMEOUT, USER_TIMEOUT_MILLISECONDS),
