--- a/tests/gateway/callers/test_caller_gone.py
+++ b/tests/gateway/callers/test_caller_gone.py
@@ -1,12 +1,10 @@
-"""A caller that leaves frees its engine whatever state its request is in.
-
-Users saw engines at work for seconds on streams whose callers had closed their connection,
-and requests that reached an engine after their caller had left. Order of events: the close
-arrives; waitress doesn't read that connection (an answer waits for the caller's window, or
-further requests are queued on it), or the loop is busy and looks at its callers only later;
-the engine goes on until its next byte can't be delivered, or until its deadline. Cause: a
-close was seen only by a read of waitress and only acted on by the loop. Evidence: in these
-tests the loop is busy for good, so that only what doesn't need it can free the engine.
+"""A caller's disconnect frees its engine, whatever the state of the request.
+
+Guards against engines that work for seconds on streams whose callers have disconnected, and against
+requests that reach an engine after the disconnect. Both happened when only a read by waitress
+detected a close and only the loop reacted to it: waitress does not read a connection whose receive
+window is full or on which further requests are queued, and the loop may be busy. The loop in these
+tests is permanently busy, so the engine must be freed without it.
 """
 
 import socket
@@ -45,23 +43,23 @@
 from troutswitch.outcomes import MayHaveRun, Step
 
 ENGINE_SECONDS = 100 * WAIT_SECONDS
-"""Patience with an engine, so long that no test mistakes its end for that of a caller."""
+"""Timeout of requests to engines, too long to be mistaken for the effect of a disconnect."""
 
 
 def wait_for(condition: Callable[[], bool], what: str) -> None:
-    until = time.monotonic() + WAIT_SECONDS
+    deadline = time.monotonic() + WAIT_SECONDS
     while not condition():
-        assert time.monotonic() < until, f"not in time: {what}"
+        assert time.monotonic() < deadline, f"not in time: {what}"
         time.sleep(0.01)
 
 
 class BusyLoop:
-    """Sends each request to an engine, and hears of nothing else: it is busy for good."""
+    """A loop that sends each request to an engine and reacts to no other event."""
 
     def __init__(self, engines: list[RawServer]) -> None:
         self.engines = engines
-        self.gone: list[CallerGone] = []
-        self.arrived: list[int] = []
+        self.disconnects: list[CallerGone] = []
+        self.tokens: list[int] = []
         self.unserved: list[str] = []
         self.attempt_ended = threading.Event()
         self.close_reported = threading.Event()
@@ -87,34 +85,34 @@
 
     def post(self, event: object) -> None:
         if isinstance(event, RequestArrived):
-            self.arrived.append(event.token)
+            self.tokens.append(event.token)
             self.send(event.token, 1)
         elif isinstance(event, RequestAttemptEnded):
             self.attempt_ended.set()
         elif isinstance(event, RequestUnserved):
             self.unserved.append(event.request_id)
         elif isinstance(event, CallerGone):
-            self.gone.append(event)
+            self.disconnects.append(event)
             self.close_reported.set()
 
     def send(self, token: int, attempt: int) -> None:
         address = self.engines[attempt - 1].address
-        waits = ENGINE_SECONDS
+        timeout = ENGINE_SECONDS
         self.relays.send_directive(
-            SendRequest(token, attempt, f"s-{attempt}", address, waits, waits, "")
+            SendRequest(token, attempt, f"s-{attempt}", address, timeout, timeout, "")
         )
 
     def finish(self, token: int) -> None:
         self.relays.send_directive(FinishRequest(token, MayHaveRun("left", Step.RELAY, "")))
 
     def finish_all(self) -> None:
-        """Ends the threads of all requests, as the loop does once it has time."""
-        for token in self.arrived:
+        """Finishes all requests, as the loop does when it is no longer busy."""
+        for token in self.tokens:
             self.finish(token)
         wait_for(lambda: self.relays.count == 0, "no request in progress")
 
     def open_channels(self) -> list[Any]:
-        """Returns waitress's connections of callers that are open."""
+        """Returns waitress's channels of the open caller connections."""
         return list(self.listener._server.active_channels.values())
 
     def connect(self) -> socket.socket:
@@ -139,33 +137,33 @@
 
 @pytest.fixture
 def start() -> Iterator[Start]:
-    held: list[BusyLoop] = []
+    loops: list[BusyLoop] = []
 
-    def begin(*behaviours: Behaviour, receive_bytes: int = 0) -> BusyLoop:
-        held.append(BusyLoop([RawServer(made, receive_bytes) for made in behaviours]))
-        return held[-1]
+    def start_loop(*behaviours: Behaviour, receive_bytes: int = 0) -> BusyLoop:
+        loops.append(BusyLoop([RawServer(behaviour, receive_bytes) for behaviour in behaviours]))
+        return loops[-1]
 
-    yield begin
-    for loop in held:
+    yield start_loop
+    for loop in loops:
         loop.listener.stop()
 
 
 def assert_engine_freed(loop: BusyLoop) -> None:
-    assert loop.engines[0].ended.wait(WAIT_SECONDS)
+    assert loop.engines[0].connection_closed.wait(WAIT_SECONDS)
     assert loop.close_reported.wait(WAIT_SECONDS)
     loop.finish_all()
 
 
-def test_before_the_first_event(start: Start) -> None:
+def test_disconnect_before_the_first_event_frees_the_engine(start: Start) -> None:
     loop = start(silent)
     with loop.connect() as caller:
         caller.sendall(request("a"))
-        assert loop.engines[0].arrived.wait(WAIT_SECONDS)
+        assert loop.engines[0].request_received.wait(WAIT_SECONDS)
     assert_engine_freed(loop)
-    assert loop.gone[0].aborted_at >= loop.gone[0].closed_at
+    assert loop.disconnects[0].aborted_at >= loop.disconnects[0].closed_at
 
 
-def test_in_a_stream_whose_engine_stands_still(start: Start) -> None:
+def test_disconnect_from_a_stalled_stream_frees_the_engine(start: Start) -> None:
     loop = start(one_event)
     with loop.connect() as caller:
         caller.sendall(request("a"))
@@ -174,14 +172,16 @@
 
 
 @pytest.mark.parametrize("is_reset", [True, False])
-def test_in_a_stream_whose_window_is_shut(start: Start, is_reset: bool) -> None:
-    """A caller that leaves bytes unread resets its connection; a proxy may close it as well."""
+def test_disconnect_with_a_full_receive_window_frees_the_engine(
+    start: Start, is_reset: bool
+) -> None:
+    """Closing a socket with unread bytes resets the connection; a proxy may also send FIN."""
     loop = start(endless)
     caller = loop.connect()
     caller.sendall(request("a"))
     assert caller.recv(1)
     wait_for(
-        lambda: any(c.total_outbufs_len > 1 << 20 for c in loop.open_channels()), "a shut window"
+        lambda: any(c.total_outbufs_len > 1 << 20 for c in loop.open_channels()), "a full window"
     )
     if is_reset:
         caller.close()
@@ -192,41 +192,41 @@
     caller.close()
 
 
-def test_with_further_requests_queued_on_its_connection(start: Start) -> None:
+def test_disconnect_with_further_requests_queued_frees_the_engine(start: Start) -> None:
     loop = start(silent)
     with loop.connect() as caller:
         caller.sendall(request("a") + request("b") + request("c"))
-        assert loop.engines[0].arrived.wait(WAIT_SECONDS)
+        assert loop.engines[0].request_received.wait(WAIT_SECONDS)
         wait_for(lambda: any(len(c.requests) > 1 for c in loop.open_channels()), "a queue")
     assert_engine_freed(loop)
     wait_for(lambda: not loop.open_channels(), "the connection closed")
     assert len(loop.engines[0].requests) == 1
 
 
-def test_between_two_attempts(start: Start) -> None:
-    """The loop decided to send before it heard of the close: nothing reaches the engine."""
+def test_disconnect_between_two_attempts_prevents_the_second(start: Start) -> None:
+    """The loop decided on the attempt before it processed the disconnect: nothing is sent."""
     loop = start(rejecting, silent)
     with loop.connect() as caller:
         caller.sendall(request("a"))
         assert loop.attempt_ended.wait(WAIT_SECONDS)
     assert loop.close_reported.wait(WAIT_SECONDS)
-    loop.send(loop.arrived[0], 2)
+    loop.send(loop.tokens[0], 2)
     loop.finish_all()
-    assert not loop.engines[1].arrived.is_set()
+    assert not loop.engines[1].request_received.is_set()
 
 
-def test_queued_for_a_thread(start: Start) -> None:
-    """The listener has one thread: the second request waits for it, and its caller leaves."""
+def test_request_whose_caller_disconnects_while_it_is_queued_is_not_served(start: Start) -> None:
+    """The listener has one thread: the second caller disconnects while its request is queued."""
     loop = start(whole)
     engine = loop.engines[0]
     first, third = loop.connect(), loop.connect()
     first.sendall(request("first"))
-    assert engine.arrived.wait(WAIT_SECONDS)
+    assert engine.request_received.wait(WAIT_SECONDS)
     with loop.connect() as second:
         second.sendall(request("second"))
         wait_for(lambda: sum(bool(c.requests) for c in loop.open_channels()) == 2, "queued")
     third.sendall(request("third"))
-    engine.may_go_on.set()
+    engine.may_respond.set()
     assert first.recv(1)
     assert third.recv(1)
     assert all(b"second" not in head for head in engine.requests)
@@ -235,26 +235,26 @@
     third.close()
 
 
-def test_while_its_request_is_sent(start: Start) -> None:
-    """The engine reads slowly, and the kernel holds the rest of the request: it is dropped."""
+def test_disconnect_while_the_request_is_sent_drops_the_rest(start: Start) -> None:
+    """The engine reads slowly, so the kernel buffers the rest of the request; it is dropped."""
     body = b"x" * 200_000
-    held: list[int] = []
+    received_sizes: list[int] = []
 
     def slow(engine: RawServer, connection: socket.socket) -> None:
-        engine.arrived.set()
-        assert engine.may_go_on.wait(WAIT_SECONDS)
+        engine.request_received.set()
+        assert engine.may_respond.wait(WAIT_SECONDS)
         try:
             while data := connection.recv(1 << 16):
-                held.append(len(data))
+                received_sizes.append(len(data))
         finally:
-            engine.ended.set()
+            engine.connection_closed.set()
 
     loop = start(slow, receive_bytes=4096)
     with loop.connect() as caller:
         caller.sendall(request("a", body))
-        assert loop.engines[0].arrived.wait(WAIT_SECONDS)
+        assert loop.engines[0].request_received.wait(WAIT_SECONDS)
     assert loop.close_reported.wait(WAIT_SECONDS)
     loop.finish_all()
-    loop.engines[0].may_go_on.set()
-    assert loop.engines[0].ended.wait(WAIT_SECONDS)
-    assert sum(held) < len(body)
+    loop.engines[0].may_respond.set()
+    assert loop.engines[0].connection_closed.wait(WAIT_SECONDS)
+    assert sum(received_sizes) < len(body)
--- a/tests/gateway/callers/test_caller_gone_process.py
+++ b/tests/gateway/callers/test_caller_gone_process.py
@@ -1,4 +1,4 @@
-"""A caller that leaves a whole daemon: stood still, while it drains, and what it logs."""
+"""Callers that disconnect from a daemon process: during a suspension, a drain, and in metrics."""
 
 import signal
 import socket
@@ -14,7 +14,7 @@
 
 
 def answer(engine: RawServer, connection: socket.socket) -> None:
-    """Answers what is called `whole`, and sends one event of any other stream."""
+    """Completes streams whose path names `whole`; sends one event of any other stream."""
     while True:
         head = engine.read_head(connection)
         connection.sendall(stream_head(head) + event(1))
@@ -45,10 +45,10 @@
     }
     store.put("keyed.servers", "i-0", record)
     store.put("keyed.op", "config", configuration("service"))
-    held = Gateway(store, tmp_path)
-    wait_for(held.is_ready, "readiness")
-    yield held
-    held.stop()
+    daemon = Gateway(store, tmp_path)
+    wait_for(daemon.is_ready, "readiness")
+    yield daemon
+    daemon.stop()
     store.server.shutdown()
 
 
@@ -71,16 +71,16 @@
     with connect(gateway) as caller:
         caller.sendall(request("/chat/whole", name))
         answer = b""
-        while not answer.endswith(b"0\r\n\r\n"):  # one that leaves before is counted as gone
+        while not answer.endswith(b"0\r\n\r\n"):  # an earlier close would count as a disconnect
             answer += caller.recv(1 << 16)
         assert answer.startswith(b"HTTP/1.1 200")
 
 
-def test_a_request_whose_caller_left_while_it_was_not_read_is_not_served(
+def test_requests_of_callers_that_disconnect_during_a_suspension_are_not_served(
     gateway: Gateway, engine: RawServer
 ) -> None:
-    """The daemon stood still: request and close lay unread in its connections, and on waking
-    it sent such requests to engines, and read only then that the callers were gone."""
+    """Guards against a daemon that resumes with both a request and its caller's close unread in its
+    sockets: it sent the request to an engine and read the close only afterwards."""
     serve_one(gateway, "before")
     gateway.process.send_signal(signal.SIGSTOP)
     for number in range(20):
@@ -93,20 +93,20 @@
     assert not [head for head in engine.requests if b"/chat/left" in head]
 
 
-def test_a_stream_is_left_while_the_daemon_drains(gateway: Gateway, engine: RawServer) -> None:
+def test_disconnect_during_a_drain_frees_the_engine(gateway: Gateway, engine: RawServer) -> None:
     with connect(gateway) as caller:
         caller.sendall(request("/chat/stays", "stays"))
         assert caller.recv(1)
         gateway.process.send_signal(signal.SIGTERM)
         wait_for(lambda: not gateway.is_ready(), "not ready")
-    assert engine.ended.wait(WAIT_SECONDS)
+    assert engine.connection_closed.wait(WAIT_SECONDS)
     assert gateway.process.wait(WAIT_SECONDS) == 0
 
 
-def test_the_time_from_close_to_abort_is_counted(gateway: Gateway, engine: RawServer) -> None:
+def test_time_from_close_to_abort_is_recorded(gateway: Gateway, engine: RawServer) -> None:
     with connect(gateway) as caller:
         caller.sendall(request("/chat/stays", "stays"))
         assert caller.recv(1)
-    assert engine.ended.wait(WAIT_SECONDS)
+    assert engine.connection_closed.wait(WAIT_SECONDS)
     counted = b"troutswitch_caller_close_to_abort_seconds_count 1.0"
     wait_for(lambda: counted in gateway.call("GET", "/metrics", port=gateway.metrics)[2], "count")
--- a/tests/gateway/callers/test_relay.py
+++ b/tests/gateway/callers/test_relay.py
@@ -16,10 +16,10 @@
 
 
 class LateLoop:
-    """Answers a relay as a loop does that has not yet heard of an answer's events.
+    """A loop that has not processed the events of the first attempt when it starts the second.
 
-    It left the first engine for silence before it took the word that events came, and so
-    tells the next attempt to begin at the beginning.
+    It abandons the first engine for silence before it processes the report of that engine's
+    events, and therefore directs the second attempt to start from the beginning.
     """
 
     def __init__(self, relays: RelayRegistry, engines: list[EngineStandin]) -> None:
@@ -66,10 +66,13 @@
     return engines, loop, data
 
 
-def test_a_next_attempt_goes_on_after_what_the_caller_has() -> None:
-    """Found by a hunt (ORDER: a piece came twice): the loop woke from a freeze, left the
-    engine for silence before it took the word that events had come, and had the request
-    run from its beginning, while the caller had its first events already."""
+def test_next_attempt_resumes_after_the_last_event_that_the_caller_has() -> None:
+    """Guards against events that are delivered twice, found by a fault hunt (ORDER).
+
+    A loop that resumed after a suspension abandoned an engine for silence before it processed the
+    report of that engine's events. The second attempt started from the beginning, although the
+    caller already had the first events.
+    """
     engines, loop, data = run()
     assert data == b"".join(f"id: {n}\ndata: x-{n}\n\n".encode() for n in range(1, 6))
     assert engines[1].requests[0][2]["last-event-id"] == "2"
--- a/tests/gateway/callers/test_stop_gate.py
+++ b/tests/gateway/callers/test_stop_gate.py
@@ -1,4 +1,4 @@
-"""The gate that ends a planned stop."""
+"""The stop gate counts requests in flight, and refuses new ones once it is closed."""
 
 from collections.abc import Iterable
 from typing import Any
@@ -7,7 +7,7 @@
 from troutswitch.runtime.http import Environ, StartResponse
 
 
-class Heads:
+class RecordedHeads:
     def __init__(self) -> None:
         self.heads: list[tuple[str, list[tuple[str, str]]]] = []
 
@@ -15,49 +15,49 @@
         self.heads.append((status, headers))
 
 
-def whole_answer(environ: Environ, start_response: StartResponse) -> Iterable[bytes]:
+def complete_response(environ: Environ, start_response: StartResponse) -> Iterable[bytes]:
     return [b"whole"]
 
 
-def pieces(environ: Environ, start_response: StartResponse) -> Iterable[bytes]:
+def chunked_response(environ: Environ, start_response: StartResponse) -> Iterable[bytes]:
     yield b"a"
     yield b"b"
 
 
-def test_a_whole_answer_counts_until_the_engine_closes_it() -> None:
-    gate = StopGate(whole_answer)
-    answer: Any = gate({}, Heads())
+def test_complete_response_is_in_flight_until_the_server_closes_it() -> None:
+    gate = StopGate(complete_response)
+    answer: Any = gate({}, RecordedHeads())
     assert (list(answer), len(answer), gate.in_flight) == ([b"whole"], 1, 1)
     answer.close()
     assert gate.in_flight == 0
 
 
-def test_pieces_count_until_the_engine_closes_them_and_are_closed_too() -> None:
-    gate = StopGate(pieces)
-    answer: Any = gate({}, Heads())
+def test_chunked_response_is_in_flight_until_the_server_closes_it() -> None:
+    gate = StopGate(chunked_response)
+    answer: Any = gate({}, RecordedHeads())
     assert next(iter(answer)) == b"a"
     assert gate.in_flight == 1
     answer.close()
     assert (list(answer), gate.in_flight) == ([], 0)
 
 
-def test_a_failure_of_the_application_is_counted_out() -> None:
+def test_failed_request_is_not_left_in_flight() -> None:
     def fails(environ: Environ, start_response: StartResponse) -> Iterable[bytes]:
         raise OSError("lost")
 
     gate = StopGate(fails)
     try:
-        gate({}, Heads())
+        gate({}, RecordedHeads())
     except OSError:
         assert gate.in_flight == 0
     else:
         raise AssertionError("the failure was swallowed")
 
 
-def test_a_closed_gate_refuses_with_a_promise_and_a_time() -> None:
-    gate = StopGate(whole_answer)
+def test_closed_gate_refuses_with_request_id_and_retry_after() -> None:
+    gate = StopGate(complete_response)
     gate.close()
-    heads = Heads()
+    heads = RecordedHeads()
     gate({"HTTP_X_TROUTSWITCH_REQUEST_ID": "one"}, heads)
     status, headers = heads.heads[0]
     assert status.startswith("503")
--- a/tests/gateway/engines/test_engine_check.py
+++ b/tests/gateway/engines/test_engine_check.py
@@ -1,4 +1,4 @@
-"""What a new connection tells of an engine, by real sockets."""
+"""Connection checks of engines, with real sockets."""
 
 import socket
 
@@ -11,12 +11,12 @@
     return Address("127.0.0.1", listener.getsockname()[1])
 
 
-def found(address: Address) -> EngineFound:
+def check_result(address: Address) -> EngineFound:
     return check_engine(CheckEngine("a", address)).found
 
 
-def test_a_listening_port_listens_and_a_closed_one_has_ended() -> None:
+def test_open_port_is_reported_as_listening_and_closed_port_as_ended() -> None:
     with socket.create_server(("127.0.0.1", 0)) as listener:
         address = address_of(listener)
-        assert found(address) is EngineFound.LISTENS
-    assert found(address) is EngineFound.ENDED
+        assert check_result(address) is EngineFound.LISTENS
+    assert check_result(address) is EngineFound.ENDED
--- a/tests/gateway/engines/test_exchange.py
+++ b/tests/gateway/engines/test_exchange.py
@@ -19,7 +19,7 @@
 
 
 class ScriptedEngine:
-    """Answers each connection's requests with scripted bytes, then closes it."""
+    """An engine that answers requests with scripted bytes, then closes the connection."""
 
     def __init__(self) -> None:
         self.listener = socket.create_server(("127.0.0.1", 0))
@@ -64,9 +64,9 @@
 
 @pytest.fixture
 def engine() -> Iterator[ScriptedEngine]:
-    held = ScriptedEngine()
-    yield held
-    held.listener.close()
+    scripted = ScriptedEngine()
+    yield scripted
+    scripted.listener.close()
 
 
 @pytest.fixture
@@ -74,11 +74,11 @@
     return EngineConnections()
 
 
-Make = Callable[[str], Exchange]
+MakeExchange = Callable[[str], Exchange]
 
 
 @pytest.fixture
-def make(engine: ScriptedEngine, connections: EngineConnections) -> Make:
+def make(engine: ScriptedEngine, connections: EngineConnections) -> MakeExchange:
     def make_exchange(request_id: str) -> Exchange:
         request = OutgoingRequest(request_id, "POST", "/a/b?c=1", [("Host", "h")], b"body")
         return Exchange(connections, "server-1", engine.address, request, ID_HEADER)
@@ -94,21 +94,23 @@
     return CHUNKED.format(id=request_id, more=more).encode()
 
 
-def test_an_answer_that_says_close_is_read_whole(engine: ScriptedEngine, make: Make) -> None:
-    more = b"x" * 300_000  # more than one buffer, so that it is read after the head
+def test_response_with_connection_close_is_read_completely(
+    engine: ScriptedEngine, make: MakeExchange
+) -> None:
+    more = b"x" * 300_000  # exceeds one buffer, so it is read after the head
     engine.answers = [head("1", "Connection: close\r\n") + chunk(more) + b"0\r\n\r\n"]
     exchange = make("1")
     exchange.open(2.0)
     assert exchange.body() == more
 
 
-def test_a_connection_is_used_again_after_answers_by_chunks_and_by_length(
-    engine: ScriptedEngine, make: Make
+def test_connection_is_reused_after_chunked_and_fixed_length_responses(
+    engine: ScriptedEngine, make: MakeExchange
 ) -> None:
-    by_length = b"HTTP/1.1 200 OK\r\nX-Id: 2\r\nContent-Length: 3\r\n\r\ntwo"
+    fixed_length = b"HTTP/1.1 200 OK\r\nX-Id: 2\r\nContent-Length: 3\r\n\r\ntwo"
     engine.answers = [
         head("1") + chunk(b"one") + b"0\r\n\r\n",
-        by_length,
+        fixed_length,
         head("3") + chunk(b"three") + b"0\r\n\r\n",
     ]
     for request_id, body in (("1", b"one"), ("2", b"two"), ("3", b"three")):
@@ -118,8 +120,8 @@
     assert engine.connections == 1
 
 
-def test_a_surplus_answer_in_the_place_of_the_next_is_dropped(
-    engine: ScriptedEngine, make: Make
+def test_surplus_response_before_the_expected_one_is_dropped(
+    engine: ScriptedEngine, make: MakeExchange
 ) -> None:
     surplus = head("old") + chunk(b"old") + b"0\r\n\r\n"
     engine.answers = [surplus + head("2") + chunk(b"mine") + b"0\r\n\r\n"]
@@ -128,8 +130,8 @@
     assert exchange.body() == b"mine"
 
 
-def test_a_connection_with_surplus_bytes_is_not_used_again(
-    engine: ScriptedEngine, make: Make
+def test_connection_with_surplus_bytes_is_not_reused(
+    engine: ScriptedEngine, make: MakeExchange
 ) -> None:
     answer = head("1") + chunk(b"one") + b"0\r\n\r\n"
     engine.answers = [answer + answer, head("2") + chunk(b"two") + b"0\r\n\r\n"]
@@ -142,7 +144,7 @@
     assert second.body() == b"two"
 
 
-def test_a_chunked_answer_that_breaks_off_is_lost(engine: ScriptedEngine, make: Make) -> None:
+def test_truncated_chunked_response_is_lost(engine: ScriptedEngine, make: MakeExchange) -> None:
     engine.answers = [head("1", "Connection: close\r\n") + chunk(b"one")]
     exchange = make("1")
     exchange.open(2.0)
@@ -150,7 +152,9 @@
         exchange.body()
 
 
-def test_a_short_answer_by_length_is_lost(engine: ScriptedEngine, make: Make) -> None:
+def test_response_shorter_than_its_content_length_is_lost(
+    engine: ScriptedEngine, make: MakeExchange
+) -> None:
     answer = b"HTTP/1.1 200 OK\r\nX-Id: 1\r\nConnection: close\r\nContent-Length: 9\r\n\r\nshort"
     engine.answers = [answer]
     exchange = make("1")
@@ -159,13 +163,13 @@
         exchange.body()
 
 
-def test_bytes_that_are_no_answer_are_lost(engine: ScriptedEngine, make: Make) -> None:
+def test_malformed_response_is_lost(engine: ScriptedEngine, make: MakeExchange) -> None:
     engine.answers = [b"garbage garbage\r\n\r\n"]
     with pytest.raises(AnswerLost):
         make("1").open(2.0)
 
 
-def test_a_refused_connection_sent_nothing(connections: EngineConnections) -> None:
+def test_refused_connection_raises_not_connected(connections: EngineConnections) -> None:
     listener = socket.create_server(("127.0.0.1", 0))
     address = Address("127.0.0.1", listener.getsockname()[1])
     listener.close()
@@ -174,11 +178,11 @@
         Exchange(connections, "gone", address, request, ID_HEADER).open(1.0)
 
 
-def test_an_abort_ends_the_wait_for_an_answer(engine: ScriptedEngine, make: Make) -> None:
-    """On a busy machine, an abort by the clock came before the request was sent.
+def test_abort_ends_the_wait_for_a_response(engine: ScriptedEngine, make: MakeExchange) -> None:
+    """An abort after a fixed delay could precede the sending of the request on a busy machine.
 
-    The abort waits until the engine has read the request. The engine keeps the connection open, so
-    that nothing but the abort ends the wait.
+    The abort therefore waits until the engine has read the request. The engine keeps the connection
+    open, so that only the abort can end the wait.
     """
     engine.answers = [b"", b"an answer to a second request, which never comes"]
     exchange = make("1")
@@ -193,7 +197,7 @@
         exchange.open(30.0)
 
 
-def test_an_abort_before_sending_sends_nothing(engine: ScriptedEngine, make: Make) -> None:
+def test_abort_before_sending_sends_nothing(engine: ScriptedEngine, make: MakeExchange) -> None:
     engine.answers = [b""]
     exchange = make("1")
     exchange.abort()
@@ -202,7 +206,7 @@
     assert engine.requests == []
 
 
-def test_the_request_goes_as_it_is(engine: ScriptedEngine, make: Make) -> None:
+def test_request_is_sent_unchanged(engine: ScriptedEngine, make: MakeExchange) -> None:
     engine.answers = [head("1") + b"0\r\n\r\n"]
     make("1").open(2.0)
     sent = b"".join(engine.requests)
@@ -213,9 +217,9 @@
 
 
 def test_a_surplus_answer_is_not_taken_for_the_answer_to_a_repeat(
-    engine: ScriptedEngine, make: Make
+    engine: ScriptedEngine, make: MakeExchange
 ) -> None:
-    # A second answer to "1" may yet come on its connection, and would carry the same id.
+    # A second response to "1" may still arrive on its connection, with the same id.
     first = head("1") + chunk(b"run one") + b"0\r\n\r\n"
     engine.answers = [first, head("1") + chunk(b"run two") + b"0\r\n\r\n"]
     exchange = make("1")
--- a/tests/gateway/engines/test_silent_engines.py
+++ b/tests/gateway/engines/test_silent_engines.py
@@ -1,10 +1,9 @@
-"""Connections to engines that go silent for good, while new ones work.
+"""Connections to engines that become permanently silent, while new connections work.
 
-What users saw: connections stayed open and nothing came on them any more. Order of events:
-some connections to an engine are kept, the network forgets them, a request is sent on one of
-them. Cause of what it cost: a time-out closed this one alone, so that the next request took
-the next dead one; and a stream whose head had come was waited for to its deadline. Evidence:
-the tests below, without `EngineConnections.close_suspects` and without `first_event_wait`.
+Guards against requests that are lost to dead connections. The network drops some idle connections
+to an engine without a reset. A timeout closed only the connection on which it happened, so the next
+request used the next dead one; and a stream that fell silent after its head was awaited until its
+deadline. The tests fail without `EngineConnections.close_suspects` and `first_event_wait`.
 """
 
 import socket
@@ -39,26 +38,26 @@
 from troutswitch.platform.requests import IncomingRequest
 from troutswitch.runtime.silence import USER_TIMEOUT_MILLISECONDS
 
-KEPT = 3
+IDLE_CONNECTIONS = 3
 SHORT_WAIT_SECONDS = 0.4
-"""Wait in which nothing comes on a silent connection; longer than `SUSPECT_SILENCE_SECONDS`."""
+"""Timeout on a silent connection; longer than `SUSPECT_SILENCE_SECONDS`."""
 LONG_WAIT_SECONDS = 30.0
 BODY_BYTES = 16 << 20
-"""A body that no socket buffer takes whole."""
+"""Size of a body that exceeds every socket buffer."""
 HEAD = (
     b"HTTP/1.1 200 OK\r\nX-Troutswitch-Request-Id: x\r\nContent-Type: text/event-stream\r\n"
     b"Transfer-Encoding: chunked\r\n\r\n"
 )
 
 
-class World:
-    """One engine behind a proxy, and the connections to it."""
+class ProxiedEngine:
+    """An engine behind a proxy, and a pool of connections to it."""
 
     def __init__(self) -> None:
         self.engine = EngineStandin("one")
         self.proxy = SilentProxy(self.engine.address)
         self.suspects_closed: list[tuple[str, int]] = []
-        self.connections = EngineConnections(lambda *told: self.suspects_closed.append(told))
+        self.connections = EngineConnections(lambda *closed: self.suspects_closed.append(closed))
 
     def exchange(self, request_id: str, body: bytes = b"body") -> Exchange:
         headers = [
@@ -69,8 +68,8 @@
         request = OutgoingRequest(request_id, "POST", "/a", headers, body)
         return Exchange(self.connections, "one", self.proxy.address, request, names.REQUEST_ID)
 
-    def keep(self, count: int) -> None:
-        """Leaves some connections idle, all of which have answered."""
+    def add_idle_connections(self, count: int) -> None:
+        """Creates idle connections, each of which has received a response."""
         exchanges = [self.exchange(f"kept-{number}") for number in range(count)]
         for exchange in exchanges:
             exchange.open(LONG_WAIT_SECONDS)
@@ -78,94 +77,98 @@
             exchange.body()
         assert self.proxy.connections == count
 
-    def works(self, request_id: str) -> None:
+    def assert_request_succeeds(self, request_id: str) -> None:
         exchange = self.exchange(request_id)
         exchange.open(LONG_WAIT_SECONDS)
         assert exchange.body().endswith(b"-5\n\n")
 
 
 @pytest.fixture
-def world() -> Iterator[World]:
-    held = World()
-    yield held
-    held.proxy.close()
-    held.engine.server.shutdown()
-    held.engine.server.server_close()
+def proxied() -> Iterator[ProxiedEngine]:
+    proxied_engine = ProxiedEngine()
+    yield proxied_engine
+    proxied_engine.proxy.close()
+    proxied_engine.engine.server.shutdown()
+    proxied_engine.engine.server.server_close()
 
 
-def test_one_time_out_closes_all_kept_connections_of_its_engine(world: World) -> None:
-    world.keep(KEPT)
-    world.proxy.silence()
+def test_timeout_closes_all_idle_connections_to_the_engine(proxied: ProxiedEngine) -> None:
+    proxied.add_idle_connections(IDLE_CONNECTIONS)
+    proxied.proxy.silence()
     with pytest.raises(AnswerLost):
-        world.exchange("lost").open(SHORT_WAIT_SECONDS)
-    world.works("next")
-    assert world.proxy.connections == KEPT + 1  # a fresh one, at once
-    assert world.suspects_closed == [("one", KEPT - 1)]
-
-
-def test_a_connection_that_answered_since_is_still_trusted(world: World) -> None:
-    world.keep(2)
-    held = world.exchange("held")
-    held.open(LONG_WAIT_SECONDS)  # both connections were used, this one is silent from here
-    world.works("meanwhile")
-    world.connections.close_suspects("one", held.last_seen_at)
-    world.works("next")
-    assert world.proxy.connections == 2
-    assert world.suspects_closed == []
-
-
-def test_an_attempt_left_for_silence_closes_the_others_too(
-    world: World, monkeypatch: pytest.MonkeyPatch
+        proxied.exchange("lost").open(SHORT_WAIT_SECONDS)
+    proxied.assert_request_succeeds("next")
+    assert (
+        proxied.proxy.connections == IDLE_CONNECTIONS + 1
+    )  # a new connection, without a second timeout
+    assert proxied.suspects_closed == [("one", IDLE_CONNECTIONS - 1)]
+
+
+def test_connection_with_a_later_response_is_not_closed(proxied: ProxiedEngine) -> None:
+    proxied.add_idle_connections(2)
+    in_progress = proxied.exchange("held")
+    in_progress.open(
+        LONG_WAIT_SECONDS
+    )  # both connections were used; this one receives nothing else
+    proxied.assert_request_succeeds("meanwhile")
+    proxied.connections.close_suspects("one", in_progress.last_seen_at)
+    proxied.assert_request_succeeds("next")
+    assert proxied.proxy.connections == 2
+    assert proxied.suspects_closed == []
+
+
+def test_attempt_abandoned_for_silence_closes_idle_connections(
+    proxied: ProxiedEngine, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(exchange_module, "SUSPECT_SILENCE_SECONDS", 0.0)
-    world.keep(KEPT)
-    world.proxy.silence()
+    proxied.add_idle_connections(IDLE_CONNECTIONS)
+    proxied.proxy.silence()
     relays = RelayRegistry(lambda event: None)
     relays.open_channel(1)
-    exchange = world.exchange("left")
+    exchange = proxied.exchange("left")
     relays.begin_attempt(1, 1, exchange)
     threading.Timer(0.1, lambda: relays.abort_attempt(AbortAttempt(1, 1, is_silent=True))).start()
     with pytest.raises(AnswerLost):
         exchange.open(LONG_WAIT_SECONDS)
-    world.works("next")
-    assert world.proxy.connections == KEPT + 1
+    proxied.assert_request_succeeds("next")
+    assert proxied.proxy.connections == IDLE_CONNECTIONS + 1
 
 
-def test_a_caller_that_leaves_says_nothing_of_connections(
-    world: World, monkeypatch: pytest.MonkeyPatch
+def test_abort_for_a_disconnected_caller_closes_no_idle_connection(
+    proxied: ProxiedEngine, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(exchange_module, "SUSPECT_SILENCE_SECONDS", 0.0)
-    world.keep(KEPT)
-    exchange = world.exchange("gone")
+    proxied.add_idle_connections(IDLE_CONNECTIONS)
+    exchange = proxied.exchange("gone")
     exchange.open(LONG_WAIT_SECONDS)
     exchange.abort()
     exchange.close()
-    world.works("next")
-    assert world.proxy.connections == KEPT
-    assert world.suspects_closed == []
+    proxied.assert_request_succeeds("next")
+    assert proxied.proxy.connections == IDLE_CONNECTIONS
+    assert proxied.suspects_closed == []
 
 
-def test_a_connection_silent_while_a_body_is_sent_ends_in_time(world: World) -> None:
-    world.keep(KEPT)
-    world.proxy.silence()
+def test_connection_silent_while_a_body_is_sent_times_out(proxied: ProxiedEngine) -> None:
+    proxied.add_idle_connections(IDLE_CONNECTIONS)
+    proxied.proxy.silence()
     with pytest.raises(AnswerLost):
-        world.exchange("lost", b"x" * BODY_BYTES).open(SHORT_WAIT_SECONDS)
-    world.works("next")
-    assert world.proxy.connections == KEPT + 1
+        proxied.exchange("lost", b"x" * BODY_BYTES).open(SHORT_WAIT_SECONDS)
+    proxied.assert_request_succeeds("next")
+    assert proxied.proxy.connections == IDLE_CONNECTIONS + 1
 
 
-def test_a_connection_silent_inside_the_head_ends_in_time(world: World) -> None:
-    world.proxy.silent_after_down = 20
+def test_connection_silent_inside_the_head_times_out(proxied: ProxiedEngine) -> None:
+    proxied.proxy.silent_after_down = 20
     with pytest.raises(AnswerLost):
-        world.exchange("lost").open(SHORT_WAIT_SECONDS)
-    world.proxy.silent_after_down = None
-    world.works("next")
+        proxied.exchange("lost").open(SHORT_WAIT_SECONDS)
+    proxied.proxy.silent_after_down = None
+    proxied.assert_request_succeeds("next")
 
 
-def test_the_kernel_bounds_the_silence_of_a_connection(world: World) -> None:
-    """No loopback peer leaves probes without an answer, so the options themselves are read."""
-    world.keep(1)
-    connection = world.connections.acquire("one", world.proxy.address, "other")
+def test_keepalive_and_user_timeout_are_set_on_connections(proxied: ProxiedEngine) -> None:
+    """A loopback peer always answers probes, so the test reads the socket options instead."""
+    proxied.add_idle_connections(1)
+    connection = proxied.connections.acquire("one", proxied.proxy.address, "other")
     sock = connection.sock
     assert sock.getsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE) == 1
     timeout = sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT)
@@ -176,7 +179,7 @@
 
 
 class ScriptedLoop:
-    """Sends a request to one address after the other."""
+    """A loop that sends each attempt to the next of the given engines."""
 
     def __init__(self, relays: RelayRegistry, addresses: list[tuple[str, Address]]) -> None:
         self.ended: list[RequestAttemptEnded] = []
@@ -199,7 +202,7 @@
 
 
 def relay(silent: Address) -> tuple[EngineStandin, ScriptedLoop, bytes]:
-    """Relays a stream whose first engine falls silent, up to its end at the second."""
+    """Relays a stream whose first engine falls silent; the second engine completes it."""
     second = EngineStandin("two")
     relays = RelayRegistry(lambda event: None)
     loop = ScriptedLoop(relays, [("one", silent), ("two", second.address)])
@@ -214,40 +217,41 @@
         loop.post,
         EngineActivityReporter(loop.post),
     )
-    began = time.monotonic()
+    started_at = time.monotonic()
     data = b"".join(relayed.run())
-    assert time.monotonic() - began < LONG_WAIT_SECONDS / 2, "waited for to its deadline"
+    assert time.monotonic() - started_at < LONG_WAIT_SECONDS / 2, "waited until the deadline"
     second.server.shutdown()
     second.server.server_close()
     return second, loop, data
 
 
-def whole() -> bytes:
+def complete_stream() -> bytes:
     return b"".join(f"id: {n}\ndata: x-{n}\n\n".encode() for n in range(1, 6))
 
 
-def test_a_stream_silent_between_its_events_goes_on_elsewhere(world: World) -> None:
-    world.proxy.silent_after_down = 330  # the head and some events
-    second, loop, data = relay(world.proxy.address)
-    assert data == whole()
+def test_stream_silent_between_events_resumes_at_another_engine(proxied: ProxiedEngine) -> None:
+    proxied.proxy.silent_after_down = 330  # the head and some events
+    second, loop, data = relay(proxied.proxy.address)
+    assert data == complete_stream()
     assert [e.kind for e in loop.ended] == [AttemptKind.CUT, AttemptKind.COMPLETED]
     assert int(second.requests[0][2]["last-event-id"]) == loop.ended[0].delivered > 0
 
 
-def test_a_stream_silent_after_its_head_goes_on_elsewhere() -> None:
-    """Its thread and its place were held to the deadline: no bound held before an event."""
+def test_stream_silent_after_its_head_resumes_at_another_engine() -> None:
+    """Guards against a stream that occupies its thread and its slot until the deadline, because no
+    timeout applied before the first event."""
     with socket.create_server(("127.0.0.1", 0)) as listener:
-        held: list[socket.socket] = []
+        accepted: list[socket.socket] = []
 
         def answer_with_a_head() -> None:
-            held.append(listener.accept()[0])
-            held[0].recv(4096)
-            held[0].sendall(HEAD)
+            accepted.append(listener.accept()[0])
+            accepted[0].recv(4096)
+            accepted[0].sendall(HEAD)
 
         threading.Thread(target=answer_with_a_head, daemon=True).start()
         address = Address("127.0.0.1", listener.getsockname()[1])
         _, loop, data = relay(address)
-    assert data == whole()
+    assert data == complete_stream()
     assert [e.kind for e in loop.ended] == [AttemptKind.CUT, AttemptKind.COMPLETED]
     assert "TimeoutError" in loop.ended[0].reason
-    held[0].close()
+    accepted[0].close()
--- a/tests/gateway/raw_server.py
+++ b/tests/gateway/raw_server.py
@@ -1,4 +1,4 @@
-"""A server that does on its sockets exactly what a test says, and tells what it saw."""
+"""A server whose behaviour on each connection is scripted by the test."""
 
 import socket
 import threading
@@ -14,13 +14,17 @@
 
 
 class RawServer:
-    """Has each connection handled on a thread; `arrived` and `ended` tell of them."""
+    """Handles each connection on a thread of its own, by calling `behaviour`.
+
+    `request_received` is set with the first request head, `connection_closed` when a client closes
+    its connection. Behaviours may wait for `may_respond`.
+    """
 
     def __init__(self, behaviour: Behaviour, receive_bytes: int = 0) -> None:
         self.requests: list[bytes] = []
-        self.arrived = threading.Event()
-        self.ended = threading.Event()
-        self.may_go_on = threading.Event()
+        self.request_received = threading.Event()
+        self.connection_closed = threading.Event()
+        self.may_respond = threading.Event()
         self._behaviour = behaviour
         self._listener = socket.socket()
         if receive_bytes:
@@ -41,12 +45,12 @@
             try:
                 self._behaviour(self, connection)
             except ConnectionError:
-                self.ended.set()
+                self.connection_closed.set()
             except TimeoutError:
-                return  # a test that waits for the end fails by its own wait
+                return  # a test that waits for the close fails by its own timeout
 
     def read_head(self, connection: socket.socket) -> bytes:
-        """Reads a request's head, and what came with it."""
+        """Reads a request's head, and any bytes received along with it."""
         data = b""
         while b"\r\n\r\n" not in data:
             more = connection.recv(READ_BYTES)
@@ -54,18 +58,18 @@
                 raise ConnectionError("ended inside a head")
             data += more
         self.requests.append(data)
-        self.arrived.set()
+        self.request_received.set()
         return data
 
     def wait_for_end(self, connection: socket.socket) -> None:
-        """Waits until the other end closes."""
+        """Waits until the client closes the connection."""
         while connection.recv(READ_BYTES):
             continue
-        self.ended.set()
+        self.connection_closed.set()
 
 
 def request_id(head: bytes) -> str:
-    """Returns the id that a request's head tells."""
+    """Returns the request id in a request's head."""
     for line in head.split(b"\r\n"):
         name, _, value = line.partition(b": ")
         if name.lower() == b"x-troutswitch-request-id":
@@ -74,7 +78,7 @@
 
 
 def stream_head(head: bytes) -> bytes:
-    """Returns the head of a stream that answers a request."""
+    """Returns the head of a streamed response to a request."""
     lines = [
         "HTTP/1.1 200 OK",
         f"X-Troutswitch-Request-Id: {request_id(head)}",
@@ -86,26 +90,26 @@
 
 
 def event(number: int, size: int = 1) -> bytes:
-    """Returns one event as a chunk."""
+    """Returns one event, encoded as an HTTP chunk."""
     data = f"id: {number}\ndata: {'x' * size}\n\n".encode()
     return f"{len(data):x}\r\n".encode() + data + b"\r\n"
 
 
 def silent(server: RawServer, connection: socket.socket) -> None:
-    """Reads a request and says nothing."""
+    """Reads a request and sends nothing."""
     server.read_head(connection)
     server.wait_for_end(connection)
 
 
 def one_event(server: RawServer, connection: socket.socket) -> None:
-    """Sends one event and no more."""
+    """Sends one event, then nothing."""
     head = server.read_head(connection)
     connection.sendall(stream_head(head) + event(1))
     server.wait_for_end(connection)
 
 
 def endless(server: RawServer, connection: socket.socket) -> None:
-    """Sends large events for as long as they are taken."""
+    """Sends large events until the connection closes."""
     head = server.read_head(connection)
     connection.sendall(stream_head(head))
     number = 1
@@ -115,15 +119,15 @@
 
 
 def whole(server: RawServer, connection: socket.socket) -> None:
-    """Answers each request with a whole stream of one event, once it may."""
+    """Answers each request with a complete stream of one event, after `may_respond` is set."""
     while True:
         head = server.read_head(connection)
-        assert server.may_go_on.wait(WAIT_SECONDS)
+        assert server.may_respond.wait(WAIT_SECONDS)
         connection.sendall(stream_head(head) + event(1) + b"0\r\n\r\n")
 
 
 def rejecting(server: RawServer, connection: socket.socket) -> None:
-    """Says that it has not run the request."""
+    """Refuses a request as not executed."""
     head = server.read_head(connection)
     lines = [
         "HTTP/1.1 503 Full",
--- a/tests/gateway/test_instruction_executor.py
+++ b/tests/gateway/test_instruction_executor.py
@@ -1,4 +1,4 @@
-"""Blocking calls run on threads, and none keeps another kind waiting."""
+"""Blocking calls run on threads, and calls of one kind do not delay those of another."""
 
 import queue
 import threading
@@ -32,8 +32,8 @@
 WAIT_SECONDS = 30.0
 
 
-class SilentForWrites:
-    """A store that answers reads at once, and no write until it is released."""
+class WriteBlockingStore:
+    """A store that answers reads immediately, and blocks writes until it is released."""
 
     def __init__(self) -> None:
         self.released = threading.Event()
@@ -50,19 +50,19 @@
 
 
 @pytest.fixture
-def store() -> Iterator[SilentForWrites]:
-    held = SilentForWrites()
-    yield held
-    held.released.set()
+def store() -> Iterator[WriteBlockingStore]:
+    blocking = WriteBlockingStore()
+    yield blocking
+    blocking.released.set()
 
 
-def test_calls_for_jobs_that_block_do_not_hold_up_reads_of_the_configuration(
-    store: SilentForWrites,
+def test_blocked_calls_for_jobs_do_not_delay_reads_of_the_configuration(
+    store: WriteBlockingStore,
 ) -> None:
     events: queue.SimpleQueue[GatewayEvent] = queue.SimpleQueue()
     executors = MagicMock(spec=Executors)
     executors.call_store = store.call
-    executors.request_peer_state = lambda asked: PeerStateReceived(asked.host, None)
+    executors.request_peer_state = lambda request: PeerStateReceived(request.host, None)
     executor = InstructionExecutor(executors, events.put, MagicMock())
     record = KeyedRecord("k", b"v")
     for number in range(1, 2 * STORE_THREADS):
@@ -70,10 +70,10 @@
     executor.execute(ReadRecords(1001, Partition(CONFIGURATION_TOPIC), 0))
     executor.execute(ReadNewest(1002, Partition(ENGINES_TOPIC)))
     executor.execute(RequestPeerState("peer", 1, 1.0))
-    found = [events.get(timeout=WAIT_SECONDS) for _ in range(3)]
-    calls = {event.call for event in found if isinstance(event, StoreAnswered)}
+    posted = [events.get(timeout=WAIT_SECONDS) for _ in range(3)]
+    calls = {event.call for event in posted if isinstance(event, StoreAnswered)}
     assert calls == {1001, 1002}
-    assert PeerStateReceived("peer", None) in found
+    assert PeerStateReceived("peer", None) in posted
     assert executor.blocking_calls >= 2 * STORE_THREADS - 1
     store.released.set()
     executor.stop()
--- a/tests/gateway/test_policies.py
+++ b/tests/gateway/test_policies.py
@@ -5,12 +5,12 @@
 from troutswitch.gateway.settings import GatewaySettingsError
 
 
-def test_what_is_not_named_is_as_usual() -> None:
+def test_policies_that_are_not_named_keep_their_defaults() -> None:
     assert read_policies("") == Policies()
     assert read_policies(" admission = admit_all ,") == Policies(admission="admit_all")
 
 
-def test_each_policy_can_be_named() -> None:
+def test_each_policy_can_be_selected() -> None:
     text = (
         "places=own_counts,placement=two_choices,admission=admit_all,items=least_slack,room=shares"
     )
@@ -19,7 +19,7 @@
 
 
 @pytest.mark.parametrize(
-    ("text", "told"),
+    ("text", "message"),
     [
         ("placement", "expected name=value"),
         ("colour=red", "unknown field `colour`"),
@@ -28,8 +28,8 @@
         ("room=", "room: expected one of"),
     ],
 )
-def test_what_cannot_be_used_is_told(text: str, told: str) -> None:
-    with pytest.raises(GatewaySettingsError, match=told):
+def test_malformed_or_unknown_selection_raises_an_error(text: str, message: str) -> None:
+    with pytest.raises(GatewaySettingsError, match=message):
         read_policies(text)
 
 
@@ -43,11 +43,11 @@
         ("admission", "reject_unservable"),
     ],
 )
-def test_a_removed_policy_is_refused_as_an_unknown_one(name: str, removed: str) -> None:
-    with pytest.raises(GatewaySettingsError) as told_of_removed:
+def test_removed_policy_is_refused_like_an_unknown_one(name: str, removed: str) -> None:
+    with pytest.raises(GatewaySettingsError) as removed_error:
         read_policies(f"{name}={removed}")
-    with pytest.raises(GatewaySettingsError) as told_of_unknown:
+    with pytest.raises(GatewaySettingsError) as unknown_error:
         read_policies(f"{name}=unknown")
-    text = str(told_of_removed.value)
+    text = str(removed_error.value)
     assert text.startswith(f"TROUTSWITCH_POLICIES: {name}: expected one of ")
-    assert text == str(told_of_unknown.value).replace("unknown", removed)
+    assert text == str(unknown_error.value).replace("unknown", removed)
--- a/tests/gateway/test_process.py
+++ b/tests/gateway/test_process.py
@@ -1,4 +1,4 @@
-"""One gateway daemon as a process, before stand-ins of the store and of engines."""
+"""A gateway daemon as a process, with stand-ins for the store and the engines."""
 
 import http.client
 import json
@@ -22,18 +22,18 @@
 
 
 START_TRIES = 5
-"""Starts of a daemon whose port for datagrams another process took in the moment before."""
+"""Maximum number of starts; another process may take the daemon's UDP port before it does."""
 
 
 def wait_for(condition: Callable[[], bool], what: str) -> None:
-    until = time.monotonic() + WAIT_SECONDS
+    deadline = time.monotonic() + WAIT_SECONDS
     while not condition():
-        assert time.monotonic() < until, f"not in time: {what}"
+        assert time.monotonic() < deadline, f"not in time: {what}"
         time.sleep(0.02)
 
 
 class Gateway:
-    """A gateway's process and its addresses."""
+    """A gateway process and its ports."""
 
     def __init__(self, store: StoreStandin, folder: Path) -> None:
         self.ports = Ports()
@@ -72,7 +72,7 @@
             )
 
     def stop(self) -> None:
-        """Ends the process; its log is shown beside a test that fails."""
+        """Kills the process and prints its log, which pytest shows for a failed test."""
         self.process.kill()
         self.process.wait()
         print(self.log.read_text())
@@ -91,7 +91,7 @@
             connection.close()
 
     def readiness(self) -> int:
-        """Returns the status of readiness, 0 if nobody answers."""
+        """Returns the status of the readiness check, 0 if there is no response."""
         try:
             return self.call("GET", "/readiness", port=self.ready)[0]
         except OSError:
@@ -109,37 +109,37 @@
 
 @pytest.fixture
 def store() -> Iterator[StoreStandin]:
-    held = StoreStandin()
-    yield held
-    held.server.shutdown()
+    standin = StoreStandin()
+    yield standin
+    standin.server.shutdown()
 
 
 @pytest.fixture
 def engines(store: StoreStandin) -> list[EngineStandin]:
-    held = [EngineStandin(f"i-{number}") for number in range(2)]
-    for engine in held:
+    standins = [EngineStandin(f"i-{number}") for number in range(2)]
+    for engine in standins:
         store.put("keyed.servers", engine.engine_id, engine.record("service"))
-    return held
+    return standins
 
 
 @pytest.fixture
 def gateway(store: StoreStandin, engines: list[EngineStandin], tmp_path: Path) -> Iterator[Gateway]:
     store.put("keyed.op", "config", configuration("service"))
-    held = Gateway(store, tmp_path)
-    wait_for(held.is_ready, "readiness")
-    yield held
-    held.stop()
+    daemon = Gateway(store, tmp_path)
+    wait_for(daemon.is_ready, "readiness")
+    yield daemon
+    daemon.stop()
 
 
-def whole(request_id: str, events: int = 5) -> bytes:
+def complete_stream(request_id: str, events: int = 5) -> bytes:
     return b"".join(f"id: {n}\ndata: {request_id}-{n}\n\n".encode() for n in range(1, events + 1))
 
 
-def test_a_stream_comes_whole_with_its_engine_s_signature(
+def test_stream_is_relayed_completely_with_its_response_stamp(
     gateway: Gateway, engines: list[EngineStandin]
 ) -> None:
     status, headers, body = gateway.stream("one")
-    assert (status, body) == (200, whole("one"))
+    assert (status, body) == (200, complete_stream("one"))
     assert headers["X-Troutswitch-Response-Stamp"] == "stamp-one"
     method, path, sent, content = (engines[0].requests + engines[1].requests)[0]
     assert (method, path, content) == ("POST", "/chat/x?y=1", b"prompt")
@@ -147,22 +147,22 @@
     assert 0 < int(sent["x-troutswitch-deadline-ms"]) <= 5000
 
 
-def test_a_stream_cut_inside_an_event_goes_on_at_another_engine(
+def test_stream_cut_inside_an_event_resumes_at_another_engine(
     gateway: Gateway, engines: list[EngineStandin]
 ) -> None:
     for engine in engines:
         engine.break_after = 2
     with pytest.raises(http.client.IncompleteRead):
-        gateway.stream("two")  # the second attempt is the last: the answer has no end
+        gateway.stream("two")  # the second attempt is the last, so the response is truncated
     engines[0].break_after = 2
     for number in range(50):
-        assert gateway.stream(f"three-{number}")[2] == whole(f"three-{number}")
+        assert gateway.stream(f"three-{number}")[2] == complete_stream(f"three-{number}")
         if engines[0].break_after == 0:
             break
     assert engines[0].break_after == 0
 
 
-def test_full_engines_are_refused_plainly_with_a_time_to_come_back(
+def test_request_is_refused_with_retry_after_if_all_engines_are_full(
     gateway: Gateway, engines: list[EngineStandin]
 ) -> None:
     for engine in engines:
@@ -172,7 +172,7 @@
     assert float(headers["Retry-After"]) > 0
 
 
-def test_unknown_routes_and_bad_jobs_get_a_clear_answer(gateway: Gateway) -> None:
+def test_invalid_requests_get_the_matching_error_status(gateway: Gateway) -> None:
     assert gateway.call("POST", "/none/x", X_Troutswitch_Request_Id="a")[0] == 404
     assert gateway.call("POST", "/jobs/x", b"{", X_Troutswitch_Request_Id="a")[0] == 400
     assert gateway.call("POST", "/chat/x", b"")[0] == 400
@@ -194,16 +194,16 @@
     return json.dumps({"requests": rows}).encode()
 
 
-def test_a_job_s_life(gateway: Gateway) -> None:
+def test_job_is_submitted_completed_read_and_deleted(gateway: Gateway) -> None:
     body = submission("j", 3)
 
-    def is_taken() -> bool:
+    def is_accepted() -> bool:
         status = gateway.call("POST", "/jobs/j", body, X_Troutswitch_Request_Id="j")[0]
-        assert status in (202, 503)  # 503 until the index was read, and the job never runs then
+        assert status in (202, 503)  # 503 until the index is read; that job never runs
         return status == 202
 
-    wait_for(is_taken, "the hand-in")
-    assert is_taken()  # a resend is the same job
+    wait_for(is_accepted, "the submission")
+    assert is_accepted()  # a repeated submission is the same job
     other = submission("j", 2)
     assert gateway.call("POST", "/jobs/j", other, X_Troutswitch_Request_Id="j")[0] == 409
     assert gateway.call("GET", "/items/j?id=j-1")[2] == b"body"
@@ -212,10 +212,10 @@
     def read() -> bool:
         status, _, answer = gateway.call("GET", f"/lots/j?afterRevision={len(results)}")
         assert status == 200
-        held = json.loads(answer)
-        assert held["total"] == 3
-        results.extend(held["results"])
-        assert held["nextToken"] == len(results)
+        page = json.loads(answer)
+        assert page["total"] == 3
+        results.extend(page["results"])
+        assert page["nextToken"] == len(results)
         return len(results) == 3
 
     wait_for(read, "results")
@@ -228,7 +228,9 @@
     assert gateway.call("DELETE", "/lots/j")[0] == 200
 
 
-def test_a_planned_stop_cuts_nothing(gateway: Gateway, engines: list[EngineStandin]) -> None:
+def test_planned_stop_completes_requests_in_flight(
+    gateway: Gateway, engines: list[EngineStandin]
+) -> None:
     for engine in engines:
         engine.events, engine.pause = 20, 0.05
     answers: list[tuple[int, dict[str, str], bytes]] = []
@@ -238,14 +240,14 @@
     gateway.process.send_signal(signal.SIGTERM)
     wait_for(lambda: not gateway.is_ready(), "not ready")
     assert gateway.process.poll() is None
-    assert gateway.stream("late")[0] == 200  # what still arrives is served
+    assert gateway.stream("late")[0] == 200  # requests that still arrive are served
     caller.join()
-    assert answers[0][2] == whole("stop", 20)
+    assert answers[0][2] == complete_stream("stop", 20)
     assert gateway.process.wait(WAIT_SECONDS) == 0
 
 
-class StubbornCaller:
-    """Sends one stream after another until nobody takes its connections any more."""
+class PersistentCaller:
+    """A caller that sends one stream after another until the process has ended."""
 
     def __init__(self, gateway: Gateway, name: str) -> None:
         self.gateway = gateway
@@ -263,25 +265,23 @@
             except (OSError, http.client.HTTPException):
                 self.cut.add(request_id)
                 continue
-            assert status != 200 or body == whole(request_id, 20)
+            assert status != 200 or body == complete_stream(request_id, 20)
             self.answers[request_id] = status
 
 
 def test_a_planned_stop_cuts_nothing_of_callers_that_keep_coming(
     gateway: Gateway, engines: list[EngineStandin]
 ) -> None:
-    """A stop beside callers who keep coming until the process is gone.
-
-    Seen by the soak's callers past the links: five streams that were sent 7.1 to 7.4 s after
-    SIGTERM ended early at 7.47 s, when the process ended ("daemon stopped", unfinished 5).
-    Order of events: SIGTERM, the daemon stays 3.2 s for callers that do not know yet, callers
-    go on, so that there is never a moment without a request; the grace time ends, and what was
-    taken in last is cut. Cause: the stop waited for a moment without requests, and took in
-    new ones all the while.
+    """A planned stop while callers keep sending requests until the process has ended.
+
+    Guards against a stop that accepts new requests while it waits for a moment without any: the
+    callers never left such a moment after the 3.2 s for which the daemon serves late callers, and
+    the end of the grace period cut the last requests. Seen in a soak: five streams sent 7.1 to
+    7.4 s after SIGTERM were cut at 7.47 s, when the process ended ("daemon stopped", unfinished 5).
     """
     for engine in engines:
         engine.events, engine.pause = 20, 0.05
-    callers = [StubbornCaller(gateway, f"stubborn-{number}") for number in range(4)]
+    callers = [PersistentCaller(gateway, f"stubborn-{number}") for number in range(4)]
     wait_for(lambda: all(caller.answers for caller in callers), "a first answer each")
     gateway.process.send_signal(signal.SIGTERM)
     assert gateway.process.wait(WAIT_SECONDS) == 0
@@ -297,9 +297,9 @@
 def test_a_hangup_while_the_program_loads_does_not_end_it(tmp_path: Path) -> None:
     """SIGHUP right after a start.
 
-    Seen by a soak (seed 502): a daemon ended with code -1. Order of events: a planned stop, the
-    next start, SIGHUP before the program had loaded. Cause: its handlers were set after the
-    imports, and until then SIGHUP ends a process. Here an import sends the signal.
+    Guards against handlers that are set only after the imports: until then SIGHUP terminates the
+    process. Seen in a soak (seed 502): a daemon that received SIGHUP while it was restarting ended
+    with code -1. Here an import sends the signal.
     """
     (tmp_path / "click.py").write_text(
         "import os, signal\n"
@@ -315,7 +315,7 @@
     assert (ended.returncode, ended.stdout) == (0, b"alive\n")
 
 
-def test_a_hangup_does_not_end_it(gateway: Gateway) -> None:
+def test_hangup_does_not_end_the_daemon(gateway: Gateway) -> None:
     gateway.process.send_signal(signal.SIGHUP)
     assert gateway.stream("hup")[0] == 200
 
@@ -328,10 +328,10 @@
         assert status == 200
         return b'troutswitch_attempts_total{kind="completed"} 1.0' in text
 
-    wait_for(is_counted, "the attempt in the metrics")  # its end reaches the loop a little later
+    wait_for(is_counted, "the attempt in the metrics")  # the loop processes its end slightly later
 
 
-def test_before_a_configuration_it_is_not_ready_and_refuses(
+def test_daemon_without_a_configuration_is_not_ready_and_refuses_requests(
     store: StoreStandin, engines: list[EngineStandin], tmp_path: Path
 ) -> None:
     gateway = Gateway(store, tmp_path)
@@ -347,10 +347,10 @@
 
 
 @pytest.mark.parametrize(
-    ("text", "named"),
+    ("text", "field"),
     [("zone = 1", "zone"), ('nodeName = "a"', "ip"), ("not toml", "")],
 )
-def test_wrong_settings_are_named_in_one_line(tmp_path: Path, text: str, named: str) -> None:
+def test_invalid_settings_are_reported_in_one_line(tmp_path: Path, text: str, field: str) -> None:
     settings = tmp_path / "node.toml"
     settings.write_text(text)
     environment = {**os.environ, "TROUTSWITCH_NODE_FILE": str(settings)}
@@ -360,4 +360,4 @@
     lines = ended.stderr.decode().strip().splitlines()
     assert ended.returncode == 2
     assert len(lines) == 1
-    assert named in lines[0]
+    assert field in lines[0]
--- a/tests/gateway/test_settings_file.py
+++ b/tests/gateway/test_settings_file.py
@@ -18,33 +18,33 @@
     return GatewaySettings("n", "z", HERE, HERE, "h", (1, 2), Store(HERE), bounds)
 
 
-def watched(path: Path) -> SettingsFile:
+def settings_file_of(path: Path) -> SettingsFile:
     path.write_text("2")
     return SettingsFile(path, load, structlog.get_logger())
 
 
-def test_an_unchanged_file_tells_nothing(tmp_path: Path) -> None:
-    assert watched(tmp_path / "settings").reload_if_changed() is None
+def test_unchanged_file_is_not_reloaded(tmp_path: Path) -> None:
+    assert settings_file_of(tmp_path / "settings").reload_if_changed() is None
 
 
-def test_a_changed_file_is_read_once(tmp_path: Path) -> None:
+def test_changed_file_is_reloaded_once(tmp_path: Path) -> None:
     path = tmp_path / "settings"
-    held = watched(path)
+    settings_file = settings_file_of(path)
     path.write_text("3")
-    changed = held.reload_if_changed()
+    changed = settings_file.reload_if_changed()
     assert changed is not None
     assert changed.bounds.drain == 3.0
-    assert held.reload_if_changed() is None
+    assert settings_file.reload_if_changed() is None
 
 
-def test_a_file_that_is_wrong_or_gone_leaves_the_settings_in_force(tmp_path: Path) -> None:
+def test_invalid_or_missing_file_is_not_loaded(tmp_path: Path) -> None:
     path = tmp_path / "settings"
-    held = watched(path)
+    settings_file = settings_file_of(path)
     path.write_text("two")
-    assert held.reload_if_changed() is None
+    assert settings_file.reload_if_changed() is None
     path.unlink()
-    assert held.reload_if_changed() is None
+    assert settings_file.reload_if_changed() is None
     path.write_text("4")
-    again = held.reload_if_changed()
-    assert again is not None
-    assert again.bounds.drain == 4.0
+    restored = settings_file.reload_if_changed()
+    assert restored is not None
+    assert restored.bounds.drain == 4.0
--- a/tests/gateway/test_suspension.py
+++ b/tests/gateway/test_suspension.py
@@ -1,9 +1,9 @@
-"""A daemon that stood still, frozen or on a suspended machine, first of all finds that out.
+"""A daemon that resumes after a suspension detects it before it does anything else.
 
-What users would see: a daemon wakes after seconds and acts on what waited in its queue as if no
-time had passed: it gives an engine the time that its caller had before, and sends work to engines
-that left meanwhile. Order of events: a request is read, or an attempt decided; the machine is
-suspended; the thread goes on. Cause: times were worked out before and not looked at again.
+Guards against a daemon that acts on queued events as if no time had passed. The process is
+suspended after a request is read or an attempt is decided. If it does not recompute its time limits
+when it resumes, it gives an engine more time than the caller waits, and sends work to engines that
+have left.
 """
 
 import queue
@@ -30,7 +30,7 @@
 from troutswitch.platform.requests import IncomingRequest
 
 SUSPENDED_SECONDS = 3.0
-GIVEN_SECONDS = 5.0
+TIME_LEFT_SECONDS = 5.0
 
 
 class Clock:
@@ -41,8 +41,8 @@
         return self.now
 
 
-class Core:
-    """Takes events as the gateway's core does; the machine is suspended in its first step."""
+class RecordingCore:
+    """Records the events that it receives; its next timer is always due."""
 
     def __init__(self, clock: Clock) -> None:
         self.clock = clock
@@ -56,11 +56,11 @@
         return []
 
 
-def turned(monkeypatch: pytest.MonkeyPatch, late: float) -> list[object]:
-    """Returns what a loop gives its core in a turn that ends late by some seconds."""
+def run_once_delayed(monkeypatch: pytest.MonkeyPatch, delay: float) -> list[object]:
+    """Returns the events that the core receives in an iteration delayed by `delay` seconds."""
     clock = Clock()
     monkeypatch.setattr(loop_module, "steady_seconds", clock)
-    core = Core(clock)
+    core = RecordingCore(clock)
     loop = GatewayLoop(
         core,  # type: ignore[arg-type]
         queue.SimpleQueue(),
@@ -71,7 +71,7 @@
     get = loop._events.get_nowait
 
     def get_late() -> object:
-        clock.now += late
+        clock.now += delay
         return get()
 
     monkeypatch.setattr(loop, "_events", type("Queue", (), {"get_nowait": staticmethod(get_late)}))
@@ -79,19 +79,19 @@
     return core.events
 
 
-def test_what_waited_is_taken_after_the_standstill(monkeypatch: pytest.MonkeyPatch) -> None:
-    events = turned(monkeypatch, SUSPENDED_SECONDS)
+def test_suspension_is_reported_before_queued_events(monkeypatch: pytest.MonkeyPatch) -> None:
+    events = run_once_delayed(monkeypatch, SUSPENDED_SECONDS)
     assert events[:2] == [ProcessResumed(SUSPENDED_SECONDS), "waited"]
 
 
-def test_a_turn_that_is_a_little_late_is_none(monkeypatch: pytest.MonkeyPatch) -> None:
-    events = turned(monkeypatch, SUSPENSION_SECONDS / 4)
+def test_short_delay_is_not_reported_as_a_suspension(monkeypatch: pytest.MonkeyPatch) -> None:
+    events = run_once_delayed(monkeypatch, SUSPENSION_SECONDS / 4)
     assert events[0] == "waited"
     assert not any(isinstance(event, ProcessResumed | TimerFired) for event in events)
 
 
-class Run:
-    """One request whose machine is suspended between the decision and the sending."""
+class SuspendedRelay:
+    """Relays a request whose process is suspended between the decision and the sending."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch, suspended: float) -> None:
         self.clock = Clock()
@@ -119,7 +119,9 @@
             self.arrived.append(event)
             address = self.engine.address
             decided_at = self.clock.now
-            send = SendRequest(1, 1, "one", address, GIVEN_SECONDS, 2.0, "", decided_at=decided_at)
+            send = SendRequest(
+                1, 1, "one", address, TIME_LEFT_SECONDS, 2.0, "", decided_at=decided_at
+            )
             self.clock.now += self.suspended
             self.relays.send_directive(send)
         elif isinstance(event, RequestAttemptEnded):
@@ -128,20 +130,20 @@
                 self.relays.send_directive(FinishRequest(1, MayHaveRun("over", Step.RELAY)))
 
 
-def test_an_engine_is_given_the_time_that_is_left_on_waking(
+def test_engine_gets_the_time_that_remains_after_a_suspension(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    run = Run(monkeypatch, SUSPENDED_SECONDS)
-    told = run.engine.requests[0][2]["x-troutswitch-deadline-ms"]
-    assert int(told) == round((GIVEN_SECONDS - SUSPENDED_SECONDS) * 1000)
+    run = SuspendedRelay(monkeypatch, SUSPENDED_SECONDS)
+    sent = run.engine.requests[0][2]["x-troutswitch-deadline-ms"]
+    assert int(sent) == round((TIME_LEFT_SECONDS - SUSPENDED_SECONDS) * 1000)
 
 
-def test_nothing_is_sent_once_the_time_is_over(monkeypatch: pytest.MonkeyPatch) -> None:
-    run = Run(monkeypatch, GIVEN_SECONDS + 1.0)
+def test_nothing_is_sent_after_the_time_limit(monkeypatch: pytest.MonkeyPatch) -> None:
+    run = SuspendedRelay(monkeypatch, TIME_LEFT_SECONDS + 1.0)
     assert not run.engine.requests
     assert run.ended[0].kind is AttemptKind.UNREACHABLE
 
 
-def test_the_loop_is_told_when_a_request_was_read(monkeypatch: pytest.MonkeyPatch) -> None:
-    run = Run(monkeypatch, 0.0)
+def test_arrival_reports_when_the_request_was_read(monkeypatch: pytest.MonkeyPatch) -> None:
+    run = SuspendedRelay(monkeypatch, 0.0)
     assert run.arrived[0].read_at == run.clock.now
--- a/tests/platform/standins.py
+++ b/tests/platform/standins.py
@@ -1,4 +1,4 @@
-"""Stand-ins of the platform over HTTP: its store, and a engine."""
+"""Stand-ins of the platform over HTTP: its store and an engine."""
 
 import threading
 import time
@@ -11,14 +11,18 @@
 __all__ = ["EngineStandin", "StoreStandin", "configuration"]
 
 OBJECTIVE_MS = 4000
-"""Time to the first event after which an engine is left for another, below the time limit of
-the streaming route and far above what a stand-in takes on a busy machine."""
+"""Time to the first event after which a request moves to another engine. It is below the time limit
+of the streaming route and far above the time that a stand-in needs on a busy machine."""
 GAP_MS = 2000
-"""Half the time between events after which a stream goes on at another engine."""
+"""Half the gap between events after which a stream resumes at another engine."""
 
 
 class EngineStandin:
-    """An engine that answers with a stream of events, each after a pause."""
+    """An engine that responds with a stream of events, with a pause after each.
+
+    `break_after` makes it cut one stream inside the event after that number. `is_full` makes it
+    refuse requests as not executed.
+    """
 
     def __init__(self, engine_id: str, events: int = 5, pause: float = 0.02) -> None:
         self.engine_id = engine_id
@@ -77,7 +81,7 @@
         for number in range(last + 1, self.events + 1):
             if self.break_after and number > self.break_after:
                 self.break_after = 0
-                handler.wfile.write(b"8\r\nid: 9\nda")  # an event that is cut inside
+                handler.wfile.write(b"8\r\nid: 9\nda")  # cut inside an event
                 handler.close_connection = True
                 return
             data = f"id: {number}\ndata: {request_id}-{number}\n\n".encode()
--- a/tests/platform/test_engine_entries.py
+++ b/tests/platform/test_engine_entries.py
@@ -1,4 +1,4 @@
-"""Entries of the engine list: which name an engine to use, and which start of it they mean."""
+"""Entries of the engine list: which entries are usable, and which incarnation they describe."""
 
 import json
 from typing import Any
@@ -57,20 +57,20 @@
     return True
 
 
-def test_an_entry_of_another_writer_names_no_engine() -> None:
+def test_malformed_entry_is_not_usable() -> None:
     without = [json.dumps({k: v for k, v in ENTRY.items() if k != name}) for name in REQUIRED]
-    odd = [entry(**changed) for changed in UNUSABLE] + [text.encode() for text in without]
-    odd += [b"", b"null", b"[]", b"\xff\x00{", b'{"service":']
-    assert [data for data in odd if is_usable(data)] == []
+    malformed = [entry(**changed) for changed in UNUSABLE] + [text.encode() for text in without]
+    malformed += [b"", b"null", b"[]", b"\xff\x00{", b'{"service":']
+    assert [data for data in malformed if is_usable(data)] == []
 
 
-def test_a_whole_entry_names_an_engine() -> None:
+def test_complete_entry_is_usable() -> None:
     assert is_usable(entry())
     assert is_usable(entry(state="draining", coldRemainingMs=12.5, more="unknown"))
     assert is_usable(json.dumps({k: v for k, v in ENTRY.items() if k != "born"}).encode())
 
 
-def test_an_engine_that_starts_again_under_its_id_gets_work_again() -> None:
+def test_draining_engine_that_restarts_under_its_id_is_usable() -> None:
     engines = EngineRegistry()
     engines.on_list(0.0, [decode_engine("i-1", entry(state="draining"))])
     engines.on_list(1.0, [])
@@ -78,28 +78,32 @@
     assert len(engines.usable(2.0, "s")) == 1
 
 
-def test_an_incarnation_ends_at_once_with_the_list_that_has_the_next_one() -> None:
-    """Guards against two incarnations in use at once after an outage, when others are kept."""
+def test_incarnation_is_removed_by_the_list_that_has_the_next_one() -> None:
+    """Guards against two incarnations in use at the same time after an outage of the list, when
+    missing engines are kept."""
     engines = EngineRegistry()
     engines.on_list(0.0, [decode_engine("i-1", entry()), decode_engine("i-2", entry())])
     engines.on_list_failed(4.9)
     engines.on_list(5.0, [decode_engine("i-1", entry(born=2000))])
-    assert {held.record.engine_id for held in engines.of_service("s")} == {"i-1@2000", "i-2@1000"}
+    assert {engine.record.engine_id for engine in engines.of_service("s")} == {
+        "i-1@2000",
+        "i-2@1000",
+    }
 
 
-def test_an_engine_that_starts_again_is_not_left_out_for_failures_before() -> None:
+def test_restarted_engine_is_not_ejected_for_failures_before_the_restart() -> None:
     engines = EngineRegistry()
     engines.on_list(0.0, [decode_engine(name, entry()) for name in ("i-1", "i-2")])
     for _ in range(3):
         engines.on_sent(0.0, "i-1@1000", False, NO_SIZE)
         engines.on_ended(0.0, "i-1@1000", False, NO_SIZE, begun=False, failed=True)
     assert len(engines.usable(0.1, "s")) == 1
-    again = [decode_engine("i-1", entry(born=2000)), decode_engine("i-2", entry())]
-    engines.on_list(0.2, again)
+    restarted = [decode_engine("i-1", entry(born=2000)), decode_engine("i-2", entry())]
+    engines.on_list(0.2, restarted)
     assert len(engines.usable(0.2, "s")) == 2
 
 
-def test_an_engine_that_crashed_and_started_again_at_once_is_taken_for_crashed() -> None:
+def test_engine_that_restarts_immediately_after_a_lost_response_counts_as_crashed() -> None:
     engines = EngineRegistry()
     engines.on_list(0.0, [decode_engine("i-1", entry())])
     crashes = EngineCrashes(engines, lambda check: None)
@@ -108,13 +112,13 @@
     assert [crash.engine_id for crash in crashes.on_list()] == ["i-1@1000"]
 
 
-def test_a_request_names_the_engine_by_the_id_that_it_has_on_the_platform() -> None:
+def test_request_carries_the_platform_id_of_the_engine() -> None:
     record = decode_engine("i-1", entry())
     headers = dict(item_headers("h", "item", {}, record.engine_id, ""))
     assert headers["X-Troutswitch-Expect-Instance"] == "i-1"
 
 
-def test_every_id_on_the_platform_comes_back_from_that_of_an_incarnation() -> None:
+def test_platform_id_is_recovered_from_the_incarnation_id() -> None:
     for name in ("i-1", "i@1", "i@", "@", "i@1@2"):
         assert instance_id(incarnation_id(name, None)) == name
         assert instance_id(incarnation_id(name, 1700000000000)) == name
--- a/tests/platform/test_forms.py
+++ b/tests/platform/test_forms.py
@@ -63,7 +63,7 @@
     return IncomingRequest(request_id, method, url, "h", path, query, [], 4.0, "", shape)
 
 
-def test_a_request_keeps_its_url_and_headers_as_they_were() -> None:
+def test_url_and_headers_of_a_request_are_forwarded_unchanged() -> None:
     request = read_request(environ())
     assert request.url == "/a%20b/c?q=%2F"
     assert (request.path, request.query) == ("/a%20b/c", "q=%2F")
@@ -78,15 +78,15 @@
     assert sent["Last-Event-Id"] == "7"
 
 
-def test_a_caller_cannot_name_the_instance() -> None:
+def test_callers_cannot_choose_the_expected_instance() -> None:
     forged = environ(HTTP_X_TROUTSWITCH_EXPECT_INSTANCE="i-0", HTTP_LAST_EVENT_ID="3")
     sent = engine_headers(read_request(forged), "i-9", 1.0, "")
-    named = [value for name, value in sent if name == "X-Troutswitch-Expect-Instance"]
-    assert named == ["i-9"]
+    instances = [value for name, value in sent if name == "X-Troutswitch-Expect-Instance"]
+    assert instances == ["i-9"]
     assert not [value for name, value in sent if name == "Last-Event-Id"]
 
 
-def test_a_key_is_known_by_its_digest_alone_and_reaches_no_engine() -> None:
+def test_api_key_is_replaced_by_its_digest_and_not_forwarded() -> None:
     request = read_request(environ(HTTP_API_KEY="secret-key"))
     assert request.caller_key == key_digest("secret-key")
     assert "secret-key" not in repr(request)
@@ -94,10 +94,10 @@
     assert read_request(environ()).caller_key == ""
 
 
-def test_the_tenant_that_an_engine_is_told_is_ours_whatever_the_caller_wrote() -> None:
+def test_tenant_header_of_a_caller_is_replaced() -> None:
     forged = read_request(environ(HTTP_X_TROUTSWITCH_TENANT="theirs"))
-    told = [v for n, v in engine_headers(forged, "i-9", 1.0, "", "ours") if n == TENANT_HEADER]
-    assert told == ["ours"]
+    values = [v for n, v in engine_headers(forged, "i-9", 1.0, "", "ours") if n == TENANT_HEADER]
+    assert values == ["ours"]
     assert "theirs" not in repr(engine_headers(forged, "i-9", 1.0, ""))
     own = {"x-troutswitch-TENANT": "theirs", "API-key": "secret-key"}
     rows = item_headers("h", "item", own, "i-1", "", "ours")
@@ -105,7 +105,7 @@
     assert "secret-key" not in repr(rows)
 
 
-def test_tenants_of_a_configuration_are_read_with_digests_of_their_keys() -> None:
+def test_tenants_are_decoded_with_digests_of_their_keys() -> None:
     text = b"""{"version": 7, "tenants": [
         {"name": "a", "apiKeys": ["k1", "k2"], "priority": 1, "ratePerS": 65, "burst": 6.5},
         {"name": "b", "apiKeys": []}]}"""
@@ -117,7 +117,7 @@
     assert decode_configuration(b'{"version": 7}').tenants is None
 
 
-def test_an_item_keeps_its_own_id() -> None:
+def test_item_id_replaces_a_request_id_header() -> None:
     rows = item_headers("h", "item", {"X-Troutswitch-Request-Id": "other", "A": "b"}, "i-1", "")
     assert [v for n, v in rows if n == "X-Troutswitch-Request-Id"] == ["item"]
     assert ("A", "b") in rows
@@ -125,12 +125,12 @@
 
 @DETERMINISTIC
 @given(st.text(max_size=30), st.text(max_size=60))
-def test_any_prompt_header_is_read_or_counts_as_unknown(usage: str, parts: str) -> None:
+def test_any_prompt_header_is_decoded_or_yields_an_unknown_shape(usage: str, parts: str) -> None:
     shape = read_prompt(usage, parts)
     assert shape.shared_tokens == sum(part.tokens for part in shape.parts[:-1])
 
 
-def test_a_prompt_s_parts() -> None:
+def test_prompt_parts_are_decoded() -> None:
     shape = read_prompt("1460,80", "5c1e:800,91bd:410,e440:250")
     assert (shape.prompt_tokens, shape.output_tokens_most) == (1460, 80)
     assert (shape.shared_tokens, shape.session_part) == (1210, "91bd")
@@ -141,7 +141,7 @@
 
 @DETERMINISTIC
 @given(st.lists(st.tuples(KEYS, st.binary(max_size=200)), max_size=8), st.integers(0, 1000))
-def test_records_come_back_as_they_went(rows: list[tuple[str, bytes]], offset: int) -> None:
+def test_encoded_records_are_decoded_unchanged(rows: list[tuple[str, bytes]], offset: int) -> None:
     records = tuple(KeyedRecord(key, value) for key, value in rows)
     decoded = decode_records(encode_records(records), offset)
     assert [(r.key, r.value) for r in decoded] == rows
@@ -150,16 +150,16 @@
 
 @DETERMINISTIC
 @given(st.integers(0, 40))
-def test_a_record_that_is_cut_is_left_out(length: int) -> None:
+def test_truncated_record_is_dropped(length: int) -> None:
     records = (KeyedRecord("a", b"12345"), KeyedRecord("b", b"67890"))
     data = encode_records(records)
-    whole = decode_records(data[: min(length, len(data))], 0)
-    assert all((r.key, r.value) in (("a", b"12345"), ("b", b"67890")) for r in whole)
+    decoded = decode_records(data[: min(length, len(data))], 0)
+    assert all((r.key, r.value) in (("a", b"12345"), ("b", b"67890")) for r in decoded)
 
 
 @DETERMINISTIC
 @given(st.binary(max_size=60))
-def test_malformed_records_raise_one_error(data: bytes) -> None:
+def test_malformed_records_raise_only_format_error(data: bytes) -> None:
     for decode in (decode_configuration, partial(decode_engine, "i")):
         try:
             decode(data)
@@ -178,10 +178,10 @@
         "retentionS": 60,
     }
     data = json.dumps({"version": 3, "routes": [route], "services": [], "new": {}}).encode()
-    held = PlatformFormats().configuration("config", data)
-    assert held is not None
-    assert [backend.weight for backend in held.routes[0].backends] == [90.0, 10.0]
-    assert held.routes[0].retention == 60.0
+    decoded = PlatformFormats().configuration("config", data)
+    assert decoded is not None
+    assert [backend.weight for backend in decoded.routes[0].backends] == [90.0, 10.0]
+    assert decoded.routes[0].retention == 60.0
     assert PlatformFormats().configuration("other", data) is None
 
 
@@ -194,9 +194,9 @@
     return {"id": name, "path": "/p", "headers": {"A": "b"}, "body": body, "tokens": 5}
 
 
-def test_a_hand_in_is_read() -> None:
+def test_submission_is_decoded() -> None:
     event = read_submission(1, incoming("POST", "/jobs/j"), submission(item("a"), item("b")))
-    assert [held.item_id for held in event.items] == ["a", "b"]
+    assert [received.item_id for received in event.items] == ["a", "b"]
     assert event.items[0].body == b"body"
 
 
@@ -212,12 +212,12 @@
         submission({"id": "a", "path": "/p", "body": "not base64!"}),
     ],
 )
-def test_a_malformed_hand_in_is_refused(body: bytes) -> None:
+def test_malformed_submission_is_refused(body: bytes) -> None:
     with pytest.raises(JobFormatError):
         read_submission(1, incoming("POST", "/jobs/j"), body)
 
 
-def test_calls_about_jobs() -> None:
+def test_calls_about_jobs_are_decoded() -> None:
     def read(method: str, url: str) -> object:
         request = incoming(method, url)
         target = call_target(request)
@@ -232,12 +232,12 @@
         read("GET", "/lots/j?afterRevision=x")
 
 
-def test_results_and_refusals_are_written() -> None:
+def test_results_and_refusals_are_encoded() -> None:
     rows = (ItemResult("a", DONE, "one\ntwo"), ItemResult("b", DEAD, ""))
-    held = json.loads(write_answer(JobResults(9, 4, rows)).body)
-    assert (held["total"], held["nextToken"]) == (9, 6)
-    assert [row["state"] for row in held["results"]] == ["completed", "dead_lettered"]
-    assert held["results"][0]["message"] == "one\ntwo"
+    page = json.loads(write_answer(JobResults(9, 4, rows)).body)
+    assert (page["total"], page["nextToken"]) == (9, 6)
+    assert [row["state"] for row in page["results"]] == ["completed", "dead_lettered"]
+    assert page["results"][0]["message"] == "one\ntwo"
     refused = write_answer(JobRefused(429, "full", 0.5))
     assert refused.status == 429
     assert dict(refused.headers)["Retry-After"] == "0.500"
--- a/tests/platform/test_newest_pages.py
+++ b/tests/platform/test_newest_pages.py
@@ -1,4 +1,4 @@
-"""Pages of newest records: a row that can't be read leaves the others as they are."""
+"""Pages of newest records: a malformed row does not affect the other rows."""
 
 import json
 import socket
@@ -10,8 +10,8 @@
 from troutswitch.decisions.storage.messages import NewestPage, Partition, ReadNewest
 from troutswitch.platform.store import StoreClient
 
-GOOD: dict[str, Any] = {"tlsKey": "i-1", "value": "e30=", "offset": 4}
-BAD: list[Any] = [
+VALID_ROW: dict[str, Any] = {"tlsKey": "i-1", "value": "e30=", "offset": 4}
+MALFORMED_ROWS: list[Any] = [
     {"tlsKey": "bad", "value": "e3", "offset": 5},
     {"tlsKey": "bad", "value": "*", "offset": 5},
     {"tlsKey": "bad", "value": None, "offset": 5},
@@ -36,8 +36,8 @@
     return [(record.key, record.value) for record in outcome.records]
 
 
-@pytest.mark.parametrize("bad", BAD, ids=repr)
-def test_a_row_that_cannot_be_read_does_not_hide_the_others(bad: Any) -> None:
-    found = read([bad, GOOD])
-    assert found[-1] == ("i-1", b"{}")
-    assert all(value == b"" for _, value in found[:-1])
+@pytest.mark.parametrize("malformed", MALFORMED_ROWS, ids=repr)
+def test_malformed_row_does_not_hide_the_others(malformed: Any) -> None:
+    records = read([malformed, VALID_ROW])
+    assert records[-1] == ("i-1", b"{}")
+    assert all(value == b"" for _, value in records[:-1])
--- a/tests/platform/test_settings.py
+++ b/tests/platform/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings that the daemon does not use stay accepted, and are checked."""
+"""Settings that the daemon does not use are accepted and validated."""
 
 from pathlib import Path
 
@@ -8,7 +8,7 @@
 from troutswitch.gateway.settings import GatewaySettingsError
 from troutswitch.platform.settings import load_gateway_settings, write_settings
 
-UNUSED = (
+INVALID_UNUSED_SETTINGS = (
     ('heartbeatMs = "often"', "heartbeatMs"),
     ('seedNodes = ["nowhere"]', "nowhere"),
     ('[limits]\nmemoryMb = "much"', "memoryMb"),
@@ -20,21 +20,23 @@
 
 
 def load(tmp_path: Path, more: str) -> None:
-    held = write_settings("n", "127.0.0.1", 1, 2, (3, 4), Address("127.0.0.1", 5))
-    rest = held.replace("seedNodes = []\n", "").replace("[timingBounds]\ngracePeriodS = 8\n", "")
+    text = write_settings("n", "127.0.0.1", 1, 2, (3, 4), Address("127.0.0.1", 5))
+    rest = text.replace("seedNodes = []\n", "").replace("[timingBounds]\ngracePeriodS = 8\n", "")
     key, _, tables = rest.partition("[listen]")
     path = tmp_path / "settings"
     path.write_text(f"{key}{more}\n[listen]{tables}" if more[0] != "[" else f"{rest}{more}\n")
     load_gateway_settings(path)
 
 
-def test_settings_that_are_not_used_are_accepted(tmp_path: Path) -> None:
+def test_unused_settings_are_accepted(tmp_path: Path) -> None:
     load(tmp_path, 'heartbeatMs = 900\nseedNodes = ["127.0.0.1:9"]')
     load(tmp_path, "[limits]\nmemoryMb = 64\nmaxFds = 1024")
     load(tmp_path, "[timingBounds]\nrecoveryS = 12\nsettleTimeoutMs = 1000\nackTimeoutMs = 4000")
 
 
-@pytest.mark.parametrize(("text", "named"), UNUSED)
-def test_a_wrong_value_of_one_is_refused(tmp_path: Path, text: str, named: str) -> None:
-    with pytest.raises(GatewaySettingsError, match=named):
+@pytest.mark.parametrize(("text", "message"), INVALID_UNUSED_SETTINGS)
+def test_invalid_value_of_an_unused_setting_is_refused(
+    tmp_path: Path, text: str, message: str
+) -> None:
+    with pytest.raises(GatewaySettingsError, match=message):
         load(tmp_path, text)
