--- a/src/troutswitch/gateway/callers/application.py
+++ b/src/troutswitch/gateway/callers/application.py
@@ -59,9 +59,9 @@
         """Handles one request."""
         request = read_request(environ)
         body = _read_body(environ)
-        answer = self._handle_job(request, body)
-        if answer is not None:
-            return send(answer, start_response)
+        response = self._handle_job(request, body)
+        if response is not None:
+            return send(response, start_response)
         if not request.request_id:
             return send(_plain(400, f"missing {names.REQUEST_ID}"), start_response)
         return self._forward(environ, request, body, start_response)
--- a/src/troutswitch/gateway/callers/job_calls.py
+++ b/src/troutswitch/gateway/callers/job_calls.py
@@ -19,9 +19,9 @@
 from troutswitch.platform.jobs import (
     JobFormatError,
     call_target,
-    read_call,
-    read_submission,
-    write_answer,
+    decode_call,
+    decode_submission,
+    encode_answer,
 )
 from troutswitch.platform.requests import IncomingRequest
 from troutswitch.runtime.http import Response
@@ -59,10 +59,10 @@
         token = next(self._tokens)
         try:
             if target is not None:
-                return self._post_and_wait(token, read_call(token, request, target))
+                return self._post_and_wait(token, decode_call(token, request, target))
             if not request.request_id:
                 raise JobFormatError(f"missing {names.REQUEST_ID}")
-            return self._post_and_wait(token, read_submission(token, request, body))
+            return self._post_and_wait(token, decode_submission(token, request, body))
         except JobFormatError as error:
             return Response(400, f"{error}\n".encode(), "text/plain")
 
@@ -77,7 +77,7 @@
             self._answers[token] = future
         self._post(event)
         try:
-            return write_answer(future.result(ANSWER_TIMEOUT_SECONDS))
+            return encode_answer(future.result(ANSWER_TIMEOUT_SECONDS))
         except FutureTimeoutError:
             return Response(504, b"no decision in time\n", "text/plain")
         finally:
--- a/src/troutswitch/gateway/engines/connection.py
+++ b/src/troutswitch/gateway/engines/connection.py
@@ -16,7 +16,7 @@
 from troutswitch.common import Address
 from troutswitch.runtime.silence import bound_silence
 
-CONNECT_SECONDS = 0.5
+CONNECT_TIMEOUT_SECONDS = 0.5
 READ_BYTES = 1 << 16
 DEFAULT_IDLE_SECONDS = 4.0
 """How long an idle connection is kept if the engine specifies no idle timeout."""
@@ -54,7 +54,7 @@
     """
 
     def __init__(self, address: Address) -> None:
-        super().__init__(address.host, address.port, timeout=CONNECT_SECONDS)
+        super().__init__(address.host, address.port, timeout=CONNECT_TIMEOUT_SECONDS)
         self.reader: _SharedReader | None = None
         self.idle_since = 0.0
         self.max_idle_seconds = DEFAULT_IDLE_SECONDS
--- a/src/troutswitch/gateway/engines/engine_check.py
+++ b/src/troutswitch/gateway/engines/engine_check.py
@@ -8,18 +8,18 @@
 from troutswitch.common import Address
 from troutswitch.decisions.crashes.messages import CheckEngine, EngineChecked, EngineFound
 
-CHECK_SECONDS = 0.5
+CHECK_TIMEOUT_SECONDS = 0.5
 """Connect timeout, the same as that of requests."""
 
 
 def check_engine(check: CheckEngine) -> EngineChecked:
-    """Connects to an engine and closes the connection; blocks for at most `CHECK_SECONDS`."""
+    """Connects to an engine and closes the connection, within `CHECK_TIMEOUT_SECONDS`."""
     return EngineChecked(check.engine_id, _connect(check.address))
 
 
 def _connect(address: Address) -> EngineFound:
     try:
-        socket.create_connection(address, CHECK_SECONDS).close()
+        socket.create_connection(address, CHECK_TIMEOUT_SECONDS).close()
     except ConnectionRefusedError:
         return EngineFound.ENDED
     except OSError:
--- a/src/troutswitch/gateway/metrics.py
+++ b/src/troutswitch/gateway/metrics.py
@@ -17,7 +17,7 @@
 
 SECONDS_BUCKETS = (0.01, 0.025, 0.05, 0.1, 0.2, 0.4, 0.8, 1.6, 3.2, 6.4)
 MISSING_LABEL = "other"
-"""Label value if a log line lacks the field."""
+"""Label value if a log line does not have the field."""
 NO_FIRST_EVENT_MILLISECONDS = 60_000
 """A time to the first event that is this long or longer denotes an attempt without events."""
 CONTENT_TYPE = "text/plain; version=0.0.4"
--- a/src/troutswitch/gateway/process.py
+++ b/src/troutswitch/gateway/process.py
@@ -186,16 +186,16 @@
 
     def reload(self, settings: GatewaySettings) -> None:
         """Applies changed bounds; any other change requires a restart and is only logged."""
-        before, self.settings = self.settings, replace(self.settings, bounds=settings.bounds)
-        if before.bounds != settings.bounds:
+        previous, self.settings = self.settings, replace(self.settings, bounds=settings.bounds)
+        if previous.bounds != settings.bounds:
             bounds = settings.bounds
             self.loop.post(BoundsChanged(bounds.drain, bounds.configuration_apply, bounds.job_kept))
-        others = [
+        changed_fields = [
             field.name
             for field in fields(settings)
             if getattr(settings, field.name) != getattr(self.settings, field.name)
         ]
-        self._logger.info("settings reloaded", need_restart=others)
+        self._logger.info("settings reloaded", need_restart=changed_fields)
 
     def drain(self) -> None:
         """Performs a planned stop: reports not ready, then completes every accepted request.
--- a/src/troutswitch/platform/jobs.py
+++ b/src/troutswitch/platform/jobs.py
@@ -83,7 +83,7 @@
     return None
 
 
-def read_call(
+def decode_call(
     token: int, request: IncomingRequest, target: JobCallTarget
 ) -> ResultsRequested | BodyRequested | JobEndRequested:
     """Decodes a call about a job.
@@ -105,7 +105,7 @@
     )
 
 
-def read_submission(token: int, request: IncomingRequest, body: bytes) -> JobSubmitted:
+def decode_submission(token: int, request: IncomingRequest, body: bytes) -> JobSubmitted:
     """Decodes a submission.
 
     Raises:
@@ -139,7 +139,7 @@
     )
 
 
-def write_answer(answer: JobAnswer) -> Response:
+def encode_answer(answer: JobAnswer) -> Response:
     """Encodes the answer to a call about a job."""
     match answer:
         case JobAccepted():
@@ -149,7 +149,7 @@
         case ItemBody():
             return Response(200, answer.body, "application/octet-stream")
         case JobResults():
-            return Response(200, _write_results(answer), JSON_TYPE)
+            return Response(200, _encode_results(answer), JSON_TYPE)
         case JobRefused():
             headers: tuple[tuple[str, str], ...] = ()
             if answer.retry_after is not None:
@@ -158,7 +158,7 @@
             return Response(answer.status, text, "text/plain", headers)
 
 
-def _write_results(answer: JobResults) -> bytes:
+def _encode_results(answer: JobResults) -> bytes:
     rows = [
         _Result(row.item_id, RESULT_STATES.get(row.state, DEAD_STATE), row.text)
         for row in answer.results
--- a/src/troutswitch/platform/settings.py
+++ b/src/troutswitch/platform/settings.py
@@ -94,7 +94,7 @@
         raise GatewaySettingsError(f"{path}: {error}") from error
 
 
-def write_settings(
+def format_settings(
     name: str, ip: str, front: int, ready: int, internal: tuple[int, int], store: Address
 ) -> str:
     """Returns the text of a settings file for a daemon that a test or soak starts locally."""
--- a/src/troutswitch/platform/store.py
+++ b/src/troutswitch/platform/store.py
@@ -230,13 +230,13 @@
             "ttl_ms": round(call.ttl * 1000),
             "generation": call.generation,
         }
-        status, answer = self._exchange(
+        status, content = self._exchange(
             "POST", "/log-join", {}, msgspec.json.encode(body), timeout=call.timeout
         )
         if status != 200:
-            return _failed(status, answer)
+            return _failed(status, content)
         try:
-            decoded = msgspec.json.decode(answer, type=_Joined)
+            decoded = msgspec.json.decode(content, type=_Joined)
         except msgspec.DecodeError as error:
             return CallFailed(f"malformed answer: {error}", True)
         rows = tuple(
@@ -246,8 +246,8 @@
 
     def _leave(self, call: LeaveGroup) -> StoreOutcome:
         body = msgspec.json.encode({"group": call.group, "member": call.member})
-        status, answer = self._exchange("POST", "/log-leave", {}, body, timeout=call.timeout)
-        return GroupLeft() if status == 200 else _failed(status, answer)
+        status, content = self._exchange("POST", "/log-leave", {}, body, timeout=call.timeout)
+        return GroupLeft() if status == 200 else _failed(status, content)
 
     # Connections.
 
@@ -279,12 +279,12 @@
             connection.sock.settimeout(timeout)
             connection.request(method, url, body, headers)
             response = connection.getresponse()
-            answer = response.read()
+            content = response.read()
         except (OSError, http.client.HTTPException) as error:
             self.connections.discard(pooled, error)
             return NO_ANSWER, f"{type(error).__name__}: {error}".encode()
         self.connections.release(pooled)
-        return response.status, answer
+        return response.status, content
 
 
 def _newest_record(row: msgspec.Raw) -> KeyedRecord | None:
--- a/src/troutswitch/platform/store_service.py
+++ b/src/troutswitch/platform/store_service.py
@@ -76,7 +76,7 @@
             return
         self._serve(self.service.post)
 
-    def _serve(self, answer: Any) -> None:
+    def _serve(self, handle: Any) -> None:
         body = self.body()
         faults = self.service.faults
         if faults.slow_seconds:
@@ -85,12 +85,12 @@
             self.reply(503, b"{}")
             return
         if faults.acts_late_seconds and self.command == "POST":
-            late = threading.Timer(faults.acts_late_seconds, answer, (self.path, body))
-            late.daemon = True
-            late.start()
+            timer = threading.Timer(faults.acts_late_seconds, handle, (self.path, body))
+            timer.daemon = True
+            timer.start()
             self.close_connection = True
             return
-        status, content = answer(self.path, body)
+        status, content = handle(self.path, body)
         if faults.loses_answers:
             self.close_connection = True
             return
--- a/src/troutswitch/runtime/channels.py
+++ b/src/troutswitch/runtime/channels.py
@@ -15,13 +15,13 @@
 
     def __init__(self) -> None:
         self._lock = threading.Lock()
-        self._ready: list[Future[Item]] = [Future()]
+        self._futures: list[Future[Item]] = [Future()]
 
     def put(self, item: Item) -> None:
         """Appends an item."""
         with self._lock:
-            future = self._ready[-1]
-            self._ready.append(Future())
+            future = self._futures[-1]
+            self._futures.append(Future())
         future.set_result(item)
 
     def get(self, timeout: float) -> Item:
@@ -30,7 +30,7 @@
         Raises:
             TimeoutError: no item arrived within `timeout` seconds.
         """
-        item = self._ready[0].result(timeout)
+        item = self._futures[0].result(timeout)
         with self._lock:
-            del self._ready[0]
+            del self._futures[0]
         return item
--- a/src/troutswitch/runtime/connection_pool.py
+++ b/src/troutswitch/runtime/connection_pool.py
@@ -23,7 +23,7 @@
 from troutswitch.common import Address
 from troutswitch.runtime.silence import bound_silence
 
-CONNECT_SECONDS = 0.5
+CONNECT_TIMEOUT_SECONDS = 0.5
 MAX_IDLE_CONNECTIONS = 8
 
 
@@ -109,7 +109,7 @@
     def _new(self) -> PooledConnection:
         return PooledConnection(
             http.client.HTTPConnection(
-                self._address.host, self._address.port, timeout=CONNECT_SECONDS
+                self._address.host, self._address.port, timeout=CONNECT_TIMEOUT_SECONDS
             )
         )
 
--- a/src/troutswitch/soak/fleet.py
+++ b/src/troutswitch/soak/fleet.py
@@ -12,7 +12,7 @@
 
 from troutswitch.common import Address
 from troutswitch.platform.names import READINESS_PATH, SETTINGS_VARIABLE
-from troutswitch.platform.settings import write_settings
+from troutswitch.platform.settings import format_settings
 from troutswitch.soak.callers import Front
 from troutswitch.soak.clocked_daemon import CLOCK_VARIABLE
 from troutswitch.soak.evidence import EngineLeft, Evidence
@@ -235,7 +235,7 @@
         clock = self.folder / f"{name}.clock"
         clock.write_text("0.0")
         settings.write_text(
-            write_settings(name, HOST, front, ready, (peers, metrics), store_link.address)
+            format_settings(name, HOST, front, ready, (peers, metrics), store_link.address)
         )
         child = Child(
             name,
--- a/tests/forms/samples.py
+++ b/tests/forms/samples.py
@@ -74,7 +74,7 @@
 from troutswitch.outcomes import AttemptKind, Cut, MayHaveRun, NotRun, Step
 from troutswitch.platform import names
 from troutswitch.platform.configuration import decode_configuration, decode_engine
-from troutswitch.platform.jobs import read_submission, write_answer
+from troutswitch.platform.jobs import decode_submission, encode_answer
 from troutswitch.platform.requests import IncomingRequest, read_prompt
 from troutswitch.platform.settings import load_gateway_settings
 from troutswitch.platform.store import StoreClient, decode_records, encode_records, topic_name
@@ -751,12 +751,12 @@
     "no key": _given_up(_identified("", is_behind=False)),
     "unknown key": _given_up(_identified("x", is_behind=False)),
     "unknown key, configuration may be old": _given_up(_identified("x", is_behind=True)),
-    "job accepted": _answered(write_answer(JobAccepted())),
-    "job ended": _answered(write_answer(JobEnded())),
-    "item's body": _answered(write_answer(ItemBody(b"\x00\xff"))),
-    "results, none": _answered(write_answer(JobResults(3, 0, ()))),
+    "job accepted": _answered(encode_answer(JobAccepted())),
+    "job ended": _answered(encode_answer(JobEnded())),
+    "item's body": _answered(encode_answer(ItemBody(b"\x00\xff"))),
+    "results, none": _answered(encode_answer(JobResults(3, 0, ()))),
     "results": _answered(
-        write_answer(
+        encode_answer(
             JobResults(
                 9,
                 4,
@@ -767,8 +767,8 @@
             )
         )
     ),
-    "job refused": _answered(write_answer(JobRefused(409, "reason"))),
-    "job refused, to be asked again": _answered(write_answer(JobRefused(429, "reason", 0.5))),
+    "job refused": _answered(encode_answer(JobRefused(409, "reason"))),
+    "job refused, to be asked again": _answered(encode_answer(JobRefused(429, "reason", 0.5))),
 }
 
 # Figures told at the metrics address.
@@ -825,7 +825,7 @@
     "server": lambda text: plain(decode_engine("i-1", text.encode())),
     "policies": lambda text: plain(read_policies(text)),
     "hand-in of a job": lambda text: plain(
-        read_submission(
+        decode_submission(
             1,
             IncomingRequest("j", "POST", "/p", "h", "/p", "", [], 4.0, "", read_prompt("", ""), ""),
             text.encode(),
@@ -899,4 +899,4 @@
 def records_digest(body: bytes) -> str:
     """Returns the digest by which a hand-in is known again."""
     request = IncomingRequest("j", "POST", "/p", "h", "/p", "", [], 4.0, "", read_prompt("", ""))
-    return read_submission(1, request, body).digest
+    return decode_submission(1, request, body).digest
--- a/tests/platform/test_forms.py
+++ b/tests/platform/test_forms.py
@@ -25,9 +25,9 @@
 from troutswitch.platform.jobs import (
     JobFormatError,
     call_target,
-    read_call,
-    read_submission,
-    write_answer,
+    decode_call,
+    decode_submission,
+    encode_answer,
 )
 from troutswitch.platform.requests import (
     IncomingRequest,
@@ -195,7 +195,7 @@
 
 
 def test_submission_is_decoded() -> None:
-    event = read_submission(1, incoming("POST", "/jobs/j"), submission(item("a"), item("b")))
+    event = decode_submission(1, incoming("POST", "/jobs/j"), submission(item("a"), item("b")))
     assert [received.item_id for received in event.items] == ["a", "b"]
     assert event.items[0].body == b"body"
 
@@ -214,7 +214,7 @@
 )
 def test_malformed_submission_is_refused(body: bytes) -> None:
     with pytest.raises(JobFormatError):
-        read_submission(1, incoming("POST", "/jobs/j"), body)
+        decode_submission(1, incoming("POST", "/jobs/j"), body)
 
 
 def test_calls_about_jobs_are_decoded() -> None:
@@ -222,7 +222,7 @@
         request = incoming(method, url)
         target = call_target(request)
         assert target is not None
-        return read_call(1, request, target)
+        return decode_call(1, request, target)
 
     assert read("GET", "/lots/j?afterRevision=12") == ResultsRequested(1, "j", 12, 4.0)
     assert read("GET", "/items/j?id=x") == BodyRequested(1, "j", "x", 4.0)
@@ -234,10 +234,10 @@
 
 def test_results_and_refusals_are_encoded() -> None:
     rows = (ItemResult("a", DONE, "one\ntwo"), ItemResult("b", DEAD, ""))
-    page = json.loads(write_answer(JobResults(9, 4, rows)).body)
+    page = json.loads(encode_answer(JobResults(9, 4, rows)).body)
     assert (page["total"], page["nextToken"]) == (9, 6)
     assert [row["state"] for row in page["results"]] == ["completed", "dead_lettered"]
     assert page["results"][0]["message"] == "one\ntwo"
-    refused = write_answer(JobRefused(429, "full", 0.5))
+    refused = encode_answer(JobRefused(429, "full", 0.5))
     assert refused.status == 429
     assert dict(refused.headers)["Retry-After"] == "0.500"
--- a/tests/platform/test_settings.py
+++ b/tests/platform/test_settings.py
@@ -6,7 +6,7 @@
 
 from troutswitch.common import Address
 from troutswitch.gateway.settings import GatewaySettingsError
-from troutswitch.platform.settings import load_gateway_settings, write_settings
+from troutswitch.platform.settings import format_settings, load_gateway_settings
 
 INVALID_UNUSED_SETTINGS = (
     ('heartbeatMs = "often"', "heartbeatMs"),
@@ -20,7 +20,7 @@
 
 
 def load(tmp_path: Path, more: str) -> None:
-    text = write_settings("n", "127.0.0.1", 1, 2, (3, 4), Address("127.0.0.1", 5))
+    text = format_settings("n", "127.0.0.1", 1, 2, (3, 4), Address("127.0.0.1", 5))
     rest = text.replace("seedNodes = []\n", "").replace("[timingBounds]\ngracePeriodS = 8\n", "")
     key, _, tables = rest.partition("[listen]")
     path = tmp_path / "settings"
--- a/tests/platform/test_silent_store.py
+++ b/tests/platform/test_silent_store.py
@@ -40,7 +40,7 @@
 )
 from troutswitch.decisions.storage.read_attempts import CallNumbers
 from troutswitch.platform.store import StoreClient
-from troutswitch.runtime.connection_pool import CONNECT_SECONDS
+from troutswitch.runtime.connection_pool import CONNECT_TIMEOUT_SECONDS
 
 PARTITION = Partition("records")
 IDLE_CONNECTIONS = 4
@@ -157,6 +157,6 @@
     ownership = ShardOwnership("m", 0.0, None, CallNumbers(), rng, lambda *a, **b: None)  # type: ignore[arg-type]
     join = ownership.on_timer(0.0)[0]
     assert isinstance(join, JoinGroup)
-    latest = 1.2 * JOIN_SECONDS + join.timeout + 1.5 * RETRY_SECONDS + CONNECT_SECONDS
+    latest = 1.2 * JOIN_SECONDS + join.timeout + 1.5 * RETRY_SECONDS + CONNECT_TIMEOUT_SECONDS
     assert join.timeout == JOIN_TIMEOUT_FIRST_SECONDS
     assert latest < join.ttl == TTL_JOINS * JOIN_SECONDS
