--- a/src/troutswitch/gateway/callers/caller_watch.py
+++ b/src/troutswitch/gateway/callers/caller_watch.py
@@ -81,9 +81,8 @@
         try:
             self._epoll.register(descriptor, WATCHED_EVENTS)
         except FileExistsError:
-            self._epoll.modify(
-                descriptor, WATCHED_EVENTS
-            )  # an earlier request used this connection
+            # The connection was registered for an earlier request.
+            self._epoll.modify(descriptor, WATCHED_EVENTS)
 
     def remove(self, token: int, connection: socket.socket) -> None:
         """Stops watching a request's connection, which may already be closed."""
@@ -91,7 +90,7 @@
             descriptor = connection.fileno()
             watched = self._watched.get(descriptor)
             if watched is not None and watched[0] == token:
-                self._forget(descriptor)
+                self._unwatch(descriptor)
 
     def before_close(self, connection: socket.socket) -> None:
         """Reports a watched connection that this process is about to close."""
@@ -100,11 +99,11 @@
             watched = self._watched.get(descriptor)
             if watched is None:
                 return
-            self._forget(descriptor)
+            self._unwatch(descriptor)
             age = close_age(connection)
         self._on_disconnect(watched[0], age)
 
-    def _forget(self, descriptor: int) -> None:
+    def _unwatch(self, descriptor: int) -> None:
         del self._watched[descriptor]
         with contextlib.suppress(FileNotFoundError):  # the kernel removes closed ones
             self._epoll.unregister(descriptor)
@@ -119,7 +118,7 @@
             watched = self._watched.get(descriptor)
             if watched is None or not is_closed(watched[1]):
                 return  # no longer watched, and the descriptor may have been reused
-            self._forget(descriptor)
+            self._unwatch(descriptor)
             token, connection = watched
             age = close_age(connection)
         self._on_disconnect(token, age)
--- a/src/troutswitch/gateway/callers/relay.py
+++ b/src/troutswitch/gateway/callers/relay.py
@@ -47,7 +47,7 @@
 
 @dataclass
 class Relay:
-    """One request.
+    """One forwarded request.
 
     `run` yields the bytes of a streamed response. After it ends, `finish` is set if the loop ended
     the request. Otherwise `complete_answer` holds the engine's response, or the stream was
--- a/src/troutswitch/gateway/daemons/peer_state.py
+++ b/src/troutswitch/gateway/daemons/peer_state.py
@@ -52,11 +52,11 @@
 ) -> Iterable[bytes]:
     """Answers a peer's request for this daemon's state."""
     query = parse_qs(str(environ.get("QUERY_STRING", "")))
-    state = share_state(steady_seconds(), _whole_number(query, "version", -1))
-    data = encode_state(state, _whole_number(query, "encoding", FIRST_VERSION))
+    state = share_state(steady_seconds(), _parse_integer(query, "version", -1))
+    data = encode_state(state, _parse_integer(query, "encoding", FIRST_VERSION))
     return send(Response(200, data, CONTENT_TYPE), start_response)
 
 
-def _whole_number(query: dict[str, list[str]], name: str, default: int) -> int:
+def _parse_integer(query: dict[str, list[str]], name: str, default: int) -> int:
     text = query.get(name, [""])[0]
     return int(text) if text.isdigit() else default
--- a/src/troutswitch/gateway/engines/exchange.py
+++ b/src/troutswitch/gateway/engines/exchange.py
@@ -77,7 +77,7 @@
             NotConnected: nothing was sent.
             AnswerLost: the request was sent, but no head of its response was received.
         """
-        connection = self._take_connection()
+        connection = self._acquire_connection()
         self._connect(connection)
         if self.is_aborted:
             self.close()
@@ -92,7 +92,7 @@
         self.last_seen_at = steady_seconds()
         return response
 
-    def _take_connection(self) -> EngineConnection:
+    def _acquire_connection(self) -> EngineConnection:
         request_id = self.request.request_id
         connection = self.connections.acquire(self.engine_id, self.address, request_id)
         connection.last_request_id = request_id
@@ -125,7 +125,7 @@
         try:
             connection.send(request.body)
         except (BrokenPipeError, ConnectionResetError):
-            connection.max_idle_seconds = 0.0  # a response may still be readable
+            connection.max_idle_seconds = 0.0  # not reusable; its response may be readable
 
     def _read_head(self, connection: EngineConnection) -> http.client.HTTPResponse:
         """Reads heads until that of this request's response; drops surplus responses."""
--- a/src/troutswitch/gateway/engines/item_runs.py
+++ b/src/troutswitch/gateway/engines/item_runs.py
@@ -92,7 +92,7 @@
             exchange.abort()
 
     def _run(self, instruction: RunItem) -> None:
-        """Runs an item; an unexpected error also ends the run, which would else stay in flight."""
+        """Runs an item and posts its end, even after an unexpected error."""
         run = _ItemRun(instruction, self._post, self._engine_activity)
         try:
             end_event = run.execute(self._open_exchange(instruction))
--- a/src/troutswitch/runtime/connection_pool.py
+++ b/src/troutswitch/runtime/connection_pool.py
@@ -33,7 +33,7 @@
 
     `last_seen_at` is the time at which its last response was complete, or negative infinity if
     there was none yet. `sent_at` is the time at which the call in progress was sent.
-    `is_long_poll` tells whether the peer may delay the response until data is available. Times are
+    `is_long_poll` is whether the peer may delay the response until data is available. Times are
     seconds of the process's steady clock.
     """
 
--- a/tests/gateway/callers/test_caller_gone.py
+++ b/tests/gateway/callers/test_caller_gone.py
@@ -19,11 +19,11 @@
     WAIT_SECONDS,
     Behaviour,
     RawServer,
+    complete_streams,
     endless,
-    one_event,
     rejecting,
     silent,
-    whole,
+    single_event,
 )
 from tests.ports import HOST
 from troutswitch.common import Address
@@ -164,7 +164,7 @@
 
 
 def test_disconnect_from_a_stalled_stream_frees_the_engine(start: Start) -> None:
-    loop = start(one_event)
+    loop = start(single_event)
     with loop.connect() as caller:
         caller.sendall(request("a"))
         assert caller.recv(1)
@@ -217,7 +217,7 @@
 
 def test_request_whose_caller_disconnects_while_it_is_queued_is_not_served(start: Start) -> None:
     """The listener has one thread: the second caller disconnects while its request is queued."""
-    loop = start(whole)
+    loop = start(complete_streams)
     engine = loop.engines[0]
     first, third = loop.connect(), loop.connect()
     first.sendall(request("first"))
--- a/tests/gateway/raw_server.py
+++ b/tests/gateway/raw_server.py
@@ -101,7 +101,7 @@
     server.wait_for_end(connection)
 
 
-def one_event(server: RawServer, connection: socket.socket) -> None:
+def single_event(server: RawServer, connection: socket.socket) -> None:
     """Sends one event, then nothing."""
     head = server.read_head(connection)
     connection.sendall(stream_head(head) + event(1))
@@ -118,7 +118,7 @@
         number += 1
 
 
-def whole(server: RawServer, connection: socket.socket) -> None:
+def complete_streams(server: RawServer, connection: socket.socket) -> None:
     """Answers each request with a complete stream of one event, after `may_respond` is set."""
     while True:
         head = server.read_head(connection)
--- a/tests/gateway/test_process.py
+++ b/tests/gateway/test_process.py
@@ -82,9 +82,9 @@
         self, method: str, path: str, body: bytes = b"", port: int = 0, **headers: str
     ) -> tuple[int, dict[str, str], bytes]:
         connection = http.client.HTTPConnection("127.0.0.1", port or self.front, timeout=20)
-        named = {name.replace("_", "-"): value for name, value in headers.items()}
+        request_headers = {name.replace("_", "-"): value for name, value in headers.items()}
         try:
-            connection.request(method, path, body, {**HEADERS, **named})
+            connection.request(method, path, body, {**HEADERS, **request_headers})
             response = connection.getresponse()
             return response.status, dict(response.getheaders()), response.read()
         finally:
