--- a/tests/gateway/test_process.py
+++ b/tests/gateway/test_process.py
@@ -199,7 +199,8 @@
 
     def is_accepted() -> bool:
         status = gateway.call("POST", "/jobs/j", body, X_Troutswitch_Request_Id="j")[0]
-        assert status in (202, 503)  # 503 until the index is read; that job never runs
+        # 503 until the index of jobs is read; a submission refused so is never executed.
+        assert status in (202, 503)
         return status == 202
 
     wait_for(is_accepted, "the submission")
