--- a/src/troutswitch/decisions/active_configuration.py
+++ b/src/troutswitch/decisions/active_configuration.py
@@ -62,7 +62,7 @@
             Partition(CONFIGURATION_TOPIC),
             numbers,
             rng,
-            self._take_record,
+            self._apply_record,
             CONFIGURATION_WAIT_SHARE * apply_seconds,
             CONFIGURATION_PAUSE_SECONDS,
         )
@@ -71,7 +71,7 @@
         self._formats = formats
         self._output = output
         self._now = float("-inf")
-        self._version_reread_for = -1
+        self._newest_peer_version_read = -1
         """The highest version of a peer for which the topic was read again."""
 
     def version(self) -> int:
@@ -102,11 +102,11 @@
         The read in flight goes on: a slow store may be about to answer it.
         """
         version = heartbeat.configuration_version
-        if version <= self._routes.version or version <= self._version_reread_for:
+        if version <= self._routes.version or version <= self._newest_peer_version_read:
             return
-        self._version_reread_for = version
+        self._newest_peer_version_read = version
         self._output.log("peer has newer configuration", peer=heartbeat.sender, version=version)
-        self.follower.read_beside(now)
+        self.follower.read_concurrently(now)
 
     def on_answer(self, now: float, call: int, outcome: StoreOutcome) -> None:
         """Takes the outcome of a read in flight."""
@@ -141,7 +141,7 @@
             self._log_read("configuration read failed", now, now)
         return calls
 
-    def take_from_peer(self, now: float, peer: str, state: PeerState) -> None:
+    def apply_peer_state(self, now: float, peer: str, state: PeerState) -> None:
         """Takes what a peer knows of the configuration.
 
         Without a record the peer has none that is newer, which confirms the one in force here.
@@ -149,15 +149,15 @@
         self._now = now
         if state.configuration is not None:
             record = KeyedRecord(state.configuration.key, state.configuration.value)
-            if not self._put_in_force(record, LearntBy.PEER, peer):
+            if not self._activate(record, LearntBy.PEER, peer):
                 return
         self._routes.confirm(now - state.configuration_age)
 
-    def _take_record(self, record: KeyedRecord) -> None:
+    def _apply_record(self, record: KeyedRecord) -> None:
         is_first = self._routes.configuration is None
-        self._put_in_force(record, LearntBy.START if is_first else LearntBy.STORE)
+        self._activate(record, LearntBy.START if is_first else LearntBy.STORE)
 
-    def _put_in_force(self, record: KeyedRecord, learnt_by: LearntBy, peer: str = "") -> bool:
+    def _activate(self, record: KeyedRecord, learnt_by: LearntBy, peer: str = "") -> bool:
         """Puts a record in force if it is newer; returns whether it could be decoded."""
         try:
             configuration = self._formats.configuration(record.key, record.value)
--- a/src/troutswitch/decisions/crashes/causes.py
+++ b/src/troutswitch/decisions/crashes/causes.py
@@ -11,8 +11,8 @@
 Rule, on requests with at least `CRASHES_TO_REFUSE` crashes:
 
 1. One is the cause if no other of these requests was on one of its crashed engines, or if it has
-   `CRASHES_CERTAIN` crashes. It is refused until `REFUSED_SECONDS` after its last crash.
-2. Any other is deferred: refused for `DEFERRED_SECONDS` after its last crash at most.
+   `CONCLUSIVE_CRASHES` crashes. It is refused until `REFUSAL_SECONDS` after its last crash.
+2. Any other is deferred: refused for `MAX_DEFERRAL_SECONDS` after its last crash at most.
 
 Why: everything on an engine is lost with it, so each of its requests gets the crash on record,
 the innocent ones too. These are retried and may meet the cause at their next engine. So three
@@ -32,13 +32,13 @@
 CRASHES_TO_REFUSE = 3
 """Crashes from which a request may be refused: users allow three, and each costs all that ran
 beside."""
-CRASHES_CERTAIN = 5
+CONCLUSIVE_CRASHES = 5
 """Crashes after which a request is refused whatever else explains them. Causes that always come
 together would otherwise never be."""
-REFUSED_SECONDS = 600.0
+REFUSAL_SECONDS = 600.0
 """Time after its last crash for which a cause is refused. Then one try shows whether engines can
 run it by now; a crash in it refuses the request again at once."""
-DEFERRED_SECONDS = 10.0
+MAX_DEFERRAL_SECONDS = 10.0
 """Longest time after its last crash for which a request is deferred: with several causes at once,
 none is found before its fifth crash otherwise."""
 
@@ -50,7 +50,7 @@
     crashed_at: dict[str, float] = field(default_factory=dict)
 
     @property
-    def last_at(self) -> float:
+    def last_crash_at(self) -> float:
         """When the last engine crashed."""
         return max(self.crashed_at.values())
 
@@ -67,25 +67,26 @@
         for content, crashes in by_content.items()
         if crashes.may_be_refused
     }
-    requests_on = Counter(engine_id for ids in engines.values() for engine_id in ids)
+    request_counts = Counter(engine_id for ids in engines.values() for engine_id in ids)
     return frozenset(
         content
         for content, ids in engines.items()
-        if _is_cause(ids, requests_on) and by_content[content].last_at > now - REFUSED_SECONDS
+        if _is_cause(ids, request_counts)
+        and by_content[content].last_crash_at > now - REFUSAL_SECONDS
     )
 
 
-def _is_cause(engine_ids: frozenset[str], requests_on: Counter[str]) -> bool:
+def _is_cause(engine_ids: frozenset[str], request_counts: Counter[str]) -> bool:
     """Returns whether a request alone explains a crash, or has enough crashes."""
-    is_needed = any(requests_on[engine_id] == 1 for engine_id in engine_ids)
-    return is_needed or len(engine_ids) >= CRASHES_CERTAIN
+    is_needed = any(request_counts[engine_id] == 1 for engine_id in engine_ids)
+    return is_needed or len(engine_ids) >= CONCLUSIVE_CRASHES
 
 
 def deferred_contents(
     now: float,
     by_content: Mapping[str, RequestCrashes],
     refused: frozenset[str],
-    deferred_seconds: float,
+    deferral_seconds: float,
 ) -> frozenset[str]:
     """Returns the requests that have as many crashes as causes, which others may explain."""
     return frozenset(
@@ -93,5 +94,5 @@
         for content, crashes in by_content.items()
         if crashes.may_be_refused
         and content not in refused
-        and crashes.last_at > now - deferred_seconds
+        and crashes.last_crash_at > now - deferral_seconds
     )
--- a/src/troutswitch/decisions/crashes/engine_crashes.py
+++ b/src/troutswitch/decisions/crashes/engine_crashes.py
@@ -7,8 +7,8 @@
 
 Rule, for an engine of which answers were lost:
 
-    (lost)   -> PENDING    its port is checked, at most once each `CHECK_SECONDS`; after silence,
-                           without a lost connection, it is not
+    (lost)   -> PENDING    its port is checked, at most once every `MIN_CHECK_INTERVAL_SECONDS`;
+                           it is not checked after mere silence without a lost connection
     PENDING  -> crash      its port refuses connections
     PENDING  -> crash      its entry left the list without a planned drain
     PENDING  -> forgotten  it answers an attempt that was sent after the loss
@@ -27,18 +27,18 @@
     CheckEngine,
     Crash,
     EngineChecked,
-    EngineFound,
+    EngineCheckResult,
 )
 from troutswitch.decisions.forwarding.engines import EngineRegistry
 
 PENDING_SECONDS = 8.0
 """Time in which the entry of a crashed engine leaves the list: three heartbeats without a write,
 the reading of the list, and a store outage of some seconds."""
-CHECK_SECONDS = 0.25
+MIN_CHECK_INTERVAL_SECONDS = 0.25
 """Least time between checks of one engine, for one that breaks off many answers and lives."""
-ENGINES_MOST = 1024
+MAX_PENDING_ENGINES = 1024
 """Engines that are pending at once; beyond it, none is added."""
-CONTENTS_MOST = 256
+MAX_CONTENTS_PER_ENGINE = 256
 """Requests that are noted for one engine: more than it runs and queues."""
 
 
@@ -67,15 +67,17 @@
         if not content or engine is None or engine.is_leaving:
             return
         lost = self._lost.get(engine_id)
-        if lost is None and len(self._lost) >= ENGINES_MOST:
+        if lost is None and len(self._lost) >= MAX_PENDING_ENGINES:
             return
         if lost is None:
             lost = self._lost[engine_id] = _LostAnswers()
-        if len(lost.contents) < CONTENTS_MOST:
+        if len(lost.contents) < MAX_CONTENTS_PER_ENGINE:
             lost.contents[content] = None
         lost.lost_at = now
         if not is_silent:
-            lost.check_at = min(lost.check_at, max(now, lost.checked_at + CHECK_SECONDS))
+            lost.check_at = min(
+                lost.check_at, max(now, lost.checked_at + MIN_CHECK_INTERVAL_SECONDS)
+            )
             self._check(now, engine_id, lost)
 
     def _check(self, now: float, engine_id: str, lost: _LostAnswers) -> None:
@@ -88,7 +90,7 @@
 
     def on_checked(self, event: EngineChecked) -> list[Crash]:
         """Returns the crashes that a check has shown."""
-        if event.found is not EngineFound.ENDED:
+        if event.result is not EngineCheckResult.ENDED:
             return []
         lost = self._lost.pop(event.engine_id, _LostAnswers())
         return _crashes(event.engine_id, lost)
--- a/src/troutswitch/decisions/crashes/interface.py
+++ b/src/troutswitch/decisions/crashes/interface.py
@@ -25,10 +25,10 @@
         """Returns whether a request's next attempt waits until its last engine was checked."""
         ...
 
-    def may_try(self, now: float, content: str, pause: float, trials_most: int) -> bool:
+    def may_retry(self, now: float, content: str, pause: float, max_trials: int) -> bool:
         """Returns whether a refused request may be tried once more.
 
-        Its last crash is then at least `pause` seconds ago, and at most `trials_most` engines
+        Its last crash is then at least `pause` seconds ago, and at most `max_trials` engines
         crashed under it since it was refused first.
         """
         ...
@@ -59,7 +59,7 @@
         """Returns False."""
         return False
 
-    def may_try(self, now: float, content: str, pause: float, trials_most: int) -> bool:
+    def may_retry(self, now: float, content: str, pause: float, max_trials: int) -> bool:
         """Is not called, as nothing is refused."""
         return True
 
--- a/src/troutswitch/decisions/crashes/messages.py
+++ b/src/troutswitch/decisions/crashes/messages.py
@@ -6,7 +6,7 @@
 from troutswitch.common import Address
 
 
-class EngineFound(StrEnum):
+class EngineCheckResult(StrEnum):
     """What a check found after a connection to an engine was lost."""
 
     ENDED = "ended"
@@ -30,7 +30,7 @@
     """Event: an engine was checked."""
 
     engine_id: str
-    found: EngineFound
+    result: EngineCheckResult
 
 
 @dataclass(frozen=True, slots=True, order=True)
--- a/src/troutswitch/decisions/crashes/record.py
+++ b/src/troutswitch/decisions/crashes/record.py
@@ -15,11 +15,11 @@
 )
 from troutswitch.decisions.crashes.messages import Crash
 
-KEPT_SECONDS = 3600.0
+RETENTION_SECONDS = 3600.0
 """Time for which a crash is remembered: six tries of a request that goes on crashing engines."""
-CONTENTS_MOST = 4096
+MAX_CONTENTS = 4096
 """Requests on record: as many as run on a fleet of 300 engines, if all crash at once."""
-CRASHES_MOST = 12
+MAX_CRASHES_PER_CONTENT = 12
 """Crashes on one request's record, the newest: far more than refuse it."""
 
 
@@ -29,99 +29,104 @@
     When it is full, requests with one crash are forgotten first, the oldest of them first.
     """
 
-    def __init__(self, deferred_seconds: float) -> None:
-        self.deferred_seconds = deferred_seconds
+    def __init__(self, deferral_seconds: float) -> None:
+        self.deferral_seconds = deferral_seconds
         """Time after its last crash for which this daemon defers a request."""
         self.refused: frozenset[str] = frozenset()
         """Contents of the requests that are the cause of crashes."""
         self.deferred: frozenset[str] = frozenset()
         """Contents of requests with as many crashes that others explain."""
-        self._once: OrderedDict[str, RequestCrashes] = OrderedDict()
-        self._often: OrderedDict[str, RequestCrashes] = OrderedDict()
-        self._contents: defaultdict[str, set[str]] = defaultdict(set)
+        self._crashed_once: OrderedDict[str, RequestCrashes] = OrderedDict()
+        self._crashed_repeatedly: OrderedDict[str, RequestCrashes] = OrderedDict()
+        self._contents_by_engine: defaultdict[str, set[str]] = defaultdict(set)
 
     def __len__(self) -> int:
-        return len(self._once) + len(self._often)
+        return len(self._crashed_once) + len(self._crashed_repeatedly)
 
-    def _of(self, content: str) -> RequestCrashes | None:
-        return self._often.get(content) or self._once.get(content)
+    def _find(self, content: str) -> RequestCrashes | None:
+        return self._crashed_repeatedly.get(content) or self._crashed_once.get(content)
 
-    def crashes(self, content: str) -> int:
+    def crash_count(self, content: str) -> int:
         """Returns how many engine incarnations crashed under a request."""
-        crashes = self._of(content)
+        crashes = self._find(content)
         return len(crashes.crashed_at) if crashes is not None else 0
 
-    def last_at(self, content: str) -> float:
+    def last_crash_at(self, content: str) -> float:
         """Returns when the last engine crashed under a request; minus infinity if none did."""
-        crashes = self._of(content)
-        return crashes.last_at if crashes is not None else float("-inf")
+        crashes = self._find(content)
+        return crashes.last_crash_at if crashes is not None else float("-inf")
 
-    def of_content(self, content: str) -> list[Crash]:
+    def crashes_of_content(self, content: str) -> list[Crash]:
         """Returns a request's crashes."""
-        crashes = self._of(content)
+        crashes = self._find(content)
         if crashes is None:
             return []
         return [Crash(content, engine_id) for engine_id in crashes.crashed_at]
 
-    def of_engine(self, engine_id: str) -> list[Crash]:
+    def crashes_of_engine(self, engine_id: str) -> list[Crash]:
         """Returns the crashes of one engine incarnation."""
-        return [Crash(content, engine_id) for content in sorted(self._contents.get(engine_id, ()))]
+        return [
+            Crash(content, engine_id)
+            for content in sorted(self._contents_by_engine.get(engine_id, ()))
+        ]
 
     @staticmethod
-    def is_over(now: float, at: float) -> bool:
+    def is_expired(now: float, at: float) -> bool:
         """Returns whether a crash is too old to count."""
-        return at <= now - KEPT_SECONDS
+        return at <= now - RETENTION_SECONDS
 
     def add(self, now: float, crash: Crash, at: float) -> bool:
         """Takes a crash in; returns whether it was unknown and counts."""
         at = min(at, now)
-        crashes = self._of(crash.content) or RequestCrashes()
+        crashes = self._find(crash.content) or RequestCrashes()
         is_known = crash.engine_id in crashes.crashed_at
-        if is_known or self.is_over(now, at):
+        if is_known or self.is_expired(now, at):
             return False
         crashes.crashed_at[crash.engine_id] = at
-        self._contents[crash.engine_id].add(crash.content)
-        self._file(crash.content, crashes)
-        self._keep_bounds(crash.content, crashes)
+        self._contents_by_engine[crash.engine_id].add(crash.content)
+        self._reinsert(crash.content, crashes)
+        self._enforce_bounds(crash.content, crashes)
         self._on_changed(now, len(crashes.crashed_at))
         return True
 
     def remove(self, now: float, crash: Crash) -> bool:
         """Removes a crash; returns whether it was known."""
-        crashes = self._of(crash.content)
+        crashes = self._find(crash.content)
         if crashes is None or crash.engine_id not in crashes.crashed_at:
             return False
         count = len(crashes.crashed_at)
         del crashes.crashed_at[crash.engine_id]
         self._unlink(crash)
-        self._file(crash.content, crashes)
+        self._reinsert(crash.content, crashes)
         self._on_changed(now, count)
         return True
 
     def _unlink(self, crash: Crash) -> None:
-        contents = self._contents[crash.engine_id]
+        contents = self._contents_by_engine[crash.engine_id]
         contents.discard(crash.content)
         if not contents:
-            del self._contents[crash.engine_id]
+            del self._contents_by_engine[crash.engine_id]
 
-    def _file(self, content: str, crashes: RequestCrashes) -> None:
+    def _reinsert(self, content: str, crashes: RequestCrashes) -> None:
         """Files a request anew by how many crashes it has, as the newest."""
-        self._once.pop(content, None)
-        self._often.pop(content, None)
+        self._crashed_once.pop(content, None)
+        self._crashed_repeatedly.pop(content, None)
         if len(crashes.crashed_at) > 1:
-            self._often[content] = crashes
+            self._crashed_repeatedly[content] = crashes
         elif crashes.crashed_at:
-            self._once[content] = crashes
+            self._crashed_once[content] = crashes
 
-    def _keep_bounds(self, content: str, crashes: RequestCrashes) -> None:
+    def _enforce_bounds(self, content: str, crashes: RequestCrashes) -> None:
         """Forgets the oldest crashes of a request, and the oldest requests, beyond the bounds."""
         crashed_at = crashes.crashed_at
-        while len(crashed_at) > CRASHES_MOST:
+        while len(crashed_at) > MAX_CRASHES_PER_CONTENT:
             oldest = min(crashed_at, key=lambda engine_id: crashed_at[engine_id])
             del crashed_at[oldest]
             self._unlink(Crash(content, oldest))
-        while len(self) > CONTENTS_MOST:
-            forgotten, its_crashes = (self._once or self._often).popitem(last=False)
+        while len(self) > MAX_CONTENTS:
+            forgotten, its_crashes = (self._crashed_once or self._crashed_repeatedly).popitem(
+                last=False
+            )
             for engine_id in its_crashes.crashed_at:
                 self._unlink(Crash(forgotten, engine_id))
 
@@ -129,26 +134,28 @@
         """Forgets crashes that are too old, and returns them; ends refusals that are over."""
         expired = [
             Crash(content, engine_id)
-            for by_content in (self._once, self._often)
+            for by_content in (self._crashed_once, self._crashed_repeatedly)
             for content, crashes in by_content.items()
             for engine_id, at in crashes.crashed_at.items()
-            if self.is_over(now, at)
+            if self.is_expired(now, at)
         ]
         for crash in expired:
             self.remove(now, crash)
-        self._judge(now)
+        self._update_refusals(now)
         return expired
 
-    def next_release(self) -> float:
+    def next_deferral_end(self) -> float:
         """Returns when the first of the deferred requests is free again."""
-        ends = (self.last_at(content) + self.deferred_seconds for content in self.deferred)
+        ends = (self.last_crash_at(content) + self.deferral_seconds for content in self.deferred)
         return min(ends, default=float("inf"))
 
     def _on_changed(self, now: float, crashes: int) -> None:
         """Judges anew, if a request with so many crashes can matter to what is refused."""
         if crashes >= CRASHES_TO_REFUSE:
-            self._judge(now)
+            self._update_refusals(now)
 
-    def _judge(self, now: float) -> None:
-        self.refused = refused_contents(now, self._often)
-        self.deferred = deferred_contents(now, self._often, self.refused, self.deferred_seconds)
+    def _update_refusals(self, now: float) -> None:
+        self.refused = refused_contents(now, self._crashed_repeatedly)
+        self.deferred = deferred_contents(
+            now, self._crashed_repeatedly, self.refused, self.deferral_seconds
+        )
--- a/src/troutswitch/decisions/crashes/shared.py
+++ b/src/troutswitch/decisions/crashes/shared.py
@@ -33,34 +33,34 @@
 CRASHES_TOPIC = "crashes"
 READ_WAIT_SECONDS = 5.0
 """Time for which a read waits at the store while no crash is on record. A new record ends it."""
-READ_WAIT_ALERT_SECONDS = 1.0
+ALERT_READ_WAIT_SECONDS = 1.0
 """The same while crashes are on record: a lost answer must be noticed, and the read be made again,
 well inside the three seconds in which all daemons must know."""
-READ_PAUSE_SECONDS = 0.05
+MIN_READ_INTERVAL_SECONDS = 0.05
 """Least time between reads: about so long takes the writing of one engine's crashes."""
-WRITE_SECONDS = 0.02
+WRITE_DELAY_SECONDS = 0.02
 """Time in which crashes are gathered for one write."""
-WRITE_RETRY_SECONDS = 0.5
-WRITE_LOST_SECONDS = 4.0
+WRITE_RETRY_PAUSE_SECONDS = 0.5
+WRITE_EXPIRY_SECONDS = 4.0
 """Time after which a write without any outcome is made again."""
-RECORDS_A_WRITE = 64
-RECORDS_WAITING_MOST = 2048
+MAX_RECORDS_PER_WRITE = 64
+MAX_PENDING_RECORDS = 2048
 """Crashes that wait to be written; beyond it the oldest are left to other daemons that saw them."""
 PEERS_NOTIFIED = 8
 """Daemons that get one report. Where each that learns of a crash reports it on once, to so many,
 hardly any misses it."""
-CRASHES_A_REPORT = 20
+MAX_CRASHES_PER_REPORT = 20
 """Crashes in one report, which then fits into one packet (some 50 bytes each)."""
-REPORT_INTERVAL_SECONDS = 0.01
+MIN_REPORT_INTERVAL_SECONDS = 0.01
 """Least time between reports."""
-REPORTS_WAITING_MOST = 1024
+MAX_PENDING_REPORTS = 1024
 """Crashes that wait to be reported; beyond it the oldest are left to the store."""
-RETRACTED_MOST = 4096
+MAX_RETRACTED = 4096
 """Crashes that are remembered as retracted, so that a late report doesn't bring them again."""
 
 
 class SharedCrashes:
-    """Writes, reads and reports crashes; calls `take` for those that others report.
+    """Writes, reads and reports crashes; calls `apply` for those that others report.
 
     Args:
         peers: returns the addresses of other daemons.
@@ -74,29 +74,29 @@
         numbers: CallNumbers,
         rng: random.Random,
         peers: Callable[[], list[Address]],
-        take: Callable[[float, Crash, float, bool], bool],
+        apply: Callable[[float, Crash, float, bool], bool],
         log: Callable[..., None],
     ) -> None:
         self._name = name
         self._numbers = numbers
         self._rng = rng
         self._peers = peers
-        self._take = take
+        self._apply = apply
         self._log = log
         self._now = float("-inf")
         self.follower = PartitionFollower(
             Partition(CRASHES_TOPIC),
             numbers,
             rng,
-            self._take_record,
+            self._apply_record,
             READ_WAIT_SECONDS,
-            READ_PAUSE_SECONDS,
+            MIN_READ_INTERVAL_SECONDS,
         )
-        self._to_write: deque[KeyedRecord] = deque()
+        self._pending_writes: deque[KeyedRecord] = deque()
         self._in_flight: tuple[KeyedRecord, ...] = ()
         self._write_call = 0
         self._write_at = float("inf")
-        self._to_report: deque[ReportedCrash] = deque()
+        self._pending_reports: deque[ReportedCrash] = deque()
         self._reported_at = float("-inf")
         self._retracted: OrderedDict[Crash, None] = OrderedDict()
 
@@ -104,8 +104,8 @@
 
     def publish(self, now: float, crash: Crash, at: float, stands: bool) -> None:
         """Makes a crash known to all daemons, or that it is retracted."""
-        self._write_later(now, crash, cbor2.dumps([int(at)]) if stands else b"")
-        self._report_later(crash, at, stands)
+        self._enqueue_write(now, crash, cbor2.dumps([int(at)]) if stands else b"")
+        self._enqueue_report(crash, at, stands)
 
     def forget(self, now: float, crash: Crash) -> None:
         """Removes a crash that is too old from the store.
@@ -114,27 +114,27 @@
         crash that none removes is drawn for again by each daemon that starts.
         """
         if self._rng.random() * (1 + len(self._peers())) < 1:
-            self._write_later(now, crash, b"")
+            self._enqueue_write(now, crash, b"")
 
-    def _write_later(self, now: float, crash: Crash, value: bytes) -> None:
-        self._to_write.append(KeyedRecord(f"{crash.content}/{crash.engine_id}", value))
-        if len(self._to_write) > RECORDS_WAITING_MOST:
-            self._to_write.popleft()
+    def _enqueue_write(self, now: float, crash: Crash, value: bytes) -> None:
+        self._pending_writes.append(KeyedRecord(f"{crash.content}/{crash.engine_id}", value))
+        if len(self._pending_writes) > MAX_PENDING_RECORDS:
+            self._pending_writes.popleft()
         if not self._write_call:
-            self._write_at = min(self._write_at, now + WRITE_SECONDS)
+            self._write_at = min(self._write_at, now + WRITE_DELAY_SECONDS)
 
-    def _report_later(self, crash: Crash, at: float, stands: bool) -> None:
-        self._note_whether_retracted(crash, stands)
-        self._to_report.append(ReportedCrash(crash.content, crash.engine_id, int(at), stands))
-        if len(self._to_report) > REPORTS_WAITING_MOST:
-            self._to_report.popleft()
+    def _enqueue_report(self, crash: Crash, at: float, stands: bool) -> None:
+        self._remember_if_retracted(crash, stands)
+        self._pending_reports.append(ReportedCrash(crash.content, crash.engine_id, int(at), stands))
+        if len(self._pending_reports) > MAX_PENDING_REPORTS:
+            self._pending_reports.popleft()
 
-    def _note_whether_retracted(self, crash: Crash, stands: bool) -> None:
+    def _remember_if_retracted(self, crash: Crash, stands: bool) -> None:
         if stands:
             self._retracted.pop(crash, None)
             return
         self._retracted[crash] = None
-        if len(self._retracted) > RETRACTED_MOST:
+        if len(self._retracted) > MAX_RETRACTED:
             self._retracted.popitem(last=False)
 
     # What others saw.
@@ -145,17 +145,17 @@
             crash = Crash(reported.content, reported.engine_id)
             if reported.is_valid and crash in self._retracted:
                 continue
-            if self._take(now, crash, reported.crashed_at, reported.is_valid):
-                self._report_later(crash, reported.crashed_at, reported.is_valid)
+            if self._apply(now, crash, reported.crashed_at, reported.is_valid):
+                self._enqueue_report(crash, reported.crashed_at, reported.is_valid)
 
-    def _take_record(self, record: KeyedRecord) -> None:
+    def _apply_record(self, record: KeyedRecord) -> None:
         content, _, engine_id = record.key.partition("/")
         try:
             at = float(cbor2.loads(record.value)[0]) if record.value else 0.0
         except (cbor2.CBORDecodeError, ValueError, TypeError, LookupError):
             self._log("crash record malformed", key=record.key)
             return
-        self._take(self._now, Crash(content, engine_id), at, bool(record.value))
+        self._apply(self._now, Crash(content, engine_id), at, bool(record.value))
 
     # The store.
 
@@ -172,42 +172,42 @@
         self._write_call = 0
         if isinstance(outcome, Appended):
             self._in_flight = ()
-            self._write_at = now if self._to_write else float("inf")
+            self._write_at = now if self._pending_writes else float("inf")
         else:
-            self._write_at = now + WRITE_RETRY_SECONDS
+            self._write_at = now + WRITE_RETRY_PAUSE_SECONDS
 
     # Timers.
 
     def next_due(self) -> float:
         """Returns when `on_timer` has something to do."""
-        due = self._reported_at + REPORT_INTERVAL_SECONDS
-        report_at = due if self._to_report else float("inf")
+        due = self._reported_at + MIN_REPORT_INTERVAL_SECONDS
+        report_at = due if self._pending_reports else float("inf")
         return min(self.follower.next_due(), self._write_at, report_at)
 
     def on_timer(self, now: float, is_alert: bool) -> list[StoreCall | SendToPeers]:
         """Returns the calls and messages that are due; `is_alert` if crashes are on record."""
         self._now = now
-        self.follower.wait = READ_WAIT_ALERT_SECONDS if is_alert else READ_WAIT_SECONDS
+        self.follower.wait = ALERT_READ_WAIT_SECONDS if is_alert else READ_WAIT_SECONDS
         due: list[StoreCall | SendToPeers] = list(self.follower.on_timer(now))
         if now >= self._write_at:
             due.append(self._write(now))
-        if self._to_report and now >= self._reported_at + REPORT_INTERVAL_SECONDS:
+        if self._pending_reports and now >= self._reported_at + MIN_REPORT_INTERVAL_SECONDS:
             due += self._report(now)
         return due
 
     def _write(self, now: float) -> StoreCall:
         """Writes what waits; what was not confirmed is written again, which changes nothing."""
         if not self._in_flight:
-            count = min(RECORDS_A_WRITE, len(self._to_write))
-            self._in_flight = tuple(self._to_write.popleft() for _ in range(count))
+            count = min(MAX_RECORDS_PER_WRITE, len(self._pending_writes))
+            self._in_flight = tuple(self._pending_writes.popleft() for _ in range(count))
         self._write_call = self._numbers.next()
-        self._write_at = now + WRITE_LOST_SECONDS
+        self._write_at = now + WRITE_EXPIRY_SECONDS
         return AppendRecords(self._write_call, Partition(CRASHES_TOPIC), self._in_flight)
 
     def _report(self, now: float) -> list[SendToPeers]:
         self._reported_at = now
-        count = min(CRASHES_A_REPORT, len(self._to_report))
-        crashes = tuple(self._to_report.popleft() for _ in range(count))
+        count = min(MAX_CRASHES_PER_REPORT, len(self._pending_reports))
+        crashes = tuple(self._pending_reports.popleft() for _ in range(count))
         peers = self._peers()
         chosen = self._rng.sample(peers, min(PEERS_NOTIFIED, len(peers)))
         return [SendToPeers(tuple(chosen), CrashReport(self._name, crashes))] if chosen else []
--- a/src/troutswitch/decisions/crashes/suspects.py
+++ b/src/troutswitch/decisions/crashes/suspects.py
@@ -4,9 +4,9 @@
 the cause), `shared` (all daemons know). Owns the set of refused contents, which `forwarding` and
 `jobs` obey, and the log lines about it.
 
-Which answer a refused request gets: 503 with a time to retry while it is deferred, and until
-`SETTLED_SECONDS` after its last crash, as other daemons may still report what clears it; then 400,
-after which a well-made client doesn't retry.
+A refused request is answered 503 with a time to retry while it is deferred, and until
+`RETRACTION_WINDOW_SECONDS` after its last crash, because other daemons may still report evidence
+that clears it. After that it is answered 400, which a well-behaved client does not retry.
 
 What clears a request: an engine ran it to its end; or the engine that crashed under it answers a
 request that was sent after the crash was reported.
@@ -19,7 +19,7 @@
 
 from troutswitch.common import Address, stable_hash
 from troutswitch.daemons.messages import CrashReport
-from troutswitch.decisions.crashes.causes import CRASHES_TO_REFUSE, DEFERRED_SECONDS
+from troutswitch.decisions.crashes.causes import CRASHES_TO_REFUSE, MAX_DEFERRAL_SECONDS
 from troutswitch.decisions.crashes.engine_crashes import EngineCrashes
 from troutswitch.decisions.crashes.messages import CheckEngine, Crash, EngineChecked
 from troutswitch.decisions.crashes.record import CrashRecord
@@ -30,25 +30,25 @@
 from troutswitch.decisions.storage.read_attempts import CallNumbers
 from troutswitch.outcomes import NotRun, Step
 
-CRASHES_TO_WAIT = 2
+CRASHES_TO_AWAIT_REPORT = 2
 """Crashes from which a request's next attempt waits until it is known whether its last engine
 crashed: a retry is sent sooner than that is known."""
-SETTLED_SECONDS = 1.0
+RETRACTION_WINDOW_SECONDS = 1.0
 """Time after the last crash in which a refused caller is to retry, as other daemons may still
 report what clears it."""
-DEFERRED_LEAST = 0.5
-"""Least time for which a daemon defers a request, in `DEFERRED_SECONDS`; each has its own time.
+MIN_DEFERRAL_SHARE = 0.5
+"""Least time for which a daemon defers a request, in `MAX_DEFERRAL_SECONDS`; each has its own time.
 Guards against all daemons freeing a cause at once, whose callers would send it several times
 before its next crash is known."""
-DEFERRED_SALT = "held"
+DEFERRAL_SALT = "held"
 """Salt of the hash of names; another one would give daemons other times."""
-EXPIRY_CHECK_SECONDS = 5.0
+EXPIRY_CHECK_INTERVAL_SECONDS = 5.0
 """Interval of checks for crashes that are too old to count."""
-CRASHED_MOST = 4096
+MAX_CRASHED_ENGINES = 4096
 """Engine incarnations that are remembered as crashed."""
-CONTENTS_LOGGED = 24
+MAX_LOGGED_CONTENTS = 24
 """Requests that one log line names: two engines' slots."""
-NEVER_STATUS = 400
+NON_RETRYABLE_STATUS = 400
 """Status after which a well-made client doesn't retry."""
 
 CrashInstruction = CheckEngine | StoreCall | SendToPeers
@@ -83,8 +83,8 @@
         self._emit = emit
         self._log = log
         self._engine_crashes = EngineCrashes(engines, emit)
-        self._record = CrashRecord(_deferred_seconds(name))
-        self._shared = SharedCrashes(name, numbers, rng, peers, self._take, log)
+        self._record = CrashRecord(_deferral_seconds(name))
+        self._shared = SharedCrashes(name, numbers, rng, peers, self._apply, log)
         self._crashed_at: dict[str, float] = {}
         """When this daemon learnt that an engine incarnation had crashed, by its own clock."""
         self._expiry_checked_at = float("-inf")
@@ -104,25 +104,25 @@
 
     def awaits_crash_report(self, content: str) -> bool:
         """Returns whether a request's next attempt waits until its last engine was checked."""
-        return self._record.crashes(content) >= CRASHES_TO_WAIT
+        return self._record.crash_count(content) >= CRASHES_TO_AWAIT_REPORT
 
-    def may_try(self, now: float, content: str, pause: float, trials_most: int) -> bool:
+    def may_retry(self, now: float, content: str, pause: float, max_trials: int) -> bool:
         """Returns whether a refused request may be tried once more; see `Suspects`."""
-        is_quiet = now + self.clock_offset >= self._record.last_at(content) + pause
-        return is_quiet and self._record.crashes(content) < CRASHES_TO_REFUSE + trials_most
+        is_quiet = now + self.clock_offset >= self._record.last_crash_at(content) + pause
+        return is_quiet and self._record.crash_count(content) < CRASHES_TO_REFUSE + max_trials
 
     def refusal(self, now: float, content: str) -> NotRun:
         """Returns the answer to a request that is refused and has not run in this try."""
         time_of_day = now + self.clock_offset
-        last_at = self._record.last_at(content)
-        reason = f"{self._record.crashes(content)} servers ended under this request"
+        last_crash_at = self._record.last_crash_at(content)
+        reason = f"{self._record.crash_count(content)} servers ended under this request"
         if content in self._record.deferred:
-            over_at = last_at + self._record.deferred_seconds
-            wait = max(SETTLED_SECONDS, over_at - now - self.clock_offset)
+            over_at = last_crash_at + self._record.deferral_seconds
+            wait = max(RETRACTION_WINDOW_SECONDS, over_at - now - self.clock_offset)
             return NotRun(f"{reason}, or another", Step.ADMIT, "", wait)
-        if time_of_day < last_at + SETTLED_SECONDS:
-            return NotRun(reason, Step.ADMIT, "", SETTLED_SECONDS)
-        return NotRun(reason, Step.ADMIT, "", None, NEVER_STATUS)
+        if time_of_day < last_crash_at + RETRACTION_WINDOW_SECONDS:
+            return NotRun(reason, Step.ADMIT, "", RETRACTION_WINDOW_SECONDS)
+        return NotRun(reason, Step.ADMIT, "", None, NON_RETRYABLE_STATUS)
 
     # What happens to requests.
 
@@ -136,7 +136,7 @@
         self._log(
             "engine checked",
             engine=event.engine_id,
-            found=event.found,
+            found=event.result,
             contents=_contents_of(crashes),
         )
         self._on_crashes(now, crashes)
@@ -151,13 +151,13 @@
     def _on_crashes(self, now: float, crashes: list[Crash]) -> None:
         at = now + self.clock_offset
         for crash in crashes:
-            if self._take(now, crash, at, True):
+            if self._apply(now, crash, at, True):
                 self._shared.publish(now, crash, at, True)
 
     def on_served(self, now: float, content: str) -> None:
         """An engine ran the request to its end: it was beside the cause of its crashes."""
-        if self._record.crashes(content):
-            self._retract(now, self._record.of_content(content), "served")
+        if self._record.crash_count(content):
+            self._retract(now, self._record.crashes_of_content(content), "served")
 
     def on_answered(self, now: float, engine_id: str, sent_at: float) -> None:
         """An engine answers an attempt; one sent after its crash was known shows that it lives.
@@ -168,7 +168,7 @@
         self._engine_crashes.on_answered(engine_id, sent_at)
         if sent_at > self._crashed_at.get(engine_id, float("inf")):
             del self._crashed_at[engine_id]
-            self._retract(now, self._record.of_engine(engine_id), "engine lives")
+            self._retract(now, self._record.crashes_of_engine(engine_id), "engine lives")
 
     # The record.
 
@@ -176,26 +176,26 @@
         if crashes:
             self._log("crashes retracted", reason=reason, count=len(crashes))
         for crash in crashes:
-            self._take(now, crash, 0.0, False)
+            self._apply(now, crash, 0.0, False)
             self._shared.publish(now, crash, 0.0, False)
 
-    def _take(self, now: float, crash: Crash, at: float, stands: bool) -> bool:
+    def _apply(self, now: float, crash: Crash, at: float, stands: bool) -> bool:
         """Takes a crash in, or a retracted one out; returns whether that was not known yet."""
         time_of_day = now + self.clock_offset
         if not stands:
             was_unknown = self._record.remove(time_of_day, crash)
-        elif self._record.is_over(time_of_day, at):
+        elif self._record.is_expired(time_of_day, at):
             self._shared.forget(now, crash)
             return False
         else:
             was_unknown = self._record.add(time_of_day, crash, at)
-            self._note_crashed(now, crash.engine_id)
+            self._remember_crashed(now, crash.engine_id)
         self._update_refused()
         return was_unknown
 
-    def _note_crashed(self, now: float, engine_id: str) -> None:
+    def _remember_crashed(self, now: float, engine_id: str) -> None:
         self._crashed_at.setdefault(engine_id, now)
-        if len(self._crashed_at) > CRASHED_MOST:
+        if len(self._crashed_at) > MAX_CRASHED_ENGINES:
             del self._crashed_at[next(iter(self._crashed_at))]
 
     def _update_refused(self) -> None:
@@ -207,7 +207,7 @@
             self._log(
                 "request refused from now on",
                 content=content,
-                engines=[crash.engine_id for crash in self._record.of_content(content)],
+                engines=[crash.engine_id for crash in self._record.crashes_of_content(content)],
                 is_deferred=content in self._record.deferred,
             )
         for content in sorted(before - self._refused):
@@ -231,9 +231,9 @@
         """Reads what others wrote while this process was suspended."""
         self._shared.follower.read_again(now)
 
-    def set_least_interval(self, seconds: float) -> None:
+    def set_min_interval(self, seconds: float) -> None:
         """Sets the least time between reads of the store, in seconds, for a large fleet."""
-        self._shared.follower.least_interval = seconds
+        self._shared.follower.min_interval = seconds
 
     # Timers.
 
@@ -243,8 +243,10 @@
 
     def _expiry_due(self) -> float:
         """Returns when crashes are to be checked for their age, or a deferred request is free."""
-        check_at = self._expiry_checked_at + EXPIRY_CHECK_SECONDS if self.count else float("inf")
-        return min(check_at, self._record.next_release() - self.clock_offset)
+        check_at = (
+            self._expiry_checked_at + EXPIRY_CHECK_INTERVAL_SECONDS if self.count else float("inf")
+        )
+        return min(check_at, self._record.next_deferral_end() - self.clock_offset)
 
     def on_timer(self, now: float) -> None:
         """Forgets what is over, and emits the calls and reports that are due."""
@@ -261,12 +263,12 @@
         self._update_refused()
 
 
-def _deferred_seconds(name: str) -> float:
+def _deferral_seconds(name: str) -> float:
     """Returns for how long a daemon defers requests: a time of its own, by its name."""
-    share = (stable_hash(DEFERRED_SALT, name) % 1000) / 1000
-    return DEFERRED_SECONDS * (DEFERRED_LEAST + share * (1.0 - DEFERRED_LEAST))
+    share = (stable_hash(DEFERRAL_SALT, name) % 1000) / 1000
+    return MAX_DEFERRAL_SECONDS * (MIN_DEFERRAL_SHARE + share * (1.0 - MIN_DEFERRAL_SHARE))
 
 
 def _contents_of(crashes: list[Crash]) -> list[str]:
     """Returns the contents for a log line, as many as it may name."""
-    return [crash.content for crash in crashes[:CONTENTS_LOGGED]]
+    return [crash.content for crash in crashes[:MAX_LOGGED_CONTENTS]]
--- a/src/troutswitch/decisions/engine_membership.py
+++ b/src/troutswitch/decisions/engine_membership.py
@@ -12,7 +12,7 @@
 from troutswitch.decisions.forwarding.engines import EngineRegistry
 from troutswitch.decisions.forwarding.log_events import milliseconds
 from troutswitch.decisions.forwarding.types import EngineRecord
-from troutswitch.decisions.gateway_messages import EnginesLeft, Formats
+from troutswitch.decisions.gateway_messages import EnginesRemoved, Formats
 from troutswitch.decisions.instruction_queue import InstructionQueue
 from troutswitch.decisions.peers.drain_notices import DrainNotices
 from troutswitch.decisions.storage.messages import KeyedRecord, StoreCall, StoreOutcome
@@ -69,7 +69,7 @@
                 reason = str(outcome)[:OUTCOME_LOGGED_CHARACTERS]
                 self._output.log("engine list read failed", outcome=reason)
         if rows is not None:
-            self._take_list(now, now, rows)
+            self._apply_list(now, now, rows)
 
     # Peers.
 
@@ -84,7 +84,7 @@
                 "drain notice received", peer=notice.sender, draining=draining, left=left
             )
 
-    def take_peer_list(
+    def apply_peer_list(
         self, now: float, peer: str, records: tuple[StoredRecord, ...], age: float
     ) -> None:
         """Takes a list that a peer read `age` seconds ago, if it is newer than the one here."""
@@ -94,11 +94,11 @@
         if self.reader.attempts.failures:
             self._engines.on_list_failed(now)
         rows = [KeyedRecord(record.key, record.value) for record in records]
-        self._take_list(now, read_at, rows, peer)
+        self._apply_list(now, read_at, rows, peer)
 
     # Any list.
 
-    def _take_list(
+    def _apply_list(
         self, now: float, read_at: float, rows: list[KeyedRecord], peer: str = ""
     ) -> None:
         """Takes a list that was read here, or by a peer."""
@@ -110,13 +110,13 @@
         self._suspects.on_list(now)
         self._drain_notices.on_listed_again(came)
         draining = [record.engine_id for record in records if record.is_draining]
-        self._drain_notices.on_read(now, draining, left)
+        self._drain_notices.on_list_read(now, draining, left)
         if self._engines.kept_missing != kept_before:
-            self._log_kept(read_at, peer)
+            self._log_missing_kept(read_at, peer)
         if came or left:
             self._log_change(came, left, len(records), peer)
         if left:
-            self._output.emit(EnginesLeft(tuple(left)))
+            self._output.emit(EnginesRemoved(tuple(left)))
 
     def _decode(self, rows: list[KeyedRecord]) -> tuple[list[EngineRecord], dict[str, str]]:
         """Returns the entries of engines, and why each other entry names none.
@@ -135,7 +135,7 @@
                 self._output.log("engine record malformed", engine=key, reason=reason)
         return records, unusable
 
-    def _log_kept(self, read_at: float, peer: str) -> None:
+    def _log_missing_kept(self, read_at: float, peer: str) -> None:
         self._output.log(
             "missing engines kept",
             engines=sorted(self._engines.kept_missing),
--- a/src/troutswitch/decisions/forwarding/attempts.py
+++ b/src/troutswitch/decisions/forwarding/attempts.py
@@ -22,7 +22,7 @@
 from troutswitch.decisions.forwarding.request import ForwardedRequest, RequestState
 from troutswitch.decisions.forwarding.run_times import RunTimes
 from troutswitch.decisions.invariants import ensure
-from troutswitch.outcomes import AttemptKind
+from troutswitch.outcomes import AttemptOutcome
 
 FAILED_STATUS_LEAST = 300
 """Least status of a whole answer that doesn't show that an engine ran the request to its end."""
@@ -77,20 +77,20 @@
 
     def on_ended(self, now: float, request: ForwardedRequest, event: RequestAttemptEnded) -> None:
         """Notes the end of the running attempt in its request and for its engine."""
-        failed = event.kind in (AttemptKind.CUT, AttemptKind.UNREACHABLE)
+        failed = event.kind in (AttemptOutcome.CUT, AttemptOutcome.UNREACHABLE)
         self._end_at_engine(now, request, failed=failed)
         if event.load is not None:
             self._engines.on_load(now, request.engine_id, event.load)
         if event.wrong_instance:
             self._engines.mark_draining(request.engine_id)
-        if event.kind is AttemptKind.REFUSED:
+        if event.kind is AttemptOutcome.REFUSED:
             self._note_rejection(now, request)
-        if event.kind is AttemptKind.CUT and not event.has_answer:
+        if event.kind is AttemptOutcome.CUT and not event.has_answer:
             self._suspects.on_lost(now, request.arrival.content, request.engine_id)
         request.ended_attempts.append(event.kind)
         request.position = event.position or request.position
         request.delivered = event.delivered
-        if event.kind is AttemptKind.COMPLETED:
+        if event.kind is AttemptOutcome.COMPLETED:
             self._note_completion(now, request, event)
 
     def _note_rejection(self, now: float, request: ForwardedRequest) -> None:
@@ -118,13 +118,13 @@
         self, now: float, request: ForwardedRequest, *, is_silent: bool = False
     ) -> AbortAttempt:
         """Ends the running attempt, as its answer is no longer wanted."""
-        request.ended_attempts.append(AttemptKind.CANCELLED)
+        request.ended_attempts.append(AttemptOutcome.CANCELLED)
         self._end_at_engine(now, request, failed=False)
         return AbortAttempt(request.arrival.token, request.attempt, is_silent)
 
     def abandon(self, now: float, request: ForwardedRequest) -> AbortAttempt:
         """Ends the running attempt, as its engine is silent."""
-        request.ended_attempts.append(AttemptKind.CUT)
+        request.ended_attempts.append(AttemptOutcome.CUT)
         content = request.arrival.content
         self._suspects.on_lost(now, content, request.engine_id, is_silent=True)
         self._end_at_engine(now, request, failed=True)
--- a/src/troutswitch/decisions/forwarding/log_events.py
+++ b/src/troutswitch/decisions/forwarding/log_events.py
@@ -22,7 +22,7 @@
 from troutswitch.decisions.forwarding.request import ForwardedRequest
 from troutswitch.decisions.forwarding.routes import KnownConfiguration
 from troutswitch.decisions.forwarding.run_times import ServiceTimes
-from troutswitch.outcomes import AttemptKind, Cut, MayHaveRun, NotRun, Step
+from troutswitch.outcomes import AttemptOutcome, Cut, MayHaveRun, NotRun, Step
 
 MILLISECONDS_MOST = 3_600_000
 """Stands for a time that never was."""
@@ -217,7 +217,7 @@
     list_age: float,
 ) -> LogLine:
     """Returns the line of a request that gets its final answer; `list_age` is in seconds."""
-    rejections = sum(kind is AttemptKind.REFUSED for kind in request.ended_attempts)
+    rejections = sum(kind is AttemptOutcome.REFUSED for kind in request.ended_attempts)
     return LogLine(
         "request given up",
         {
--- a/src/troutswitch/decisions/forwarding/messages.py
+++ b/src/troutswitch/decisions/forwarding/messages.py
@@ -10,7 +10,7 @@
 from troutswitch.common import Address
 from troutswitch.decisions.forwarding.types import EngineLoad, PromptShape
 from troutswitch.decisions.tenants.types import NO_KEY, NO_TENANT
-from troutswitch.outcomes import AttemptKind, Cut, MayHaveRun, NotRun
+from troutswitch.outcomes import AttemptOutcome, Cut, MayHaveRun, NotRun
 
 # Events.
 
@@ -64,7 +64,7 @@
 
     token: int
     attempt: int
-    kind: AttemptKind
+    kind: AttemptOutcome
     reason: str = ""
     position: str = ""
     delivered: int = 0
--- a/src/troutswitch/decisions/forwarding/open_requests.py
+++ b/src/troutswitch/decisions/forwarding/open_requests.py
@@ -31,7 +31,7 @@
 from troutswitch.decisions.forwarding.routes import RouteTable
 from troutswitch.decisions.forwarding.run_times import ServiceTimes
 from troutswitch.decisions.invariants import ensure
-from troutswitch.outcomes import MayHaveRun, NotRun, Step, conclude
+from troutswitch.outcomes import MayHaveRun, NotRun, Step, failure_outcome
 
 NO_ENGINE_REASON = "no server can take the request now"
 LATE_REASON = "all servers would answer late"
@@ -127,7 +127,7 @@
     ) -> Instructions:
         """Ends a request by what is certain of its attempts: not run, may have run, or cut."""
         self.remove(request)
-        outcome = conclude(
+        outcome = failure_outcome(
             request.ended_attempts,
             request.delivered,
             reason,
--- a/src/troutswitch/decisions/forwarding/request.py
+++ b/src/troutswitch/decisions/forwarding/request.py
@@ -11,7 +11,7 @@
 from troutswitch.decisions.forwarding.messages import RequestArrived
 from troutswitch.decisions.forwarding.types import Route
 from troutswitch.decisions.tenants.types import NO_TENANT
-from troutswitch.outcomes import RAN_NOTHING, AttemptKind
+from troutswitch.outcomes import NOT_EXECUTED_OUTCOMES, AttemptOutcome
 
 
 class RequestState(Enum):
@@ -44,7 +44,7 @@
     """Wait for a slot with which it is sent, in seconds, while it has not been sent."""
 
     # Attempts so far.
-    ended_attempts: list[AttemptKind] = field(default_factory=list)
+    ended_attempts: list[AttemptOutcome] = field(default_factory=list)
     """How its attempts ended, in order."""
     tried: set[str] = field(default_factory=set)
     """Engines that it was sent to, but for those whose rejection was forgotten."""
@@ -98,7 +98,7 @@
     @property
     def runs(self) -> int:
         """Ended attempts that may have run at an engine."""
-        return sum(kind not in RAN_NOTHING for kind in self.ended_attempts)
+        return sum(kind not in NOT_EXECUTED_OUTCOMES for kind in self.ended_attempts)
 
     @property
     def may_try_again(self) -> bool:
--- a/src/troutswitch/decisions/forwarding/requests.py
+++ b/src/troutswitch/decisions/forwarding/requests.py
@@ -61,7 +61,7 @@
 from troutswitch.decisions.invariants import ensure
 from troutswitch.decisions.limits import RetryBudget
 from troutswitch.decisions.tenants.quota import QuotaCompletion
-from troutswitch.outcomes import RAN_NOTHING, AttemptKind, NotRun, Step
+from troutswitch.outcomes import NOT_EXECUTED_OUTCOMES, AttemptOutcome, NotRun, Step
 
 SILENCE_CHECK_SECONDS = 0.1
 """Interval between checks for engines that fell silent."""
@@ -193,7 +193,7 @@
             return []
         self._attempts.on_ended(now, request, event)
         line = line_of_end(now, request, event)
-        if event.kind is not AttemptKind.COMPLETED:
+        if event.kind is not AttemptOutcome.COMPLETED:
             return [line, *self._after_failure(now, request, event)]
         self._budget.on_success(request.service)
         self._open.remove(request)
@@ -202,7 +202,7 @@
     def _after_failure(
         self, now: float, request: ForwardedRequest, event: RequestAttemptEnded
     ) -> Instructions:
-        may_have_run = event.kind not in RAN_NOTHING
+        may_have_run = event.kind not in NOT_EXECUTED_OUTCOMES
         request.owes_retry |= may_have_run
         content = request.arrival.content
         awaits_report = may_have_run and self._suspects.awaits_crash_report(content)
--- a/src/troutswitch/decisions/gateway.py
+++ b/src/troutswitch/decisions/gateway.py
@@ -84,9 +84,9 @@
         """Returns the age of the newest list of engines at the last step, in seconds."""
         return self._now - self.engines.listed_at
 
-    def share_state(self, now: float, version: int) -> PeerState:
+    def state_for_peer(self, now: float, version: int) -> PeerState:
         """Returns the state for a peer that has a version of the configuration."""
-        return self._peer_state.share(now, version)
+        return self._peer_state.state_for_peer(now, version)
 
     # Events.
 
@@ -166,14 +166,14 @@
                 assert_never(event)
 
     def _on_bounds(self, event: BoundsChanged) -> None:
-        self.membership.set_drain_bound(event.drain)
-        self.configuration.set_apply_bound(event.configuration_apply)
-        self.jobs.retention.job_kept = event.job_kept
+        self.membership.set_drain_bound(event.drain_bound)
+        self.configuration.set_apply_bound(event.apply_bound)
+        self.jobs.retention.job_kept = event.job_retention
         self._log(
             "bounds changed",
-            drain=event.drain,
-            configuration_apply=event.configuration_apply,
-            job_kept=event.job_kept,
+            drain=event.drain_bound,
+            configuration_apply=event.apply_bound,
+            job_kept=event.job_retention,
         )
 
     def _on_process_resumed(self, now: float, event: ProcessResumed) -> None:
--- a/src/troutswitch/decisions/gateway_interface.py
+++ b/src/troutswitch/decisions/gateway_interface.py
@@ -22,7 +22,7 @@
     BoundsChanged,
     ClockCompared,
     DrainRequested,
-    EnginesLeft,
+    EnginesRemoved,
     LimitsChanged,
     ProcessResumed,
     TimerFired,
@@ -62,7 +62,7 @@
     | CheckEngine
     | AnswerJobCall
     | LimitsChanged
-    | EnginesLeft
+    | EnginesRemoved
     | StoreCall
 )
 
--- a/src/troutswitch/decisions/gateway_messages.py
+++ b/src/troutswitch/decisions/gateway_messages.py
@@ -33,19 +33,19 @@
     """Who this daemon is, and the bounds it keeps. Times are seconds.
 
     `peer_address` is where it takes peers' datagrams. `drain` bounds the time from an engine's
-    first sign of draining until it gets no more requests, `configuration_apply` that from the
-    acceptance of a configuration until it is in force. `member_ttl_least` is the shortest time
-    to live of a group's member that the store takes, `job_kept` how long an ended job stays
+    first sign of draining until it gets no more requests, `apply_bound` that from the
+    acceptance of a configuration until it is in force. `min_member_ttl` is the shortest time
+    to live of a group's member that the store takes, `job_retention` how long an ended job stays
     readable. `store_reads_per_second` bounds the reads of all daemons together; 0 is no bound.
     """
 
     name: str
     zone: str
     peer_address: Address
-    drain: float
-    configuration_apply: float
-    member_ttl_least: float
-    job_kept: float
+    drain_bound: float
+    apply_bound: float
+    min_member_ttl: float
+    job_retention: float
     store_limits: StoreLimits
     store_reads_per_second: float = 0.0
     quota_bounds: QuotaBounds = field(default_factory=QuotaBounds)
@@ -65,9 +65,9 @@
 class BoundsChanged:
     """Event: the settings were reloaded, with these bounds. Times are seconds."""
 
-    drain: float
-    configuration_apply: float
-    job_kept: float
+    drain_bound: float
+    apply_bound: float
+    job_retention: float
 
 
 @dataclass(frozen=True, slots=True)
@@ -92,7 +92,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class EnginesLeft:
+class EnginesRemoved:
     """Instruction: close the idle connections to engines that left."""
 
     engine_ids: tuple[str, ...]
--- a/src/troutswitch/decisions/gateway_parts.py
+++ b/src/troutswitch/decisions/gateway_parts.py
@@ -107,11 +107,11 @@
         self.requests = self._make_requests(policies, rng)
         incarnation = rng.getrandbits(31)
         self.slots = self._make_slots(policies, incarnation, rng)
-        if policies.places == "coordinators":
+        if policies.slot_assignment == "coordinators":
             self.requests.placer = self.slots.requests
         self.jobs = self._make_jobs(policies, rng)
         self.configuration = ActiveConfiguration(
-            self.routes, formats, self.numbers, rng, identity.configuration_apply, self.output
+            self.routes, formats, self.numbers, rng, identity.apply_bound, self.output
         )
         self._connect_peers(incarnation, rng)
         self._follow_engine_list(formats, rng)
@@ -130,7 +130,7 @@
 
     def _make_slots(self, policies: Policies, incarnation: int, rng: random.Random) -> FleetSlots:
         placement = home_policy(policies.placement)
-        capacity = BATCH_CAPACITY_POLICIES[policies.batch.room]()
+        capacity = BATCH_CAPACITY_POLICIES[policies.batch.capacity]()
         return FleetSlots(
             self._daemon_identity(incarnation),
             self.engines,
@@ -162,8 +162,8 @@
         settings = JobSettings(
             identity.name,
             identity.zone,
-            identity.member_ttl_least,
-            identity.job_kept,
+            identity.min_member_ttl,
+            identity.job_retention,
             identity.store_limits,
             policies.batch,
         )
@@ -186,13 +186,13 @@
             sharing.own_entry,
             self.peers.count,
             self.numbers,
-            sharing.take,
+            sharing.apply_entry,
             self._log,
         )
 
     def _follow_engine_list(self, formats: Formats, rng: random.Random) -> None:
         """Makes the parts that follow which engines there are."""
-        reader = EngineListReader(self.numbers, rng, ENGINE_LIST_SHARE * self.identity.drain)
+        reader = EngineListReader(self.numbers, rng, ENGINE_LIST_SHARE * self.identity.drain_bound)
         self._read_intervals = ReadIntervals(
             self.peers,
             reader,
--- a/src/troutswitch/decisions/invariants.py
+++ b/src/troutswitch/decisions/invariants.py
@@ -5,7 +5,7 @@
     """The program's own state contradicts what it promises."""
 
 
-def ensure(condition: bool, what: str) -> None:
+def ensure(condition: bool, message: str) -> None:
     """Raises `InvariantViolated` unless the condition holds."""
     if not condition:
-        raise InvariantViolated(what)
+        raise InvariantViolated(message)
--- a/src/troutswitch/decisions/jobs/intake.py
+++ b/src/troutswitch/decisions/jobs/intake.py
@@ -277,7 +277,7 @@
         match outcome:
             case Appended():
                 self._replicas.index.take(now, manifest_record(submission.manifest))
-                self._replicas.index_follower.skip(outcome.offset, outcome.end)
+                self._replicas.index_follower.skip_own_records(outcome.offset, outcome.end)
                 self._finish(now, submission, JobAccepted())
             case EndMoved():
                 self._read_index(submission)
--- a/src/troutswitch/decisions/jobs/item_refusals.py
+++ b/src/troutswitch/decisions/jobs/item_refusals.py
@@ -82,4 +82,4 @@
     def _may_try(self, now: float, content: str) -> bool:
         if now < self._tried_at.get(content, float("-inf")) + TRIAL_SECONDS:
             return False
-        return self._suspects.may_try(now, content, TRIAL_SECONDS, TRIALS_MOST)
+        return self._suspects.may_retry(now, content, TRIAL_SECONDS, TRIALS_MOST)
--- a/src/troutswitch/decisions/jobs/item_retries.py
+++ b/src/troutswitch/decisions/jobs/item_retries.py
@@ -32,7 +32,7 @@
 from troutswitch.decisions.jobs.item_refusals import ItemRefusals
 from troutswitch.decisions.jobs.items import ItemProgress
 from troutswitch.decisions.jobs.messages import ItemRunEnded
-from troutswitch.outcomes import AttemptKind
+from troutswitch.outcomes import AttemptOutcome
 
 RETRY_SECONDS = 0.2
 """Mean pause after a run that ended early, or while an item has no route."""
@@ -115,7 +115,7 @@
             self._endings.dead_letter(progress, f"status {event.status}")
             return
         progress.retry_at = now + RETRY_SECONDS * self._rng.uniform(0.5, 1.5)
-        if event.status == FAILED_STATUS and event.kind is not AttemptKind.REFUSED:
+        if event.status == FAILED_STATUS and event.kind is not AttemptOutcome.REFUSED:
             self._on_failed(now, progress)
 
     def _on_failed(self, now: float, progress: ItemProgress) -> None:
--- a/src/troutswitch/decisions/jobs/messages.py
+++ b/src/troutswitch/decisions/jobs/messages.py
@@ -9,7 +9,7 @@
 from troutswitch.decisions.forwarding.types import EngineLoad
 from troutswitch.decisions.jobs.records import ItemResult, JobItem
 from troutswitch.decisions.tenants.types import NO_KEY, NO_TENANT
-from troutswitch.outcomes import AttemptKind
+from troutswitch.outcomes import AttemptOutcome
 
 # Events.
 
@@ -101,7 +101,7 @@
     """
 
     run: int
-    kind: AttemptKind
+    kind: AttemptOutcome
     status: int
     reason: str
     events: tuple[OutputEvent, ...]
--- a/src/troutswitch/decisions/jobs/owner.py
+++ b/src/troutswitch/decisions/jobs/owner.py
@@ -64,7 +64,7 @@
         ownership: ShardOwnership,
         token_limits: TokenLimits,
     ) -> None:
-        capacity = BATCH_CAPACITY_POLICIES[settings.policies.room]()
+        capacity = BATCH_CAPACITY_POLICIES[settings.policies.capacity]()
         items = OpenItems(replicas, ownership)
         self.is_draining = False
         self._ownership = ownership
@@ -211,7 +211,7 @@
     writer: ShardWriter,
 ) -> ItemParts:
     routes, log = dependencies.routes, dependencies.log
-    order = ITEM_ORDERS[settings.policies.items]()
+    order = ITEM_ORDERS[settings.policies.item_order]()
     refusals = ItemRefusals(dependencies.suspects, replicas)
     endings = ItemEndings(items, writer, log)
     return ItemParts(
--- a/src/troutswitch/decisions/jobs/reads.py
+++ b/src/troutswitch/decisions/jobs/reads.py
@@ -188,7 +188,7 @@
             return []
         job_id = call.event.job_id
         self._replicas.index.take(now, end_record(job_id))
-        self._replicas.index_follower.skip(outcome.offset, outcome.end)
+        self._replicas.index_follower.skip_own_records(outcome.offset, outcome.end)
         self._log("job end stored", job_id=job_id, offset=outcome.offset)
         self._finish(call.event.token, JobEnded())
         return []
--- a/src/troutswitch/decisions/jobs/run_ends.py
+++ b/src/troutswitch/decisions/jobs/run_ends.py
@@ -6,7 +6,7 @@
 from troutswitch.decisions.jobs.item_parts import ItemParts
 from troutswitch.decisions.jobs.messages import ItemRunEnded
 from troutswitch.decisions.jobs.runs import ItemRun
-from troutswitch.outcomes import AttemptKind
+from troutswitch.outcomes import AttemptOutcome
 
 BROKEN_OFF_STATUSES = (0, 200)
 """Statuses of a run whose connection broke off: before the response, or within its stream."""
@@ -29,9 +29,9 @@
             return False
         if run.is_stopped:
             self._refusals.on_stopped(run.progress)
-        elif event.kind is AttemptKind.CUT and event.status in BROKEN_OFF_STATUSES:
+        elif event.kind is AttemptOutcome.CUT and event.status in BROKEN_OFF_STATUSES:
             self._refusals.on_lost(now, run.progress, run.engine_id)
-        if event.kind is AttemptKind.COMPLETED:
+        if event.kind is AttemptOutcome.COMPLETED:
             self._on_completed(now, run)
         else:
             self._retries.on_ended_early(now, run.progress, event)
--- a/src/troutswitch/decisions/jobs/runs.py
+++ b/src/troutswitch/decisions/jobs/runs.py
@@ -22,7 +22,7 @@
     StopItem,
 )
 from troutswitch.decisions.jobs.records import Manifest
-from troutswitch.outcomes import AttemptKind
+from troutswitch.outcomes import AttemptOutcome
 
 FIRST_EVENT_TIMEOUT_SECONDS = 5.0
 """Longest wait for the first bytes of an engine's response."""
@@ -147,7 +147,7 @@
     def _account(self, now: float, run: ItemRun, event: ItemRunEnded) -> None:
         """Notes in the engine registry what the end of a run shows of its engine."""
         if not run.is_stopped:
-            is_broken = event.kind in (AttemptKind.CUT, AttemptKind.UNREACHABLE)
+            is_broken = event.kind in (AttemptOutcome.CUT, AttemptOutcome.UNREACHABLE)
             failed = is_broken and event.status == 0
             self._engines.on_ended(
                 now, run.engine_id, True, run.size, begun=run.is_begun, failed=failed
@@ -157,5 +157,5 @@
         if event.wrong_instance:
             self._engines.mark_draining(run.engine_id)
         engine = self._engines.engines.get(run.engine_id)
-        if event.kind is AttemptKind.REFUSED and engine is not None:
+        if event.kind is AttemptOutcome.REFUSED and engine is not None:
             engine.full_until = now + FULL_SECONDS
--- a/src/troutswitch/decisions/jobs/writer.py
+++ b/src/troutswitch/decisions/jobs/writer.py
@@ -248,7 +248,7 @@
             if row.part is not None:
                 row.progress.on_saved(row.part)
             row.progress.failures_saved = max(row.progress.failures_saved, row.failures)
-        replica.follower.skip(outcome.offset, outcome.end)
+        replica.follower.skip_own_records(outcome.offset, outcome.end)
         lease.next_sequence += 1
         writes.batch = []
 
--- a/src/troutswitch/decisions/limits.py
+++ b/src/troutswitch/decisions/limits.py
@@ -6,9 +6,9 @@
 
 from dataclasses import dataclass
 
-RETRY_BUDGET_RATIO = 0.1
+RETRY_CREDIT_PER_SUCCESS = 0.1
 """Retries that one success allows."""
-RETRY_BUDGET_MOST = 10.0
+MAX_RETRY_CREDIT = 10.0
 """Most retries that one service can accumulate on one daemon."""
 
 
@@ -17,12 +17,12 @@
     """A rate limit with a burst."""
 
     tokens: float
-    filled_at: float
+    refilled_at: float
 
     def refill(self, now: float, rate: float, burst: float) -> float:
         """Adds what has come since the last call, and returns the tokens that are there."""
-        self.tokens = min(burst, self.tokens + max(0.0, now - self.filled_at) * rate)
-        self.filled_at = max(now, self.filled_at)
+        self.tokens = min(burst, self.tokens + max(0.0, now - self.refilled_at) * rate)
+        self.refilled_at = max(now, self.refilled_at)
         return self.tokens
 
     def take(self, now: float, rate: float) -> float:
@@ -45,12 +45,12 @@
 
     def on_success(self, service: str) -> None:
         """A request succeeded."""
-        credit = self._credit.get(service, RETRY_BUDGET_MOST) + RETRY_BUDGET_RATIO
-        self._credit[service] = min(credit, RETRY_BUDGET_MOST)
+        credit = self._credit.get(service, MAX_RETRY_CREDIT) + RETRY_CREDIT_PER_SUCCESS
+        self._credit[service] = min(credit, MAX_RETRY_CREDIT)
 
     def take(self, service: str) -> bool:
         """Takes one retry, if there is credit."""
-        credit = self._credit.get(service, RETRY_BUDGET_MOST)
+        credit = self._credit.get(service, MAX_RETRY_CREDIT)
         if credit < 1.0:
             return False
         self._credit[service] = credit - 1.0
--- a/src/troutswitch/decisions/peer_state_exchange.py
+++ b/src/troutswitch/decisions/peer_state_exchange.py
@@ -33,7 +33,7 @@
         self._peers = peers
         self._catch_up = PeerCatchUp(rng)
 
-    def share(self, now: float, version: int) -> PeerState:
+    def state_for_peer(self, now: float, version: int) -> PeerState:
         """Returns the state for a peer that has a version of the configuration.
 
         Safe to call from any thread.
@@ -51,10 +51,10 @@
         self._catch_up.on_reply()
         if event.state is None:
             return
-        self._configuration.take_from_peer(now, event.host, event.state)
+        self._configuration.apply_peer_state(now, event.host, event.state)
         age = event.state.engines_age
         if age is not None:
-            self._membership.take_peer_list(now, event.host, event.state.engines, age)
+            self._membership.apply_peer_list(now, event.host, event.state.engines, age)
 
     def next_due(self) -> float:
         """Returns when `on_timer` has something to do."""
--- a/src/troutswitch/decisions/peers/catch_up.py
+++ b/src/troutswitch/decisions/peers/catch_up.py
@@ -33,7 +33,7 @@
 NEWER_GRACE_SECONDS = 0.1
 """Time after a peer's newer version is known before that peer is asked: this daemon's own reading
 brings the version in that time if the store is well."""
-REQUEST_SECONDS = 0.5
+REQUEST_INTERVAL_SECONDS = 0.5
 """Mean interval between requests."""
 REPLY_TIMEOUT_SECONDS = 1.0
 """Time after which a peer that does not reply is given up."""
@@ -46,7 +46,7 @@
         """Returns the addresses of peers that may be asked, those of this zone if there are any."""
         ...
 
-    def live_addresses_anywhere(self, now: float) -> list[Address]:
+    def live_addresses_in_any_zone(self, now: float) -> list[Address]:
         """Returns the addresses of peers of all zones that may be asked."""
         ...
 
@@ -99,7 +99,7 @@
         self._requested_at = float("-inf")
         self._is_requesting = False
         self._behind_at = float("inf")
-        self._asks_anywhere = False
+        self._ask_any_zone = False
         self._older_since = float("inf")
 
     def next_due(self) -> float:
@@ -114,10 +114,10 @@
         """Asks one of the live peers if this daemon has been behind for a while."""
         if self._is_requesting and now >= self._requested_at + REPLY_TIMEOUT_SECONDS:
             self._is_requesting = False
-        self._behind_at = self._find_behind_at(now, reading)
+        self._behind_at = self._compute_behind_at(now, reading)
         if self._is_requesting or now < self.next_due():
             return []
-        self._request_at = now + REQUEST_SECONDS * self._rng.uniform(0.8, 1.2)
+        self._request_at = now + REQUEST_INTERVAL_SECONDS * self._rng.uniform(0.8, 1.2)
         addresses = self._candidates(now, reading.version, peers)
         if not addresses:
             return []
@@ -130,10 +130,10 @@
         newer = peers.newer_addresses(now, version)
         if newer:
             return newer
-        asks_anywhere, self._asks_anywhere = self._asks_anywhere, not self._asks_anywhere
-        return peers.live_addresses_anywhere(now) if asks_anywhere else peers.live_addresses(now)
+        ask_any_zone, self._ask_any_zone = self._ask_any_zone, not self._ask_any_zone
+        return peers.live_addresses_in_any_zone(now) if ask_any_zone else peers.live_addresses(now)
 
-    def _find_behind_at(self, now: float, reading: ReadingState) -> float:
+    def _compute_behind_at(self, now: float, reading: ReadingState) -> float:
         """Returns from when on peers are asked; infinite if nothing fails and no peer is ahead."""
         is_older = reading.peer_version > reading.version
         self._older_since = min(self._older_since, now) if is_older else float("inf")
--- a/src/troutswitch/decisions/peers/drain_notices.py
+++ b/src/troutswitch/decisions/peers/drain_notices.py
@@ -25,13 +25,13 @@
 PEERS_NOTIFIED = 8
 """Daemons that a notice is sent to: enough for nearly all to learn of it; the others read it in the
 list some seconds later."""
-GATHER_SECONDS = 0.02
+NOTICE_DELAY_SECONDS = 0.02
 """Time in which engines are gathered for one notice: those of one release leave together."""
-ENGINES_A_NOTICE = 40
+MAX_ENGINES_PER_NOTICE = 40
 """Most engines in one notice, which then fits into one packet."""
-WAITING_MOST = 2048
+MAX_PENDING_ENGINES = 2048
 """Most engines that wait for a notice; beyond that the oldest are left out."""
-REMEMBERED_MOST = 8192
+MAX_REMEMBERED_ENGINES = 8192
 """Engines that count as notified: more than leave in an hour."""
 
 
@@ -57,35 +57,35 @@
         self._is_needed = is_needed
         self._rng = rng
         self._notified: OrderedDict[tuple[str, bool], None] = OrderedDict()
-        self._waiting: deque[tuple[str, bool]] = deque()
+        self._pending: deque[tuple[str, bool]] = deque()
         self._notify_at = float("inf")
 
-    def on_read(self, now: float, draining: Iterable[str], left: Iterable[str]) -> None:
+    def on_list_read(self, now: float, draining: Iterable[str], left: Iterable[str]) -> None:
         """Takes what this daemon's own reading of the list shows."""
         for engine_id in draining:
-            self._note(now, engine_id, is_draining=True)
+            self._remember(now, engine_id, is_draining=True)
         for engine_id in left:
-            self._note(now, engine_id, is_draining=False)
+            self._remember(now, engine_id, is_draining=False)
 
     def on_notice(self, now: float, notice: EngineDrainNotice) -> tuple[list[str], list[str]]:
         """Takes a peer's notice; returns the engines that are new: that drain, and that left."""
-        draining = [name for name in notice.draining if self._note(now, name, is_draining=True)]
-        left = [name for name in notice.removed if self._note(now, name, is_draining=False)]
+        draining = [name for name in notice.draining if self._remember(now, name, is_draining=True)]
+        left = [name for name in notice.removed if self._remember(now, name, is_draining=False)]
         return draining, left
 
-    def _note(self, now: float, engine_id: str, *, is_draining: bool) -> bool:
+    def _remember(self, now: float, engine_id: str, *, is_draining: bool) -> bool:
         """Notes what is known of an engine; returns whether it is new."""
         key = (engine_id, is_draining)
         if key in self._notified:
             return False
         self._notified[key] = None
-        if len(self._notified) > REMEMBERED_MOST:
+        if len(self._notified) > MAX_REMEMBERED_ENGINES:
             self._notified.popitem(last=False)
         if self._is_needed():
-            self._waiting.append(key)
-            self._notify_at = min(self._notify_at, now + GATHER_SECONDS)
-            if len(self._waiting) > WAITING_MOST:
-                self._waiting.popleft()
+            self._pending.append(key)
+            self._notify_at = min(self._notify_at, now + NOTICE_DELAY_SECONDS)
+            if len(self._pending) > MAX_PENDING_ENGINES:
+                self._pending.popleft()
         return True
 
     def on_listed_again(self, engine_ids: Iterable[str]) -> None:
@@ -101,9 +101,9 @@
         """Sends a notice of the engines that wait, if it is due."""
         if now < self._notify_at:
             return []
-        count = min(ENGINES_A_NOTICE, len(self._waiting))
-        noted = [self._waiting.popleft() for _ in range(count)]
-        self._notify_at = now + GATHER_SECONDS if self._waiting else float("inf")
+        count = min(MAX_ENGINES_PER_NOTICE, len(self._pending))
+        noted = [self._pending.popleft() for _ in range(count)]
+        self._notify_at = now + NOTICE_DELAY_SECONDS if self._pending else float("inf")
         peers = self._peers()
         chosen = self._rng.sample(peers, min(PEERS_NOTIFIED, len(peers)))
         if not noted or not chosen:
--- a/src/troutswitch/decisions/peers/heartbeats.py
+++ b/src/troutswitch/decisions/peers/heartbeats.py
@@ -17,17 +17,17 @@
 from troutswitch.decisions.peers.peer_registry import PeerRegistryEntry
 from troutswitch.decisions.slots.messages import SendToPeers
 
-HEARTBEAT_SECONDS = 0.5
+HEARTBEAT_INTERVAL_SECONDS = 0.5
 """Interval between heartbeats."""
 HEARTBEAT_FANOUT = 2
 """Daemons that are sent a heartbeat at once."""
-LIVE_SECONDS = 3.0
+LIVENESS_SECONDS = 3.0
 """Time for which a daemon counts as live after its last heartbeat."""
-CLAIMS_A_HEARTBEAT = 16
+MAX_CLAIMS_PER_HEARTBEAT = 16
 """Most claims in one heartbeat, which then fits into one packet; more are drawn at random."""
-FORGET_SECONDS = 60.0
+RETENTION_SECONDS = 60.0
 """Time after its last heartbeat at which a daemon is forgotten."""
-SILENT_MOST = 3
+MAX_SILENT_CANDIDATES = 3
 """Daemons without a heartbeat, drawn at random, that may be asked while none is live."""
 
 
@@ -94,7 +94,7 @@
 
     def next_due(self) -> float:
         """Returns when `on_timer` has something to do."""
-        return self._heartbeat_at + HEARTBEAT_SECONDS if self.peers else float("inf")
+        return self._heartbeat_at + HEARTBEAT_INTERVAL_SECONDS if self.peers else float("inf")
 
     def on_timer(self, now: float) -> list[SendToPeers]:
         """Sends some daemons a heartbeat."""
@@ -109,15 +109,15 @@
 
     def _forget_silent(self, now: float) -> None:
         for name, peer in list(self.peers.items()):
-            if FORGET_SECONDS < now - peer.last_seen_at < float("inf"):
+            if RETENTION_SECONDS < now - peer.last_seen_at < float("inf"):
                 del self.peers[name]
         versions = (peer.configuration_version for peer in self.peers.values())
         self._newest_version = max(versions, default=-1)
 
     def _heartbeat(self) -> Heartbeat:
         claims = self._claims()
-        if len(claims) > CLAIMS_A_HEARTBEAT:
-            claims = tuple(self._rng.sample(claims, CLAIMS_A_HEARTBEAT))
+        if len(claims) > MAX_CLAIMS_PER_HEARTBEAT:
+            claims = tuple(self._rng.sample(claims, MAX_CLAIMS_PER_HEARTBEAT))
         return Heartbeat(
             self._name, self._zone, self._address, self._incarnation, self._version(), claims
         )
@@ -133,22 +133,22 @@
     def live_addresses(self, now: float) -> list[Address]:
         """Returns live daemons, those of this zone if there are any; else a few silent ones."""
         near = [peer.address for peer in self._live(now) if peer.zone == self._zone]
-        return near or self.live_addresses_anywhere(now)
+        return near or self.live_addresses_in_any_zone(now)
 
-    def live_addresses_anywhere(self, now: float) -> list[Address]:
+    def live_addresses_in_any_zone(self, now: float) -> list[Address]:
         """Returns live daemons of all zones; a few silent ones if there are none."""
         live = [peer.address for peer in self._live(now)]
         if live:
             return live
         others = [peer.address for peer in self.peers.values()]
-        return self._rng.sample(others, min(SILENT_MOST, len(others)))
+        return self._rng.sample(others, min(MAX_SILENT_CANDIDATES, len(others)))
 
     def newer_addresses(self, now: float, version: int) -> list[Address]:
         """Returns live daemons that act on a newer version of the configuration than this one."""
         return [peer.address for peer in self._live(now) if peer.configuration_version > version]
 
     def _live(self, now: float) -> list[Peer]:
-        return [peer for peer in self.peers.values() if now - peer.last_seen_at <= LIVE_SECONDS]
+        return [peer for peer in self.peers.values() if now - peer.last_seen_at <= LIVENESS_SECONDS]
 
     def newest_version(self) -> int:
         """Returns the highest configuration version that a known daemon acts on, or -1."""
--- a/src/troutswitch/decisions/peers/peer_registry.py
+++ b/src/troutswitch/decisions/peers/peer_registry.py
@@ -27,20 +27,20 @@
 from troutswitch.decisions.storage.read_attempts import CallNumbers
 
 PEERS_TOPIC = "daemons"
-READ_FIRST_SECONDS = 1.0
+INITIAL_READ_INTERVAL_SECONDS = 1.0
 """Interval between the first readings, while other daemons may start too."""
-READ_SECONDS = 10.0
+READ_INTERVAL_SECONDS = 10.0
 """Interval between later readings."""
-FIRST_READINGS = 2
+INITIAL_READS = 2
 """Readings that succeed before the longer interval: a daemon that starts while the store is away
 knows no peer until one has."""
-CALL_LOST_SECONDS = 4.0
+CALL_EXPIRY_SECONDS = 4.0
 """Time after which a call without an answer is made again."""
-WRITE_RETRY_SECONDS = 1.0
+WRITE_RETRY_PAUSE_SECONDS = 1.0
 """Pause after a write that failed."""
-EXPERIENCE_SECONDS = 6.0
+MIN_EXPERIENCE_INTERVAL_SECONDS = 6.0
 """Least interval between writes of what was learnt."""
-EXPERIENCE_SECONDS_A_PEER = 0.1
+MIN_EXPERIENCE_INTERVAL_PER_PEER_SECONDS = 0.1
 """Least such interval for each other daemon, which bounds the writes of a large fleet."""
 
 
@@ -67,23 +67,23 @@
 
     def __init__(
         self,
-        own: Callable[[], PeerRegistryEntry],
-        peers: Callable[[], int],
+        own_entry: Callable[[], PeerRegistryEntry],
+        count_peers: Callable[[], int],
         numbers: CallNumbers,
-        take: Callable[[float, PeerRegistryEntry], None],
+        apply_entry: Callable[[float, PeerRegistryEntry], None],
         log: Callable[..., None],
     ) -> None:
-        self._own = own
-        self._peers = peers
+        self._own_entry = own_entry
+        self._count_peers = count_peers
         self._numbers = numbers
-        self._take = take
+        self._apply_entry = apply_entry
         self._log = log
         self._read_at = float("-inf")
         self._read_call = 0
         self._write_at = float("inf")
         self._write_call = 0
-        self._written = Experience()
-        self._readings = 0
+        self._last_written = Experience()
+        self._successful_reads = 0
 
     def next_due(self) -> float:
         """Returns when `on_timer` has something to do."""
@@ -96,27 +96,30 @@
             calls += self._write(now)
         if now >= self._read_at:
             calls.append(self._read(now))
-            if self._readings == 0:
-                self._write_at = min(self._write_at, now + READ_FIRST_SECONDS)
+            if self._successful_reads == 0:
+                self._write_at = min(self._write_at, now + INITIAL_READ_INTERVAL_SECONDS)
         return calls
 
     def _write(self, now: float) -> list[StoreCall]:
-        entry = self._own()
+        entry = self._own_entry()
         is_first = self._write_call == 0
-        if not is_first and entry.experience.is_like(self._written):
+        if not is_first and entry.experience.is_like(self._last_written):
             self._write_at = now + self._experience_interval()
             return []
-        self._write_at = now + CALL_LOST_SECONDS
+        self._write_at = now + CALL_EXPIRY_SECONDS
         self._write_call = self._numbers.next()
-        self._written = entry.experience
+        self._last_written = entry.experience
         record = KeyedRecord(entry.name, encode_entry(entry))
         return [AppendRecords(self._write_call, Partition(PEERS_TOPIC), (record,))]
 
     def _experience_interval(self) -> float:
-        return max(EXPERIENCE_SECONDS, EXPERIENCE_SECONDS_A_PEER * self._peers())
+        return max(
+            MIN_EXPERIENCE_INTERVAL_SECONDS,
+            MIN_EXPERIENCE_INTERVAL_PER_PEER_SECONDS * self._count_peers(),
+        )
 
     def _read(self, now: float) -> StoreCall:
-        self._read_at = now + CALL_LOST_SECONDS
+        self._read_at = now + CALL_EXPIRY_SECONDS
         self._read_call = self._numbers.next()
         return ReadNewest(self._read_call, Partition(PEERS_TOPIC))
 
@@ -130,32 +133,32 @@
             self._on_written(now, isinstance(outcome, Appended))
             return
         if not isinstance(outcome, NewestPage):
-            self._read_at = now + READ_FIRST_SECONDS
+            self._read_at = now + INITIAL_READ_INTERVAL_SECONDS
             return
-        self._readings += 1
-        if self._readings == 1:
+        self._successful_reads += 1
+        if self._successful_reads == 1:
             # Not before, since the entry of this daemon's last incarnation is read first.
             self._write_at = min(self._write_at, now)
-        is_early = self._readings <= FIRST_READINGS
-        self._read_at = now + (READ_FIRST_SECONDS if is_early else READ_SECONDS)
+        is_early = self._successful_reads <= INITIAL_READS
+        self._read_at = now + (INITIAL_READ_INTERVAL_SECONDS if is_early else READ_INTERVAL_SECONDS)
         for record in outcome.records:
-            self._take_record(now, record)
+            self._apply_record(now, record)
 
     def _on_written(self, now: float, succeeded: bool) -> None:
         if succeeded:
             self._write_at = now + self._experience_interval()
         else:
-            self._written = Experience()
+            self._last_written = Experience()
             self._write_call = 0
-            self._write_at = now + WRITE_RETRY_SECONDS
+            self._write_at = now + WRITE_RETRY_PAUSE_SECONDS
 
-    def _take_record(self, now: float, record: KeyedRecord) -> None:
+    def _apply_record(self, now: float, record: KeyedRecord) -> None:
         try:
             entry = decode_entry(record)
         except (cbor2.CBORDecodeError, ValueError, TypeError, AttributeError):
             self._log("peer record malformed", peer=record.key)
             return
-        self._take(now, entry)
+        self._apply_entry(now, entry)
 
 
 def encode_entry(entry: PeerRegistryEntry) -> bytes:
--- a/src/troutswitch/decisions/read_intervals.py
+++ b/src/troutswitch/decisions/read_intervals.py
@@ -23,7 +23,7 @@
 """Share of the store's reads that all daemons' reads of one thing may take."""
 
 
-def least_interval(daemons: int, reads_per_second: float) -> float:
+def min_read_interval(daemons: int, reads_per_second: float) -> float:
     """Returns the least interval in seconds between one daemon's reads of one thing."""
     rate = READS_SHARE * reads_per_second
     return daemons / rate if rate > 0 else 0.0
@@ -58,10 +58,10 @@
 
     def update(self, reads_per_second: float) -> None:
         """Sets the intervals for the present number of daemons."""
-        interval = least_interval(self.daemons(), reads_per_second)
+        interval = min_read_interval(self.daemons(), reads_per_second)
         engine_list = self._engine_list
         engine_list.least_interval = interval * engine_list.pages
         self._engines.expired.interval = max(engine_list.least_interval, engine_list.interval)
         self._claims.set_min_read_interval(interval)
-        self._replicas.index_follower.least_interval = interval
-        self._suspects.set_least_interval(interval)
+        self._replicas.index_follower.min_interval = interval
+        self._suspects.set_min_interval(interval)
--- a/src/troutswitch/decisions/run_time_sharing.py
+++ b/src/troutswitch/decisions/run_time_sharing.py
@@ -36,7 +36,7 @@
         )
         return PeerRegistryEntry(identity.name, identity.peer_address, identity.zone, experience)
 
-    def take(self, now: float, entry: PeerRegistryEntry) -> None:
+    def apply_entry(self, now: float, entry: PeerRegistryEntry) -> None:
         """Takes a daemon's entry: its address, and its run times where none are known here."""
         self._peers.on_registered(entry)
         self._requests.begin_with(entry.experience)
--- a/src/troutswitch/decisions/slots/coordinator_claims.py
+++ b/src/troutswitch/decisions/slots/coordinator_claims.py
@@ -268,7 +268,7 @@
         A single claim ends the pending reads of all daemons, so the interval limits the load on the
         store.
         """
-        self._follower.least_interval = seconds
+        self._follower.min_interval = seconds
 
     def read_again(self, now: float) -> None:
         """Reads the claims immediately; they may have changed while this process was suspended."""
--- a/src/troutswitch/decisions/storage/follower.py
+++ b/src/troutswitch/decisions/storage/follower.py
@@ -48,7 +48,8 @@
         take: called with a record to fold in.
         wait: seconds a read waits at the store for a record; 0 reads without waiting.
         pause: least seconds between reads, which bounds the calls under many appends.
-        is_tailing: whether it goes on reading by itself; otherwise only `absorb` adds records.
+        is_tailing: whether it reads new records by itself; otherwise only `apply_records` adds
+            records.
 
     Attributes:
         next_offset: where the next read begins.
@@ -63,7 +64,7 @@
         partition: Partition,
         numbers: CallNumbers,
         rng: random.Random,
-        take: Callable[[KeyedRecord], None],
+        apply: Callable[[KeyedRecord], None],
         wait: float,
         pause: float,
         is_tailing: bool = True,
@@ -75,12 +76,12 @@
         self.attempts = ReadAttempts(numbers, rng)
         self.wait = wait
         self._pause = pause
-        self.least_interval = 0.0
+        self.min_interval = 0.0
         self.is_tailing = is_tailing
-        self._take = take
+        self._apply = apply
         self._after_key = ""
         self._tail_from: int | None = None
-        self._first_kept = 0
+        self._first_retained = 0
 
     @property
     def is_current(self) -> bool:
@@ -97,24 +98,24 @@
     def _is_idle(self) -> bool:
         return not self.is_tailing and self.is_current and not self.attempts.is_reading
 
-    def absorb(self, requested_at: float, read: RecordsRead) -> None:
+    def apply_records(self, requested_at: float, read: RecordsRead) -> None:
         """Takes records that another read of this partition brought."""
         if not self.is_current or read.next_offset < self.next_offset:
             return
         for record in read.records:
-            self._take(record)
+            self._apply(record)
         self.next_offset = read.next_offset
         if read.next_offset >= read.end:
             self.current_at = max(self.current_at, requested_at)
 
-    def skip(self, offset: int, end: int) -> None:
+    def skip_own_records(self, offset: int, end: int) -> None:
         """Skips records that this process appended and has folded in itself."""
         if self.is_current and offset == self.next_offset:
             self.next_offset = end
 
-    def read_beside(self, now: float) -> None:
+    def read_concurrently(self, now: float) -> None:
         """Reads at once, on a new connection, beside the reads in flight."""
-        self.attempts.hasten(now)
+        self.attempts.read_now(now)
 
     def read_again(self, now: float) -> None:
         """Abandons the reads in flight, and reads at once, on a new connection."""
@@ -156,9 +157,9 @@
         """Takes the outcome of a read in flight."""
         match outcome:
             case NewestPage():
-                self._take_page(now, call, outcome)
+                self._apply_page(now, call, outcome)
             case RecordsRead():
-                self._take_records(now, call, outcome)
+                self._apply_read(now, call, outcome)
             case HistoryGone():
                 self.on_history_gone(now, outcome)
             case _:
@@ -166,7 +167,7 @@
 
     def on_history_gone(self, now: float, gone: HistoryGone) -> None:
         """Reads the partition whole again, and continues from the first record that is kept."""
-        self._first_kept = max(self._first_kept, gone.first)
+        self._first_retained = max(self._first_retained, gone.first_offset)
         self.restart(now)
 
     def restart(self, now: float) -> None:
@@ -176,13 +177,13 @@
         self._tail_from = None
         self.attempts.abandon(now)
 
-    def _take_page(self, now: float, call: int, page: NewestPage) -> None:
+    def _apply_page(self, now: float, call: int, page: NewestPage) -> None:
         attempt = self.attempts.on_succeeded(call, now)
         if self._tail_from is None:
             last = max((record.offset for record in page.records), default=-1)
-            self._tail_from = max(last + 1, self._first_kept)
+            self._tail_from = max(last + 1, self._first_retained)
         for record in page.records:
-            self._take(record)
+            self._apply(record)
         if page.has_more and page.records:
             self._after_key = page.records[-1].key
             return
@@ -195,13 +196,13 @@
         self.current_at = attempt.requested_at
         self.attempts.abandon(now + (0.0 if self.wait else self._pause))
 
-    def _take_records(self, now: float, call: int, read: RecordsRead) -> None:
+    def _apply_read(self, now: float, call: int, read: RecordsRead) -> None:
         if read.next_offset >= self.next_offset:
             for record in read.records:
-                self._take(record)
+                self._apply(record)
             self.next_offset = read.next_offset
         is_behind = self.next_offset < read.end
-        pause = max(self._pause, self.least_interval)
+        pause = max(self._pause, self.min_interval)
         due = now if is_behind or self._timed_out(read) else now + pause
         attempt = self.attempts.on_succeeded(call, due)
         if not is_behind:
--- a/src/troutswitch/decisions/storage/messages.py
+++ b/src/troutswitch/decisions/storage/messages.py
@@ -141,9 +141,9 @@
 
 @dataclass(frozen=True, slots=True)
 class HistoryGone:
-    """The records at the given offset were dropped; `first` is the offset of the first kept one."""
+    """The records at the requested offset were dropped; those from `first_offset` on remain."""
 
-    first: int
+    first_offset: int
 
 
 @dataclass(frozen=True, slots=True)
@@ -172,7 +172,7 @@
 class OutOfSequence:
     """Nothing was appended: the next sequence number is another one."""
 
-    wanted: int
+    expected: int
 
 
 @dataclass(frozen=True, slots=True)
--- a/src/troutswitch/decisions/storage/read_attempts.py
+++ b/src/troutswitch/decisions/storage/read_attempts.py
@@ -4,9 +4,9 @@
 
 Rule:
 
-- The time-out is `TIMEOUT_FIRST_SECONDS`, doubled with each failure up to `TIMEOUT_MOST_SECONDS`.
+- The time-out is `INITIAL_TIMEOUT_SECONDS`, doubled with each failure up to `MAX_TIMEOUT_SECONDS`.
 - A read without an answer for `repeat_after` is repeated beside it, with at most
-  `READS_IN_FLIGHT_MOST` in flight; the first answer counts, the others are ignored.
+  `MAX_READS_IN_FLIGHT` in flight; the first answer counts, the others are ignored.
 - After a failure with nothing else in flight the next read follows after a pause.
 - While reads fail, each is sent on a new connection.
 
@@ -22,19 +22,19 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-TIMEOUT_FIRST_SECONDS = 0.6
+INITIAL_TIMEOUT_SECONDS = 0.6
 """Timeout of the first try: a store that is well answers far sooner."""
-TIMEOUT_MOST_SECONDS = 3.0
-TIMEOUT_DOUBLINGS = 5
-CALL_LOST_SECONDS = 2.0
+MAX_TIMEOUT_SECONDS = 3.0
+MAX_TIMEOUT_DOUBLINGS = 5
+MISSING_OUTCOME_SECONDS = 2.0
 """Time past its timeout after which a call without any outcome counts as failed."""
-READS_IN_FLIGHT_MOST = 6
+MAX_READS_IN_FLIGHT = 6
 """Each takes a thread until its time-out: as many as a repetition each 0.6 s makes in the longest
 one, and one more."""
-RETRY_FIRST_SECONDS = 0.1
+MIN_RETRY_PAUSE_SECONDS = 0.1
 """Pause after a failure; it doubles with each one."""
-RETRY_MOST_SECONDS = 1.0
-RETRY_DOUBLINGS = 6
+MAX_RETRY_PAUSE_SECONDS = 1.0
+MAX_RETRY_DOUBLINGS = 6
 
 
 class CallNumbers:
@@ -70,7 +70,7 @@
         numbers: source of call numbers.
         rng: source of jitter.
         pause: returns the seconds to pause after a number of failures in a row; by default they
-            double from `RETRY_FIRST_SECONDS` to `RETRY_MOST_SECONDS`.
+            double from `MIN_RETRY_PAUSE_SECONDS` to `MAX_RETRY_PAUSE_SECONDS`.
 
     Attributes:
         repeat_after: seconds without an answer, beyond the wait at the store, after which a read
@@ -96,8 +96,8 @@
         self._doubts_connections = False
 
     def _doubling_pause(self, failures: int) -> float:
-        doublings = min(failures, RETRY_DOUBLINGS)
-        pause: float = min(RETRY_FIRST_SECONDS * 2**doublings, RETRY_MOST_SECONDS)
+        doublings = min(failures, MAX_RETRY_DOUBLINGS)
+        pause: float = min(MIN_RETRY_PAUSE_SECONDS * 2**doublings, MAX_RETRY_PAUSE_SECONDS)
         return pause * self._rng.uniform(0.5, 1.0)
 
     def owns(self, call: int) -> bool:
@@ -125,7 +125,7 @@
 
     @property
     def _is_full(self) -> bool:
-        return len(self._in_flight) >= READS_IN_FLIGHT_MOST
+        return len(self._in_flight) >= MAX_READS_IN_FLIGHT
 
     def is_due(self, now: float) -> bool:
         """Returns whether a read is to be sent now; a call without any outcome counts as failed."""
@@ -136,10 +136,10 @@
 
     def begin(self, now: float, wait: float = 0.0) -> ReadAttempt:
         """Notes a read that is sent now and may wait at the store for `wait` seconds."""
-        doublings = min(self.failures, TIMEOUT_DOUBLINGS)
-        timeout = min(TIMEOUT_FIRST_SECONDS * 2**doublings, TIMEOUT_MOST_SECONDS)
+        doublings = min(self.failures, MAX_TIMEOUT_DOUBLINGS)
+        timeout = min(INITIAL_TIMEOUT_SECONDS * 2**doublings, MAX_TIMEOUT_SECONDS)
         is_suspect = self._doubts_connections or bool(self.failures or self._in_flight)
-        lost_at = now + wait + timeout + CALL_LOST_SECONDS
+        lost_at = now + wait + timeout + MISSING_OUTCOME_SECONDS
         attempt = ReadAttempt(self._numbers.next(), now, timeout, lost_at, is_suspect)
         self._in_flight[attempt.call] = attempt
         self._due = now + wait + self.repeat_after
@@ -163,7 +163,7 @@
         if not self._in_flight:
             self._due = now + self._pause(self.failures)
 
-    def hasten(self, now: float) -> None:
+    def read_now(self, now: float) -> None:
         """Has a read sent now, on a new connection, beside those in flight."""
         self._due = min(self._due, now)
         self._doubts_connections = True
--- a/src/troutswitch/decisions/storage/refresh.py
+++ b/src/troutswitch/decisions/storage/refresh.py
@@ -16,7 +16,7 @@
 )
 from troutswitch.decisions.storage.read_attempts import CallNumbers
 
-CALL_LOST_SECONDS = 4.0
+CALL_EXPIRY_SECONDS = 4.0
 """Time after which a read without an answer counts as failed."""
 
 Waiter = Callable[[float, bool], None]
@@ -31,7 +31,7 @@
         self._numbers = numbers
         self._call = 0
         self._requested_at = float("-inf")
-        self._in_read: list[Waiter] = []
+        self._readers: list[Waiter] = []
         self._waiting: list[Waiter] = []
 
     def refresh(self, waiter: Waiter) -> None:
@@ -41,7 +41,7 @@
     def next_due(self) -> float:
         """Returns when `on_timer` has something to do."""
         if self._call:
-            return self._requested_at + CALL_LOST_SECONDS
+            return self._requested_at + CALL_EXPIRY_SECONDS
         return float("-inf") if self._waiting and self._follower.is_current else float("inf")
 
     def owns(self, call: int) -> bool:
@@ -53,17 +53,17 @@
 
         While the follower makes its first reading, they go on waiting, unless that has failed.
         """
-        if self._call and now >= self._requested_at + CALL_LOST_SECONDS:
+        if self._call and now >= self._requested_at + CALL_EXPIRY_SECONDS:
             self._call = 0
             self._notify(now, False)
         if self._call or not self._waiting:
             return []
         if not self._follower.is_current:
             if self._follower.attempts.failures:
-                self._in_read, self._waiting = self._waiting, []
+                self._readers, self._waiting = self._waiting, []
                 self._notify(now, False)
             return []
-        self._in_read, self._waiting = self._waiting, []
+        self._readers, self._waiting = self._waiting, []
         return [self._read(now)]
 
     def _read(self, now: float) -> StoreCall:
@@ -76,19 +76,19 @@
         self._call = 0
         match outcome:
             case RecordsRead():
-                self._follower.absorb(self._requested_at, outcome)
+                self._follower.apply_records(self._requested_at, outcome)
                 if outcome.next_offset < outcome.end and outcome.records:
                     return [self._read(now)]
                 self._notify(now, True)
             case HistoryGone():
                 self._follower.on_history_gone(now, outcome)
-                self._waiting = self._in_read + self._waiting
-                self._in_read = []
+                self._waiting = self._readers + self._waiting
+                self._readers = []
             case _:
                 self._notify(now, False)
         return []
 
     def _notify(self, now: float, succeeded: bool) -> None:
-        waiters, self._in_read = self._in_read, []
+        waiters, self._readers = self._readers, []
         for waiter in waiters:
             waiter(now, succeeded)
--- a/src/troutswitch/decisions/tenants/quota_ledger.py
+++ b/src/troutswitch/decisions/tenants/quota_ledger.py
@@ -91,7 +91,7 @@
         """
         account = self._account(now, tenant, limit, counts_since)
         rate, depth = account.limit.rate, self._depth(account.limit)
-        before = account.bucket.filled_at
+        before = account.bucket.refilled_at
         available = account.bucket.refill(now, rate, depth)
         account.scheduled_retries = max(0.0, account.scheduled_retries - (now - before) * rate)
         if available >= 1.0:
--- a/src/troutswitch/decisions/tenants/quota_policies.py
+++ b/src/troutswitch/decisions/tenants/quota_policies.py
@@ -21,7 +21,7 @@
     emit: Callable[[SlotInstruction], None],
     rng: random.Random,
 ) -> Quota:
-    """Returns the quota of one daemon; `policy` is one of `policies.QUOTAS`."""
+    """Returns the quota of one daemon; `policy` is one of `policies.QUOTA_POLICIES`."""
     if policy == "equal_shares":
         return EqualShares(lambda: fleet.daemons)
     leases = policy == "leased"
--- a/src/troutswitch/gateway/callers/relay.py
+++ b/src/troutswitch/gateway/callers/relay.py
@@ -29,7 +29,7 @@
     NotConnected,
     OutgoingRequest,
 )
-from troutswitch.outcomes import AttemptKind
+from troutswitch.outcomes import AttemptOutcome
 from troutswitch.platform import names
 from troutswitch.platform.requests import AnswerHead, IncomingRequest, engine_headers, read_head
 
@@ -122,7 +122,7 @@
         directive = replace(decided, time_left=time_left)
         if time_left <= 0:
             self._end(
-                directive, AttemptKind.UNREACHABLE, "time limit passed before the request was sent"
+                directive, AttemptOutcome.UNREACHABLE, "time limit passed before the request was sent"
             )
             return
         exchange = Exchange(
@@ -162,9 +162,9 @@
         try:
             head = read_head(exchange.open(directive.time_left))
         except NotConnected as error:
-            return self._end(directive, AttemptKind.UNREACHABLE, str(error))
+            return self._end(directive, AttemptOutcome.UNREACHABLE, str(error))
         except AnswerLost as error:
-            return self._end(directive, AttemptKind.CUT, str(error))
+            return self._end(directive, AttemptOutcome.CUT, str(error))
         self.post(AnswerBegun(self.token, directive.attempt, head.load, head.not_run))
         exchange.set_wait(min(directive.first_event_wait, directive.time_left))
         try:
@@ -173,7 +173,7 @@
             else:
                 self._handle_complete_answer(directive, head, exchange.body())
         except (AnswerLost, EventStreamError) as error:
-            self._end(directive, AttemptKind.CUT, str(error), head)
+            self._end(directive, AttemptOutcome.CUT, str(error), head)
 
     def _stream(
         self, directive: SendRequest, exchange: Exchange, head: AnswerHead
@@ -196,7 +196,7 @@
         splitter.check_ended()
         self.head = self.head or head
         self._is_completed = True
-        self._end(directive, AttemptKind.COMPLETED, "", head)
+        self._end(directive, AttemptOutcome.COMPLETED, "", head)
 
     def _handle_complete_answer(
         self, directive: SendRequest, head: AnswerHead, body: bytes
@@ -204,24 +204,24 @@
         """Handles a complete response; keeps a failure in case no later attempt succeeds."""
         if head.not_run:
             reason = f"engine did not run the request, status {head.status}"
-            self._end(directive, AttemptKind.REFUSED, reason, head)
+            self._end(directive, AttemptOutcome.REFUSED, reason, head)
             return
         if self._delivered:
             reason = f"status {head.status} in the middle of a stream"
-            self._end(directive, AttemptKind.CUT, reason, head)
+            self._end(directive, AttemptOutcome.CUT, reason, head)
             return
         self.complete_answer = CompleteAnswer(head, body)
         if head.status >= 500:
             reason = f"engine failed, status {head.status}"
-            self._end(directive, AttemptKind.CUT, reason, head, has_answer=True)
+            self._end(directive, AttemptOutcome.CUT, reason, head, has_answer=True)
             return
         self._is_completed = True
-        self._end(directive, AttemptKind.COMPLETED, "", head)
+        self._end(directive, AttemptOutcome.COMPLETED, "", head)
 
     def _end(
         self,
         directive: SendRequest,
-        kind: AttemptKind,
+        kind: AttemptOutcome,
         reason: str,
         head: AnswerHead | None = None,
         has_answer: bool = False,
--- a/src/troutswitch/gateway/engines/engine_check.py
+++ b/src/troutswitch/gateway/engines/engine_check.py
@@ -6,7 +6,7 @@
 import socket
 
 from troutswitch.common import Address
-from troutswitch.decisions.crashes.messages import CheckEngine, EngineChecked, EngineFound
+from troutswitch.decisions.crashes.messages import CheckEngine, EngineChecked, EngineCheckResult
 
 CHECK_TIMEOUT_SECONDS = 0.5
 """Connect timeout, the same as that of requests."""
@@ -17,11 +17,11 @@
     return EngineChecked(check.engine_id, _connect(check.address))
 
 
-def _connect(address: Address) -> EngineFound:
+def _connect(address: Address) -> EngineCheckResult:
     try:
         socket.create_connection(address, CHECK_TIMEOUT_SECONDS).close()
     except ConnectionRefusedError:
-        return EngineFound.ENDED
+        return EngineCheckResult.ENDED
     except OSError:
-        return EngineFound.UNKNOWN
-    return EngineFound.LISTENS
+        return EngineCheckResult.UNKNOWN
+    return EngineCheckResult.LISTENS
--- a/src/troutswitch/gateway/engines/item_runs.py
+++ b/src/troutswitch/gateway/engines/item_runs.py
@@ -30,7 +30,7 @@
     NotConnected,
     OutgoingRequest,
 )
-from troutswitch.outcomes import AttemptKind
+from troutswitch.outcomes import AttemptOutcome
 from troutswitch.platform import names
 from troutswitch.platform.requests import AnswerHead, item_headers, read_head
 
@@ -98,7 +98,7 @@
             end_event = run.execute(self._open_exchange(instruction))
         except Exception as error:
             self._logger.exception("item run failed")
-            end_event = run.end_event(AttemptKind.CUT, f"{type(error).__name__}: {error}")
+            end_event = run.end_event(AttemptOutcome.CUT, f"{type(error).__name__}: {error}")
         finally:
             with self._lock:
                 self._exchanges.pop(instruction.run, None)
@@ -135,19 +135,19 @@
         try:
             head = read_head(exchange.open(self.instruction.first_wait))
         except NotConnected as error:
-            return self.end_event(AttemptKind.UNREACHABLE, str(error))
+            return self.end_event(AttemptOutcome.UNREACHABLE, str(error))
         except AnswerLost as error:
-            return self.end_event(AttemptKind.CUT, str(error))
+            return self.end_event(AttemptOutcome.CUT, str(error))
         try:
             if head.status != 200 or not head.is_event_stream:
                 return self._refusal(exchange, head)
             self.post(ItemBegun(self.instruction.run))
             self._read(exchange)
         except (AnswerLost, EventStreamError) as error:
-            return self.end_event(AttemptKind.CUT, str(error), head)
+            return self.end_event(AttemptOutcome.CUT, str(error), head)
         finally:
             exchange.close()
-        return self.end_event(AttemptKind.COMPLETED, "", head)
+        return self.end_event(AttemptOutcome.COMPLETED, "", head)
 
     def _read(self, exchange: Exchange) -> None:
         """Reads the stream, and reports its events periodically."""
@@ -167,11 +167,11 @@
 
     def _refusal(self, exchange: Exchange, head: AnswerHead) -> ItemRunEnded:
         exchange.body()
-        kind = AttemptKind.REFUSED if head.not_run else AttemptKind.CUT
+        kind = AttemptOutcome.REFUSED if head.not_run else AttemptOutcome.CUT
         return self.end_event(kind, f"status {head.status}", head)
 
     def end_event(
-        self, kind: AttemptKind, reason: str, head: AnswerHead | None = None
+        self, kind: AttemptOutcome, reason: str, head: AnswerHead | None = None
     ) -> ItemRunEnded:
         """Returns the event that reports the run's end, with the events not reported yet."""
         return ItemRunEnded(
--- a/src/troutswitch/gateway/instruction_executor.py
+++ b/src/troutswitch/gateway/instruction_executor.py
@@ -24,7 +24,7 @@
     SendRequest,
 )
 from troutswitch.decisions.gateway_interface import GatewayEvent, GatewayInstruction
-from troutswitch.decisions.gateway_messages import EnginesLeft, LimitsChanged
+from troutswitch.decisions.gateway_messages import EnginesRemoved, LimitsChanged
 from troutswitch.decisions.jobs.messages import AnswerJobCall, RunItem, StopItem
 from troutswitch.decisions.peers.catch_up import PeerStateReceived, RequestPeerState
 from troutswitch.decisions.slots.messages import SendToPeers
@@ -39,7 +39,7 @@
     StoreCall,
     StoreOutcome,
 )
-from troutswitch.decisions.storage.read_attempts import READS_IN_FLIGHT_MOST
+from troutswitch.decisions.storage.read_attempts import MAX_READS_IN_FLIGHT
 from troutswitch.gateway.callers.relay_registry import RelayRegistry
 from troutswitch.gateway.engines.connection_pool import EngineConnections
 from troutswitch.gateway.engines.engine_check import check_engine
@@ -47,7 +47,7 @@
 
 STORE_THREADS = 48
 """Maximum number of concurrent blocking calls; a read may wait some seconds at the store."""
-FLEET_THREADS = 4 * READS_IN_FLIGHT_MOST
+FLEET_THREADS = 4 * MAX_READS_IN_FLIGHT
 """Maximum number of concurrent blocking calls for the configuration and the engine list: twice the
 reads of both that may be in flight, because an abandoned read holds its thread until it times
 out."""
@@ -118,7 +118,7 @@
                 executors.answer_job(instruction)
             case LimitsChanged():
                 executors.set_limits(instruction)
-            case EnginesLeft():
+            case EnginesRemoved():
                 executors.connections.remove_engines(list(instruction.engine_ids))
             case ReadNewest() | ReadRecords():
                 is_fleet = instruction.partition.topic in FLEET_TOPICS
--- a/src/troutswitch/gateway/policies.py
+++ b/src/troutswitch/gateway/policies.py
@@ -12,7 +12,12 @@
 from troutswitch.decisions.forwarding.placement import POLICIES as PLACEMENT_POLICIES
 from troutswitch.decisions.jobs.batch_capacity import BATCH_CAPACITY_POLICIES
 from troutswitch.decisions.jobs.order import ITEM_ORDERS
-from troutswitch.decisions.policies import PLACES, QUOTAS, BatchPolicies, Policies
+from troutswitch.decisions.policies import (
+    QUOTA_POLICIES,
+    SLOT_ASSIGNMENT_POLICIES,
+    BatchPolicies,
+    Policies,
+)
 from troutswitch.gateway.settings import GatewaySettingsError
 
 POLICIES_VARIABLE = "TROUTSWITCH_POLICIES"
@@ -22,11 +27,11 @@
 
 
 class _Names(msgspec.Struct, forbid_unknown_fields=True):
-    places: str = DEFAULTS.places
+    places: str = DEFAULTS.slot_assignment
     placement: str = DEFAULTS.placement
     admission: str = DEFAULTS.admission
-    items: str = DEFAULTS.batch.items
-    room: str = DEFAULTS.batch.room
+    items: str = DEFAULTS.batch.item_order
+    room: str = DEFAULTS.batch.capacity
     quota: str = DEFAULTS.quota
 
 
@@ -55,12 +60,12 @@
     except msgspec.ValidationError as error:
         raise GatewaySettingsError(f"{POLICIES_VARIABLE}: {error}") from error
     for choice in (
-        _Choice("places", names.places, PLACES),
+        _Choice("places", names.places, SLOT_ASSIGNMENT_POLICIES),
         _Choice("placement", names.placement, PLACEMENT_POLICIES),
         _Choice("admission", names.admission, ADMISSION_POLICIES),
         _Choice("items", names.items, ITEM_ORDERS),
         _Choice("room", names.room, BATCH_CAPACITY_POLICIES),
-        _Choice("quota", names.quota, QUOTAS),
+        _Choice("quota", names.quota, QUOTA_POLICIES),
     ):
         choice.check()
     batch = BatchPolicies(names.items, names.room)
--- a/src/troutswitch/gateway/process.py
+++ b/src/troutswitch/gateway/process.py
@@ -153,7 +153,7 @@
 
     def _answer_internal(self, environ: Environ, start_response: StartResponse) -> Iterable[bytes]:
         if environ.get("PATH_INFO") == PEER_STATE_PATH:
-            return answer_peer(self.core.share_state, environ, start_response)
+            return answer_peer(self.core.state_for_peer, environ, start_response)
         if environ.get("PATH_INFO") != METRICS_PATH:
             return send(Response(404, b"", "text/plain"), start_response)
         return send(Response(200, self._metrics.render(), CONTENT_TYPE), start_response)
--- a/src/troutswitch/outcomes.py
+++ b/src/troutswitch/outcomes.py
@@ -2,7 +2,7 @@
 
 Errors carry the step at which they arose and the peer that was involved.
 `NotRun` is a promise: no engine has run any part of the request. It is built
-only by `conclude` from the evidence of all attempts.
+only by `failure_outcome` from the evidence of all attempts.
 """
 
 from dataclasses import dataclass
@@ -66,7 +66,7 @@
 OnlineOutcome = Completed | NotRun | MayHaveRun | Cut
 
 
-class AttemptKind(StrEnum):
+class AttemptOutcome(StrEnum):
     """How one attempt on an engine ended."""
 
     COMPLETED = "completed"
@@ -77,12 +77,14 @@
     REJECTED = "rejected"  # the engine will never run it: the request is at fault
 
 
-RAN_NOTHING = frozenset({AttemptKind.REFUSED, AttemptKind.UNREACHABLE, AttemptKind.REJECTED})
+NOT_EXECUTED_OUTCOMES = frozenset(
+    {AttemptOutcome.REFUSED, AttemptOutcome.UNREACHABLE, AttemptOutcome.REJECTED}
+)
 """Attempt endings after which it is certain that the engine ran nothing."""
 
 
-def conclude(
-    attempts: list[AttemptKind],
+def failure_outcome(
+    attempts: list[AttemptOutcome],
     position: int,
     reason: str,
     step: Step,
@@ -105,6 +107,6 @@
     """
     if position > 0:
         return Cut(reason, position, step, peer)
-    if any(kind not in RAN_NOTHING for kind in attempts):
+    if any(kind not in NOT_EXECUTED_OUTCOMES for kind in attempts):
         return MayHaveRun(reason, step, peer, retry_after)
     return NotRun(reason, step, peer, retry_after)
--- a/src/troutswitch/platform/store_service.py
+++ b/src/troutswitch/platform/store_service.py
@@ -152,7 +152,7 @@
         while True:
             read = self.call(ReadRecords(0, partition, int(query["from"])))
             if isinstance(read, HistoryGone):
-                return 410, json.dumps({"first": read.first}).encode()
+                return 410, json.dumps({"first": read.first_offset}).encode()
             assert isinstance(read, RecordsRead)
             if read.records or steady_seconds() >= deadline:
                 return 200, struct.pack(">QQ", read.end, 0) + encode_records(read.records)
@@ -196,7 +196,7 @@
             case FencedOff():
                 return 409, json.dumps({"why": "fenced", "epoch": outcome.epoch}).encode()
             case OutOfSequence():
-                return 409, json.dumps({"why": "seq", "sequence": outcome.wanted}).encode()
+                return 409, json.dumps({"why": "seq", "sequence": outcome.expected}).encode()
             case _:
                 return 400, b"{}"
 
--- a/src/troutswitch/standalone/callers/relay.py
+++ b/src/troutswitch/standalone/callers/relay.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass
 
 from troutswitch.outcomes import (
-    AttemptKind,
+    AttemptOutcome,
     Cut,
     MayHaveRun,
     NotRun,
@@ -109,12 +109,12 @@
             self._end(directive, ending_of(error), error.reason)
             return
         except ForeignPiece as error:
-            self._end(directive, AttemptKind.CUT, str(error))
+            self._end(directive, AttemptOutcome.CUT, str(error))
             return
         finally:
             stream.close()
         whole = self._assembler.is_whole
-        kind = AttemptKind.COMPLETED if whole else AttemptKind.CUT
+        kind = AttemptOutcome.COMPLETED if whole else AttemptOutcome.CUT
         self._end(directive, kind, "" if whole else "pieces are missing")
 
     def _order(self, directive: StartOnlineAttempt) -> CompletionOrder:
@@ -137,7 +137,7 @@
     def _end(
         self,
         directive: StartOnlineAttempt,
-        kind: AttemptKind,
+        kind: AttemptOutcome,
         reason: str,
         error: StreamEnded | None = None,
     ) -> None:
--- a/src/troutswitch/standalone/decisions/batch/dispatcher.py
+++ b/src/troutswitch/standalone/decisions/batch/dispatcher.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, field
 
 from troutswitch.decisions.invariants import ensure
-from troutswitch.outcomes import AttemptKind
+from troutswitch.outcomes import AttemptOutcome
 from troutswitch.standalone.constants import (
     SLOT_ASK_ENGINES,
     SLOT_ASK_SECONDS,
@@ -295,7 +295,7 @@
             return []
         if event.leaving:
             return self._engines.mark_leaving(now, engine.name, engine.incarnation)
-        if event.kind is AttemptKind.UNREACHABLE:
+        if event.kind is AttemptOutcome.UNREACHABLE:
             self.grants.pop(item.engine, None)
         return []
 
--- a/src/troutswitch/standalone/decisions/batch/owner.py
+++ b/src/troutswitch/standalone/decisions/batch/owner.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass, field
 
 from troutswitch.decisions.invariants import ensure
-from troutswitch.outcomes import AttemptKind
+from troutswitch.outcomes import AttemptOutcome
 from troutswitch.standalone.constants import (
     CHUNK_CACHE_ENTRIES,
     CHUNK_ITEMS,
@@ -329,11 +329,11 @@
         if job is None or progress is None:
             return []  # cancelled or closed meanwhile: late results are not counted
         match event.kind:
-            case AttemptKind.COMPLETED:
+            case AttemptOutcome.COMPLETED:
                 return self._record(reference, ItemState.COMPLETED, event.body)
-            case AttemptKind.REJECTED:
+            case AttemptOutcome.REJECTED:
                 return self._record(reference, ItemState.FAILED, event.body)
-            case AttemptKind.CUT | AttemptKind.CANCELLED if not job.repeatable:
+            case AttemptOutcome.CUT | AttemptOutcome.CANCELLED if not job.repeatable:
                 return self._record(reference, ItemState.MAY_HAVE_RUN, event.body)
             case _:
                 self._keep_partial(reference, PartialAnswer(event.position, event.partial))
@@ -354,9 +354,11 @@
         )
         return self._writer.append(self.stream, [record])
 
-    def _put_back(self, now: float, progress: JobProgress, index: int, kind: AttemptKind) -> None:
+    def _put_back(
+        self, now: float, progress: JobProgress, index: int, kind: AttemptOutcome
+    ) -> None:
         progress.out.discard(index)
-        if kind is AttemptKind.CANCELLED:
+        if kind is AttemptOutcome.CANCELLED:
             heapq.heappush(progress.retries, (now, index))
             return
         failures = progress.failures.get(index, 0)
--- a/src/troutswitch/standalone/decisions/events.py
+++ b/src/troutswitch/standalone/decisions/events.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field
 
 from troutswitch.common import Address
-from troutswitch.outcomes import AttemptKind
+from troutswitch.outcomes import AttemptOutcome
 from troutswitch.standalone.daemons.messages import Message
 from troutswitch.standalone.log_service.records import BatchItem, ConfigurationChange
 
@@ -127,7 +127,7 @@
 
     request_id: str
     attempt_id: str
-    kind: AttemptKind
+    kind: AttemptOutcome
     position: int
     reason: str = ""
     retry_after: float | None = None
@@ -149,7 +149,7 @@
     """
 
     attempt_id: str
-    kind: AttemptKind
+    kind: AttemptOutcome
     body: str
     leaving: bool = False
     position: int = 0
--- a/src/troutswitch/standalone/decisions/online.py
+++ b/src/troutswitch/standalone/decisions/online.py
@@ -17,14 +17,14 @@
 from troutswitch.decisions.invariants import ensure
 from troutswitch.decisions.limits import RetryBudget
 from troutswitch.outcomes import (
-    RAN_NOTHING,
-    AttemptKind,
+    NOT_EXECUTED_OUTCOMES,
+    AttemptOutcome,
     Completed,
     MayHaveRun,
     NotRun,
     OnlineOutcome,
     Step,
-    conclude,
+    failure_outcome,
 )
 from troutswitch.standalone.constants import (
     RETRY_AFTER_SECONDS,
@@ -257,13 +257,13 @@
         request.attempts.append(event.kind)
         request.position = event.position
         request.last_engine = request.engine
-        if event.kind is AttemptKind.COMPLETED:
+        if event.kind is AttemptOutcome.COMPLETED:
             self._budget.on_success(request.arrival.service)
             return effects + self._finish(now, request, Completed(event.position))
-        if event.kind is AttemptKind.REJECTED:
+        if event.kind is AttemptOutcome.REJECTED:
             rejected = NotRun(event.reason, Step.DISPATCH, request.engine, None, 400)
             return effects + self._finish(now, request, rejected)
-        if event.kind is not AttemptKind.CUT:
+        if event.kind is not AttemptOutcome.CUT:
             request.refused_by.add(request.engine)
         if event.retry_after is not None:
             request.retry_after = event.retry_after
@@ -275,7 +275,7 @@
         engine = self._engines.engines.get(request.engine)
         if engine is None:
             return []
-        answered = event.kind not in (AttemptKind.CUT, AttemptKind.UNREACHABLE)
+        answered = event.kind not in (AttemptOutcome.CUT, AttemptOutcome.UNREACHABLE)
         self._engines.on_answered(now, engine, answered)
         if event.leaving:
             return self._engines.mark_leaving(now, engine.name, engine.incarnation)
@@ -287,7 +287,7 @@
         if request.runs >= request.policy.attempts_most:
             return self._give_up(now, request, reason, Step.DISPATCH)
         last = request.attempts[-1]
-        request.owes_retry |= last not in RAN_NOTHING or request.runs == 0
+        request.owes_retry |= last not in NOT_EXECUTED_OUTCOMES or request.runs == 0
         if len(request.attempts) >= request.policy.attempts_most:
             return self._wait_or_give_up(now, request, reason, Step.DISPATCH)
         if not self._take_retry(request):
@@ -297,7 +297,7 @@
         request.probes_sent = False
         delay = RETRY_FIRST_SECONDS * 2 ** (len(request.attempts) - 1)
         self._wake_up_at(request, now + delay * self._rng.uniform(0.5, 1.5))
-        if last in (AttemptKind.REFUSED, AttemptKind.UNREACHABLE):
+        if last in (AttemptOutcome.REFUSED, AttemptOutcome.UNREACHABLE):
             return self._dispatch(now, request)
         return []
 
@@ -340,7 +340,7 @@
     def _cancel_running(self, now: float, request: OnlineRequest) -> list[Effect]:
         if request.state is not RequestState.RUNNING:
             return []
-        request.attempts.append(AttemptKind.CANCELLED)
+        request.attempts.append(AttemptOutcome.CANCELLED)
         engine = self._engines.engines.get(request.engine)
         if engine is None:
             return []
@@ -384,7 +384,7 @@
     # The final answer.
 
     def _give_up(self, now: float, request: OnlineRequest, reason: str, step: Step) -> list[Effect]:
-        outcome = conclude(
+        outcome = failure_outcome(
             request.attempts,
             request.position,
             reason,
@@ -396,7 +396,7 @@
 
     def _finish(self, now: float, request: OnlineRequest, outcome: OnlineOutcome) -> list[Effect]:
         if isinstance(outcome, NotRun):
-            ran = [kind for kind in request.attempts if kind not in RAN_NOTHING]
+            ran = [kind for kind in request.attempts if kind not in NOT_EXECUTED_OUTCOMES]
             ensure(not ran and request.position == 0, "not run is said of a request that ran")
             self.counts.refused += 1
         if isinstance(outcome, Completed):
--- a/src/troutswitch/standalone/decisions/online_request.py
+++ b/src/troutswitch/standalone/decisions/online_request.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-from troutswitch.outcomes import RAN_NOTHING, AttemptKind, Completed, OnlineOutcome
+from troutswitch.outcomes import NOT_EXECUTED_OUTCOMES, AttemptOutcome, Completed, OnlineOutcome
 from troutswitch.standalone.constants import RETRY_AFTER_SECONDS
 from troutswitch.standalone.decisions.configuration.keys import ServingPolicy
 from troutswitch.standalone.decisions.effects import LogEvent
@@ -25,7 +25,7 @@
     arrival: OnlineArrived
     policy: ServingPolicy
     state: RequestState = RequestState.WAITING
-    attempts: list[AttemptKind] = field(default_factory=list)
+    attempts: list[AttemptOutcome] = field(default_factory=list)
     attempt_id: str = ""
     engine: str = ""
     last_engine: str = ""
@@ -42,7 +42,7 @@
     @property
     def runs(self) -> int:
         """Attempts that may have run at an engine."""
-        return sum(kind not in RAN_NOTHING for kind in self.attempts)
+        return sum(kind not in NOT_EXECUTED_OUTCOMES for kind in self.attempts)
 
     @property
     def may_be_sent(self) -> bool:
--- a/src/troutswitch/standalone/engines/client.py
+++ b/src/troutswitch/standalone/engines/client.py
@@ -10,7 +10,7 @@
 import msgspec
 
 from troutswitch.common import Address
-from troutswitch.outcomes import AttemptKind
+from troutswitch.outcomes import AttemptOutcome
 from troutswitch.standalone.decisions.events import EngineLoad
 from troutswitch.standalone.engines.assembler import BrokenStream
 from troutswitch.standalone.engines.protocol import (
@@ -37,15 +37,15 @@
 class StreamEnded(Exception):
     """A stream that did not reach its end. `kind` tells what is known of the attempt."""
 
-    kind: AttemptKind
+    kind: AttemptOutcome
     reason: str
     leaving: bool = False
     retry_after: float | None = None
 
 
-def ending_of(error: BrokenStream) -> AttemptKind:
+def ending_of(error: BrokenStream) -> AttemptOutcome:
     """Returns how an attempt ended whose engine ended the stream with an error."""
-    return AttemptKind.CANCELLED if error.reason == ENGINE_CANCELLED else AttemptKind.CUT
+    return AttemptOutcome.CANCELLED if error.reason == ENGINE_CANCELLED else AttemptOutcome.CUT
 
 
 class _StreamConnection(http.client.HTTPConnection):
@@ -78,7 +78,7 @@
         try:
             self._connection.connect()
         except OSError as error:
-            raise StreamEnded(AttemptKind.UNREACHABLE, str(error)) from error
+            raise StreamEnded(AttemptOutcome.UNREACHABLE, str(error)) from error
         sock: socket.socket = self._connection.sock
         sock.settimeout(self._time_limit)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
@@ -91,7 +91,7 @@
                 self._raise_refusal(self._response)
         except (OSError, http.client.HTTPException) as error:
             self.close()
-            raise StreamEnded(AttemptKind.CUT, f"{type(error).__name__}: {error}") from error
+            raise StreamEnded(AttemptOutcome.CUT, f"{type(error).__name__}: {error}") from error
 
     def _raise_refusal(self, response: http.client.HTTPResponse) -> None:
         body = response.read()
@@ -101,9 +101,11 @@
             refusal = Refusal()
         self.close()
         if response.status in (400, 404, 413, 422):
-            raise StreamEnded(AttemptKind.REJECTED, refusal.reason or f"status {response.status}")
+            raise StreamEnded(
+                AttemptOutcome.REJECTED, refusal.reason or f"status {response.status}"
+            )
         self.is_leaving = self.is_leaving or refusal.leaving
-        kind = AttemptKind.REFUSED if refusal.not_run else AttemptKind.CUT
+        kind = AttemptOutcome.REFUSED if refusal.not_run else AttemptOutcome.CUT
         reason = refusal.reason or f"status {response.status}"
         raise StreamEnded(kind, reason, refusal.leaving, refusal.retry_after)
 
@@ -125,12 +127,12 @@
                     if pieces[-1].done:
                         return
                 if len(rest) > LINE_MOST_BYTES:
-                    raise StreamEnded(AttemptKind.CUT, "a line is too long")
+                    raise StreamEnded(AttemptOutcome.CUT, "a line is too long")
         except (OSError, http.client.HTTPException, msgspec.DecodeError, ValueError) as error:
-            raise StreamEnded(AttemptKind.CUT, f"{type(error).__name__}: {error}") from error
+            raise StreamEnded(AttemptOutcome.CUT, f"{type(error).__name__}: {error}") from error
         finally:
             self.close()
-        raise StreamEnded(AttemptKind.CUT, "the stream broke off")
+        raise StreamEnded(AttemptOutcome.CUT, "the stream broke off")
 
     def close(self) -> None:
         """Closes the connection."""
--- a/src/troutswitch/standalone/runtime/effects.py
+++ b/src/troutswitch/standalone/runtime/effects.py
@@ -11,7 +11,7 @@
 
 import structlog
 
-from troutswitch.outcomes import AttemptKind
+from troutswitch.outcomes import AttemptOutcome
 from troutswitch.runtime.channels import Channel
 from troutswitch.standalone.decisions.effects import (
     AnswerCall,
@@ -204,7 +204,7 @@
             stream.open(_batch_order(effect))
             for pieces in stream.pieces():
                 texts.append(assembler.accept(pieces, effect.attempt_id))
-            kind = AttemptKind.COMPLETED if assembler.is_whole else AttemptKind.CUT
+            kind = AttemptOutcome.COMPLETED if assembler.is_whole else AttemptOutcome.CUT
             reason = "pieces are missing"
         except StreamEnded as error:
             kind, reason = error.kind, error.reason
@@ -212,9 +212,9 @@
             texts.append(error.released)
             kind, reason = ending_of(error), error.reason
         except ForeignPiece as error:
-            kind, reason = AttemptKind.CUT, str(error)
+            kind, reason = AttemptOutcome.CUT, str(error)
         text = "".join(texts)
-        if kind is AttemptKind.COMPLETED:
+        if kind is AttemptOutcome.COMPLETED:
             return BatchAttemptEnded(effect.attempt_id, kind, text, stream.is_leaving)
         return BatchAttemptEnded(
             effect.attempt_id, kind, reason, stream.is_leaving, assembler.position, text
--- a/src/troutswitch/standalone/simulation/daemon.py
+++ b/src/troutswitch/standalone/simulation/daemon.py
@@ -8,7 +8,7 @@
 
 from troutswitch.common import Address
 from troutswitch.outcomes import (
-    AttemptKind,
+    AttemptOutcome,
     Cut,
     MayHaveRun,
     NotRun,
@@ -334,7 +334,7 @@
                 return
             self._batch_streams.pop(effect.attempt_id, None)
             body = f"answer to {effect.item.custom_id}"
-            text = body if end.kind is AttemptKind.COMPLETED else end.reason
+            text = body if end.kind is AttemptOutcome.COMPLETED else end.reason
             self.post(
                 BatchAttemptEnded(effect.attempt_id, end.kind, text, end.leaving, end.generated)
             )
--- a/src/troutswitch/standalone/simulation/engine.py
+++ b/src/troutswitch/standalone/simulation/engine.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 
 from troutswitch.common import Address
-from troutswitch.outcomes import AttemptKind
+from troutswitch.outcomes import AttemptOutcome
 from troutswitch.standalone.decisions.events import EngineLoad, Machine
 from troutswitch.standalone.simulation.clock import VirtualClock
 from troutswitch.standalone.simulation.network import Network
@@ -27,7 +27,7 @@
 class StreamEnd:
     """How a stream ended at its reader; `generated` tokens had arrived."""
 
-    kind: AttemptKind
+    kind: AttemptOutcome
     generated: int
     leaving: bool = False
     reason: str = ""
@@ -137,13 +137,13 @@
     ) -> None:
         """Takes an order from a daemon in `zone`; `work` names what is asked for."""
         if not self.is_alive or not self._network.is_connected(zone, self.zone):
-            end = StreamEnd(AttemptKind.UNREACHABLE, position, reason="no connection")
+            end = StreamEnd(AttemptOutcome.UNREACHABLE, position, reason="no connection")
             self._clock.call_later(CONNECT_SECONDS, lambda: on_end(end))
             return
 
         def arrive() -> None:
             if not self.is_alive:
-                on_end(StreamEnd(AttemptKind.CUT, position, reason="engine died"))
+                on_end(StreamEnd(AttemptOutcome.CUT, position, reason="engine died"))
                 return
             self._take(
                 zone, stream_id, work, priority, prompt_tokens, max_tokens, prefix, position,
@@ -172,7 +172,7 @@
             now, stream_id, priority, prompt_tokens, max_tokens, prefix, prefix_tokens, position
         )
         if sequence is None:
-            on_end(StreamEnd(AttemptKind.REFUSED, position, self.is_leaving, "queue full"))
+            on_end(StreamEnd(AttemptOutcome.REFUSED, position, self.is_leaving, "queue full"))
             return
         self._observer.on_run(work, stream_id)
         if sequence.is_online:
@@ -209,7 +209,7 @@
         self._settle()
         stream = self._streams.get(stream_id)
         if stream is not None:
-            self._end(stream_id, stream, AttemptKind.CANCELLED, "cancelled")
+            self._end(stream_id, stream, AttemptOutcome.CANCELLED, "cancelled")
 
     def _settle(self) -> None:
         """Reports what has changed and wakes up at the next change."""
@@ -248,11 +248,11 @@
 
     def _finish(self, stream_id: str, stream: OpenStream) -> None:
         if not stream.is_ended and not self._network.is_connected(self.zone, stream.reader_zone):
-            self._end(stream_id, stream, AttemptKind.CUT, "zone cut")
+            self._end(stream_id, stream, AttemptOutcome.CUT, "zone cut")
             return
-        self._end(stream_id, stream, AttemptKind.COMPLETED, "")
+        self._end(stream_id, stream, AttemptOutcome.COMPLETED, "")
 
-    def _end(self, stream_id: str, stream: OpenStream, kind: AttemptKind, reason: str) -> None:
+    def _end(self, stream_id: str, stream: OpenStream, kind: AttemptOutcome, reason: str) -> None:
         if stream.is_ended:
             return
         stream.is_ended = True
@@ -268,14 +268,14 @@
         self.model.advance(self._clock.now())
         for stream_id, stream in list(self._streams.items()):
             if self._rng.random() < share:
-                self._end(stream_id, stream, AttemptKind.CUT, "connection cut")
+                self._end(stream_id, stream, AttemptOutcome.CUT, "connection cut")
 
     def cut_zone(self, zone: str) -> None:
         """Cuts the streams whose readers are in a zone."""
         self.model.advance(self._clock.now())
         for stream_id, stream in list(self._streams.items()):
             if stream.reader_zone == zone:
-                self._end(stream_id, stream, AttemptKind.CUT, "zone cut")
+                self._end(stream_id, stream, AttemptOutcome.CUT, "zone cut")
 
     def drop_reader(self, stream_id: str) -> None:
         """The reader is gone; nobody hears of the stream any more."""
@@ -288,7 +288,7 @@
         self.model.advance(self._clock.now())
         self.is_alive = False
         for stream_id, stream in list(self._streams.items()):
-            self._end(stream_id, stream, AttemptKind.CUT, "engine died")
+            self._end(stream_id, stream, AttemptOutcome.CUT, "engine died")
         self._streams.clear()
 
     def come_back(self) -> None:
--- a/tests/decisions/crashes/test_engine_crashes.py
+++ b/tests/decisions/crashes/test_engine_crashes.py
@@ -2,11 +2,16 @@
 
 from tests.decisions.forwarding.worlds import engine
 from troutswitch.decisions.crashes.engine_crashes import (
-    CHECK_SECONDS,
+    MIN_CHECK_INTERVAL_SECONDS,
     PENDING_SECONDS,
     EngineCrashes,
 )
-from troutswitch.decisions.crashes.messages import CheckEngine, Crash, EngineChecked, EngineFound
+from troutswitch.decisions.crashes.messages import (
+    CheckEngine,
+    Crash,
+    EngineChecked,
+    EngineCheckResult,
+)
 from troutswitch.decisions.forwarding.engines import EngineRegistry
 
 
@@ -17,8 +22,8 @@
         self.checks: list[CheckEngine] = []
         self.endings = EngineCrashes(self.engines, self.checks.append)
 
-    def found(self, found: EngineFound) -> list[Crash]:
-        return self.endings.on_checked(EngineChecked("a", found))
+    def check(self, result: EngineCheckResult) -> list[Crash]:
+        return self.endings.on_checked(EngineChecked("a", result))
 
 
 def test_an_engine_whose_port_refuses_has_ended_under_all_that_were_on_it() -> None:
@@ -26,13 +31,13 @@
     world.endings.on_lost(1.0, "x", "a", False)
     world.endings.on_lost(1.0, "y", "a", False)
     assert [check.engine_id for check in world.checks] == ["a"]
-    assert world.found(EngineFound.ENDED) == [Crash("x", "a"), Crash("y", "a")]
+    assert world.check(EngineCheckResult.ENDED) == [Crash("x", "a"), Crash("y", "a")]
 
 
 def test_an_engine_that_answers_a_later_attempt_only_broke_an_answer_off() -> None:
     world = World()
     world.endings.on_lost(1.0, "x", "a", False)
-    assert world.found(EngineFound.LISTENS) == []
+    assert world.check(EngineCheckResult.LISTENS) == []
     world.endings.on_answered("a", sent_at=1.1)
     world.engines.on_list(5.0, [engine("b")])
     assert world.endings.on_list() == []
@@ -42,7 +47,7 @@
     world = World()
     world.endings.on_lost(1.0, "x", "a", False)
     world.endings.on_answered("a", sent_at=0.9)
-    assert world.found(EngineFound.ENDED) == [Crash("x", "a")]
+    assert world.check(EngineCheckResult.ENDED) == [Crash("x", "a")]
 
 
 def test_a_proxy_that_takes_connections_for_an_ended_engine_hides_nothing() -> None:
@@ -50,7 +55,7 @@
     engines, eight times past the bound in a soak, as each check found the proxy."""
     world = World()
     world.endings.on_lost(1.0, "x", "a", False)
-    assert world.found(EngineFound.LISTENS) == []
+    assert world.check(EngineCheckResult.LISTENS) == []
     world.engines.on_list(3.0, [engine("b")])
     assert world.endings.on_list() == [Crash("x", "a")]
 
@@ -60,7 +65,7 @@
     for number in range(100):
         world.endings.on_lost(1.0 + number / 100, f"x{number}", "a", False)
         world.endings.on_timer(1.0 + number / 100)
-    assert len(world.checks) == 1 + int(0.99 / CHECK_SECONDS)
+    assert len(world.checks) == 1 + int(0.99 / MIN_CHECK_INTERVAL_SECONDS)
 
 
 def test_a_loss_right_after_a_check_is_checked_a_little_later() -> None:
@@ -68,8 +73,8 @@
     world.endings.on_lost(1.0, "x", "a", False)
     world.endings.on_lost(1.1, "y", "a", False)
     assert len(world.checks) == 1
-    assert world.endings.next_due() == 1.0 + CHECK_SECONDS
-    world.endings.on_timer(1.0 + CHECK_SECONDS)
+    assert world.endings.next_due() == 1.0 + MIN_CHECK_INTERVAL_SECONDS
+    world.endings.on_timer(1.0 + MIN_CHECK_INTERVAL_SECONDS)
     assert len(world.checks) == 2
 
 
@@ -93,7 +98,7 @@
 def test_a_cut_machine_that_gets_no_word_waits_for_the_list() -> None:
     world = World()
     world.endings.on_lost(1.0, "x", "a", False)
-    assert world.found(EngineFound.UNKNOWN) == []
+    assert world.check(EngineCheckResult.UNKNOWN) == []
     world.engines.on_list(5.0, [engine("b")])
     assert world.endings.on_list() == [Crash("x", "a")]
 
--- a/tests/decisions/crashes/test_record.py
+++ b/tests/decisions/crashes/test_record.py
@@ -4,15 +4,15 @@
 from itertools import permutations
 
 from troutswitch.decisions.crashes.causes import (
-    CRASHES_CERTAIN,
-    DEFERRED_SECONDS,
-    REFUSED_SECONDS,
+    CONCLUSIVE_CRASHES,
+    MAX_DEFERRAL_SECONDS,
+    REFUSAL_SECONDS,
 )
 from troutswitch.decisions.crashes.messages import Crash
 from troutswitch.decisions.crashes.record import (
-    CONTENTS_MOST,
-    CRASHES_MOST,
-    KEPT_SECONDS,
+    MAX_CONTENTS,
+    MAX_CRASHES_PER_CONTENT,
+    RETENTION_SECONDS,
     CrashRecord,
 )
 
@@ -21,7 +21,7 @@
 
 def record_of(**engines: str) -> CrashRecord:
     """Returns a record; each request's engines are letters."""
-    record = CrashRecord(DEFERRED_SECONDS)
+    record = CrashRecord(MAX_DEFERRAL_SECONDS)
     for content, letters in engines.items():
         for letter in letters:
             record.add(NOW, Crash(content, letter), NOW)
@@ -37,7 +37,7 @@
     record = record_of(x="ab")
     for _ in range(5):
         assert not record.add(NOW, Crash("x", "a"), NOW)
-    assert record.crashes("x") == 2
+    assert record.crash_count("x") == 2
 
 
 def test_a_request_that_was_beside_the_cause_is_not_refused() -> None:
@@ -62,7 +62,7 @@
 
 
 def test_a_request_that_always_meets_another_cause_is_refused_in_the_end() -> None:
-    shared = "abcdefgh"[:CRASHES_CERTAIN]
+    shared = "abcdefgh"[:CONCLUSIVE_CRASHES]
     assert record_of(one=shared + "z", two=shared).refused == {"one", "two"}
 
 
@@ -80,7 +80,7 @@
 def test_the_order_of_tellings_changes_nothing() -> None:
     crashes = [Crash("x", "a"), Crash("x", "b"), Crash("x", "c"), Crash("y", "a"), Crash("y", "b")]
     for order in permutations(crashes):
-        record = CrashRecord(DEFERRED_SECONDS)
+        record = CrashRecord(MAX_DEFERRAL_SECONDS)
         for crash in order:
             record.add(NOW, crash, NOW)
         assert record.refused == {"x"}
@@ -88,49 +88,49 @@
 
 def test_a_refusal_ends_and_one_more_crash_renews_it() -> None:
     record = record_of(x="abc")
-    record.expire(NOW + REFUSED_SECONDS)
+    record.expire(NOW + REFUSAL_SECONDS)
     assert record.refused == frozenset()
-    later = NOW + REFUSED_SECONDS + 1.0
+    later = NOW + REFUSAL_SECONDS + 1.0
     record.add(later, Crash("x", "d"), later)
     assert record.refused == {"x"}
 
 
 def test_renewal_goes_on_when_the_record_is_full() -> None:
-    record = CrashRecord(DEFERRED_SECONDS)
-    for number in range(CRASHES_MOST + 3):
+    record = CrashRecord(MAX_DEFERRAL_SECONDS)
+    for number in range(MAX_CRASHES_PER_CONTENT + 3):
         at = NOW + number
         record.add(at, Crash("x", f"s{number}"), at)
-    assert record.crashes("x") == CRASHES_MOST
-    assert record.last_at("x") == NOW + CRASHES_MOST + 2
+    assert record.crash_count("x") == MAX_CRASHES_PER_CONTENT
+    assert record.last_crash_at("x") == NOW + MAX_CRASHES_PER_CONTENT + 2
 
 
 def test_crashes_are_forgotten_after_their_time() -> None:
     record = record_of(x="abc")
-    assert len(record.expire(NOW + KEPT_SECONDS)) == 3
+    assert len(record.expire(NOW + RETENTION_SECONDS)) == 3
     assert len(record) == 0
-    assert not record.add(NOW + KEPT_SECONDS, Crash("x", "a"), NOW)
+    assert not record.add(NOW + RETENTION_SECONDS, Crash("x", "a"), NOW)
 
 
 def test_a_clock_that_is_ahead_elsewhere_does_not_prolong_a_refusal() -> None:
-    record = CrashRecord(DEFERRED_SECONDS)
+    record = CrashRecord(MAX_DEFERRAL_SECONDS)
     for letter in "abc":
         record.add(NOW, Crash("x", letter), NOW + 1e6)
-    assert record.last_at("x") == NOW
+    assert record.last_crash_at("x") == NOW
 
 
 def test_a_flood_of_different_requests_does_not_push_out_the_refused() -> None:
     record = record_of(x="abc", twice="ab")
-    for number in range(CONTENTS_MOST + 500):
+    for number in range(MAX_CONTENTS + 500):
         record.add(NOW, Crash(f"flood-{number}", f"s{number % 50}"), NOW)
-    assert len(record) == CONTENTS_MOST
+    assert len(record) == MAX_CONTENTS
     assert record.refused == {"x"}
-    assert record.crashes("twice") == 2
+    assert record.crash_count("twice") == 2
 
 
 def test_what_is_noted_by_engine_follows_what_is_noted_by_request() -> None:
     """Random additions and removals, checked against a plain set."""
     drawn = random.Random(7)
-    record, held = CrashRecord(DEFERRED_SECONDS), set[Crash]()
+    record, held = CrashRecord(MAX_DEFERRAL_SECONDS), set[Crash]()
     for _ in range(3000):
         crash = Crash(f"c{drawn.randrange(9)}", f"s{drawn.randrange(9)}")
         if drawn.random() < 0.6:
@@ -139,7 +139,7 @@
         else:
             assert record.remove(NOW, crash) == (crash in held)
             held.discard(crash)
-        assert record.of_engine(crash.engine_id) == sorted(
+        assert record.crashes_of_engine(crash.engine_id) == sorted(
             each for each in held if each.engine_id == crash.engine_id
         )
-        assert record.crashes(crash.content) == sum(e.content == crash.content for e in held)
+        assert record.crash_count(crash.content) == sum(e.content == crash.content for e in held)
--- a/tests/decisions/crashes/test_shared.py
+++ b/tests/decisions/crashes/test_shared.py
@@ -11,13 +11,13 @@
 from troutswitch.decisions.crashes import shared as shared_module
 from troutswitch.decisions.crashes.messages import Crash
 from troutswitch.decisions.crashes.shared import (
-    CRASHES_A_REPORT,
+    MAX_CRASHES_PER_REPORT,
+    MAX_PENDING_RECORDS,
+    MAX_PENDING_REPORTS,
+    MAX_RECORDS_PER_WRITE,
     PEERS_NOTIFIED,
-    RECORDS_A_WRITE,
-    RECORDS_WAITING_MOST,
-    REPORTS_WAITING_MOST,
-    WRITE_RETRY_SECONDS,
-    WRITE_SECONDS,
+    WRITE_DELAY_SECONDS,
+    WRITE_RETRY_PAUSE_SECONDS,
     SharedCrashes,
 )
 from troutswitch.decisions.slots.messages import SendToPeers
@@ -49,11 +49,11 @@
             CallNumbers(),
             random.Random(1),
             lambda: peers,
-            self.take,
+            self.apply,
             lambda event, **fields: self.logged.append(event),
         )
 
-    def take(self, now: float, crash: Crash, at: float, stands: bool) -> bool:
+    def apply(self, now: float, crash: Crash, at: float, stands: bool) -> bool:
         is_news = (crash in self.known) != stands
         (self.known.add if stands else self.known.discard)(crash)
         return is_news
@@ -73,31 +73,31 @@
     for number in range(5):
         world.shared.publish(1.0, Crash("x", f"s{number}"), AT, True)
     assert not world.writes(1.0)
-    (write,) = world.writes(1.0 + WRITE_SECONDS)
+    (write,) = world.writes(1.0 + WRITE_DELAY_SECONDS)
     assert [record.key for record in write.records] == [f"x/s{n}" for n in range(5)]
     assert cbor2.loads(write.records[0].value) == [int(AT)]
 
 
 def test_a_write_that_fails_is_made_again_and_the_rest_follows() -> None:
     world = World()
-    for number in range(RECORDS_A_WRITE + 1):
+    for number in range(MAX_RECORDS_PER_WRITE + 1):
         world.shared.publish(1.0, Crash("x", f"s{number}"), AT, True)
     (first,) = world.writes(2.0)
     world.shared.on_store(2.1, first.call, CallFailed("lost", True))
     assert not world.writes(2.2)
-    (again,) = world.writes(2.1 + WRITE_RETRY_SECONDS)
+    (again,) = world.writes(2.1 + WRITE_RETRY_PAUSE_SECONDS)
     assert again.records == first.records
-    world.shared.on_store(3.0, again.call, Appended(0, RECORDS_A_WRITE))
+    world.shared.on_store(3.0, again.call, Appended(0, MAX_RECORDS_PER_WRITE))
     (rest,) = world.writes(3.0)
-    assert [record.key for record in rest.records] == [f"x/s{RECORDS_A_WRITE}"]
+    assert [record.key for record in rest.records] == [f"x/s{MAX_RECORDS_PER_WRITE}"]
 
 
 def test_what_waits_is_bounded() -> None:
     world = World()
-    for number in range(2 * RECORDS_WAITING_MOST):
+    for number in range(2 * MAX_PENDING_RECORDS):
         world.shared.publish(1.0, Crash("x", f"s{number}"), AT, True)
-    assert len(world.shared._to_write) == RECORDS_WAITING_MOST
-    assert len(world.shared._to_report) == REPORTS_WAITING_MOST
+    assert len(world.shared._pending_writes) == MAX_PENDING_RECORDS
+    assert len(world.shared._pending_reports) == MAX_PENDING_REPORTS
 
 
 def test_news_is_passed_on_once_to_some_peers() -> None:
@@ -147,13 +147,13 @@
     (alert,) = (i for i in world.shared.on_timer(1.3, True) if isinstance(i, ReadRecords))
     assert (calm.wait, alert.wait) == (
         shared_module.READ_WAIT_SECONDS,
-        shared_module.READ_WAIT_ALERT_SECONDS,
+        shared_module.ALERT_READ_WAIT_SECONDS,
     )
 
 
 def test_a_full_message_fits_into_a_packet() -> None:
     told = ReportedCrash(CRASH.content, CRASH.engine_id, int(AT), True)
-    news = CrashReport("edge-guediawaye-3", (told,) * CRASHES_A_REPORT)
+    news = CrashReport("edge-guediawaye-3", (told,) * MAX_CRASHES_PER_REPORT)
     data = encode(news)
     assert len(data) < 1400 < MAX_DATAGRAM_BYTES
     assert decode(data) == news
@@ -165,5 +165,5 @@
         world = World()
         world.shared._rng = random.Random(seed)
         world.shared.forget(1.0, CRASH)
-        removed += len(world.shared._to_write)
+        removed += len(world.shared._pending_writes)
     assert 0.7 < removed / 2000 * (1 + len(PEERS)) < 1.3
--- a/tests/decisions/crashes/test_suspects.py
+++ b/tests/decisions/crashes/test_suspects.py
@@ -4,12 +4,12 @@
 
 from tests.decisions.forwarding.worlds import engine
 from troutswitch.daemons.messages import CrashReport, ReportedCrash
-from troutswitch.decisions.crashes.causes import DEFERRED_SECONDS
-from troutswitch.decisions.crashes.messages import EngineChecked, EngineFound
+from troutswitch.decisions.crashes.causes import MAX_DEFERRAL_SECONDS
+from troutswitch.decisions.crashes.messages import EngineChecked, EngineCheckResult
 from troutswitch.decisions.crashes.suspects import (
-    DEFERRED_LEAST,
-    NEVER_STATUS,
-    SETTLED_SECONDS,
+    MIN_DEFERRAL_SHARE,
+    NON_RETRYABLE_STATUS,
+    RETRACTION_WINDOW_SECONDS,
     CrashSuspects,
 )
 from troutswitch.decisions.forwarding.engines import EngineRegistry
@@ -37,7 +37,7 @@
     def crash(self, now: float, content: str, *engine_ids: str) -> None:
         for engine_id in engine_ids:
             self.suspects.on_lost(now, content, engine_id)
-            self.suspects.on_checked(now, EngineChecked(engine_id, EngineFound.ENDED))
+            self.suspects.on_checked(now, EngineChecked(engine_id, EngineCheckResult.ENDED))
 
     def told(self, now: float, content: str, *engine_ids: str) -> None:
         told = tuple(ReportedCrash(content, name, int(now + OFFSET), True) for name in engine_ids)
@@ -58,9 +58,9 @@
     world = World()
     world.crash(1.0, "x", "s0", "s1", "s2")
     first = world.suspects.refusal(1.1, "x")
-    assert (first.status, first.retry_after) == (503, SETTLED_SECONDS)
-    later = world.suspects.refusal(1.1 + SETTLED_SECONDS, "x")
-    assert (later.status, later.retry_after) == (NEVER_STATUS, None)
+    assert (first.status, first.retry_after) == (503, RETRACTION_WINDOW_SECONDS)
+    later = world.suspects.refusal(1.1 + RETRACTION_WINDOW_SECONDS, "x")
+    assert (later.status, later.retry_after) == (NON_RETRYABLE_STATUS, None)
 
 
 def test_a_request_that_was_served_is_cleared() -> None:
@@ -119,6 +119,6 @@
             world.suspects.on_timer(now)
         released.append(now)
     released.sort()
-    assert released[0] >= DEFERRED_LEAST * DEFERRED_SECONDS
-    assert released[-1] <= DEFERRED_SECONDS + 0.1
+    assert released[0] >= MIN_DEFERRAL_SHARE * MAX_DEFERRAL_SECONDS
+    assert released[-1] <= MAX_DEFERRAL_SECONDS + 0.1
     assert sum(at < released[0] + 0.15 for at in released) <= 3
--- a/tests/decisions/forwarding/test_admission.py
+++ b/tests/decisions/forwarding/test_admission.py
@@ -29,7 +29,7 @@
 from troutswitch.decisions.forwarding.requests import ForwardedRequests
 from troutswitch.decisions.forwarding.run_times import RunTimes, ServiceTimes
 from troutswitch.decisions.forwarding.wait_estimate import least_wait
-from troutswitch.outcomes import AttemptKind, NotRun
+from troutswitch.outcomes import AttemptOutcome, NotRun
 
 TIMES = ServiceTimes(first_event=0.06, slot_time=0.64)
 OBJECTIVE_SECONDS = 0.3
@@ -144,7 +144,7 @@
         sent = world.arrive(0.0, arrival(token, time_left=TIME_LEFT_SECONDS))
         assert isinstance(sent, SendRequest)
         world.requests.on_answer_begun(0.06, AnswerBegun(token, sent.attempt, None))
-        world.end(0.64, sent, AttemptKind.COMPLETED, delivered=31)
+        world.end(0.64, sent, AttemptOutcome.COMPLETED, delivered=31)
     given_out = [
         world.arrive(1.0, arrival(token, time_left=TIME_LEFT_SECONDS))
         for token in range(10, 10 + requests)
@@ -180,7 +180,7 @@
     sent = world.arrive(0.0, arrival(1))
     assert isinstance(sent, SendRequest)
     world.requests.on_answer_begun(0.003, AnswerBegun(1, sent.attempt, None))
-    world.end(0.003, sent, AttemptKind.COMPLETED)
+    world.end(0.003, sent, AttemptOutcome.COMPLETED)
     assert world.requests.experience().times == {}
 
 
@@ -201,7 +201,7 @@
     for token, (kind, time_left) in enumerate(steps, start=100):
         now += 0.01
         if kind == 0 and running:
-            world.end(now, running.pop(0), AttemptKind.COMPLETED, delivered=31)
+            world.end(now, running.pop(0), AttemptOutcome.COMPLETED, delivered=31)
             continue
         given_out = world.arrive(now, arrival(token, time_left=time_left))
         if isinstance(given_out, SendRequest):
@@ -209,6 +209,6 @@
         else:
             assert isinstance(given_out.outcome, NotRun)
     for sent in running:
-        world.end(now + 0.1, sent, AttemptKind.COMPLETED, delivered=31)
+        world.end(now + 0.1, sent, AttemptOutcome.COMPLETED, delivered=31)
     assert not world.requests.requests
     assert all(s.online_in_flight == 0 for s in world.engines.engines.values())
--- a/tests/decisions/forwarding/test_expired_entries.py
+++ b/tests/decisions/forwarding/test_expired_entries.py
@@ -17,7 +17,7 @@
 from troutswitch.decisions.forwarding.engine_list import EngineListReader
 from troutswitch.decisions.forwarding.engines import EngineRegistry
 from troutswitch.decisions.storage.messages import CallFailed, NewestPage, ReadNewest
-from troutswitch.decisions.storage.read_attempts import TIMEOUT_FIRST_SECONDS, CallNumbers
+from troutswitch.decisions.storage.read_attempts import INITIAL_TIMEOUT_SECONDS, CallNumbers
 
 DRAIN_SECONDS = 2.0
 
@@ -49,7 +49,7 @@
             assert isinstance(call, ReadNewest)
             readings += 1
             if readings == 4:
-                now += TIMEOUT_FIRST_SECONDS
+                now += INITIAL_TIMEOUT_SECONDS
                 reader.on_answer(now, call.call, CallFailed("no answer", False))
                 registry.on_list_failed(now)
                 continue
--- a/tests/decisions/forwarding/test_hold_late.py
+++ b/tests/decisions/forwarding/test_hold_late.py
@@ -19,7 +19,7 @@
 from troutswitch.decisions.forwarding.requests import ForwardedRequests
 from troutswitch.decisions.forwarding.retry import CAPACITY_RETRY_SECONDS
 from troutswitch.decisions.forwarding.run_times import ServiceTimes
-from troutswitch.outcomes import AttemptKind, NotRun
+from troutswitch.outcomes import AttemptOutcome, NotRun
 
 HELD_SECONDS = 0.64
 """Time for which the requests that `fill` sends have their slots."""
@@ -52,7 +52,7 @@
     assert len(running) >= 8
     assert world.requests.on_timer(1.0 + CAPACITY_RETRY_SECONDS) == []
     for sent in running:
-        world.end(1.2, sent, AttemptKind.COMPLETED, delivered=31)
+        world.end(1.2, sent, AttemptOutcome.COMPLETED, delivered=31)
     (sent,) = [m for m in world.requests.on_timer(1.3) if isinstance(m, SendRequest)]
     assert sent.token == late
 
@@ -60,7 +60,7 @@
 def test_a_new_request_that_can_be_in_time_goes_before_one_that_is_late() -> None:
     world, running = full_world()
     for sent in running[7:]:
-        world.end(1.2, sent, AttemptKind.COMPLETED, delivered=31)
+        world.end(1.2, sent, AttemptOutcome.COMPLETED, delivered=31)
     new = world.arrive(1.25, arrival(900, time_left=TIME_LEFT_SECONDS))
     assert isinstance(new, SendRequest)
     made = world.requests.on_timer(1.3)
@@ -124,7 +124,7 @@
 def test_a_caller_that_came_back_is_late_by_its_wait_so_far() -> None:
     world, running = full_world()
     for sent in running[7:]:
-        world.end(1.2, sent, AttemptKind.COMPLETED, delivered=31)
+        world.end(1.2, sent, AttemptOutcome.COMPLETED, delivered=31)
     first = world.arrive(1.25, arrival(900, time_left=TIME_LEFT_SECONDS))
     assert isinstance(first, SendRequest)
     world.requests.on_arrived(1.26, arrival(901, time_left=TIME_LEFT_SECONDS - 1.0))
--- a/tests/decisions/forwarding/test_kept_missing.py
+++ b/tests/decisions/forwarding/test_kept_missing.py
@@ -23,8 +23,8 @@
     core = world.daemons["daemon-0"].core
     core.engines.on_list_failed(world.now + 4.0)
     core.output.take()
-    core.membership._take_list(world.now, world.now + 5.0, [], "")
-    core.membership._take_list(world.now, world.now + 5.5, [], "")
+    core.membership._apply_list(world.now, world.now + 5.0, [], "")
+    core.membership._apply_list(world.now, world.now + 5.5, [], "")
     lines = [i for i in core.output.take() if isinstance(i, LogLine)]
     told = [line.fields for line in lines if line.event == "missing engines kept"]
     assert len(told) == 1
--- a/tests/decisions/forwarding/test_policy_properties.py
+++ b/tests/decisions/forwarding/test_policy_properties.py
@@ -11,7 +11,7 @@
 from troutswitch.decisions.forwarding.messages import AnswerBegun, FinishRequest, SendRequest
 from troutswitch.decisions.forwarding.placement import POLICIES
 from troutswitch.decisions.forwarding.requests import ForwardedRequests
-from troutswitch.outcomes import AttemptKind
+from troutswitch.outcomes import AttemptOutcome
 
 ENGINES = 4
 DETERMINISTIC = settings(derandomize=True, deadline=None, max_examples=40)
@@ -87,11 +87,11 @@
         sent = self.running.pop(token)
         if step == "end":
             self.finished += 1
-            self.world.end(self.now, sent, AttemptKind.COMPLETED, delivered=3)
+            self.world.end(self.now, sent, AttemptOutcome.COMPLETED, delivered=3)
         elif step == "refuse":
-            self.take(self.world.end(self.now, sent, AttemptKind.REFUSED))
+            self.take(self.world.end(self.now, sent, AttemptOutcome.REFUSED))
         else:
-            self.take(self.world.end(self.now, sent, AttemptKind.CUT))
+            self.take(self.world.end(self.now, sent, AttemptOutcome.CUT))
 
 
 @every_placement
--- a/tests/decisions/forwarding/test_rejections.py
+++ b/tests/decisions/forwarding/test_rejections.py
@@ -11,7 +11,7 @@
 from tests.decisions.forwarding.worlds import World, arrival, route
 from troutswitch.decisions.forwarding.candidates import FULL_SECONDS
 from troutswitch.decisions.forwarding.messages import FinishRequest, SendRequest
-from troutswitch.outcomes import AttemptKind
+from troutswitch.outcomes import AttemptOutcome
 
 
 def next_directive(world: World, now: float, until: float) -> tuple[object | None, float]:
@@ -38,9 +38,9 @@
 def test_a_request_does_not_go_back_to_the_engine_that_fell_silent_while_others_are_full() -> None:
     world = World(route(attempts=3), engines=3)
     first, second, now = left_for_silence(world)
-    third = world.end(now + 0.01, second, AttemptKind.REFUSED)
+    third = world.end(now + 0.01, second, AttemptOutcome.REFUSED)
     assert isinstance(third, SendRequest)
-    assert world.end(now + 0.02, third, AttemptKind.REFUSED) is None
+    assert world.end(now + 0.02, third, AttemptOutcome.REFUSED) is None
     again, _ = next_directive(world, now + 0.02, now + 0.02 + 2 * FULL_SECONDS)
     assert isinstance(again, SendRequest)
     assert again.engine_id != first.engine_id
@@ -49,9 +49,9 @@
 def test_a_silent_engine_is_left_also_after_rejections() -> None:
     world = World(route(attempts=3), engines=4)
     _, second, now = left_for_silence(world)
-    third = world.end(now + 0.01, second, AttemptKind.REFUSED)
+    third = world.end(now + 0.01, second, AttemptOutcome.REFUSED)
     assert isinstance(third, SendRequest)
-    fourth = world.end(now + 0.02, third, AttemptKind.REFUSED)
+    fourth = world.end(now + 0.02, third, AttemptOutcome.REFUSED)
     assert isinstance(fourth, SendRequest)
     held = world.requests.requests[1]
     assert held.runs == 1  # two more may run
@@ -71,10 +71,10 @@
     world = World(route(attempts=3), engines=4)
     first = world.arrive(0.0, arrival(1))
     assert isinstance(first, SendRequest)
-    second = world.end(0.1, first, AttemptKind.CUT, position="3", delivered=3)
+    second = world.end(0.1, first, AttemptOutcome.CUT, position="3", delivered=3)
     assert isinstance(second, SendRequest)
-    third = world.end(0.12, second, AttemptKind.REFUSED, delivered=3)
+    third = world.end(0.12, second, AttemptOutcome.REFUSED, delivered=3)
     assert isinstance(third, SendRequest)
-    fourth = world.end(0.14, third, AttemptKind.REFUSED, delivered=3)
+    fourth = world.end(0.14, third, AttemptOutcome.REFUSED, delivered=3)
     assert isinstance(fourth, SendRequest)
     assert fourth.gap_wait <= second.gap_wait
--- a/tests/decisions/forwarding/test_requests.py
+++ b/tests/decisions/forwarding/test_requests.py
@@ -18,7 +18,7 @@
 from troutswitch.decisions.forwarding.retry import CAPACITY_RETRY_SECONDS, TIME_LEFT_LEAST_SECONDS
 from troutswitch.decisions.forwarding.routes import RouteTable
 from troutswitch.decisions.forwarding.types import RouteKind
-from troutswitch.outcomes import AttemptKind, Cut, MayHaveRun, NotRun
+from troutswitch.outcomes import AttemptOutcome, Cut, MayHaveRun, NotRun
 
 
 def sent(directive: object) -> SendRequest:
@@ -49,26 +49,26 @@
 def test_what_an_engine_did_not_run_is_offered_to_another() -> None:
     world = World(route(resumable=False, attempts=1))
     first = sent(world.arrive(0.0, arrival(1)))
-    second = sent(world.end(0.1, first, AttemptKind.REFUSED))
+    second = sent(world.end(0.1, first, AttemptOutcome.REFUSED))
     assert second.engine_id != first.engine_id
 
 
 def test_a_request_that_may_have_run_is_not_repeated_unless_allowed() -> None:
     world = World(route(resumable=False, attempts=2))
     first = sent(world.arrive(0.0, arrival(1)))
-    outcome = finished(world.end(0.1, first, AttemptKind.CUT)).outcome
+    outcome = finished(world.end(0.1, first, AttemptOutcome.CUT)).outcome
     assert isinstance(outcome, MayHaveRun)
 
 
 def test_a_refusal_is_only_given_if_nothing_ran() -> None:
     world = World(route(attempts=2), engines=2)
     first = sent(world.arrive(0.0, arrival(1)))
-    second = sent(world.end(0.1, first, AttemptKind.CUT))
-    directive = world.end(0.2, second, AttemptKind.REFUSED)
+    second = sent(world.end(0.1, first, AttemptOutcome.CUT))
+    directive = world.end(0.2, second, AttemptOutcome.REFUSED)
     now = 0.2
     while not isinstance(directive, FinishRequest):
         if directive is not None:
-            directive = world.end(now, directive, AttemptKind.REFUSED)
+            directive = world.end(now, directive, AttemptOutcome.REFUSED)
             continue
         now = max(now + 0.001, world.requests.next_due())
         found = world.requests.on_timer(now)
@@ -80,7 +80,7 @@
 def test_a_cut_stream_goes_on_after_its_last_event() -> None:
     world = World()
     first = sent(world.arrive(0.0, arrival(1)))
-    second = sent(world.end(0.1, first, AttemptKind.CUT, position="7", delivered=7))
+    second = sent(world.end(0.1, first, AttemptOutcome.CUT, position="7", delivered=7))
     assert second.resume_after == "7"
     assert second.engine_id != first.engine_id
 
@@ -88,14 +88,14 @@
 def test_attempts_that_may_have_run_are_bounded() -> None:
     world = World(route(attempts=2), engines=4)
     first = sent(world.arrive(0.0, arrival(1)))
-    second = sent(world.end(0.1, first, AttemptKind.CUT))
-    assert finished(world.end(0.2, second, AttemptKind.CUT))
+    second = sent(world.end(0.1, first, AttemptOutcome.CUT))
+    assert finished(world.end(0.2, second, AttemptOutcome.CUT))
 
 
 def test_a_cut_stream_that_cannot_go_on_is_never_an_end() -> None:
     world = World(route(resumable=False))
     first = sent(world.arrive(0.0, arrival(1)))
-    outcome = finished(world.end(0.1, first, AttemptKind.CUT, position="3", delivered=3)).outcome
+    outcome = finished(world.end(0.1, first, AttemptOutcome.CUT, position="3", delivered=3)).outcome
     assert isinstance(outcome, Cut)
 
 
@@ -166,14 +166,14 @@
     world = World()
     first = sent(world.arrive(0.0, arrival(1)))
     world.requests.on_timer(0.5)
-    assert world.end(0.6, first, AttemptKind.COMPLETED) is None
+    assert world.end(0.6, first, AttemptOutcome.COMPLETED) is None
     assert len(world.requests.requests) == 1
 
 
 def test_another_instance_at_the_address_is_never_asked_again() -> None:
     world = World(engines=1)
     first = sent(world.arrive(0.0, arrival(1)))
-    world.end(0.1, first, AttemptKind.REFUSED, wrong_instance=True)
+    world.end(0.1, first, AttemptOutcome.REFUSED, wrong_instance=True)
     world.engines.on_list(0.2, [engine("s0")])
     assert world.engines.of_service("s") == []
 
@@ -181,7 +181,7 @@
 def test_a_failure_is_passed_on_where_it_may_not_be_repeated() -> None:
     world = World(route(resumable=False))
     first = sent(world.arrive(0.0, arrival(1)))
-    end = finished(world.end(0.1, first, AttemptKind.CUT, status=500, has_answer=True))
+    end = finished(world.end(0.1, first, AttemptOutcome.CUT, status=500, has_answer=True))
     assert end.passes_on
 
 
@@ -194,7 +194,7 @@
 def test_a_repeatable_answer_of_which_a_part_was_delivered_is_not_begun_anew() -> None:
     world = World(route(kind=RouteKind.REPEATABLE, resumable=False))
     first = sent(world.arrive(0.0, arrival(1)))
-    outcome = finished(world.end(0.1, first, AttemptKind.CUT, position="3", delivered=3)).outcome
+    outcome = finished(world.end(0.1, first, AttemptOutcome.CUT, position="3", delivered=3)).outcome
     assert isinstance(outcome, Cut)
 
 
@@ -258,7 +258,7 @@
     suspects.waits = True
     sent = world.arrive(0.0, replace(arrival(1), content="x"))
     assert isinstance(sent, SendRequest)
-    assert world.end(0.1, sent, AttemptKind.CUT) is None
+    assert world.end(0.1, sent, AttemptOutcome.CUT) is None
     assert suspects.lost == [(sent.engine_id, False)]
     again = world.directive(world.requests.on_timer(0.1 + CAPACITY_RETRY_SECONDS))
     assert isinstance(again, SendRequest)
@@ -270,5 +270,5 @@
     suspects.waits = True
     sent = world.arrive(0.0, replace(arrival(1), content="x"))
     assert isinstance(sent, SendRequest)
-    assert isinstance(world.end(0.1, sent, AttemptKind.UNREACHABLE), SendRequest)
+    assert isinstance(world.end(0.1, sent, AttemptOutcome.UNREACHABLE), SendRequest)
     assert not suspects.lost
--- a/tests/decisions/forwarding/test_room_later.py
+++ b/tests/decisions/forwarding/test_room_later.py
@@ -19,7 +19,7 @@
     LogLine,
     SendRequest,
 )
-from troutswitch.outcomes import AttemptKind, Cut, MayHaveRun, NotRun
+from troutswitch.outcomes import AttemptOutcome, Cut, MayHaveRun, NotRun
 
 SOON_SECONDS = 0.5
 """Time within which a stream must be offered again; several rests of a full engine."""
@@ -30,11 +30,11 @@
     sent = world.arrive(0.0, arrival(1))
     assert isinstance(sent, SendRequest)
     now = 0.1
-    directive = world.end(now, sent, AttemptKind.CUT, position="3", delivered=3)
+    directive = world.end(now, sent, AttemptOutcome.CUT, position="3", delivered=3)
     for _ in range(engines_full):
         assert isinstance(directive, SendRequest), directive
         now += 0.02
-        directive = world.end(now, directive, AttemptKind.REFUSED, position="3", delivered=3)
+        directive = world.end(now, directive, AttemptOutcome.REFUSED, position="3", delivered=3)
     assert not isinstance(directive, FinishRequest), "cut with time left"
     return world, now
 
@@ -87,9 +87,9 @@
     world = World(route(attempts=3), engines=2)
     sent = world.arrive(0.0, arrival(1))
     assert isinstance(sent, SendRequest)
-    second = world.end(0.02, sent, AttemptKind.REFUSED)
+    second = world.end(0.02, sent, AttemptOutcome.REFUSED)
     assert isinstance(second, SendRequest)
-    refused = world.end(0.04, second, AttemptKind.REFUSED)
+    refused = world.end(0.04, second, AttemptOutcome.REFUSED)
     assert isinstance(refused, FinishRequest)
     assert isinstance(refused.outcome, NotRun)
     assert refused.outcome.retry_after
@@ -100,12 +100,12 @@
     world = World(route(attempts=3), engines=1)
     sent = world.arrive(0.0, arrival(1, time_left=1.0))
     assert isinstance(sent, SendRequest)
-    directive = world.end(0.1, sent, AttemptKind.CUT, position="3", delivered=delivered)
+    directive = world.end(0.1, sent, AttemptOutcome.CUT, position="3", delivered=delivered)
     now = 0.1
     while not isinstance(directive, FinishRequest):
         if directive is not None:
             now += 0.02
-            directive = world.end(now, directive, AttemptKind.REFUSED, delivered=delivered)
+            directive = world.end(now, directive, AttemptOutcome.REFUSED, delivered=delivered)
             continue
         now = max(now + 0.001, world.requests.next_due())
         found = world.requests.on_timer(now)
--- a/tests/decisions/forwarding/worlds.py
+++ b/tests/decisions/forwarding/worlds.py
@@ -23,7 +23,7 @@
     RouteKind,
     Service,
 )
-from troutswitch.outcomes import AttemptKind
+from troutswitch.outcomes import AttemptOutcome
 
 HOST = "host.example"
 
@@ -80,7 +80,7 @@
         return self.directive(self.requests.on_arrived(now, event))
 
     def end(
-        self, now: float, sent: SendRequest, kind: AttemptKind, **more: object
+        self, now: float, sent: SendRequest, kind: AttemptOutcome, **more: object
     ) -> SendRequest | FinishRequest | None:
         event = RequestAttemptEnded(sent.token, sent.attempt, kind, **more)  # type: ignore[arg-type]
         instructions = self.requests.on_attempt_ended(now, event)
--- a/tests/decisions/jobs/test_failures.py
+++ b/tests/decisions/jobs/test_failures.py
@@ -7,7 +7,7 @@
 from tests.worlds.gateway_world import Daemon, GatewayWorld
 from troutswitch.decisions.jobs.messages import ItemRunEnded, RunItem
 from troutswitch.decisions.jobs.records import DEAD, DONE
-from troutswitch.outcomes import AttemptKind
+from troutswitch.outcomes import AttemptOutcome
 
 ATTEMPTS_MOST = 3
 
@@ -24,7 +24,7 @@
             super().run_item(daemon, run)
             return
         status = self.statuses.pop(0)
-        ended = ItemRunEnded(run.run, AttemptKind.CUT, status, f"status {status}", ())
+        ended = ItemRunEnded(run.run, AttemptOutcome.CUT, status, f"status {status}", ())
         self.step_later(daemon, ended, 0.01)
 
 
@@ -67,7 +67,7 @@
             super().run_item(daemon, run)
             return
         self.runs += 1
-        ended = ItemRunEnded(run.run, AttemptKind.CUT, 500, "status 500", ())
+        ended = ItemRunEnded(run.run, AttemptOutcome.CUT, 500, "status 500", ())
         self.step_later(daemon, ended, 0.1)
 
 
--- a/tests/decisions/peers/test_catch_up.py
+++ b/tests/decisions/peers/test_catch_up.py
@@ -21,7 +21,7 @@
     def live_addresses(self, now: float) -> list[Address]:
         return [Address("10.0.0.9", 7)]
 
-    def live_addresses_anywhere(self, now: float) -> list[Address]:
+    def live_addresses_in_any_zone(self, now: float) -> list[Address]:
         return [Address("10.0.0.9", 7)]
 
     def newer_addresses(self, now: float, version: int) -> list[Address]:
@@ -77,7 +77,7 @@
 
 
 class NearAndFarPeer(OnePeer):
-    def live_addresses_anywhere(self, now: float) -> list[Address]:
+    def live_addresses_in_any_zone(self, now: float) -> list[Address]:
         return [Address("10.0.9.9", 7)]
 
 
--- a/tests/decisions/peers/test_heartbeats.py
+++ b/tests/decisions/peers/test_heartbeats.py
@@ -6,10 +6,10 @@
 from troutswitch.daemons.messages import Heartbeat
 from troutswitch.decisions.forwarding.experience import Experience
 from troutswitch.decisions.peers.heartbeats import (
-    FORGET_SECONDS,
     HEARTBEAT_FANOUT,
-    HEARTBEAT_SECONDS,
-    LIVE_SECONDS,
+    HEARTBEAT_INTERVAL_SECONDS,
+    LIVENESS_SECONDS,
+    RETENTION_SECONDS,
     Peers,
 )
 from troutswitch.decisions.peers.peer_registry import PeerRegistryEntry
@@ -41,7 +41,7 @@
         held = peers()
         for number in range(size):
             held.on_registered(entry(f"d{number}", number))
-        made = [held.on_timer(tick * HEARTBEAT_SECONDS / 4) for tick in range(1, 41)]
+        made = [held.on_timer(tick * HEARTBEAT_INTERVAL_SECONDS / 4) for tick in range(1, 41)]
         sent = [len(each.addresses) for instructions in made for each in instructions]
         assert len(sent) == 10
         assert set(sent) == {min(size, HEARTBEAT_FANOUT)}
@@ -53,7 +53,7 @@
         held.on_registered(entry(f"d{number}", number))
     reached: set[int] = set()
     for tick in range(200):
-        for made in held.on_timer(tick * HEARTBEAT_SECONDS):
+        for made in held.on_timer(tick * HEARTBEAT_INTERVAL_SECONDS):
             reached.update(address.port for address in made.addresses)
     assert reached == set(range(20))
 
@@ -67,7 +67,7 @@
     assert [address.port for address in held.live_addresses(1.0)] == [90]
     held.on_heartbeat(1.0, heartbeat("near", 91))
     assert [address.port for address in held.live_addresses(1.0)] == [91]
-    assert len(held.live_addresses(1.1 + LIVE_SECONDS)) == 3
+    assert len(held.live_addresses(1.1 + LIVENESS_SECONDS)) == 3
 
 
 def test_the_newest_version_that_a_daemon_acts_on_is_known() -> None:
@@ -82,8 +82,8 @@
     """Guards against a daemon that takes itself for outdated for as long as it runs."""
     held = peers()
     held.on_heartbeat(0.0, heartbeat("a", 1, version=7))
-    held.on_heartbeat(FORGET_SECONDS, heartbeat("b", 2, version=5))
-    held.on_timer(FORGET_SECONDS + 1.0)
+    held.on_heartbeat(RETENTION_SECONDS, heartbeat("b", 2, version=5))
+    held.on_timer(RETENTION_SECONDS + 1.0)
     assert held.newest_version() == 5
 
 
--- a/tests/decisions/peers/test_peer_registry.py
+++ b/tests/decisions/peers/test_peer_registry.py
@@ -11,9 +11,9 @@
 from troutswitch.decisions.forwarding.messages import AnswerBegun, FinishRequest, SendRequest
 from troutswitch.decisions.forwarding.requests import ForwardedRequests
 from troutswitch.decisions.peers.peer_registry import (
-    EXPERIENCE_SECONDS,
-    READ_FIRST_SECONDS,
-    WRITE_RETRY_SECONDS,
+    INITIAL_READ_INTERVAL_SECONDS,
+    MIN_EXPERIENCE_INTERVAL_SECONDS,
+    WRITE_RETRY_PAUSE_SECONDS,
     PeerRegistry,
     PeerRegistryEntry,
     decode_entry,
@@ -29,7 +29,7 @@
     StoreCall,
 )
 from troutswitch.decisions.storage.read_attempts import CallNumbers
-from troutswitch.outcomes import AttemptKind
+from troutswitch.outcomes import AttemptOutcome
 
 ADDRESS = Address("10.0.0.1", 7)
 KNOWN = Experience({"s": (60, 640)}, {"r": 5000})
@@ -94,11 +94,11 @@
 def test_without_an_answer_the_entry_is_written_all_the_same() -> None:
     store = Store()
     store.calls(0.0)
-    assert store.written(READ_FIRST_SECONDS / 2) is None
-    written = store.written(READ_FIRST_SECONDS)
+    assert store.written(INITIAL_READ_INTERVAL_SECONDS / 2) is None
+    written = store.written(INITIAL_READ_INTERVAL_SECONDS)
     assert written is not None
     store.peer_registry.on_answer(2.0, written.call, CallFailed("down", True))
-    assert store.written(2.0 + WRITE_RETRY_SECONDS) is not None
+    assert store.written(2.0 + WRITE_RETRY_PAUSE_SECONDS) is not None
 
 
 def test_a_daemon_that_starts_while_the_store_is_away_reads_of_its_peers_soon_after() -> None:
@@ -108,10 +108,10 @@
         read = store.read(float(second))
         assert read is not None
         store.peer_registry.on_answer(float(second), read.call, CallFailed("down", False))
-    read = store.read(4.0 + READ_FIRST_SECONDS)
+    read = store.read(4.0 + INITIAL_READ_INTERVAL_SECONDS)
     assert read is not None
     store.answer(5.0, read)
-    assert store.read(5.0 + READ_FIRST_SECONDS) is not None
+    assert store.read(5.0 + INITIAL_READ_INTERVAL_SECONDS) is not None
 
 
 def test_only_what_changed_is_written_again_and_not_often() -> None:
@@ -123,12 +123,12 @@
     assert written is not None
     store.answer(0.1, written)
     store.experience = KNOWN
-    assert store.written(EXPERIENCE_SECONDS / 2) is None
-    written = store.written(0.1 + EXPERIENCE_SECONDS)
+    assert store.written(MIN_EXPERIENCE_INTERVAL_SECONDS / 2) is None
+    written = store.written(0.1 + MIN_EXPERIENCE_INTERVAL_SECONDS)
     assert written is not None
     store.answer(7.0, written)
     store.experience = Experience({"s": (65, 660)}, {"r": 5000})
-    assert store.written(7.0 + EXPERIENCE_SECONDS) is None
+    assert store.written(7.0 + MIN_EXPERIENCE_INTERVAL_SECONDS) is None
 
 
 @DETERMINISTIC
@@ -171,6 +171,6 @@
     sent = world.arrive(0.0, arrival(1, time_left=5.0))
     assert isinstance(sent, SendRequest)
     world.requests.on_answer_begun(0.1, AnswerBegun(1, sent.attempt, None))
-    world.end(1.0, sent, AttemptKind.COMPLETED, delivered=31)
+    world.end(1.0, sent, AttemptOutcome.COMPLETED, delivered=31)
     world.requests.begin_with(KNOWN)
     assert world.requests.experience().times["s"] == (100, 1000)
--- a/tests/decisions/storage/test_follower.py
+++ b/tests/decisions/storage/test_follower.py
@@ -12,7 +12,7 @@
     RecordsRead,
     StoreOutcome,
 )
-from troutswitch.decisions.storage.read_attempts import READS_IN_FLIGHT_MOST, CallNumbers
+from troutswitch.decisions.storage.read_attempts import MAX_READS_IN_FLIGHT, CallNumbers
 from troutswitch.decisions.storage.refresh import Refresher
 
 
@@ -133,7 +133,7 @@
     held.bootstrap(0.0, end=0)
     waiting = held.next_call(0.0)
     for tenth in range(1, 4):
-        held.follower.read_beside(tenth / 10)
+        held.follower.read_concurrently(tenth / 10)
         assert held.next_call(tenth / 10).on_new_connection
     held.follower.on_answer(0.5, waiting.call, RecordsRead((record("a", b"1", 0),), 1, 1))
     assert held.taken == {"a": b"1"}
@@ -143,7 +143,7 @@
     held = Follower()
     held.follower.attempts.repeat_after = 0.1
     calls = [call for tenth in range(20) for call in held.follower.on_timer(tenth / 10)]
-    assert len(calls) == READS_IN_FLIGHT_MOST
+    assert len(calls) == MAX_READS_IN_FLIGHT
 
 
 def test_a_read_after_a_failure_does_not_wait_at_the_store() -> None:
--- a/tests/decisions/test_configuration_logs.py
+++ b/tests/decisions/test_configuration_logs.py
@@ -8,7 +8,7 @@
 from troutswitch.decisions.forwarding.messages import LogLine
 from troutswitch.decisions.forwarding.routes import LearntBy
 from troutswitch.decisions.gateway_interface import GatewayInstruction
-from troutswitch.outcomes import AttemptKind
+from troutswitch.outcomes import AttemptOutcome
 
 
 class LoggedWorld(GatewayWorld):
@@ -105,4 +105,4 @@
         "fails": "not listed",
         "odd": "no address",
     }
-    world.end(2.1, sent, AttemptKind.CUT)  # type: ignore[arg-type]
+    world.end(2.1, sent, AttemptOutcome.CUT)  # type: ignore[arg-type]
--- a/tests/decisions/test_gateway.py
+++ b/tests/decisions/test_gateway.py
@@ -55,7 +55,7 @@
 def test_changed_bounds_are_in_force_at_once() -> None:
     world = GatewayWorld(1)
     core = next(iter(world.daemons.values())).core
-    core.step(0.0, BoundsChanged(drain=1.0, configuration_apply=4.0, job_kept=60.0))
+    core.step(0.0, BoundsChanged(drain_bound=1.0, apply_bound=4.0, job_retention=60.0))
     assert core.membership.reader.interval == ENGINE_LIST_SHARE * 1.0
     assert core.configuration.follower.wait == CONFIGURATION_WAIT_SHARE * 4.0
     assert core.jobs.retention.job_kept == 60.0
@@ -71,6 +71,6 @@
         core.step(0.0, TimerFired())
         read_every = max(core.membership.reader.interval, core.membership.reader.least_interval)
         assert peers / read_every <= READS_SHARE * 2000.0
-        assert read_every < core.identity.drain / 2
+        assert read_every < core.identity.drain_bound / 2
     assert core.membership.reader.least_interval > core.membership.reader.interval
-    assert core.jobs.replicas.index_follower.least_interval == core.membership.reader.least_interval
+    assert core.jobs.replicas.index_follower.min_interval == core.membership.reader.least_interval
--- a/tests/forms/samples.py
+++ b/tests/forms/samples.py
@@ -71,7 +71,7 @@
 from troutswitch.gateway.metrics import GatewayMetrics
 from troutswitch.gateway.policies import read_policies
 from troutswitch.gateway.process import METRICS_PATH
-from troutswitch.outcomes import AttemptKind, Cut, MayHaveRun, NotRun, Step
+from troutswitch.outcomes import AttemptOutcome, Cut, MayHaveRun, NotRun, Step
 from troutswitch.platform import names
 from troutswitch.platform.configuration import decode_configuration, decode_engine
 from troutswitch.platform.jobs import decode_submission, encode_answer
@@ -797,9 +797,9 @@
 LINES: list[tuple[str, dict[str, object]]] = [
     *(
         ("attempt ended", {"kind": kind, "first_ms": 30 * number})
-        for number, kind in enumerate(AttemptKind)
+        for number, kind in enumerate(AttemptOutcome)
     ),
-    ("item run ended", {"kind": AttemptKind.CUT}),
+    ("item run ended", {"kind": AttemptOutcome.CUT}),
     ("attempt ended", {}),
     ("caller gone", {"close_to_abort_ms": 20}),
     ("request refused", {"status": 429}),
@@ -885,7 +885,7 @@
             plain(value) if isinstance(value, str) else ",".join(sorted(value))
             for value in constants
         ),
-        "kinds of attempts": [str(kind) for kind in AttemptKind],
+        "kinds of attempts": [str(kind) for kind in AttemptOutcome],
         "outcomes of items on the log": [state.name.lower() for state in ItemState],
         "buckets of members": [bucket_of(f"m-{n}") for n in range(20)],
         "weights of daemons for shards": [weight_of(n, "m-1")[0] for n in range(5)],
--- a/tests/gateway/callers/test_relay.py
+++ b/tests/gateway/callers/test_relay.py
@@ -11,7 +11,7 @@
 from troutswitch.gateway.callers.relay_registry import RelayRegistry
 from troutswitch.gateway.engines.connection_pool import EngineConnections
 from troutswitch.gateway.engines.engine_activity import EngineActivityReporter
-from troutswitch.outcomes import AttemptKind
+from troutswitch.outcomes import AttemptOutcome
 from troutswitch.platform.requests import IncomingRequest
 
 
@@ -76,4 +76,4 @@
     engines, loop, data = run()
     assert data == b"".join(f"id: {n}\ndata: x-{n}\n\n".encode() for n in range(1, 6))
     assert engines[1].requests[0][2]["last-event-id"] == "2"
-    assert loop.ended[-1].kind is AttemptKind.COMPLETED
+    assert loop.ended[-1].kind is AttemptOutcome.COMPLETED
--- a/tests/gateway/engines/test_engine_check.py
+++ b/tests/gateway/engines/test_engine_check.py
@@ -3,7 +3,7 @@
 import socket
 
 from troutswitch.common import Address
-from troutswitch.decisions.crashes.messages import CheckEngine, EngineFound
+from troutswitch.decisions.crashes.messages import CheckEngine, EngineCheckResult
 from troutswitch.gateway.engines.engine_check import check_engine
 
 
@@ -11,12 +11,12 @@
     return Address("127.0.0.1", listener.getsockname()[1])
 
 
-def check_result(address: Address) -> EngineFound:
-    return check_engine(CheckEngine("a", address)).found
+def check_result(address: Address) -> EngineCheckResult:
+    return check_engine(CheckEngine("a", address)).result
 
 
 def test_open_port_is_reported_as_listening_and_closed_port_as_ended() -> None:
     with socket.create_server(("127.0.0.1", 0)) as listener:
         address = address_of(listener)
-        assert check_result(address) is EngineFound.LISTENS
-    assert check_result(address) is EngineFound.ENDED
+        assert check_result(address) is EngineCheckResult.LISTENS
+    assert check_result(address) is EngineCheckResult.ENDED
--- a/tests/gateway/engines/test_silent_engines.py
+++ b/tests/gateway/engines/test_silent_engines.py
@@ -33,7 +33,7 @@
     Exchange,
     OutgoingRequest,
 )
-from troutswitch.outcomes import AttemptKind
+from troutswitch.outcomes import AttemptOutcome
 from troutswitch.platform import names
 from troutswitch.platform.requests import IncomingRequest
 from troutswitch.runtime.silence import USER_TIMEOUT_MILLISECONDS
@@ -233,7 +233,7 @@
     proxied.proxy.silent_after_down = 330  # the head and some events
     second, loop, data = relay(proxied.proxy.address)
     assert data == complete_stream()
-    assert [e.kind for e in loop.ended] == [AttemptKind.CUT, AttemptKind.COMPLETED]
+    assert [e.kind for e in loop.ended] == [AttemptOutcome.CUT, AttemptOutcome.COMPLETED]
     assert int(second.requests[0][2]["last-event-id"]) == loop.ended[0].delivered > 0
 
 
@@ -252,6 +252,6 @@
         address = Address("127.0.0.1", listener.getsockname()[1])
         _, loop, data = relay(address)
     assert data == complete_stream()
-    assert [e.kind for e in loop.ended] == [AttemptKind.CUT, AttemptKind.COMPLETED]
+    assert [e.kind for e in loop.ended] == [AttemptOutcome.CUT, AttemptOutcome.COMPLETED]
     assert "TimeoutError" in loop.ended[0].reason
     accepted[0].close()
--- a/tests/gateway/test_suspension.py
+++ b/tests/gateway/test_suspension.py
@@ -26,7 +26,7 @@
 from troutswitch.gateway.engines.connection_pool import EngineConnections
 from troutswitch.gateway.engines.engine_activity import EngineActivityReporter
 from troutswitch.gateway.loop import SUSPENSION_SECONDS, GatewayLoop
-from troutswitch.outcomes import AttemptKind, MayHaveRun, Step
+from troutswitch.outcomes import AttemptOutcome, MayHaveRun, Step
 from troutswitch.platform.requests import IncomingRequest
 
 SUSPENDED_SECONDS = 3.0
@@ -126,7 +126,7 @@
             self.relays.send_directive(send)
         elif isinstance(event, RequestAttemptEnded):
             self.ended.append(event)
-            if event.kind is not AttemptKind.COMPLETED:
+            if event.kind is not AttemptOutcome.COMPLETED:
                 self.relays.send_directive(FinishRequest(1, MayHaveRun("over", Step.RELAY)))
 
 
@@ -141,7 +141,7 @@
 def test_nothing_is_sent_after_the_time_limit(monkeypatch: pytest.MonkeyPatch) -> None:
     run = SuspendedRelay(monkeypatch, TIME_LEFT_SECONDS + 1.0)
     assert not run.engine.requests
-    assert run.ended[0].kind is AttemptKind.UNREACHABLE
+    assert run.ended[0].kind is AttemptOutcome.UNREACHABLE
 
 
 def test_arrival_reports_when_the_request_was_read(monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/soak/test_crashing_requests.py
+++ b/tests/soak/test_crashing_requests.py
@@ -12,7 +12,7 @@
 
 import pytest
 
-from troutswitch.decisions.crashes.causes import CRASHES_CERTAIN, CRASHES_TO_REFUSE
+from troutswitch.decisions.crashes.causes import CONCLUSIVE_CRASHES, CRASHES_TO_REFUSE
 from troutswitch.soak.conductor import Conductor
 from troutswitch.soak.crashing_requests import EndingCaller, is_refused
 from troutswitch.soak.evidence import read_journal
@@ -65,7 +65,7 @@
     conductor = Conductor(fleet, Schedule(1, 0.0, ()))
     expect_refusals(fleet, conductor)
     ended = lives_ended(fleet)
-    assert CRASHES_TO_REFUSE <= ended <= CRASHES_CERTAIN
+    assert CRASHES_TO_REFUSE <= ended <= CONCLUSIVE_CRASHES
     incarnations = [daemon.child.incarnation for daemon in fleet.daemons]
     for daemon in fleet.daemons:
         daemon.child.signal(signal.SIGKILL)
@@ -78,4 +78,4 @@
         ),
     )
     expect_refusals(fleet, conductor)
-    assert lives_ended(fleet) <= CRASHES_CERTAIN
+    assert lives_ended(fleet) <= CONCLUSIVE_CRASHES
--- a/tests/standalone/decisions/batch/test_owner.py
+++ b/tests/standalone/decisions/batch/test_owner.py
@@ -3,7 +3,7 @@
 import random
 
 from troutswitch.common import Address
-from troutswitch.outcomes import AttemptKind
+from troutswitch.outcomes import AttemptOutcome
 from troutswitch.standalone.decisions.batch.owner import ItemReference, ShardOwner
 from troutswitch.standalone.decisions.batch.ownership import Ownership
 from troutswitch.standalone.decisions.batch.replica import ShardReplica, shard_stream
@@ -112,13 +112,13 @@
     shard.carry_out(fetch)
     first, _ = owner.take_item(NOW, job)
     assert first is not None
-    cut = BatchAttemptEnded("a", AttemptKind.CANCELLED, "yielded", False, 7, "half an")
+    cut = BatchAttemptEnded("a", AttemptOutcome.CANCELLED, "yielded", False, 7, "half an")
     owner.on_attempt_ended(NOW, first.reference, cut)
     again, _ = owner.take_item(NOW, job)
     assert again is not None and again.reference == first.reference
     assert (again.partial.position, again.partial.text) == (7, "half an")
-    done = BatchAttemptEnded("b", AttemptKind.COMPLETED, "half an answer")
-    late = BatchAttemptEnded("c", AttemptKind.COMPLETED, "late")
+    done = BatchAttemptEnded("b", AttemptOutcome.COMPLETED, "half an answer")
+    late = BatchAttemptEnded("c", AttemptOutcome.COMPLETED, "late")
     shard.carry_out(owner.on_attempt_ended(NOW, again.reference, done))
     shard.carry_out(owner.on_attempt_ended(NOW, ItemReference("job", 0), late))
     assert job.completed == 1
--- a/tests/standalone/decisions/test_online.py
+++ b/tests/standalone/decisions/test_online.py
@@ -14,7 +14,7 @@
 import pytest
 
 from troutswitch.common import Address
-from troutswitch.outcomes import AttemptKind, Cut, NotRun
+from troutswitch.outcomes import AttemptOutcome, Cut, NotRun
 from troutswitch.standalone.decisions.configuration.keys import ServingPolicy
 from troutswitch.standalone.decisions.effects import FinishOnline, StartOnlineAttempt
 from troutswitch.standalone.decisions.engines import EngineRegistry
@@ -71,7 +71,7 @@
         event = OnlineArrived("r", "t", "m", 10, 10, "", DEADLINE_SECONDS)
         return self.directive(self.requests.on_arrived(self.now, event))
 
-    def end(self, started: object, kind: AttemptKind, position: int = 0) -> object:
+    def end(self, started: object, kind: AttemptOutcome, position: int = 0) -> object:
         """Ends an attempt; lets time pass until the next directive, `SOON_SECONDS` at most."""
         assert isinstance(started, StartOnlineAttempt), started
         self.now += 0.01
@@ -97,18 +97,18 @@
 @pytest.mark.parametrize("engines", [1, 3])
 def test_a_cut_request_outlasts_engines_that_reject_it(engines: int) -> None:
     world = World(engines)
-    started = world.end(world.arrive(), AttemptKind.CUT, 4)
+    started = world.end(world.arrive(), AttemptOutcome.CUT, 4)
     for _ in range(12):
-        started = world.end(started, AttemptKind.REFUSED, 4)
+        started = world.end(started, AttemptOutcome.REFUSED, 4)
     assert isinstance(started, StartOnlineAttempt)
     assert started.position == 4
 
 
 def test_attempts_that_may_have_run_are_bounded() -> None:
     world = World(5)
-    started = world.end(world.arrive(), AttemptKind.CUT, 1)
-    started = world.end(started, AttemptKind.CUT, 2)
-    ended = world.end(started, AttemptKind.CUT, 3)
+    started = world.end(world.arrive(), AttemptOutcome.CUT, 1)
+    started = world.end(started, AttemptOutcome.CUT, 2)
+    ended = world.end(started, AttemptOutcome.CUT, 3)
     assert isinstance(ended, FinishOnline)
     assert isinstance(ended.outcome, Cut)
 
@@ -116,7 +116,7 @@
 def test_a_spent_retry_budget_makes_a_cut_request_wait() -> None:
     world = World(3)
     world.requests._budget._credit["m"] = 0.0
-    assert world.end(world.arrive(), AttemptKind.CUT, 4) is None
+    assert world.end(world.arrive(), AttemptOutcome.CUT, 4) is None
     world.requests._budget._credit["m"] = 1.0
     assert isinstance(world.wait(), StartOnlineAttempt)
 
@@ -125,7 +125,7 @@
     """Without a look at the deadline the daemon's loop woke it again and again, for ever."""
     world = World(3)
     world.requests._budget._credit["m"] = 0.0
-    directive = world.end(world.arrive(), AttemptKind.CUT, 4)
+    directive = world.end(world.arrive(), AttemptOutcome.CUT, 4)
     while directive is None and world.now < DEADLINE_SECONDS + SOON_SECONDS:
         directive = world.wait()
     assert isinstance(directive, FinishOnline)
@@ -135,16 +135,16 @@
 
 def test_without_room_a_cut_request_ends_at_its_deadline() -> None:
     world = World(1)
-    directive = world.end(world.arrive(), AttemptKind.CUT, 4)
+    directive = world.end(world.arrive(), AttemptOutcome.CUT, 4)
     while not isinstance(directive, FinishOnline):
-        directive = world.end(directive, AttemptKind.REFUSED, 4) or world.wait()
+        directive = world.end(directive, AttemptOutcome.REFUSED, 4) or world.wait()
     assert isinstance(directive.outcome, Cut)
     assert world.now >= DEADLINE_SECONDS
 
 
 def test_a_request_that_ran_nowhere_is_refused_at_once() -> None:
     world = World(1)
-    ended = world.end(world.arrive(), AttemptKind.REFUSED)
+    ended = world.end(world.arrive(), AttemptOutcome.REFUSED)
     assert isinstance(ended, FinishOnline)
     assert isinstance(ended.outcome, NotRun)
     assert world.now < START_SECONDS + SOON_SECONDS
--- a/tests/standalone/decisions/test_online_rejections.py
+++ b/tests/standalone/decisions/test_online_rejections.py
@@ -12,7 +12,7 @@
 import pytest
 
 from troutswitch.common import Address
-from troutswitch.outcomes import AttemptKind
+from troutswitch.outcomes import AttemptOutcome
 from troutswitch.standalone.decisions.configuration.keys import ServingPolicy
 from troutswitch.standalone.decisions.effects import Effect, FinishOnline, StartOnlineAttempt
 from troutswitch.standalone.decisions.engines import EngineRegistry
@@ -69,7 +69,7 @@
         return found[0] if found else None
 
     def end(
-        self, now: float, started: StartOnlineAttempt, kind: AttemptKind
+        self, now: float, started: StartOnlineAttempt, kind: AttemptOutcome
     ) -> StartOnlineAttempt | FinishOnline | None:
         """Ends an attempt, and plays on to what follows."""
         event = OnlineAttemptEnded("r", started.attempt_id, kind, 3, "full")
@@ -87,9 +87,9 @@
     arrived = OnlineArrived("r", "t", SERVICE, 10, 10, "", DEADLINE)
     directive = world.directive(world.requests.on_arrived(0.0, arrived))
     assert isinstance(directive, StartOnlineAttempt)
-    directive = world.end(0.1, directive, AttemptKind.CUT)
+    directive = world.end(0.1, directive, AttemptOutcome.CUT)
     now = 0.2
     while isinstance(directive, StartOnlineAttempt) and now < 0.6:
-        directive = world.end(now, directive, AttemptKind.REFUSED)
+        directive = world.end(now, directive, AttemptOutcome.REFUSED)
         now += 0.02
     assert not isinstance(directive, FinishOnline), f"{directive} after {now:.2f} s"
--- a/tests/standalone/proofs/test_promises.py
+++ b/tests/standalone/proofs/test_promises.py
@@ -12,7 +12,7 @@
 import pytest
 
 from tests.standalone.proofs.worlds import run_world
-from troutswitch.outcomes import AttemptKind, NotRun
+from troutswitch.outcomes import AttemptOutcome, NotRun
 from troutswitch.standalone.decisions import online
 from troutswitch.standalone.decisions import online_request as onlinerequest
 from troutswitch.standalone.decisions.batch import claims, owner, ownership, submission
@@ -94,17 +94,17 @@
 
 
 def say_not_run_always(patch: pytest.MonkeyPatch) -> None:
-    def conclude(
+    def failure_outcome(
         attempts: Any, position: Any, reason: str, step: Any, peer: str, after: Any
     ) -> Any:
         return NotRun(reason, step, peer, after)
 
-    patch.setattr(online, "conclude", conclude)
+    patch.setattr(online, "failure_outcome", failure_outcome)
 
 
 def repeat_unrepeatable(patch: pytest.MonkeyPatch) -> None:
     for module in (online, onlinerequest):
-        patch.setattr(module, "RAN_NOTHING", frozenset(AttemptKind))
+        patch.setattr(module, "NOT_EXECUTED_OUTCOMES", frozenset(AttemptOutcome))
 
 
 def skip_claims(patch: pytest.MonkeyPatch) -> None:
--- a/tests/standalone/standins/test_processes.py
+++ b/tests/standalone/standins/test_processes.py
@@ -7,7 +7,7 @@
 
 from tests.standalone.system.fleet import call
 from troutswitch.common import Address
-from troutswitch.outcomes import AttemptKind
+from troutswitch.outcomes import AttemptOutcome
 from troutswitch.standalone.decisions.events import Machine
 from troutswitch.standalone.engines.client import EngineClient, EngineStream, StreamEnded
 from troutswitch.standalone.engines.protocol import CompletionOrder
@@ -94,9 +94,9 @@
 def test_a_dead_engine_is_unreachable_and_a_leaving_one_refuses(engine: EngineStandin) -> None:
     with pytest.raises(StreamEnded) as dead:
         EngineStream(Address("127.0.0.1", 1), 1.0).open(CompletionOrder("a", "p", 1, 0))
-    assert dead.value.kind is AttemptKind.UNREACHABLE
+    assert dead.value.kind is AttemptOutcome.UNREACHABLE
     engine.is_leaving = True
     with pytest.raises(StreamEnded) as refused:
         EngineStream(engine.address, 5.0).open(CompletionOrder("a", "p", 1, 0))
-    assert (refused.value.kind, refused.value.leaving) == (AttemptKind.REFUSED, True)
+    assert (refused.value.kind, refused.value.leaving) == (AttemptOutcome.REFUSED, True)
     assert EngineClient().load(engine.address) is not None
