--- a/tests/worlds/crash_world.py
+++ b/tests/worlds/crash_world.py
@@ -14,7 +14,7 @@
 from tests.worlds.plain_formats import HOST, SERVICE
 from troutswitch.common import Address
 from troutswitch.decisions.crashes.content import content_key
-from troutswitch.decisions.crashes.messages import CheckEngine, EngineChecked, EngineFound
+from troutswitch.decisions.crashes.messages import CheckEngine, EngineChecked, EngineCheckResult
 from troutswitch.decisions.forwarding.messages import (
     AbortAttempt,
     AnswerBegun,
@@ -27,7 +27,7 @@
 from troutswitch.decisions.gateway_interface import GatewayEvent, GatewayInstruction
 from troutswitch.decisions.gateway_messages import ProcessResumed
 from troutswitch.decisions.jobs.messages import ItemRunEnded, RunItem
-from troutswitch.outcomes import AttemptKind, Cut, MayHaveRun, NotRun
+from troutswitch.outcomes import AttemptOutcome, Cut, MayHaveRun, NotRun
 
 ONLINE_PREFIX = "/online/"
 SLOTS = 8
@@ -210,7 +210,9 @@
                 self._finish(instruction)
             case CheckEngine():
                 incarnation = self.incarnations[instruction.engine_id]
-                found = EngineFound.LISTENS if incarnation.is_alive else EngineFound.ENDED
+                found = (
+                    EngineCheckResult.LISTENS if incarnation.is_alive else EngineCheckResult.ENDED
+                )
                 self.step_later(
                     daemon, EngineChecked(incarnation.engine_id, found), CONNECT_SECONDS
                 )
@@ -256,7 +258,7 @@
         held.attempt = send.attempt
         held.incarnation = self.incarnations[send.engine_id]
         key = (send.token, send.attempt)
-        held.incarnation.running[key] = lambda: self._end_attempt(send, AttemptKind.CUT)
+        held.incarnation.running[key] = lambda: self._end_attempt(send, AttemptOutcome.CUT)
         self.after(CONNECT_SECONDS, lambda: self._arrive(daemon, held, send))
 
     def _arrive(self, daemon: Daemon, held: _Try, send: SendRequest) -> None:
@@ -266,11 +268,11 @@
         if not held.incarnation.is_alive and self._has_successor(held.incarnation):
             self.misdirected += 1
             self.step(daemon, AnswerBegun(send.token, send.attempt, None, not_run=True))
-            self._end_attempt(send, AttemptKind.REFUSED)
+            self._end_attempt(send, AttemptOutcome.REFUSED)
         elif not held.incarnation.is_alive:
-            self._end_attempt(send, AttemptKind.UNREACHABLE)
+            self._end_attempt(send, AttemptOutcome.UNREACHABLE)
         elif len(held.incarnation.running) > 2 * SLOTS:
-            self._end_attempt(send, AttemptKind.REFUSED)
+            self._end_attempt(send, AttemptOutcome.REFUSED)
         else:
             self._sight(daemon, held.caller.content)
             self.after(BEGIN_SECONDS, lambda: self._begin(held, send))
@@ -311,10 +313,10 @@
     def _complete(self, held: _Try, send: SendRequest) -> None:
         if self._is_running(held, send):
             held.delivered = EVENTS
-            self._end_attempt(send, AttemptKind.COMPLETED)
+            self._end_attempt(send, AttemptOutcome.COMPLETED)
             self._end_try(send.token, "served", 200)
 
-    def _end_attempt(self, send: SendRequest, kind: AttemptKind) -> None:
+    def _end_attempt(self, send: SendRequest, kind: AttemptOutcome) -> None:
         held = self._tries.get(send.token)
         if held is None or held.attempt != send.attempt:
             return
@@ -360,13 +362,13 @@
         """Has an engine run an item; a marked one ends its engine."""
         incarnation = self.incarnations[run.engine_id]
         if not incarnation.is_alive:
-            ended = ItemRunEnded(run.run, AttemptKind.UNREACHABLE, 0, "refused", ())
+            ended = ItemRunEnded(run.run, AttemptOutcome.UNREACHABLE, 0, "refused", ())
             self.step_later(daemon, ended, CONNECT_SECONDS)
             return
         item = run.item
         content = content_key(run.host, "POST", item.path, item.body)
         self._sight(daemon, content)
-        cut = ItemRunEnded(run.run, AttemptKind.CUT, 200, "connection lost", ())
+        cut = ItemRunEnded(run.run, AttemptOutcome.CUT, 200, "connection lost", ())
         key = (daemon.name, daemon.incarnation, run.run)
         incarnation.running[key] = lambda: self._cut_item(daemon, run, cut)
         if item.item_id in self.marked_items:
--- a/tests/worlds/gateway_world.py
+++ b/tests/worlds/gateway_world.py
@@ -65,7 +65,7 @@
     StoreOutcome,
 )
 from troutswitch.decisions.tenants.types import Tenant
-from troutswitch.outcomes import AttemptKind
+from troutswitch.outcomes import AttemptOutcome
 from troutswitch.standins.keyed_store import KeyedStoreModel
 
 STORE_SECONDS = 0.01
@@ -180,10 +180,10 @@
             name,
             self.zones[number % len(self.zones)],
             Address(f"10.0.1.{number + 1}", 7),
-            drain=2.0,
-            configuration_apply=2.0,
-            member_ttl_least=1.0,
-            job_kept=JOB_KEPT_SECONDS,
+            drain_bound=2.0,
+            apply_bound=2.0,
+            min_member_ttl=1.0,
+            job_retention=JOB_KEPT_SECONDS,
             store_limits=StoreLimits(262_144, 2_097_152, 4),
         )
         rng = random.Random(self.rng.getrandbits(64))
@@ -266,7 +266,7 @@
     def _ask_peer(self, daemon: Daemon, instruction: RequestPeerState) -> None:
         for peer in self.daemons.values():
             if peer.core.identity.peer_address.host == instruction.host and peer.is_alive:
-                state = peer.core.share_state(self.env.now, instruction.version)
+                state = peer.core.state_for_peer(self.env.now, instruction.version)
                 self.step_later(daemon, PeerStateReceived(instruction.host, state), 0.005)
 
     def step_later(self, daemon: Daemon, event: GatewayEvent, seconds: float) -> None:
@@ -353,13 +353,13 @@
         if not daemon.is_alive:
             return
         if run.run in daemon.stopped:
-            ended = ItemRunEnded(run.run, AttemptKind.CUT, 200, "stopped", ())
+            ended = ItemRunEnded(run.run, AttemptOutcome.CUT, 200, "stopped", ())
             self.step(daemon, ended)
             return
         event = OutputEvent(str(number), event_text(run.item.item_id, number))
         self.step(daemon, ItemProgressed(run.run, (event,)))
         if number == EVENTS_AN_ITEM:
-            self.step(daemon, ItemRunEnded(run.run, AttemptKind.COMPLETED, 200, "", ()))
+            self.step(daemon, ItemRunEnded(run.run, AttemptOutcome.COMPLETED, 200, "", ()))
             return
         self.after(interval, lambda: self._make_event(daemon, run, number + 1, interval))
 
