--- a/src/troutswitch/common.py
+++ b/src/troutswitch/common.py
@@ -30,15 +30,15 @@
 
 
 def stable_hash(*parts: str) -> int:
-    """Returns a 64-bit hash that is the same on every machine."""
+    """Returns a 64-bit hash of the parts that is the same on every machine."""
     return xxhash.xxh3_64_intdigest("\x1f".join(parts).encode())
 
 
 def rendezvous_order(key: str, candidates: list[str]) -> list[str]:
-    """Orders candidates by highest-random-weight for a key, best first."""
+    """Returns the candidates ordered by their rendezvous hash with the key, highest first."""
     return sorted(candidates, key=lambda name: (stable_hash(key, name), name), reverse=True)
 
 
 def rendezvous_choice(key: str, candidates: list[str]) -> str | None:
-    """Returns the best candidate for a key, or None if there is none."""
+    """Returns the first of `rendezvous_order`, or None without candidates."""
     return max(candidates, key=lambda name: (stable_hash(key, name), name), default=None)
--- a/src/troutswitch/decisions/active_configuration.py
+++ b/src/troutswitch/decisions/active_configuration.py
@@ -1,10 +1,10 @@
-"""The fleet's configuration in force on this daemon.
+"""The fleet configuration that is active on this daemon.
 
-Owns the follower of the configuration's topic and the stored record of the configuration in
-force, which peers may ask for. Relies on `RouteTable` to hold the configuration itself.
+Owns the follower of the configuration's topic and the stored record of the active configuration,
+which peers may ask for. Relies on `RouteTable` to keep the configuration itself.
 
-A configuration is put in force if its version is higher than that of the one in force, whether it
-was read from the store or sent by a peer. So an older one never replaces a newer one.
+A configuration is activated only if its version is higher than the active one, whether it was read
+from the store or sent by a peer. So an older one never replaces a newer one.
 """
 
 import random
@@ -26,25 +26,25 @@
 
 CONFIGURATION_TOPIC = "configuration"
 CONFIGURATION_WAIT_SHARE = 0.35
-"""Time for which a read waits at the store, as a share of the bound for applying a configuration:
-a lost answer must be noticed, and the read repeated, inside the bound."""
+"""Time for which a read waits at the store, as a share of the bound for applying a configuration.
+It leaves time within the bound to notice a lost answer and to repeat the read."""
 CONFIGURATION_REPEAT_SHARE = 0.3
-"""Time beyond that after which a read without an answer is repeated beside the one in flight, as a
-share of the same bound: while the store is silent a read is sent this often, and the first after
-its return brings what was missed."""
+"""Time beyond that wait after which another read is sent without abandoning the unanswered one, as
+a share of the same bound. During an outage a read is sent at this interval, so that the first one
+after the recovery returns the missed records."""
 CONFIGURATION_PAUSE_SECONDS = 0.1
-"""Least interval between reads."""
+"""Minimum interval between reads."""
 OUTDATED_SECONDS = 0.4
-"""Time for which reads must have failed before an unknown key may be one that was added
-meanwhile: as long as `peers/catch_up.py` waits before it asks a peer."""
+"""Time for which reads must have failed before an unknown key may have been added since the last
+read. `peers/catch_up.py` waits as long before it asks a peer."""
 OUTCOME_LOGGED_CHARACTERS = 200
 
 
 class ActiveConfiguration:
-    """Follows the configuration's topic and puts newer versions in force.
+    """Follows the configuration's topic and activates newer versions.
 
     Args:
-        apply_seconds: bound for an accepted configuration to be in force here.
+        apply_seconds: maximum time until an accepted configuration is active on this daemon.
     """
 
     def __init__(
@@ -57,7 +57,7 @@
         output: InstructionQueue,
     ) -> None:
         self.record: StoredRecord | None = None
-        """The configuration in force as it is stored."""
+        """The stored form of the active configuration."""
         self.follower = PartitionFollower(
             Partition(CONFIGURATION_TOPIC),
             numbers,
@@ -72,34 +72,34 @@
         self._output = output
         self._now = float("-inf")
         self._newest_peer_version_read = -1
-        """The highest version of a peer for which the topic was read again."""
+        """The newest version at a peer for which an extra read was sent."""
 
     def version(self) -> int:
-        """Returns the version in force."""
+        """Returns the version of the active configuration."""
         return self._routes.version
 
     def age(self, now: float) -> float:
-        """Returns the time, in seconds, since no newer version existed as far as known here.
+        """Returns the seconds since the active version was last known to be the newest one.
 
         Safe to call from any thread.
         """
         return now - self._routes.current_at
 
     def set_apply_bound(self, seconds: float) -> None:
-        """Follows a changed bound for applying a configuration."""
+        """Sets the maximum time, in seconds, until an accepted configuration is active."""
         self.follower.wait = CONFIGURATION_WAIT_SHARE * seconds
         self.follower.attempts.repeat_after = CONFIGURATION_REPEAT_SHARE * seconds
 
     def may_be_outdated(self, now: float, newest_peer_version: int) -> bool:
-        """Returns whether a newer configuration may be in force elsewhere."""
+        """Returns whether a newer configuration may be active on other daemons."""
         if newest_peer_version > self._routes.version:
             return True
         return now - self.follower.attempts.failing_since >= OUTDATED_SECONDS
 
     def on_heartbeat(self, now: float, heartbeat: Heartbeat) -> None:
-        """Reads at once if a peer has a newer configuration: a read of it may be lost here.
+        """Reads immediately if a peer has a newer configuration, as an own read may have been lost.
 
-        The read in flight goes on: a slow store may be about to answer it.
+        The read in flight is not abandoned: a slow store may be about to answer it.
         """
         version = heartbeat.configuration_version
         if version <= self._routes.version or version <= self._newest_peer_version_read:
@@ -109,7 +109,7 @@
         self.follower.read_concurrently(now)
 
     def on_answer(self, now: float, call: int, outcome: StoreOutcome) -> None:
-        """Takes the outcome of a read in flight."""
+        """Handles the outcome of a read in flight."""
         self._now = now
         attempts = self.follower.attempts
         failures, failing_since = attempts.failures, attempts.failing_since
@@ -134,7 +134,7 @@
         )
 
     def on_timer(self, now: float) -> list[StoreCall]:
-        """Reads on if it is due; a call that was never answered counts as failed."""
+        """Returns the next read if it is due; a call that was never answered counts as failed."""
         failures = self.follower.attempts.failures
         calls = self.follower.on_timer(now)
         if not failures and self.follower.attempts.failures:
@@ -142,9 +142,10 @@
         return calls
 
     def apply_peer_state(self, now: float, peer: str, state: PeerState) -> None:
-        """Takes what a peer knows of the configuration.
+        """Applies a peer's configuration if it is newer.
 
-        Without a record the peer has none that is newer, which confirms the one in force here.
+        A reply without a record means that the peer has no newer one. This confirms the active
+        configuration as of the time at which the peer last confirmed its own.
         """
         self._now = now
         if state.configuration is not None:
@@ -158,7 +159,7 @@
         self._activate(record, LearntBy.START if is_first else LearntBy.STORE)
 
     def _activate(self, record: KeyedRecord, learnt_by: LearntBy, peer: str = "") -> bool:
-        """Puts a record in force if it is newer; returns whether it could be decoded."""
+        """Activates a record's configuration if it is newer; returns whether it was decodable."""
         try:
             configuration = self._formats.configuration(record.key, record.value)
         except ValueError as error:
--- a/src/troutswitch/decisions/crashes/causes.py
+++ b/src/troutswitch/decisions/crashes/causes.py
@@ -1,25 +1,25 @@
-"""Decides which requests are the cause of engine crashes, and are refused for it.
+"""Decides which requests cause engine crashes and are therefore refused.
 
-Question: engines crashed while requests were on them. Which request is a query of death, and
-which was only beside it?
+Question: engines crashed while they ran requests. Which request is a query of death, and which
+requests only ran on the same engine?
 
 Inputs: for each request, by its content, the engine incarnations that crashed under it and when,
-as known to this daemon from its own attempts, from peers and from the store (all daemons know
-within some 50 ms, within seconds if the store or the network fails). Times are seconds since the
-epoch.
+as known to this daemon from its own attempts, from peers and from the store. All daemons learn of
+a crash within about 50 ms, or within seconds if the store or the network fails. Times are seconds
+since the epoch.
 
-Rule, on requests with at least `CRASHES_TO_REFUSE` crashes:
+Rule, applied to the requests with at least `CRASHES_TO_REFUSE` crashes:
 
-1. One is the cause if no other of these requests was on one of its crashed engines, or if it has
+1. A request is a cause if one of its crashed engines ran no other of these requests, or if it has
    `CONCLUSIVE_CRASHES` crashes. It is refused until `REFUSAL_SECONDS` after its last crash.
-2. Any other is deferred: refused for `MAX_DEFERRAL_SECONDS` after its last crash at most.
+2. Any other is deferred: refused for at most `MAX_DEFERRAL_SECONDS` after its last crash.
 
-Why: everything on an engine is lost with it, so each of its requests gets the crash on record,
-the innocent ones too. These are retried and may meet the cause at their next engine. So three
-crashes are no proof by themselves. Two requests that share all crashes are told apart by the next
-one, which only the cause has; while both are deferred, the cause makes no new crashes.
+Why: a crash is recorded for every request on the engine, including the innocent ones. Those are
+retried and may meet the cause again on their next engine, so three crashes alone are no proof.
+Two requests that share all crashes are told apart by the next crash, which only the cause has.
+While both are deferred, the cause makes no new crashes.
 
-The rule depends on nothing but the crashes, so daemons that know the same crashes refuse the same
+The rule depends on the crashes alone, so daemons that know the same crashes refuse the same
 requests.
 
 Measurements: docs/design/crashes.md.
@@ -30,22 +30,22 @@
 from dataclasses import dataclass, field
 
 CRASHES_TO_REFUSE = 3
-"""Crashes from which a request may be refused: users allow three, and each costs all that ran
-beside."""
+"""Crashes after which a request may be refused: users accept three, and each one also ends every
+other request on the engine."""
 CONCLUSIVE_CRASHES = 5
-"""Crashes after which a request is refused whatever else explains them. Causes that always come
-together would otherwise never be."""
+"""Crashes after which a request is refused even if other requests explain them. Causes that are
+always sent together would otherwise never be refused."""
 REFUSAL_SECONDS = 600.0
-"""Time after its last crash for which a cause is refused. Then one try shows whether engines can
-run it by now; a crash in it refuses the request again at once."""
+"""Time after its last crash for which a cause is refused. One attempt afterwards shows whether
+engines can run it by then; another crash refuses the request again immediately."""
 MAX_DEFERRAL_SECONDS = 10.0
-"""Longest time after its last crash for which a request is deferred: with several causes at once,
-none is found before its fifth crash otherwise."""
+"""Maximum time after its last crash for which a request is deferred. Without deferral, none of
+several simultaneous causes is found before its fifth crash."""
 
 
 @dataclass(slots=True)
 class RequestCrashes:
-    """One request's crashes: when each engine incarnation crashed, in seconds since the epoch."""
+    """When each engine incarnation crashed under one request, in seconds since the epoch."""
 
     crashed_at: dict[str, float] = field(default_factory=dict)
 
@@ -61,7 +61,7 @@
 
 
 def refused_contents(now: float, by_content: Mapping[str, RequestCrashes]) -> frozenset[str]:
-    """Returns the requests that are the cause of crashes, and are refused for it now."""
+    """Returns the contents of the requests that cause crashes and are refused at `now`."""
     engines = {
         content: frozenset(crashes.crashed_at)
         for content, crashes in by_content.items()
@@ -77,7 +77,7 @@
 
 
 def _is_cause(engine_ids: frozenset[str], request_counts: Counter[str]) -> bool:
-    """Returns whether a request alone explains a crash, or has enough crashes."""
+    """Returns whether a request is the only explanation of a crash, or has conclusive crashes."""
     is_needed = any(request_counts[engine_id] == 1 for engine_id in engine_ids)
     return is_needed or len(engine_ids) >= CONCLUSIVE_CRASHES
 
@@ -88,7 +88,7 @@
     refused: frozenset[str],
     deferral_seconds: float,
 ) -> frozenset[str]:
-    """Returns the requests that have as many crashes as causes, which others may explain."""
+    """Returns the contents of the requests whose crashes others may explain; they are deferred."""
     return frozenset(
         content
         for content, crashes in by_content.items()
--- a/src/troutswitch/decisions/crashes/content.py
+++ b/src/troutswitch/decisions/crashes/content.py
@@ -1,13 +1,13 @@
-"""Names a request by its content, so that its tries at any daemon have one name.
+"""Computes a key from a request's content, so that its attempts at all daemons share one key.
 
-Each try has an id of its own, which is no part of the name, nor is the caller's address: what an
-engine makes of a request depends on what it reads.
+The id of an attempt and the caller's address are not part of the key: whether a request crashes an
+engine depends only on what the engine reads.
 """
 
 import hashlib
 
 KEY_BYTES = 8
-"""Bytes of a key: enough that two requests of one day hardly ever share one."""
+"""Length of a key: two requests of one day hardly ever share a key of 8 bytes."""
 
 
 def content_key(host: str, method: str, url: str, body: bytes) -> str:
--- a/src/troutswitch/decisions/crashes/engine_crashes.py
+++ b/src/troutswitch/decisions/crashes/engine_crashes.py
@@ -1,21 +1,21 @@
-"""Decides whether an engine crashed under requests, or only an answer broke off.
+"""Decides whether an engine crashed, or only an answer of it was lost.
 
-Question: answers of an engine were lost. Has its process ended, unplanned?
+Question: answers of an engine were lost. Has its process ended unexpectedly?
 
-Inputs: lost and begun answers on this daemon; the engine list (as old as its last reading); checks
-of the engine's port, which this daemon makes. Times are this process's clock, in seconds.
+Inputs: lost and begun answers on this daemon; the engine list as it was last read; checks of the
+engine's port, which this daemon makes. Times are by this process's clock, in seconds.
 
 Rule, for an engine of which answers were lost:
 
     (lost)   -> PENDING    its port is checked, at most once every `MIN_CHECK_INTERVAL_SECONDS`;
                            it is not checked after mere silence without a lost connection
     PENDING  -> crash      its port refuses connections
-    PENDING  -> crash      its entry left the list without a planned drain
+    PENDING  -> crash      its entry was removed from the list without a planned drain
     PENDING  -> forgotten  it answers an attempt that was sent after the loss
     PENDING  -> forgotten  `PENDING_SECONDS` passed
 
-Why: that a port takes connections proves nothing, as a proxy before a crashed engine does so too.
-An engine that is draining ends as planned, and no request is the cause.
+Why: a port that accepts connections proves nothing, because a proxy in front of a crashed engine
+accepts them too. An engine that is draining ends as planned, so no request is the cause.
 
 Measurements: docs/design/crashes.md.
 """
@@ -32,14 +32,14 @@
 from troutswitch.decisions.forwarding.engines import EngineRegistry
 
 PENDING_SECONDS = 8.0
-"""Time in which the entry of a crashed engine leaves the list: three heartbeats without a write,
-the reading of the list, and a store outage of some seconds."""
+"""Time in which the entry of a crashed engine disappears from the list: three missed heartbeats, a
+read of the list, and a store outage of some seconds."""
 MIN_CHECK_INTERVAL_SECONDS = 0.25
-"""Least time between checks of one engine, for one that breaks off many answers and lives."""
+"""Minimum time between checks of one engine, for a live engine that loses many answers."""
 MAX_PENDING_ENGINES = 1024
-"""Engines that are pending at once; beyond it, none is added."""
+"""Maximum number of pending engines; further ones are ignored."""
 MAX_CONTENTS_PER_ENGINE = 256
-"""Requests that are noted for one engine: more than it runs and queues."""
+"""Maximum number of requests recorded for one engine: more than it runs and queues."""
 
 
 @dataclass(slots=True)
@@ -49,12 +49,12 @@
     contents: dict[str, None] = field(default_factory=dict)
     lost_at: float = float("-inf")
     check_at: float = float("inf")
-    """When the engine's port is to be checked; infinite if it is not."""
+    """When the engine's port is to be checked; infinite if no check is due."""
     checked_at: float = float("-inf")
 
 
 class EngineCrashes:
-    """Engines of which answers were lost lately."""
+    """The engines that recently lost answers, and whether they crashed."""
 
     def __init__(self, engines: EngineRegistry, emit: Callable[[CheckEngine], None]) -> None:
         self._engines = engines
@@ -62,7 +62,11 @@
         self._lost: dict[str, _LostAnswers] = {}
 
     def on_lost(self, now: float, content: str, engine_id: str, is_silent: bool) -> None:
-        """An attempt's answer was lost; `is_silent` if nothing came, not even its end."""
+        """Records that an attempt's answer was lost.
+
+        Args:
+            is_silent: nothing was received, not even the end of the connection.
+        """
         engine = self._engines.engines.get(engine_id)
         if not content or engine is None or engine.is_leaving:
             return
@@ -89,20 +93,20 @@
         self._emit(CheckEngine(engine_id, engine.record.address))
 
     def on_checked(self, event: EngineChecked) -> list[Crash]:
-        """Returns the crashes that a check has shown."""
+        """Returns the crashes that a check of an engine proves."""
         if event.result is not EngineCheckResult.ENDED:
             return []
         lost = self._lost.pop(event.engine_id, _LostAnswers())
         return _crashes(event.engine_id, lost)
 
     def on_answered(self, engine_id: str, sent_at: float) -> None:
-        """An engine answers an attempt; one that was sent after the loss shows that it lives."""
+        """Forgets an engine that answers an attempt sent after the loss, as it is alive."""
         lost = self._lost.get(engine_id)
         if lost is not None and sent_at > lost.lost_at:
             del self._lost[engine_id]
 
     def on_list(self) -> list[Crash]:
-        """Returns the crashes that a new list of engines has shown."""
+        """Returns the crashes that a new list of engines proves."""
         crashes: list[Crash] = []
         for engine_id, lost in list(self._lost.items()):
             engine = self._engines.engines.get(engine_id)
@@ -119,7 +123,7 @@
         return min(due, default=float("inf"))
 
     def on_timer(self, now: float) -> None:
-        """Makes the checks that are due, and forgets what was not shown to be a crash."""
+        """Makes the checks that are due, and forgets engines that were pending for too long."""
         for engine_id, lost in list(self._lost.items()):
             self._check(now, engine_id, lost)
             if now >= lost.lost_at + PENDING_SECONDS:
--- a/src/troutswitch/decisions/crashes/interface.py
+++ b/src/troutswitch/decisions/crashes/interface.py
@@ -1,7 +1,7 @@
-"""What the parts that send requests to engines need to know of crashes, and report for it.
+"""Interface between the code that sends requests to engines and the crash decisions.
 
-`suspects.CrashSuspects` is the implementation. Requests are named by their content
-(`content.content_key`). `now` and `sent_at` are this process's clock, in seconds.
+`suspects.CrashSuspects` implements it. A request is identified by the key of its content
+(`content.content_key`). `now` and `sent_at` are by this process's clock, in seconds.
 """
 
 from typing import Protocol
@@ -10,7 +10,7 @@
 
 
 class Suspects(Protocol):
-    """Requests that were on engines when these crashed."""
+    """Requests that were on engines when the engines crashed."""
 
     @property
     def refused(self) -> frozenset[str]:
@@ -18,36 +18,41 @@
         ...
 
     def refusal(self, now: float, content: str) -> NotRun:
-        """Returns the answer to a request that is refused and has not run in this try."""
+        """Returns the outcome for a refused request that no engine ran in this attempt."""
         ...
 
     def awaits_crash_report(self, content: str) -> bool:
-        """Returns whether a request's next attempt waits until its last engine was checked."""
+        """Returns whether a request's next attempt must wait for the check of its last engine."""
         ...
 
     def may_retry(self, now: float, content: str, pause: float, max_trials: int) -> bool:
-        """Returns whether a refused request may be tried once more.
+        """Returns whether a refused request may be attempted once more.
 
-        Its last crash is then at least `pause` seconds ago, and at most `max_trials` engines
-        crashed under it since it was refused first.
+        Args:
+            pause: minimum time, in seconds, since its last crash.
+            max_trials: maximum number of further engines that such attempts may crash.
         """
         ...
 
     def on_lost(self, now: float, content: str, engine_id: str, *, is_silent: bool = False) -> None:
-        """An attempt's answer was lost; `is_silent` if nothing came, not even its end."""
+        """Records that an attempt's answer was lost.
+
+        Args:
+            is_silent: nothing was received, not even the end of the connection.
+        """
         ...
 
     def on_served(self, now: float, content: str) -> None:
-        """An engine ran a request to its end."""
+        """Records that an engine ran a request to its end."""
         ...
 
     def on_answered(self, now: float, engine_id: str, sent_at: float) -> None:
-        """An engine answers an attempt that was sent at `sent_at`."""
+        """Records that an engine answers an attempt that was sent at `sent_at`."""
         ...
 
 
 class NoSuspects:
-    """Suspects of a daemon that keeps no record of crashes."""
+    """Implementation for a daemon that keeps no record of crashes."""
 
     refused: frozenset[str] = frozenset()
 
--- a/src/troutswitch/decisions/crashes/messages.py
+++ b/src/troutswitch/decisions/crashes/messages.py
@@ -1,4 +1,4 @@
-"""Typed events, instructions and values about engines that crashed under requests."""
+"""Events, instructions and values about engine crashes."""
 
 from dataclasses import dataclass
 from enum import StrEnum
@@ -7,19 +7,19 @@
 
 
 class EngineCheckResult(StrEnum):
-    """What a check found after a connection to an engine was lost."""
+    """Result of a check of an engine's port after an answer of it was lost."""
 
     ENDED = "ended"
     """Its port refuses connections: the process is gone."""
     LISTENS = "listens"
-    """It takes connections, or a proxy does so in its place."""
+    """The engine, or a proxy in front of it, accepts connections."""
     UNKNOWN = "unknown"
-    """No answer came, as from a machine without power or behind a network partition."""
+    """No response, as from a machine without power or behind a network partition."""
 
 
 @dataclass(frozen=True, slots=True)
 class CheckEngine:
-    """Instruction: find out whether an engine still takes connections."""
+    """Instruction: check whether an engine still accepts connections."""
 
     engine_id: str
     address: Address
@@ -35,9 +35,10 @@
 
 @dataclass(frozen=True, slots=True, order=True)
 class Crash:
-    """One engine incarnation that crashed while a request was on it, by the request's content.
+    """One engine incarnation that crashed while it ran a request.
 
-    The request may be the cause, or have been beside the one that is.
+    `content` is the key of the request's content. The request may be the cause, or may only have
+    run on the same engine as the cause.
     """
 
     content: str
--- a/src/troutswitch/decisions/crashes/record.py
+++ b/src/troutswitch/decisions/crashes/record.py
@@ -1,8 +1,8 @@
-"""The crashes that one daemon knows of: which engine incarnations crashed under which requests.
+"""The crashes that one daemon knows: which engine incarnations crashed under which requests.
 
-Owns the crashes by request and by engine, within bounds, and keeps what follows from them by
-`causes`: the requests that are refused and those that are deferred. Adding or removing a crash any
-number of times, in any order of daemons, gives the same record. Times are seconds since the epoch.
+Owns a bounded set of crashes, indexed by request and by engine, and the sets of refused and
+deferred requests that `causes` derives from them. The order and number of reports of a crash make
+no difference. Times are seconds since the epoch.
 """
 
 from collections import OrderedDict, defaultdict
@@ -16,26 +16,26 @@
 from troutswitch.decisions.crashes.messages import Crash
 
 RETENTION_SECONDS = 3600.0
-"""Time for which a crash is remembered: six tries of a request that goes on crashing engines."""
+"""Time for which a crash is kept: six attempts of a request that keeps crashing engines."""
 MAX_CONTENTS = 4096
-"""Requests on record: as many as run on a fleet of 300 engines, if all crash at once."""
+"""Maximum number of requests on record: those of a fleet of 300 engines that all crash at once."""
 MAX_CRASHES_PER_CONTENT = 12
-"""Crashes on one request's record, the newest: far more than refuse it."""
+"""Newest crashes kept for one request: far more than are needed to refuse it."""
 
 
 class CrashRecord:
-    """All crashes that a daemon knows of, its own and those that others reported.
+    """All crashes that a daemon knows, its own and reported ones.
 
-    When it is full, requests with one crash are forgotten first, the oldest of them first.
+    When the record is full, it evicts the oldest request with a single crash first.
     """
 
     def __init__(self, deferral_seconds: float) -> None:
         self.deferral_seconds = deferral_seconds
-        """Time after its last crash for which this daemon defers a request."""
+        """Time after its last crash for which this daemon defers a request, in seconds."""
         self.refused: frozenset[str] = frozenset()
-        """Contents of the requests that are the cause of crashes."""
+        """Contents of the requests that cause crashes."""
         self.deferred: frozenset[str] = frozenset()
-        """Contents of requests with as many crashes that others explain."""
+        """Contents of the requests whose crashes other requests may explain."""
         self._crashed_once: OrderedDict[str, RequestCrashes] = OrderedDict()
         self._crashed_repeatedly: OrderedDict[str, RequestCrashes] = OrderedDict()
         self._contents_by_engine: defaultdict[str, set[str]] = defaultdict(set)
@@ -72,11 +72,11 @@
 
     @staticmethod
     def is_expired(now: float, at: float) -> bool:
-        """Returns whether a crash is too old to count."""
+        """Returns whether a crash at the time `at` is too old to count."""
         return at <= now - RETENTION_SECONDS
 
     def add(self, now: float, crash: Crash, at: float) -> bool:
-        """Takes a crash in; returns whether it was unknown and counts."""
+        """Adds a crash; returns whether it was unknown and is not expired."""
         at = min(at, now)
         crashes = self._find(crash.content) or RequestCrashes()
         is_known = crash.engine_id in crashes.crashed_at
@@ -108,7 +108,7 @@
             del self._contents_by_engine[crash.engine_id]
 
     def _reinsert(self, content: str, crashes: RequestCrashes) -> None:
-        """Files a request anew by how many crashes it has, as the newest."""
+        """Moves a request to the newest place of the index for its number of crashes."""
         self._crashed_once.pop(content, None)
         self._crashed_repeatedly.pop(content, None)
         if len(crashes.crashed_at) > 1:
@@ -117,7 +117,7 @@
             self._crashed_once[content] = crashes
 
     def _enforce_bounds(self, content: str, crashes: RequestCrashes) -> None:
-        """Forgets the oldest crashes of a request, and the oldest requests, beyond the bounds."""
+        """Evicts a request's oldest crashes, and the oldest requests, beyond the bounds."""
         crashed_at = crashes.crashed_at
         while len(crashed_at) > MAX_CRASHES_PER_CONTENT:
             oldest = min(crashed_at, key=lambda engine_id: crashed_at[engine_id])
@@ -131,7 +131,7 @@
                 self._unlink(Crash(forgotten, engine_id))
 
     def expire(self, now: float) -> list[Crash]:
-        """Forgets crashes that are too old, and returns them; ends refusals that are over."""
+        """Removes and returns the expired crashes, and ends expired refusals."""
         expired = [
             Crash(content, engine_id)
             for by_content in (self._crashed_once, self._crashed_repeatedly)
@@ -145,12 +145,12 @@
         return expired
 
     def next_deferral_end(self) -> float:
-        """Returns when the first of the deferred requests is free again."""
+        """Returns when the first deferral ends; infinite without one."""
         ends = (self.last_crash_at(content) + self.deferral_seconds for content in self.deferred)
         return min(ends, default=float("inf"))
 
     def _on_changed(self, now: float, crashes: int) -> None:
-        """Judges anew, if a request with so many crashes can matter to what is refused."""
+        """Updates the refusals if a request with this number of crashes can affect them."""
         if crashes >= CRASHES_TO_REFUSE:
             self._update_refusals(now)
 
--- a/src/troutswitch/decisions/crashes/shared.py
+++ b/src/troutswitch/decisions/crashes/shared.py
@@ -1,12 +1,13 @@
-"""Shares crashes with all daemons: through the store, and from peer to peer.
+"""Shares crashes with all daemons, through the store and by gossip between peers.
 
-The store reaches daemons that no peer reaches, keeps crashes over restarts, and joins reports of
-one crash by its key. Peers reach daemons while the store is unreachable. A crash is written by the
-daemon that saw it, and reported on once by each daemon that learns of it from a peer.
+The store reaches daemons that no peer reaches, keeps crashes across restarts, and deduplicates
+reports of one crash by its key. Peers reach daemons while the store is unreachable. The daemon that
+detects a crash writes it to the store, and each daemon that learns of it from a peer forwards the
+report once.
 
-Owns what waits to be written and to be reported, and the crashes that were retracted lately.
-Relies on `storage.follower` for reading. Times are this process's clock, in seconds, but for the
-time of a crash (`at`), which is in seconds since the epoch.
+Owns the pending writes and reports, and the crashes that were recently retracted. Relies on
+`storage.follower` for reading. Times are by this process's clock, in seconds, except the time of a
+crash (`at`), which is in seconds since the epoch.
 """
 
 import random
@@ -32,40 +33,41 @@
 
 CRASHES_TOPIC = "crashes"
 READ_WAIT_SECONDS = 5.0
-"""Time for which a read waits at the store while no crash is on record. A new record ends it."""
+"""Time for which a read waits at the store for a new record while no crash is on record."""
 ALERT_READ_WAIT_SECONDS = 1.0
-"""The same while crashes are on record: a lost answer must be noticed, and the read be made again,
-well inside the three seconds in which all daemons must know."""
+"""The same while crashes are on record. All daemons must learn of a crash within three seconds, and
+this leaves time to notice a lost answer and to repeat the read."""
 MIN_READ_INTERVAL_SECONDS = 0.05
-"""Least time between reads: about so long takes the writing of one engine's crashes."""
+"""Minimum time between reads: about the time in which one engine's crashes are written."""
 WRITE_DELAY_SECONDS = 0.02
-"""Time in which crashes are gathered for one write."""
+"""Time for which crashes are collected into one write."""
 WRITE_RETRY_PAUSE_SECONDS = 0.5
 WRITE_EXPIRY_SECONDS = 4.0
-"""Time after which a write without any outcome is made again."""
+"""Time after which a write without an outcome is repeated."""
 MAX_RECORDS_PER_WRITE = 64
 MAX_PENDING_RECORDS = 2048
-"""Crashes that wait to be written; beyond it the oldest are left to other daemons that saw them."""
+"""Maximum number of crashes to be written; the oldest beyond it are left to other daemons."""
 PEERS_NOTIFIED = 8
-"""Daemons that get one report. Where each that learns of a crash reports it on once, to so many,
-hardly any misses it."""
+"""Daemons that one report is sent to. As each daemon that learns of a crash forwards it to this
+many, hardly any daemon misses it."""
 MAX_CRASHES_PER_REPORT = 20
-"""Crashes in one report, which then fits into one packet (some 50 bytes each)."""
+"""Maximum number of crashes in one report, at about 50 bytes each: it fits into one packet."""
 MIN_REPORT_INTERVAL_SECONDS = 0.01
-"""Least time between reports."""
+"""Minimum time between reports."""
 MAX_PENDING_REPORTS = 1024
-"""Crashes that wait to be reported; beyond it the oldest are left to the store."""
+"""Maximum number of crashes to be reported; the oldest beyond it are left to the store."""
 MAX_RETRACTED = 4096
-"""Crashes that are remembered as retracted, so that a late report doesn't bring them again."""
+"""Maximum number of crashes remembered as retracted, so that a late report does not add them."""
 
 
 class SharedCrashes:
-    """Writes, reads and reports crashes; calls `apply` for those that others report.
+    """Writes, reads and reports crashes, and calls `apply` for those that others report.
 
     Args:
         peers: returns the addresses of other daemons.
-        take: called with a crash, its time, and whether it stands (False: it was retracted);
-            returns whether that was not known yet.
+        apply: called with the present time, a crash, its time, and whether it is valid (False if
+            it was retracted); returns whether that was unknown.
+        log: writes a log line: its event, and its fields by name.
     """
 
     def __init__(
@@ -100,18 +102,19 @@
         self._reported_at = float("-inf")
         self._retracted: OrderedDict[Crash, None] = OrderedDict()
 
-    # What this daemon saw.
+    # Crashes that this daemon detected.
 
-    def publish(self, now: float, crash: Crash, at: float, stands: bool) -> None:
-        """Makes a crash known to all daemons, or that it is retracted."""
-        self._enqueue_write(now, crash, cbor2.dumps([int(at)]) if stands else b"")
-        self._enqueue_report(crash, at, stands)
+    def publish(self, now: float, crash: Crash, at: float, is_valid: bool) -> None:
+        """Announces a crash to all daemons; if it is not valid, announces its retraction."""
+        self._enqueue_write(now, crash, cbor2.dumps([int(at)]) if is_valid else b"")
+        self._enqueue_report(crash, at, is_valid)
 
     def forget(self, now: float, crash: Crash) -> None:
-        """Removes a crash that is too old from the store.
+        """Removes an expired crash from the store.
 
-        All daemons find it too old at about the same time, so one of them is drawn by chance; a
-        crash that none removes is drawn for again by each daemon that starts.
+        A crash expires on all daemons at about the same time, so each removes it with a
+        probability of one divided by the number of daemons. If none does, each daemon that starts
+        and reads the record tries again.
         """
         if self._rng.random() * (1 + len(self._peers())) < 1:
             self._enqueue_write(now, crash, b"")
@@ -123,24 +126,26 @@
         if not self._write_call:
             self._write_at = min(self._write_at, now + WRITE_DELAY_SECONDS)
 
-    def _enqueue_report(self, crash: Crash, at: float, stands: bool) -> None:
-        self._remember_if_retracted(crash, stands)
-        self._pending_reports.append(ReportedCrash(crash.content, crash.engine_id, int(at), stands))
+    def _enqueue_report(self, crash: Crash, at: float, is_valid: bool) -> None:
+        self._remember_if_retracted(crash, is_valid)
+        self._pending_reports.append(
+            ReportedCrash(crash.content, crash.engine_id, int(at), is_valid)
+        )
         if len(self._pending_reports) > MAX_PENDING_REPORTS:
             self._pending_reports.popleft()
 
-    def _remember_if_retracted(self, crash: Crash, stands: bool) -> None:
-        if stands:
+    def _remember_if_retracted(self, crash: Crash, is_valid: bool) -> None:
+        if is_valid:
             self._retracted.pop(crash, None)
             return
         self._retracted[crash] = None
         if len(self._retracted) > MAX_RETRACTED:
             self._retracted.popitem(last=False)
 
-    # What others saw.
+    # Crashes that other daemons reported.
 
     def on_report(self, now: float, report: CrashReport) -> None:
-        """Takes a peer's report, and reports on what was not known yet."""
+        """Applies a peer's report, and forwards what was unknown."""
         for reported in report.crashes:
             crash = Crash(reported.content, reported.engine_id)
             if reported.is_valid and crash in self._retracted:
@@ -160,11 +165,11 @@
     # The store.
 
     def owns(self, call: int) -> bool:
-        """Returns whether a store's answer belongs here."""
+        """Returns whether a store call was made here."""
         return self.follower.owns(call) or call == self._write_call != 0
 
     def on_store(self, now: float, call: int, outcome: StoreOutcome) -> None:
-        """Takes a store's answer."""
+        """Handles the outcome of a store call."""
         self._now = now
         if call != self._write_call:
             self.follower.on_answer(now, call, outcome)
@@ -185,7 +190,11 @@
         return min(self.follower.next_due(), self._write_at, report_at)
 
     def on_timer(self, now: float, is_alert: bool) -> list[StoreCall | SendToPeers]:
-        """Returns the calls and messages that are due; `is_alert` if crashes are on record."""
+        """Returns the calls and messages that are due.
+
+        Args:
+            is_alert: whether crashes are on record; reads then wait at the store for less time.
+        """
         self._now = now
         self.follower.wait = ALERT_READ_WAIT_SECONDS if is_alert else READ_WAIT_SECONDS
         due: list[StoreCall | SendToPeers] = list(self.follower.on_timer(now))
@@ -196,7 +205,7 @@
         return due
 
     def _write(self, now: float) -> StoreCall:
-        """Writes what waits; what was not confirmed is written again, which changes nothing."""
+        """Writes pending records; unconfirmed ones are written again, as a repeat does no harm."""
         if not self._in_flight:
             count = min(MAX_RECORDS_PER_WRITE, len(self._pending_writes))
             self._in_flight = tuple(self._pending_writes.popleft() for _ in range(count))
--- a/src/troutswitch/decisions/crashes/suspects.py
+++ b/src/troutswitch/decisions/crashes/suspects.py
@@ -1,17 +1,17 @@
-"""What this daemon knows of requests under which engines crashed, and what it answers them.
+"""Refuses requests under which engines crashed.
 
-Joins the parts: `engine_crashes` (did an engine crash), `record` and `causes` (which request is
-the cause), `shared` (all daemons know). Owns the set of refused contents, which `forwarding` and
-`jobs` obey, and the log lines about it.
+Combines `engine_crashes` (whether an engine crashed), `record` and `causes` (which request is the
+cause) and `shared` (announces crashes to all daemons). Owns the set of refused contents, which
+`forwarding` and `jobs` obey, and the log lines about it.
 
 A refused request is answered 503 with a time to retry while it is deferred, and until
 `RETRACTION_WINDOW_SECONDS` after its last crash, because other daemons may still report evidence
 that clears it. After that it is answered 400, which a well-behaved client does not retry.
 
-What clears a request: an engine ran it to its end; or the engine that crashed under it answers a
-request that was sent after the crash was reported.
+A request is cleared when an engine runs it to its end. A crash is retracted when the engine answers
+a request that was sent after the crash was reported.
 
-`now` is this process's clock, in seconds; with `clock_offset` it gives the time of day.
+`now` is by this process's clock, in seconds; `now + clock_offset` is the time of day.
 """
 
 import random
@@ -31,34 +31,34 @@
 from troutswitch.outcomes import NotRun, Step
 
 CRASHES_TO_AWAIT_REPORT = 2
-"""Crashes from which a request's next attempt waits until it is known whether its last engine
-crashed: a retry is sent sooner than that is known."""
+"""Crashes after which a request's next attempt waits until its last engine was checked. Without it,
+a retry would be sent before a crash is detected."""
 RETRACTION_WINDOW_SECONDS = 1.0
-"""Time after the last crash in which a refused caller is to retry, as other daemons may still
-report what clears it."""
+"""Time after the last crash for which a refused caller is told to retry, because other daemons may
+still report evidence that clears the request."""
 MIN_DEFERRAL_SHARE = 0.5
-"""Least time for which a daemon defers a request, in `MAX_DEFERRAL_SECONDS`; each has its own time.
-Guards against all daemons freeing a cause at once, whose callers would send it several times
-before its next crash is known."""
+"""Minimum time for which a daemon defers a request, as a share of `MAX_DEFERRAL_SECONDS`. Each
+daemon has its own time: if all admitted a cause at the same moment, its callers would send it to
+several engines before its next crash is known."""
 DEFERRAL_SALT = "held"
-"""Salt of the hash of names; another one would give daemons other times."""
+"""Salt of the hash of daemon names; a change would change the deferral times."""
 EXPIRY_CHECK_INTERVAL_SECONDS = 5.0
-"""Interval of checks for crashes that are too old to count."""
+"""Interval between checks for expired crashes."""
 MAX_CRASHED_ENGINES = 4096
-"""Engine incarnations that are remembered as crashed."""
+"""Maximum number of engine incarnations remembered as crashed."""
 MAX_LOGGED_CONTENTS = 24
-"""Requests that one log line names: two engines' slots."""
+"""Maximum number of requests in one log line: as many as two engines have slots."""
 NON_RETRYABLE_STATUS = 400
-"""Status after which a well-made client doesn't retry."""
+"""HTTP status after which a well-behaved client does not retry."""
 
 CrashInstruction = CheckEngine | StoreCall | SendToPeers
 
 
 class CrashSuspects:
-    """Requests that were on engines when these crashed.
+    """Requests that were on engines when the engines crashed.
 
-    What is decided here holds for the fleet: daemons that know the same crashes refuse the same
-    requests, in whichever order they learnt of them.
+    Daemons that know the same crashes find the same causes, in whichever order they learnt of the
+    crashes. Only the time for which a request is deferred differs between daemons.
 
     Args:
         peers: returns the addresses of other daemons.
@@ -79,7 +79,7 @@
         self.clock_offset = 0.0
         """How far the time of day is ahead of this process's clock, in seconds."""
         self.changes = 0
-        """Changes of what is refused."""
+        """Number of times that the set of refused contents changed."""
         self._emit = emit
         self._log = log
         self._engine_crashes = EngineCrashes(engines, emit)
@@ -94,25 +94,25 @@
 
     @property
     def refused(self) -> frozenset[str]:
-        """The contents of the requests that are refused, deferred ones among them."""
+        """The contents of the requests that are refused, including deferred ones."""
         return self._refused
 
     @property
     def count(self) -> int:
-        """The requests on record."""
+        """Number of requests on record."""
         return len(self._record)
 
     def awaits_crash_report(self, content: str) -> bool:
-        """Returns whether a request's next attempt waits until its last engine was checked."""
+        """Returns whether a request's next attempt must wait for the check of its last engine."""
         return self._record.crash_count(content) >= CRASHES_TO_AWAIT_REPORT
 
     def may_retry(self, now: float, content: str, pause: float, max_trials: int) -> bool:
-        """Returns whether a refused request may be tried once more; see `Suspects`."""
+        """Returns whether a refused request may be attempted once more; see `Suspects`."""
         is_quiet = now + self.clock_offset >= self._record.last_crash_at(content) + pause
         return is_quiet and self._record.crash_count(content) < CRASHES_TO_REFUSE + max_trials
 
     def refusal(self, now: float, content: str) -> NotRun:
-        """Returns the answer to a request that is refused and has not run in this try."""
+        """Returns the outcome for a refused request that no engine ran in this attempt."""
         time_of_day = now + self.clock_offset
         last_crash_at = self._record.last_crash_at(content)
         reason = f"{self._record.crash_count(content)} servers ended under this request"
@@ -124,14 +124,14 @@
             return NotRun(reason, Step.ADMIT, "", RETRACTION_WINDOW_SECONDS)
         return NotRun(reason, Step.ADMIT, "", None, NON_RETRYABLE_STATUS)
 
-    # What happens to requests.
+    # Evidence from requests and the engine list.
 
     def on_lost(self, now: float, content: str, engine_id: str, *, is_silent: bool = False) -> None:
-        """An attempt's answer was lost; `is_silent` if nothing came, not even its end."""
+        """Records that an attempt's answer was lost; see `Suspects`."""
         self._engine_crashes.on_lost(now, content, engine_id, is_silent)
 
     def on_checked(self, now: float, event: EngineChecked) -> None:
-        """An engine was checked after an answer of it was lost."""
+        """Handles the result of the check of an engine whose answer was lost."""
         crashes = self._engine_crashes.on_checked(event)
         self._log(
             "engine checked",
@@ -142,7 +142,7 @@
         self._on_crashes(now, crashes)
 
     def on_list(self, now: float) -> None:
-        """A new list of engines was taken in."""
+        """Handles a new list of engines."""
         crashes = self._engine_crashes.on_list()
         for crash in crashes:
             self._log("silent engine gone", engine=crash.engine_id, contents=[crash.content])
@@ -155,15 +155,15 @@
                 self._shared.publish(now, crash, at, True)
 
     def on_served(self, now: float, content: str) -> None:
-        """An engine ran the request to its end: it was beside the cause of its crashes."""
+        """Clears a request that an engine ran to its end: it did not cause its crashes."""
         if self._record.crash_count(content):
             self._retract(now, self._record.crashes_of_content(content), "served")
 
     def on_answered(self, now: float, engine_id: str, sent_at: float) -> None:
-        """An engine answers an attempt; one sent after its crash was known shows that it lives.
+        """Retracts an engine's crash if the engine answers an attempt sent after it was known.
 
-        Guards against a daemon whose connections are refused or reset by the network: it takes
-        all its engines for crashed, under all its requests.
+        Guards against a daemon whose connections the network refuses or resets: it considers all
+        its engines crashed, under all its requests.
         """
         self._engine_crashes.on_answered(engine_id, sent_at)
         if sent_at > self._crashed_at.get(engine_id, float("inf")):
@@ -179,10 +179,10 @@
             self._apply(now, crash, 0.0, False)
             self._shared.publish(now, crash, 0.0, False)
 
-    def _apply(self, now: float, crash: Crash, at: float, stands: bool) -> bool:
-        """Takes a crash in, or a retracted one out; returns whether that was not known yet."""
+    def _apply(self, now: float, crash: Crash, at: float, is_valid: bool) -> bool:
+        """Adds a crash, or removes a retracted one; returns whether the record changed."""
         time_of_day = now + self.clock_offset
-        if not stands:
+        if not is_valid:
             was_unknown = self._record.remove(time_of_day, crash)
         elif self._record.is_expired(time_of_day, at):
             self._shared.forget(now, crash)
@@ -216,23 +216,23 @@
     # Peers and the store.
 
     def on_report(self, now: float, report: CrashReport) -> None:
-        """Takes a peer's report of crashes."""
+        """Applies a peer's report of crashes."""
         self._shared.on_report(now, report)
 
     def owns(self, call: int) -> bool:
-        """Returns whether a store's answer belongs here."""
+        """Returns whether a store call was made here."""
         return self._shared.owns(call)
 
     def on_store(self, now: float, call: int, outcome: StoreOutcome) -> None:
-        """Takes a store's answer."""
+        """Handles the outcome of a store call."""
         self._shared.on_store(now, call, outcome)
 
     def read_again(self, now: float) -> None:
-        """Reads what others wrote while this process was suspended."""
+        """Reads again, as others may have written while this process was suspended."""
         self._shared.follower.read_again(now)
 
     def set_min_interval(self, seconds: float) -> None:
-        """Sets the least time between reads of the store, in seconds, for a large fleet."""
+        """Sets the minimum time between reads of the store, in seconds, for a large fleet."""
         self._shared.follower.min_interval = seconds
 
     # Timers.
@@ -242,14 +242,14 @@
         return min(self._engine_crashes.next_due(), self._shared.next_due(), self._expiry_due())
 
     def _expiry_due(self) -> float:
-        """Returns when crashes are to be checked for their age, or a deferred request is free."""
+        """Returns when expired crashes are next removed, or the next deferral ends."""
         check_at = (
             self._expiry_checked_at + EXPIRY_CHECK_INTERVAL_SECONDS if self.count else float("inf")
         )
         return min(check_at, self._record.next_deferral_end() - self.clock_offset)
 
     def on_timer(self, now: float) -> None:
-        """Forgets what is over, and emits the calls and reports that are due."""
+        """Removes expired crashes, and emits the calls and reports that are due."""
         self._engine_crashes.on_timer(now)
         if self.count and now >= self._expiry_due():
             self._expire(now)
@@ -264,11 +264,11 @@
 
 
 def _deferral_seconds(name: str) -> float:
-    """Returns for how long a daemon defers requests: a time of its own, by its name."""
+    """Returns for how long a daemon defers requests, derived from its name."""
     share = (stable_hash(DEFERRAL_SALT, name) % 1000) / 1000
     return MAX_DEFERRAL_SECONDS * (MIN_DEFERRAL_SHARE + share * (1.0 - MIN_DEFERRAL_SHARE))
 
 
 def _contents_of(crashes: list[Crash]) -> list[str]:
-    """Returns the contents for a log line, as many as it may name."""
+    """Returns the contents to be logged, at most `MAX_LOGGED_CONTENTS`."""
     return [crash.content for crash in crashes[:MAX_LOGGED_CONTENTS]]
--- a/src/troutswitch/decisions/engine_membership.py
+++ b/src/troutswitch/decisions/engine_membership.py
@@ -1,8 +1,8 @@
-"""Which engines this daemon knows: the list in the store, peers' lists and drain notices.
+"""Updates the known engines from the list in the store, peers' lists and drain notices.
 
-Owns the newest list as it was read, which peers may ask for. Relies on `EngineListReader` for the
-reads, on `EngineRegistry` to decide which engines are used, and passes what a list shows to the
-crash suspects and the drain notices.
+Owns the newest list in its stored form, which peers may ask for. Relies on `EngineListReader` for
+the reads and on `EngineRegistry` to decide which engines are used. Passes the changes that a list
+shows to the crash suspects and the drain notices.
 """
 
 from troutswitch.daemons.messages import EngineDrainNotice
@@ -18,13 +18,13 @@
 from troutswitch.decisions.storage.messages import KeyedRecord, StoreCall, StoreOutcome
 
 ENGINE_LIST_SHARE = 0.3
-"""Interval between readings of the engine list, as a share of the bound for draining: at least two
-readings fall inside the bound."""
+"""Interval between reads of the engine list, as a share of the bound for draining: at least two
+reads fall within the bound."""
 OUTCOME_LOGGED_CHARACTERS = 200
 
 
 class EngineMembership:
-    """Takes lists of engines and drain notices into the registry."""
+    """Applies lists of engines and drain notices to the engine registry."""
 
     def __init__(
         self,
@@ -37,8 +37,8 @@
     ) -> None:
         self.reader = reader
         self.newest_list: tuple[tuple[StoredRecord, ...], float] | None = None
-        """The newest list as it is stored, and when it was read by this process's clock. One
-        value, as other threads read it."""
+        """The newest list in its stored form, and when it was read, by this process's clock. They
+        are one value because other threads read them."""
         self._engines = engines
         self._formats = formats
         self._suspects = suspects
@@ -46,13 +46,13 @@
         self._output = output
 
     def set_drain_bound(self, seconds: float) -> None:
-        """Follows a changed bound for draining."""
+        """Sets the maximum time, in seconds, until a draining engine gets no more requests."""
         self.reader.interval = ENGINE_LIST_SHARE * seconds
 
     # The list in the store.
 
     def on_timer(self, now: float) -> list[StoreCall]:
-        """Reads the list if it is due; a call that was never answered counts as failed."""
+        """Returns a read of the list if it is due; a call never answered counts as failed."""
         failures = self.reader.attempts.failures
         calls = self.reader.on_timer(now)
         if self.reader.attempts.failures > failures:
@@ -60,11 +60,11 @@
         return calls
 
     def on_answer(self, now: float, call: int, outcome: StoreOutcome) -> None:
-        """Takes the outcome of a read in flight."""
+        """Handles the outcome of a read in flight."""
         had_failed = bool(self.reader.attempts.failures)
         rows = self.reader.on_answer(now, call, outcome)
         if had_failed or self.reader.attempts.failures:
-            self._engines.on_list_failed(now)  # it was away for this daemon until now
+            self._engines.on_list_failed(now)  # the list was unreadable until now
             if self.reader.attempts.failures == 1:
                 reason = str(outcome)[:OUTCOME_LOGGED_CHARACTERS]
                 self._output.log("engine list read failed", outcome=reason)
@@ -74,20 +74,20 @@
     # Peers.
 
     def on_drain_notice(self, now: float, notice: EngineDrainNotice) -> None:
-        """Takes a peer's notice of engines that drain or left the list."""
-        draining, left = self._drain_notices.on_notice(now, notice)
+        """Applies a peer's notice of engines that drain or were removed from the list."""
+        draining, removed = self._drain_notices.on_notice(now, notice)
         for engine_id in draining:
             self._engines.mark_draining(engine_id)
-        self._engines.on_drain_notice(now, left)
-        if draining or left:
+        self._engines.on_drain_notice(now, removed)
+        if draining or removed:
             self._output.log(
-                "drain notice received", peer=notice.sender, draining=draining, left=left
+                "drain notice received", peer=notice.sender, draining=draining, left=removed
             )
 
     def apply_peer_list(
         self, now: float, peer: str, records: tuple[StoredRecord, ...], age: float
     ) -> None:
-        """Takes a list that a peer read `age` seconds ago, if it is newer than the one here."""
+        """Applies a list that a peer read `age` seconds ago if it is newer than the known one."""
         read_at = now - age
         if read_at <= self._engines.listed_at:
             return
@@ -96,32 +96,32 @@
         rows = [KeyedRecord(record.key, record.value) for record in records]
         self._apply_list(now, read_at, rows, peer)
 
-    # Any list.
+    # Lists from either source.
 
     def _apply_list(
         self, now: float, read_at: float, rows: list[KeyedRecord], peer: str = ""
     ) -> None:
-        """Takes a list that was read here, or by a peer."""
+        """Applies a list that this daemon, or `peer`, read at `read_at`."""
         self.newest_list = (tuple(StoredRecord(row.key, row.value) for row in rows), read_at)
         records, unusable = self._decode(rows)
         self._engines.unusable_entries = unusable
         kept_before = self._engines.kept_missing
-        came, left = self._engines.on_list(read_at, records)
+        added, removed = self._engines.on_list(read_at, records)
         self._suspects.on_list(now)
-        self._drain_notices.on_listed_again(came)
+        self._drain_notices.on_listed_again(added)
         draining = [record.engine_id for record in records if record.is_draining]
-        self._drain_notices.on_list_read(now, draining, left)
+        self._drain_notices.on_list_read(now, draining, removed)
         if self._engines.kept_missing != kept_before:
             self._log_missing_kept(read_at, peer)
-        if came or left:
-            self._log_change(came, left, len(records), peer)
-        if left:
-            self._output.emit(EnginesRemoved(tuple(left)))
+        if added or removed:
+            self._log_change(added, removed, len(records), peer)
+        if removed:
+            self._output.emit(EnginesRemoved(tuple(removed)))
 
     def _decode(self, rows: list[KeyedRecord]) -> tuple[list[EngineRecord], dict[str, str]]:
-        """Returns the entries of engines, and why each other entry names none.
+        """Returns the usable engine records, and why each other entry is unusable, by key.
 
-        An entry is logged when it, or what is wrong with it, is new.
+        An unusable entry is logged when it appears and whenever its reason changes.
         """
         records: list[EngineRecord] = []
         unusable: dict[str, str] = {}
@@ -143,11 +143,11 @@
             peer=peer,
         )
 
-    def _log_change(self, came: list[str], left: list[str], listed: int, peer: str) -> None:
+    def _log_change(self, added: list[str], removed: list[str], listed: int, peer: str) -> None:
         self._output.log(
             "engines changed",
-            came=came,
-            left=left,
+            came=added,
+            left=removed,
             listed=listed,
             slots=self._engines.slots_in_use(),
             peer=peer,
--- a/src/troutswitch/decisions/gateway.py
+++ b/src/troutswitch/decisions/gateway.py
@@ -1,8 +1,8 @@
-"""The gateway daemon's decisions in one place: events in, instructions out.
+"""The gateway daemon's decision core: takes events and returns instructions.
 
-`GatewayCore` passes each event to the part that it concerns, and lets all parts do
-what is due. It owns no decision itself, and no clock, socket or thread: the caller gives the time,
-in seconds of the process's clock, and carries the instructions out.
+`GatewayCore` passes each event to the part that handles it, and then runs all parts' due timers. It
+makes no decision itself and has no clock, socket or thread: the caller passes the time, in seconds
+of the process's clock, and executes the instructions.
 """
 
 import random
@@ -56,8 +56,8 @@
 
     Args:
         formats: decodes what operators and engines write to the store.
-        rng: the source of all random draws.
-        policies: the policies in force; None stands for the defaults.
+        rng: the source of all randomness.
+        policies: the policies to use; None uses the defaults.
     """
 
     def __init__(
@@ -72,11 +72,11 @@
         self._now = float("-inf")
         self._suspects_changes = 0
 
-    # What other threads may ask.
+    # Queries, which other threads may make.
 
     @property
     def is_ready(self) -> bool:
-        """Whether new connections may come: there is a configuration and an engine."""
+        """Whether the daemon is not draining and knows a configuration and an engine."""
         known = self.routes.configuration is not None and bool(self.engines.engines)
         return known and not self.is_draining
 
@@ -85,13 +85,13 @@
         return self._now - self.engines.listed_at
 
     def state_for_peer(self, now: float, version: int) -> PeerState:
-        """Returns the state for a peer that has a version of the configuration."""
+        """Returns this daemon's state for a peer whose configuration has the given version."""
         return self._peer_state.state_for_peer(now, version)
 
     # Events.
 
     def step(self, now: float, event: GatewayEvent) -> list[GatewayInstruction]:
-        """Takes one event, does what is due, and returns what is to be carried out, in order."""
+        """Handles one event, runs due timers, and returns the resulting instructions in order."""
         self._now = now
         self.output.take()
         self._on_event(now, event)
@@ -177,9 +177,9 @@
         )
 
     def _on_process_resumed(self, now: float, event: ProcessResumed) -> None:
-        """Reads again what others changed meanwhile; reads in flight began before the pause.
+        """Reads again what others may have changed, as reads in flight began before the pause.
 
-        Requests and leases whose time is over end in this same step, before any queued event.
+        Expired requests and leases end in this same step, before any queued event is handled.
         """
         self._log(
             "process resumed",
@@ -233,7 +233,7 @@
         )
 
     def _on_timer(self, now: float) -> None:
-        """Does what is due in each part."""
+        """Runs the due timers of all parts."""
         self.engines.on_timer(now)
         self.suspects.on_timer(now)
         self._end_refused_requests(now)
@@ -255,7 +255,7 @@
         self.output.emit_all(self._peer_state.on_timer(now))
 
     def _end_refused_requests(self, now: float) -> None:
-        """Ends waiting requests that are refused since the suspects changed."""
+        """Ends the requests that are now refused for crashes, if the refused set has changed."""
         if self._suspects_changes == self.suspects.changes:
             return
         self._suspects_changes = self.suspects.changes
--- a/src/troutswitch/decisions/gateway_interface.py
+++ b/src/troutswitch/decisions/gateway_interface.py
@@ -1,7 +1,7 @@
-"""What goes into the gateway's core and what comes out of it, as two closed unions.
+"""The gateway core's events and instructions, as two closed unions.
 
-Relies on the parts' own messages. `GatewayCore.step` matches the events, the instruction executor
-matches the instructions; mypy reports a kind that one of them leaves out.
+The parts define their own messages. `GatewayCore.step` matches the events, and the instruction
+executor matches the instructions; mypy reports a type that either of them does not handle.
 """
 
 from troutswitch.decisions.crashes.messages import CheckEngine, EngineChecked
@@ -37,7 +37,7 @@
 """Events of callers' forwarded requests."""
 
 ProcessEvent = BoundsChanged | ClockCompared | ProcessResumed | DrainRequested | TimerFired
-"""Events of this process: its settings, its clock and its stop."""
+"""Events of this process: changed settings, clock readings, timers and its stop."""
 
 GatewayEvent = (
     RequestEvent
@@ -67,4 +67,4 @@
 )
 
 InternalInstruction = SlotWanted | StartItems
-"""Instructions of one part of the core to another, which leave it as runs and stops of items."""
+"""Instructions between parts of the core; the core resolves them into runs and stops of items."""
--- a/src/troutswitch/decisions/gateway_messages.py
+++ b/src/troutswitch/decisions/gateway_messages.py
@@ -1,6 +1,6 @@
-"""The core's own events and instructions, and what it is made with.
+"""The core's own events and instructions, and the types that it is constructed with.
 
-The parts' messages stand with the parts; `gateway_interface.py` unites all.
+The parts define their messages in their own modules; `gateway_interface.py` combines all of them.
 """
 
 from dataclasses import dataclass, field
@@ -17,26 +17,26 @@
 
 
 class Formats(Protocol):
-    """Decodes what operators and engines write; each raises `ValueError` on bad data."""
+    """Decodes the records of operators and engines; each method raises `ValueError` on bad data."""
 
     def configuration(self, key: str, data: bytes) -> FleetConfiguration | None:
-        """Decodes a record of the configuration's topic; None if it is another one."""
+        """Decodes a record of the configuration's topic; returns None for an unrelated record."""
         ...
 
     def engine(self, key: str, data: bytes) -> EngineRecord:
-        """Decodes the record of an engine that stands under a key of the engine list."""
+        """Decodes the record of an engine, stored under `key` in the engine list."""
         ...
 
 
 @dataclass(frozen=True, slots=True)
 class GatewayIdentity:
-    """Who this daemon is, and the bounds it keeps. Times are seconds.
+    """This daemon's identity and bounds. Times are in seconds.
 
-    `peer_address` is where it takes peers' datagrams. `drain` bounds the time from an engine's
-    first sign of draining until it gets no more requests, `apply_bound` that from the
-    acceptance of a configuration until it is in force. `min_member_ttl` is the shortest time
-    to live of a group's member that the store takes, `job_retention` how long an ended job stays
-    readable. `store_reads_per_second` bounds the reads of all daemons together; 0 is no bound.
+    `peer_address` is where it receives peers' datagrams. `drain_bound` is the maximum time from an
+    engine's first sign of draining until it gets no more requests, and `apply_bound` that from the
+    acceptance of a configuration until it is active. `min_member_ttl` is the shortest time to live
+    that the store accepts for a member of a group. `job_retention` is how long an ended job stays
+    readable. `store_reads_per_second` bounds the reads of all daemons together; 0 means no bound.
     """
 
     name: str
@@ -53,17 +53,17 @@
 
 @dataclass(frozen=True, slots=True)
 class TimerFired:
-    """Event: something may be due."""
+    """Event: a timer may be due."""
 
 
 @dataclass(frozen=True, slots=True)
 class DrainRequested:
-    """Event: the process is asked to stop as planned."""
+    """Event: the process is to drain and stop."""
 
 
 @dataclass(frozen=True, slots=True)
 class BoundsChanged:
-    """Event: the settings were reloaded, with these bounds. Times are seconds."""
+    """Event: the settings were reloaded with these bounds; see `GatewayIdentity`."""
 
     drain_bound: float
     apply_bound: float
@@ -79,20 +79,20 @@
 
 @dataclass(frozen=True, slots=True)
 class ProcessResumed:
-    """Event: this process runs again, after some seconds frozen or on a suspended machine."""
+    """Event: this process resumed after it, or its machine, was suspended for some seconds."""
 
     seconds: float
 
 
 @dataclass(frozen=True, slots=True)
 class LimitsChanged:
-    """Instruction: limit callers' requests as the configuration in force says."""
+    """Instruction: apply the active configuration's limits to callers' requests."""
 
     limits: RequestLimits
 
 
 @dataclass(frozen=True, slots=True)
 class EnginesRemoved:
-    """Instruction: close the idle connections to engines that left."""
+    """Instruction: close the idle connections to engines that were removed from the list."""
 
     engine_ids: tuple[str, ...]
--- a/src/troutswitch/decisions/gateway_parts.py
+++ b/src/troutswitch/decisions/gateway_parts.py
@@ -1,8 +1,8 @@
-"""Makes the parts of one gateway daemon's decisions, and connects them.
+"""Constructs and connects the parts of one gateway daemon's decision core.
 
-It owns the parts: what each is and relies on stands in its own module. `gateway.py` passes events
-to them. Parts are made in the order in which they need each other; where two need each other, the
-earlier one gets a small reader of the later one (`_OwnItems`, `_peer_addresses`).
+Owns the parts; each part's module documents its purpose and dependencies. `gateway.py` passes
+events to them. Parts are constructed in the order of their dependencies. Where two depend on each
+other, the earlier one gets an accessor to the later one (`_OwnItems`, `_peer_addresses`).
 """
 
 import random
@@ -41,7 +41,7 @@
 
 
 class _OwnItems:
-    """The batch items of the job owner; `FleetSlots` needs them and is made before it."""
+    """Accessor to the job owner's items for `FleetSlots`, which is constructed before the owner."""
 
     def __init__(self, parts: "GatewayParts") -> None:
         self._parts = parts
@@ -56,7 +56,7 @@
 
 
 class _FleetState:
-    """What quotas need to know: the configuration in force and the number of daemons."""
+    """What quotas depend on: the active configuration's version and the number of daemons."""
 
     def __init__(self, routes: RouteTable, peers: Peers) -> None:
         self._routes = routes
@@ -72,12 +72,12 @@
 
 
 class GatewayParts:
-    """The parts of one daemon's decisions.
+    """The parts of one daemon's decision core.
 
     Args:
         formats: decodes what operators and engines write to the store.
-        rng: the source of all random draws.
-        policies: the policies in force; None stands for the defaults.
+        rng: the source of all randomness.
+        policies: the policies to use; None uses the defaults.
     """
 
     def __init__(
@@ -170,7 +170,7 @@
         return JobCoordinator(dependencies, settings)
 
     def _connect_peers(self, incarnation: int, rng: random.Random) -> None:
-        """Makes the parts that know the other daemons."""
+        """Constructs the parts that track the other daemons."""
         identity = self.identity
         self.peers = Peers(
             identity.name,
@@ -191,7 +191,7 @@
         )
 
     def _follow_engine_list(self, formats: Formats, rng: random.Random) -> None:
-        """Makes the parts that follow which engines there are."""
+        """Constructs the parts that track the engines."""
         reader = EngineListReader(self.numbers, rng, ENGINE_LIST_SHARE * self.identity.drain_bound)
         self._read_intervals = ReadIntervals(
             self.peers,
@@ -214,7 +214,7 @@
     def _make_peer_exchanges(
         self, policies: Policies, incarnation: int, rng: random.Random
     ) -> None:
-        """Makes the parts that count, catch up and talk with other daemons."""
+        """Constructs the quota, peer state and peer message parts."""
         self.quota = make_quota(
             policies.quota,
             self._daemon_identity(incarnation),
@@ -238,8 +238,8 @@
         )
 
     def _peer_addresses(self) -> list[Address]:
-        """Returns where other daemons take messages.
+        """Returns the addresses of other daemons.
 
-        Crashes are reported there, but `CrashSuspects` is made before `Peers`.
+        `CrashSuspects` sends reports to them and is constructed before `Peers`.
         """
         return self.peers.addresses()
--- a/src/troutswitch/decisions/instruction_queue.py
+++ b/src/troutswitch/decisions/instruction_queue.py
@@ -1,4 +1,4 @@
-"""Collects the instructions of one step of the gateway's core, in the order of the decisions."""
+"""Collects the instructions of one step of the gateway core, in the order of the decisions."""
 
 from collections.abc import Iterable
 
@@ -7,7 +7,7 @@
 
 
 class InstructionQueue:
-    """Instructions that the parts of the core gave and that were not carried out yet."""
+    """The pending instructions of the core's parts."""
 
     def __init__(self) -> None:
         self._instructions: list[GatewayInstruction | InternalInstruction] = []
@@ -17,7 +17,7 @@
         self._instructions.append(instruction)
 
     def emit_all(self, instructions: Iterable[GatewayInstruction | InternalInstruction]) -> None:
-        """Adds instructions in their order."""
+        """Adds instructions in the given order."""
         self._instructions.extend(instructions)
 
     def log(self, event: str, **fields: object) -> None:
@@ -25,6 +25,6 @@
         self._instructions.append(LogLine(event, fields))
 
     def take(self) -> list[GatewayInstruction | InternalInstruction]:
-        """Returns the collected instructions, and collects anew."""
+        """Returns and removes the pending instructions."""
         taken, self._instructions = self._instructions, []
         return taken
--- a/src/troutswitch/decisions/invariants.py
+++ b/src/troutswitch/decisions/invariants.py
@@ -1,11 +1,11 @@
-"""Invariants asserted inside the product, always on."""
+"""Invariant checks that also run in production."""
 
 
 class InvariantViolated(Exception):
-    """The program's own state contradicts what it promises."""
+    """The program's internal state is inconsistent."""
 
 
 def ensure(condition: bool, message: str) -> None:
-    """Raises `InvariantViolated` unless the condition holds."""
+    """Raises `InvariantViolated` with a message if the condition is false."""
     if not condition:
         raise InvariantViolated(message)
--- a/src/troutswitch/decisions/peer_messages.py
+++ b/src/troutswitch/decisions/peer_messages.py
@@ -1,7 +1,7 @@
-"""Passes each message of a peer daemon to the part of the core that it concerns.
+"""Dispatches each message from a peer daemon to the part of the core that handles it.
 
-It owns nothing. It relies on the parts to take the messages, and hands on to the forwarded requests
-what a message ended: a wait for a quota decision, or a search for a slot.
+Owns no state. If a message ends a request's wait for a quota decision, or its search for a slot,
+passes the result on to the forwarded requests.
 """
 
 from dataclasses import dataclass
@@ -33,7 +33,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PeerMessageDispatch:
-    """The parts that take peers' messages."""
+    """Dispatches peers' messages to these parts."""
 
     peers: Peers
     configuration: ActiveConfiguration
@@ -45,7 +45,7 @@
     output: InstructionQueue
 
     def on_message(self, now: float, message: PeerMessage) -> None:
-        """Takes a message."""
+        """Handles a message."""
         match message:
             case Heartbeat():
                 self.peers.on_heartbeat(now, message)
@@ -67,10 +67,10 @@
                 assert_never(message)
 
     def _on_slot_reply(self, now: float, reply: SlotReply) -> None:
-        """Takes a coordinator's reply, and spares the report that a granted slot would cause.
+        """Handles a coordinator's reply, without a report to it of the slot that it granted.
 
-        A coordinator that knew all of this daemon's requests before still does: it counted the
-        granted slot itself.
+        A coordinator that knew all of this daemon's requests before the reply still knows them,
+        because it counted the granted slot itself.
         """
         claim = self.slots.claim_by(reply.group, reply.sender)
         is_known = claim is not None and self.slots.reports.has_reported_all(claim)
@@ -79,11 +79,11 @@
             self.slots.reports.mark_reported(claim)
 
     def end_quota_waits(self, now: float, ended: list[QuotaCompletion]) -> None:
-        """Has requests go on whose quota was decided."""
+        """Continues the requests whose quota was decided."""
         for end in ended:
             self.output.emit_all(self.requests.on_counted(now, end))
 
     def end_slot_searches(self, now: float, ended: list[PlacementResult]) -> None:
-        """Has requests go on whose search for a slot ended."""
+        """Continues the requests whose search for a slot ended."""
         for found in ended:
             self.output.emit_all(self.requests.on_placed(now, found.token, found.placement))
--- a/src/troutswitch/decisions/peer_state_exchange.py
+++ b/src/troutswitch/decisions/peer_state_exchange.py
@@ -1,7 +1,7 @@
-"""Exchanges the configuration and the engine list with peers while the store can't be read.
+"""Exchanges the configuration and the engine list with peers while the store cannot be read.
 
-Relies on `PeerCatchUp` to decide when which peer is asked, and on `ActiveConfiguration` and
-`EngineMembership` to keep what is newer. It owns neither.
+Relies on `PeerCatchUp` to decide when a peer is asked and which one, and on `ActiveConfiguration`
+and `EngineMembership` to apply only newer state. It owns neither.
 """
 
 import random
@@ -19,7 +19,7 @@
 
 
 class PeerStateExchange:
-    """Asks peers for their state, takes what they send, and answers what they ask."""
+    """Requests peers' state, applies their replies, and provides this daemon's state to them."""
 
     def __init__(
         self,
@@ -34,7 +34,7 @@
         self._catch_up = PeerCatchUp(rng)
 
     def state_for_peer(self, now: float, version: int) -> PeerState:
-        """Returns the state for a peer that has a version of the configuration.
+        """Returns this daemon's state for a peer whose configuration has the given version.
 
         Safe to call from any thread.
         """
@@ -47,7 +47,7 @@
         return PeerState(record, records, now - read_at, age)
 
     def on_received(self, now: float, event: PeerStateReceived) -> None:
-        """Takes what is newer in a peer's state."""
+        """Applies the newer parts of a peer's state."""
         self._catch_up.on_reply()
         if event.state is None:
             return
@@ -61,7 +61,7 @@
         return self._catch_up.next_due()
 
     def on_timer(self, now: float) -> list[RequestPeerState]:
-        """Asks a peer if this daemon's own reads have failed for a while."""
+        """Returns a request to a peer if this daemon's own state has been outdated for a while."""
         reading = ReadingState(
             self._configuration.version(),
             self._peers.newest_version(),
--- a/src/troutswitch/decisions/peers/__init__.py
+++ b/src/troutswitch/decisions/peers/__init__.py
@@ -1,1 +1,1 @@
-"""Pure decisions about the other daemons: who they are, and what is learnt from them."""
+"""Pure decisions about the other daemons: which ones are known, and what they report."""
--- a/src/troutswitch/decisions/peers/catch_up.py
+++ b/src/troutswitch/decisions/peers/catch_up.py
@@ -1,24 +1,24 @@
-"""Rule: when is a peer asked for its configuration and engine list, and which one?
+"""Decides when a peer is asked for its configuration and engine list, and which peer.
 
-Inputs: since when this daemon's readings of the configuration and of the engine list have failed,
-on this process's clock; the versions of the configuration in force here and at peers, by their
-heartbeats; the peers that are live.
+Inputs: since when this daemon's reads of the configuration and of the engine list have failed, by
+this process's clock; the versions of the active configuration here and, from heartbeats, at peers;
+the live peers.
 
 The rule:
 
-    CURRENT    -> BEHIND      a reading has failed for `GRACE_SECONDS`, or a peer has acted on a
-                              newer configuration for `NEWER_GRACE_SECONDS`
-    BEHIND     -> REQUESTING  a peer that acts on a newer configuration is asked for its state; if
-                              there is none, a live one, by turns of this zone and of any zone
-    REQUESTING -> BEHIND      its reply came, or did not; after a pause another peer is asked
-    BEHIND     -> CURRENT     this daemon's own readings succeed again
+    CURRENT    -> BEHIND      reads have failed for `GRACE_SECONDS`, or it has been known for
+                              `NEWER_GRACE_SECONDS` that a peer uses a newer configuration
+    BEHIND     -> REQUESTING  a peer that uses a newer configuration is asked for its state; if
+                              there is none, a live peer, alternately of this zone and of any zone
+    REQUESTING -> BEHIND      the reply arrived or timed out; after a pause a peer is asked again
+    BEHIND     -> CURRENT     this daemon's own reads succeed again
 
-Why: while the store is away for some daemons only, the others still learn of changes. Those of one
-zone may be turned away together, so peers of this zone alone may know as little. What a peer
-replies never reverts what is known here: a configuration counts only if its version is newer, a
-list of engines only if it was read later than the own one.
+Why: while only some daemons cannot reach the store, the others still learn of changes. The daemons
+of one zone may lose the store together, so peers of this zone alone may be equally outdated. A
+peer's reply never reverts newer state: a configuration is used only if its version is newer, a list
+of engines only if it was read later than this daemon's own.
 
-It owns the request in flight and since when this daemon has been behind.
+Owns the request in flight and since when this daemon has been behind.
 """
 
 import random
@@ -29,21 +29,21 @@
 from troutswitch.daemons.peer_state import PeerState
 
 GRACE_SECONDS = 0.4
-"""Time for which a reading must have failed before a peer is asked."""
+"""Time for which reads must have failed before a peer is asked."""
 NEWER_GRACE_SECONDS = 0.1
-"""Time after a peer's newer version is known before that peer is asked: this daemon's own reading
-brings the version in that time if the store is well."""
+"""Time between learning of a peer's newer version and asking that peer. If the store is healthy,
+this daemon's own read returns the version within this time."""
 REQUEST_INTERVAL_SECONDS = 0.5
 """Mean interval between requests."""
 REPLY_TIMEOUT_SECONDS = 1.0
-"""Time after which a peer that does not reply is given up."""
+"""Time after which a request without a reply is abandoned."""
 
 
 class LivePeers(Protocol):
     """The peers that are live."""
 
     def live_addresses(self, now: float) -> list[Address]:
-        """Returns the addresses of peers that may be asked, those of this zone if there are any."""
+        """Returns the addresses of peers that may be asked, of this zone if there are any."""
         ...
 
     def live_addresses_in_any_zone(self, now: float) -> list[Address]:
@@ -51,7 +51,7 @@
         ...
 
     def newer_addresses(self, now: float, version: int) -> list[Address]:
-        """Returns the addresses of live peers that act on a newer configuration."""
+        """Returns the addresses of live peers that use a newer configuration than `version`."""
         ...
 
 
@@ -59,7 +59,7 @@
 class RequestPeerState:
     """Instruction: ask a peer for its state.
 
-    `version` is that of the configuration here; the peer sends its own only if it is newer.
+    `version` is that of this daemon's configuration; the peer sends its own only if it is newer.
     `timeout` is in seconds.
     """
 
@@ -70,7 +70,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PeerStateReceived:
-    """Event: a peer's reply came; `state` is None if there was none."""
+    """Event: a request for a peer's state ended; `state` is None if there was no usable reply."""
 
     host: str
     state: PeerState | None
@@ -78,10 +78,10 @@
 
 @dataclass(frozen=True, slots=True)
 class ReadingState:
-    """How this daemon's own readings stand.
+    """State of this daemon's own reads of the store.
 
-    `version` is that of the configuration in force, `peer_version` the highest one that a peer
-    acts on. The times are those of the first failure since the last success, or infinite.
+    `version` is that of the active configuration, `peer_version` the highest one that a peer uses.
+    The times are those of the first failure since the last success, or infinite.
     """
 
     version: int
@@ -91,7 +91,7 @@
 
 
 class PeerCatchUp:
-    """Decides when a peer is asked, and which one."""
+    """Decides when a peer is asked for its state, and which peer."""
 
     def __init__(self, rng: random.Random) -> None:
         self._rng = rng
@@ -134,12 +134,12 @@
         return peers.live_addresses_in_any_zone(now) if ask_any_zone else peers.live_addresses(now)
 
     def _compute_behind_at(self, now: float, reading: ReadingState) -> float:
-        """Returns from when on peers are asked; infinite if nothing fails and no peer is ahead."""
+        """Returns when peers may first be asked; infinite if no read fails and no peer is newer."""
         is_older = reading.peer_version > reading.version
         self._older_since = min(self._older_since, now) if is_older else float("inf")
         failing_since = min(reading.configuration_failing_since, reading.engines_failing_since)
         return min(self._older_since + NEWER_GRACE_SECONDS, failing_since + GRACE_SECONDS)
 
     def on_reply(self) -> None:
-        """Takes note that the peer replied, or could not be reached."""
+        """Records that the peer replied or could not be reached."""
         self._is_requesting = False
--- a/src/troutswitch/decisions/peers/drain_notices.py
+++ b/src/troutswitch/decisions/peers/drain_notices.py
@@ -1,17 +1,17 @@
-"""Rule: who is notified of an engine that drains or left, where each daemon reads the list seldom?
+"""Gossips which engines drain or were removed, in fleets that read the engine list rarely.
 
-Inputs: what this daemon's own readings of the engine list show, and peers' notices; whether the
-size of the fleet makes the readings too rare to do without notices.
+Inputs: this daemon's own reads of the engine list, peers' notices, and whether the size of the
+fleet makes its reads too rare to rely on them alone.
 
-The rule: a daemon that learns first that an engine drains or left sends a notice to
-`PEERS_NOTIFIED` peers, drawn at random, and each that learns it by a notice does so once (gossip).
+Rule: a daemon that learns that an engine drains or was removed, from the list or from a notice,
+sends one notice of it to `PEERS_NOTIFIED` peers drawn at random.
 
-Why: in a large fleet the store's limit on reads allows each daemon a reading in some seconds only,
-in which it would go on sending requests to engines that leave. All readings together come every few
-milliseconds.
+Why: in a large fleet the store's limit on reads allows each daemon only one read every few seconds.
+Until its next read, a daemon would keep sending requests to engines that leave. The reads of all
+daemons together are only milliseconds apart.
 
-It owns what was notified, and what waits to be. tests/decisions/peers/test_drain_notices.py plays a
-fleet.
+Owns the known changes and the pending notices. tests/decisions/peers/test_drain_notices.py
+simulates a fleet.
 """
 
 import random
@@ -23,26 +23,26 @@
 from troutswitch.decisions.slots.messages import SendToPeers
 
 PEERS_NOTIFIED = 8
-"""Daemons that a notice is sent to: enough for nearly all to learn of it; the others read it in the
-list some seconds later."""
+"""Daemons that a notice is sent to: enough for nearly all to learn of it. The others read it from
+the list some seconds later."""
 NOTICE_DELAY_SECONDS = 0.02
-"""Time in which engines are gathered for one notice: those of one release leave together."""
+"""Time for which engines are collected into one notice: those of one release leave together."""
 MAX_ENGINES_PER_NOTICE = 40
-"""Most engines in one notice, which then fits into one packet."""
+"""Maximum number of engines in one notice, which then fits into one packet."""
 MAX_PENDING_ENGINES = 2048
-"""Most engines that wait for a notice; beyond that the oldest are left out."""
+"""Maximum number of engines pending for a notice; the oldest beyond it are dropped."""
 MAX_REMEMBERED_ENGINES = 8192
-"""Engines that count as notified: more than leave in an hour."""
+"""Maximum number of known changes: more than there are engines that leave in an hour."""
 
 
 class DrainNotices:
-    """Sends notices of engines that drain, or left the list.
+    """Sends notices of engines that drain or were removed from the list.
 
     Args:
         name: this daemon's name.
         peers: returns the addresses of other daemons.
-        is_needed: returns whether the list is read too seldom to do without notices.
-        rng: source of the draws.
+        is_needed: returns whether the list is read too rarely to do without notices.
+        rng: source of randomness.
     """
 
     def __init__(
@@ -61,20 +61,20 @@
         self._notify_at = float("inf")
 
     def on_list_read(self, now: float, draining: Iterable[str], left: Iterable[str]) -> None:
-        """Takes what this daemon's own reading of the list shows."""
+        """Records which engines drain by a new list, and which were removed from it."""
         for engine_id in draining:
             self._remember(now, engine_id, is_draining=True)
         for engine_id in left:
             self._remember(now, engine_id, is_draining=False)
 
     def on_notice(self, now: float, notice: EngineDrainNotice) -> tuple[list[str], list[str]]:
-        """Takes a peer's notice; returns the engines that are new: that drain, and that left."""
+        """Records a peer's notice; returns the draining and the removed engines that are new."""
         draining = [name for name in notice.draining if self._remember(now, name, is_draining=True)]
         left = [name for name in notice.removed if self._remember(now, name, is_draining=False)]
         return draining, left
 
     def _remember(self, now: float, engine_id: str, *, is_draining: bool) -> bool:
-        """Notes what is known of an engine; returns whether it is new."""
+        """Records that an engine drains or was removed; returns whether that was unknown."""
         key = (engine_id, is_draining)
         if key in self._notified:
             return False
@@ -89,7 +89,7 @@
         return True
 
     def on_listed_again(self, engine_ids: Iterable[str]) -> None:
-        """Engines are listed again: if they leave once more, that is new."""
+        """Forgets the removal of engines that are listed again, so that a later one is new."""
         for engine_id in engine_ids:
             self._notified.pop((engine_id, False), None)
 
@@ -98,7 +98,7 @@
         return self._notify_at
 
     def on_timer(self, now: float) -> list[SendToPeers]:
-        """Sends a notice of the engines that wait, if it is due."""
+        """Sends a notice of the pending engines if it is due."""
         if now < self._notify_at:
             return []
         count = min(MAX_ENGINES_PER_NOTICE, len(self._pending))
--- a/src/troutswitch/decisions/peers/heartbeats.py
+++ b/src/troutswitch/decisions/peers/heartbeats.py
@@ -1,11 +1,11 @@
-"""The other daemons as this one knows them, and the heartbeats that it sends them.
+"""The other daemons that this one knows, and the heartbeats that it sends to them.
 
-Each daemon sends a heartbeat to `HEARTBEAT_FANOUT` others drawn at random, so what one sends and
-receives does not grow with the fleet. A daemon that starts while it cannot read the store learns
-from heartbeats which peers it may ask for the configuration and the engine list, and who
-coordinates which group.
+Each daemon sends heartbeats to `HEARTBEAT_FANOUT` others drawn at random, so the traffic of one
+daemon does not grow with the fleet. A daemon that starts while it cannot read the store learns from
+heartbeats which peers it can ask for the configuration and the engine list, and who coordinates
+which group.
 
-It owns the known peers, and relies on the peer registry for those that it has not heard from.
+Owns the known peers. Relies on the peer registry for peers that have not sent a heartbeat.
 """
 
 import random
@@ -20,23 +20,25 @@
 HEARTBEAT_INTERVAL_SECONDS = 0.5
 """Interval between heartbeats."""
 HEARTBEAT_FANOUT = 2
-"""Daemons that are sent a heartbeat at once."""
+"""Number of daemons that each round of heartbeats is sent to."""
 LIVENESS_SECONDS = 3.0
-"""Time for which a daemon counts as live after its last heartbeat."""
+"""Time after its last heartbeat for which a daemon counts as live."""
 MAX_CLAIMS_PER_HEARTBEAT = 16
-"""Most claims in one heartbeat, which then fits into one packet; more are drawn at random."""
+"""Maximum number of claims in one heartbeat, which then fits into one packet. If more are known,
+they are drawn at random."""
 RETENTION_SECONDS = 60.0
 """Time after its last heartbeat at which a daemon is forgotten."""
 MAX_SILENT_CANDIDATES = 3
-"""Daemons without a heartbeat, drawn at random, that may be asked while none is live."""
+"""Maximum number of peers without a recent heartbeat, drawn at random, that may be asked while none
+is live."""
 
 
 @dataclass(slots=True)
 class Peer:
     """Another daemon.
 
-    `last_seen_at` is when its last heartbeat came, on this process's clock, or -infinity.
-    `configuration_version` is the one that it acts on, or -1.
+    `last_seen_at` is when its last heartbeat was received, by this process's clock, or -infinity.
+    `configuration_version` is that of its active configuration, or -1.
     """
 
     address: Address
@@ -46,16 +48,16 @@
 
 
 class Peers:
-    """All daemons that the registry names or that sent a heartbeat.
+    """All daemons that are in the registry or sent a heartbeat.
 
     Args:
         name: this daemon's name.
         zone: its zone.
         address: where it receives messages.
-        incarnation: tells it from earlier processes of the same name.
-        version: returns the version of the configuration in force here.
-        claims: returns the coordinators' claims that are known here.
-        rng: source of the draws.
+        incarnation: distinguishes it from earlier processes of the same name.
+        version: returns the version of this daemon's active configuration.
+        claims: returns the coordinators' claims that this daemon knows.
+        rng: source of randomness.
     """
 
     def __init__(
@@ -80,12 +82,12 @@
         self._newest_version = -1
 
     def on_registered(self, entry: PeerRegistryEntry) -> None:
-        """Takes a daemon that the registry names."""
+        """Adds a daemon that is in the registry."""
         if entry.name != self._name and entry.name not in self.peers:
             self.peers[entry.name] = Peer(entry.address, entry.zone, float("-inf"))
 
     def on_heartbeat(self, now: float, heartbeat: Heartbeat) -> None:
-        """Takes a daemon's heartbeat."""
+        """Records a daemon's heartbeat."""
         if heartbeat.sender == self._name:
             return
         version = heartbeat.configuration_version
@@ -97,7 +99,7 @@
         return self._heartbeat_at + HEARTBEAT_INTERVAL_SECONDS if self.peers else float("inf")
 
     def on_timer(self, now: float) -> list[SendToPeers]:
-        """Sends some daemons a heartbeat."""
+        """Sends heartbeats to some daemons if they are due."""
         if now < self.next_due():
             return []
         self._heartbeat_at = now
@@ -127,16 +129,16 @@
         return len(self.peers)
 
     def addresses(self) -> list[Address]:
-        """Returns the addresses of all daemons that are known."""
+        """Returns the addresses of all known other daemons."""
         return [peer.address for peer in self.peers.values()]
 
     def live_addresses(self, now: float) -> list[Address]:
-        """Returns live daemons, those of this zone if there are any; else a few silent ones."""
+        """Returns the addresses of live peers of this zone; without one, of peers of any zone."""
         near = [peer.address for peer in self._live(now) if peer.zone == self._zone]
         return near or self.live_addresses_in_any_zone(now)
 
     def live_addresses_in_any_zone(self, now: float) -> list[Address]:
-        """Returns live daemons of all zones; a few silent ones if there are none."""
+        """Returns the addresses of live peers of all zones, or of a few others if none is live."""
         live = [peer.address for peer in self._live(now)]
         if live:
             return live
@@ -144,12 +146,12 @@
         return self._rng.sample(others, min(MAX_SILENT_CANDIDATES, len(others)))
 
     def newer_addresses(self, now: float, version: int) -> list[Address]:
-        """Returns live daemons that act on a newer version of the configuration than this one."""
+        """Returns the addresses of live peers that use a newer configuration than `version`."""
         return [peer.address for peer in self._live(now) if peer.configuration_version > version]
 
     def _live(self, now: float) -> list[Peer]:
         return [peer for peer in self.peers.values() if now - peer.last_seen_at <= LIVENESS_SECONDS]
 
     def newest_version(self) -> int:
-        """Returns the highest configuration version that a known daemon acts on, or -1."""
+        """Returns the highest configuration version that a known peer uses, or -1."""
         return self._newest_version
--- a/src/troutswitch/decisions/peers/peer_registry.py
+++ b/src/troutswitch/decisions/peers/peer_registry.py
@@ -1,9 +1,9 @@
-"""The peer registry in the store: where each daemon receives messages, and what it has learnt.
+"""The peer registry in the store: each daemon's address and its learnt run times.
 
-A daemon that starts finds its peers here, and begins with what they knew of the services' run
-times, which would otherwise be lost when all daemons are killed at once.
+A daemon that starts finds its peers here, and starts from their estimates of the services' run
+times. Without the registry, these would be lost when all daemons are killed at once.
 
-It owns this daemon's entry and the calls that read and write the registry. Entries are CBOR arrays.
+Owns this daemon's entry and the calls that read and write the registry. Entries are CBOR arrays.
 """
 
 from collections.abc import Callable
@@ -28,25 +28,25 @@
 
 PEERS_TOPIC = "daemons"
 INITIAL_READ_INTERVAL_SECONDS = 1.0
-"""Interval between the first readings, while other daemons may start too."""
+"""Interval between the first reads, while other daemons may be starting too."""
 READ_INTERVAL_SECONDS = 10.0
-"""Interval between later readings."""
+"""Interval between later reads."""
 INITIAL_READS = 2
-"""Readings that succeed before the longer interval: a daemon that starts while the store is away
-knows no peer until one has."""
+"""Successful reads before the longer interval applies. A daemon that starts while the store is
+unreachable knows no peer until a read succeeds."""
 CALL_EXPIRY_SECONDS = 4.0
-"""Time after which a call without an answer is made again."""
+"""Time after which a call without an answer is repeated."""
 WRITE_RETRY_PAUSE_SECONDS = 1.0
 """Pause after a write that failed."""
 MIN_EXPERIENCE_INTERVAL_SECONDS = 6.0
-"""Least interval between writes of what was learnt."""
+"""Minimum interval between writes of learnt run times."""
 MIN_EXPERIENCE_INTERVAL_PER_PEER_SECONDS = 0.1
-"""Least such interval for each other daemon, which bounds the writes of a large fleet."""
+"""Minimum such interval for each known peer, which bounds the writes of a large fleet."""
 
 
 @dataclass(frozen=True, slots=True)
 class PeerRegistryEntry:
-    """One daemon: where it receives messages, and what it has learnt."""
+    """One daemon's name, address, zone and learnt run times."""
 
     name: str
     address: Address
@@ -58,10 +58,10 @@
     """Reads the registry, and keeps this daemon's entry up to date.
 
     Args:
-        own: returns this daemon's entry as it should be.
-        peers: returns how many other daemons are known.
+        own_entry: returns this daemon's current entry.
+        count_peers: returns how many other daemons are known.
         numbers: source of call numbers.
-        take: called with the time and an entry that was read.
+        apply_entry: called with the time and an entry that was read.
         log: called with an event and its fields.
     """
 
@@ -124,11 +124,11 @@
         return ReadNewest(self._read_call, Partition(PEERS_TOPIC))
 
     def owns(self, call: int) -> bool:
-        """Returns whether a store call is a reading or a write of the registry."""
+        """Returns whether a store call is a read or a write of the registry."""
         return call in (self._read_call, self._write_call)
 
     def on_answer(self, now: float, call: int, outcome: StoreOutcome) -> None:
-        """Takes the outcome of a reading, or of a write of this daemon's entry."""
+        """Handles the outcome of a read, or of a write of this daemon's entry."""
         if call == self._write_call:
             self._on_written(now, isinstance(outcome, Appended))
             return
@@ -137,7 +137,7 @@
             return
         self._successful_reads += 1
         if self._successful_reads == 1:
-            # Not before, since the entry of this daemon's last incarnation is read first.
+            # The entry of this daemon's previous incarnation must be read before it is replaced.
             self._write_at = min(self._write_at, now)
         is_early = self._successful_reads <= INITIAL_READS
         self._read_at = now + (INITIAL_READ_INTERVAL_SECONDS if is_early else READ_INTERVAL_SECONDS)
@@ -162,13 +162,13 @@
 
 
 def encode_entry(entry: PeerRegistryEntry) -> bytes:
-    """Encodes an entry."""
+    """Encodes an entry as a record's value."""
     address = entry.address
     return cbor2.dumps([address.host, address.port, entry.zone, entry.experience.as_fields()])
 
 
 def decode_entry(record: KeyedRecord) -> PeerRegistryEntry:
-    """Decodes an entry.
+    """Decodes the entry in a record.
 
     Raises:
         ValueError, TypeError, AttributeError or cbor2.CBORDecodeError: it is malformed.
--- a/src/troutswitch/decisions/policies.py
+++ b/src/troutswitch/decisions/policies.py
@@ -1,16 +1,16 @@
-"""Names of the policies in force. docs/OPERATIONS.md describes each."""
+"""Names of the configurable policies. docs/OPERATIONS.md describes each of them."""
 
 from dataclasses import dataclass, field
 
 SLOT_ASSIGNMENT_POLICIES = ("coordinators", "own_counts")
-"""Ways to assign a slot to an online request."""
+"""Policies for assigning a slot to an online request."""
 QUOTA_POLICIES = ("asked", "leased", "equal_shares")
-"""Ways to keep quotas over all daemons."""
+"""Policies for enforcing quotas across all daemons."""
 
 
 @dataclass(frozen=True, slots=True)
 class BatchPolicies:
-    """Policies for batch items: their order, and their slots beside online requests."""
+    """Policies for batch items: their order, and their share of the slots."""
 
     item_order: str = "most_in_time"
     capacity: str = "slots"
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Policies:
-    """All policies of a daemon.
+    """The names of all policies of a daemon.
 
     `slot_assignment` selects who assigns a slot to an online request: `coordinators`, or each
     daemon from its `own_counts`, which are its own requests and the coordinators' last digests.
--- a/src/troutswitch/decisions/read_intervals.py
+++ b/src/troutswitch/decisions/read_intervals.py
@@ -1,14 +1,14 @@
-"""Decides how seldom this daemon reads the store, so that a large fleet's reads stay bounded.
+"""Limits how often this daemon reads the store, so that the reads of a large fleet stay bounded.
 
-Question: the least interval, in seconds, between this daemon's reads of one thing (the engine
-list, the coordinators' claims, the job index, the reported crashes).
-Inputs: the daemons known here (a count, from heartbeats and from the peer registry, which is read
-each 10 s), the store's bound on the reads of all daemons (calls a second; 0 is no bound), and the
-pages of the last whole engine list.
-Rule: interval = daemons / (`READS_SHARE` * bound), times the pages for the engine list. Each reader
-takes the longer of this and its usual interval.
-Why: the reads of all daemons for one thing then take at most `READS_SHARE` of what the store
-allows, whatever the size of the fleet.
+Question: what is the minimum interval, in seconds, between this daemon's reads of one data set (the
+engine list, the coordinators' claims, the job index, or the reported crashes)?
+Inputs: the number of known daemons, from heartbeats and from the peer registry, which is read every
+10 s; the store's bound on the reads of all daemons, in calls per second, where 0 means no bound;
+the number of pages of the last complete engine list.
+Rule: interval = daemons / (`READS_SHARE` * bound), multiplied by the pages for the engine list.
+Each reader uses the longer of this and its usual interval.
+Why: the reads of one data set by all daemons then use at most `READS_SHARE` of the store's bound,
+whatever the size of the fleet.
 Measurement: docs/CAPACITY.md, "What carries it, and what binds".
 """
 
@@ -20,17 +20,17 @@
 from troutswitch.decisions.slots.coordinator_claims import CoordinatorClaims
 
 READS_SHARE = 0.25
-"""Share of the store's reads that all daemons' reads of one thing may take."""
+"""Share of the store's bound that all daemons' reads of one data set may use."""
 
 
 def min_read_interval(daemons: int, reads_per_second: float) -> float:
-    """Returns the least interval in seconds between one daemon's reads of one thing."""
+    """Returns the minimum interval, in seconds, between one daemon's reads of one data set."""
     rate = READS_SHARE * reads_per_second
     return daemons / rate if rate > 0 else 0.0
 
 
 class ReadIntervals:
-    """Sets the least interval of each reader that many daemons share the store's reads with."""
+    """Sets the minimum interval of each reader to the size of the fleet."""
 
     def __init__(
         self,
@@ -49,15 +49,15 @@
         self._suspects = suspects
 
     def daemons(self) -> int:
-        """Returns how many daemons are known, this one included."""
+        """Returns the number of known daemons, including this one."""
         return 1 + self._peers.count()
 
     def is_engine_list_slowed(self) -> bool:
-        """Returns whether the fleet's size makes readings of the engine list rarer than usual."""
+        """Returns whether the size of the fleet makes reads of the engine list rarer than usual."""
         return self._engine_list.least_interval > self._engine_list.interval
 
     def update(self, reads_per_second: float) -> None:
-        """Sets the intervals for the present number of daemons."""
+        """Sets the intervals for the current number of daemons."""
         interval = min_read_interval(self.daemons(), reads_per_second)
         engine_list = self._engine_list
         engine_list.least_interval = interval * engine_list.pages
--- a/src/troutswitch/decisions/run_time_sharing.py
+++ b/src/troutswitch/decisions/run_time_sharing.py
@@ -1,7 +1,7 @@
-"""Shares with other daemons, by the peer registry, what this one has learnt of run times.
+"""Shares learnt run times with other daemons through the peer registry.
 
-Relies on `PeerRegistry` for reads and writes of the entries. A daemon that starts takes over what
-its peers have learnt, as its own estimates are empty.
+Relies on `PeerRegistry` to read and write the entries. A daemon that starts has no estimates of its
+own, so it uses those of its peers.
 """
 
 from dataclasses import replace
@@ -14,7 +14,7 @@
 
 
 class RunTimeSharing:
-    """Makes this daemon's entry of the peer registry, and takes those of others."""
+    """Builds this daemon's entry of the peer registry, and applies those of other daemons."""
 
     def __init__(
         self,
@@ -29,7 +29,7 @@
         self._peers = peers
 
     def own_entry(self) -> PeerRegistryEntry:
-        """Returns this daemon's entry."""
+        """Returns this daemon's current entry."""
         identity = self._identity
         experience = replace(
             self._requests.experience(), batch_run_times=self._job_owner.run_times.learnt()
@@ -37,7 +37,7 @@
         return PeerRegistryEntry(identity.name, identity.peer_address, identity.zone, experience)
 
     def apply_entry(self, now: float, entry: PeerRegistryEntry) -> None:
-        """Takes a daemon's entry: its address, and its run times where none are known here."""
+        """Records a daemon's address, and its run times where this daemon has none yet."""
         self._peers.on_registered(entry)
         self._requests.begin_with(entry.experience)
         if entry.experience.batch_run_times is not None:
--- a/src/troutswitch/decisions/slot_instructions.py
+++ b/src/troutswitch/decisions/slot_instructions.py
@@ -1,9 +1,9 @@
-"""Carries out, inside the core, what the parts for slots and requests instruct the batch items to.
+"""Resolves instructions between parts of the core into runs and stops of batch items.
 
-    StartItems   a coordinator granted slots, or retracts some: items' runs are started or stopped
-    SlotWanted   a request was sent to a full engine: one item of this daemon there is stopped
+    StartItems   a coordinator granted or retracted slots: items are started or stopped
+    SlotWanted   a request was sent to a full engine: one item of this daemon on it is stopped
 
-It relies on `JobOwner` to choose the items. All other instructions pass through as they are.
+Relies on `JobOwner` to choose the items. All other instructions are returned unchanged.
 """
 
 from troutswitch.decisions.forwarding.messages import LogLine, SlotWanted
@@ -16,9 +16,9 @@
 def resolve_instructions(
     now: float, output: InstructionQueue, job_owner: JobOwner
 ) -> list[GatewayInstruction]:
-    """Returns the collected instructions, those between parts resolved; empties the queue.
+    """Empties the queue and returns its instructions, with those between parts resolved.
 
-    To resolve one may add others, which come after all that were collected before.
+    Resolving an instruction may queue others; these follow all that were queued before.
     """
     resolved: list[GatewayInstruction] = []
     while instructions := output.take():
@@ -40,7 +40,7 @@
 
 
 def _stop_item(now: float, wanted: SlotWanted, job_owner: JobOwner) -> list[GatewayInstruction]:
-    """Stops an item for a request that was placed without the engine's coordinator."""
+    """Stops an item to free a slot for a request placed without the engine's coordinator."""
     stop = job_owner.give_slot(now, wanted.engine_id)
     fields: dict[str, object] = {
         "request_id": wanted.request_id,
--- a/src/troutswitch/decisions/storage/__init__.py
+++ b/src/troutswitch/decisions/storage/__init__.py
@@ -1,1 +1,1 @@
-"""Pure decisions about reading the platform's store, and its typed calls."""
+"""Pure decisions about reading the platform's store, and the typed calls to it."""
--- a/src/troutswitch/decisions/storage/follower.py
+++ b/src/troutswitch/decisions/storage/follower.py
@@ -1,16 +1,16 @@
-"""Follows one partition of the store: reads it whole once, then what is appended.
+"""Follows one partition of the store: reads all of it once, then the records appended since.
 
-    STARTING  -> FOLLOWING   the last page of newest records was taken
-    FOLLOWING -> STARTING    the history behind this reader's offset is gone
-    any       -> same        a call failed and is made again after a pause
+    STARTING  -> FOLLOWING   the last page of newest records was applied
+    FOLLOWING -> STARTING    the records at this reader's offset were dropped
+    any       -> same        a call failed and is repeated after a pause
 
-The pages of newest records are no snapshot, and a record may be appended between a page and the end
-that it reports. So the tail is read from the offset after the last record of the first page, and
-records may come again: what they are folded into must take a record any number of times.
+The pages of newest records are not a consistent snapshot, and a record may be appended between a
+page and the end offset that it reports. So the tail is read from the offset after the last record
+of the first page. A record may therefore be read repeatedly, and applying it must be idempotent.
 
-It owns the offset up to which the partition was read. Relies on `ReadAttempts` for when reads are
-sent and how long they may take. A read waits at the store only while none has failed: a reader that
-fell behind wants the answer at once.
+Owns the offset up to which the partition was read. Relies on `ReadAttempts` to decide when reads
+are sent and how long they may take. After a failure, reads do not wait at the store for new
+records: a reader that may have fallen behind needs the answer immediately.
 """
 
 import random
@@ -39,24 +39,26 @@
 
 
 class PartitionFollower:
-    """Follows one partition for a fold.
+    """Reads one partition and applies its records.
 
     Args:
-        partition: what is followed.
+        partition: the partition to follow.
         numbers: source of call numbers.
         rng: source of jitter.
-        take: called with a record to fold in.
-        wait: seconds a read waits at the store for a record; 0 reads without waiting.
-        pause: least seconds between reads, which bounds the calls under many appends.
+        apply: called with each record.
+        wait: seconds for which a read waits at the store for a record; 0 reads without waiting.
+        pause: minimum seconds between reads, which bounds the calls while many records are
+            appended.
         is_tailing: whether it reads new records by itself; otherwise only `apply_records` adds
             records.
 
     Attributes:
         next_offset: where the next read begins.
-        current_at: when the last read to the partition's end was begun, on this process's clock.
+        current_at: when the last read that reached the partition's end was sent, by this process's
+            clock.
         attempts: the reads in flight, and how many have failed since the last success.
-        least_interval: least seconds between reads that the size of the fleet asks for, which
-            bounds the reads of all daemons together.
+        min_interval: minimum seconds between reads for the size of the fleet, which bounds the
+            reads of all daemons together.
     """
 
     def __init__(
@@ -85,7 +87,7 @@
 
     @property
     def is_current(self) -> bool:
-        """Whether the partition was read to an end at least once."""
+        """Whether all pages of newest records were read since the last restart."""
         return self.state is FollowState.FOLLOWING
 
     def next_due(self) -> float:
@@ -99,7 +101,7 @@
         return not self.is_tailing and self.is_current and not self.attempts.is_reading
 
     def apply_records(self, requested_at: float, read: RecordsRead) -> None:
-        """Takes records that another read of this partition brought."""
+        """Applies records that another read of this partition, sent at `requested_at`, returned."""
         if not self.is_current or read.next_offset < self.next_offset:
             return
         for record in read.records:
@@ -109,16 +111,16 @@
             self.current_at = max(self.current_at, requested_at)
 
     def skip_own_records(self, offset: int, end: int) -> None:
-        """Skips records that this process appended and has folded in itself."""
+        """Skips the records that this process appended and has already applied itself."""
         if self.is_current and offset == self.next_offset:
             self.next_offset = end
 
     def read_concurrently(self, now: float) -> None:
-        """Reads at once, on a new connection, beside the reads in flight."""
+        """Reads immediately on a new connection; the reads in flight continue."""
         self.attempts.read_now(now)
 
     def read_again(self, now: float) -> None:
-        """Abandons the reads in flight, and reads at once, on a new connection."""
+        """Abandons the reads in flight, and reads again immediately on a new connection."""
         self.attempts.abandon(now, doubts_connections=True)
 
     def owns(self, call: int) -> bool:
@@ -126,7 +128,7 @@
         return self.attempts.owns(call)
 
     def on_timer(self, now: float) -> list[StoreCall]:
-        """Makes the next call if it is due."""
+        """Returns the next call if it is due."""
         if not self.attempts.is_due(now) or self._is_idle:
             return []
         if self.state is FollowState.STARTING:
@@ -154,7 +156,7 @@
         ]
 
     def on_answer(self, now: float, call: int, outcome: StoreOutcome) -> None:
-        """Takes the outcome of a read in flight."""
+        """Handles the outcome of a read in flight."""
         match outcome:
             case NewestPage():
                 self._apply_page(now, call, outcome)
@@ -166,12 +168,12 @@
                 self.attempts.on_failed(now, call)
 
     def on_history_gone(self, now: float, gone: HistoryGone) -> None:
-        """Reads the partition whole again, and continues from the first record that is kept."""
+        """Reads the whole partition again, and continues no earlier than the first kept record."""
         self._first_retained = max(self._first_retained, gone.first_offset)
         self.restart(now)
 
     def restart(self, now: float) -> None:
-        """Reads the partition whole again."""
+        """Reads the whole partition again."""
         self.state = FollowState.STARTING
         self._after_key = ""
         self._tail_from = None
@@ -188,8 +190,8 @@
             self._after_key = page.records[-1].key
             return
         self.state = FollowState.FOLLOWING
-        # Never back behind what was read before: an owner that reads its shard again would
-        # otherwise read its whole history each time.
+        # The offset never goes back: an owner that reads its shard again would otherwise read the
+        # whole history each time.
         self.next_offset = max(self._tail_from, self.next_offset)
         self._after_key = ""
         self._tail_from = None
@@ -209,5 +211,5 @@
             self.current_at = attempt.requested_at
 
     def _timed_out(self, read: RecordsRead) -> bool:
-        """Returns whether the read waited at the store and brought nothing."""
+        """Returns whether the read waited at the store and returned no record."""
         return self.wait > 0 and not read.records
--- a/src/troutswitch/decisions/storage/messages.py
+++ b/src/troutswitch/decisions/storage/messages.py
@@ -1,10 +1,10 @@
 """Typed calls to the store of keyed, append-only partitions, and their outcomes.
 
-A partition is a log of records; each record has a key, and the newest record of a key is kept for
-good, while older ones may be dropped. An empty value removes its key. A group assigns the
-partitions of some topics to its members.
+A partition is a log of records with keys. The store keeps the newest record of each key and may
+drop older ones. A record with an empty value removes its key. A group assigns the partitions of
+some topics to its members.
 
-`call` names a call on this daemon. Times are seconds.
+`call` identifies a call on this daemon. Times are in seconds.
 """
 
 from dataclasses import dataclass
@@ -20,7 +20,7 @@
 
 @dataclass(frozen=True, slots=True)
 class KeyedRecord:
-    """A record; `value` is empty where the key is removed."""
+    """A record; an empty `value` removes the key. `offset` is -1 before the record is stored."""
 
     key: str
     value: bytes
@@ -31,8 +31,8 @@
 class WriterStamp:
     """The fence of an append: a writer's name, its epoch and its next sequence number.
 
-    The store refuses an epoch that is lower than one it has seen of the writer, and gives a repeat
-    of the last sequence number its first answer again.
+    The store refuses an epoch lower than the highest one it has seen from the writer, and answers a
+    repeat of the last sequence number as it did the first time.
     """
 
     writer: str
@@ -40,18 +40,18 @@
     sequence: int
 
 
-# Calls. `timeout` is the longest time for the answer beyond what a read waits at the store. With
-# `on_new_connection`, a read is not sent on a connection that is already open.
+# Calls. `timeout` bounds the time for the answer, beyond the time for which a read waits at the
+# store. With `on_new_connection`, a read is sent on a new connection, not on an open one.
 
 READ_TIMEOUT_SECONDS = 1.5
-"""Timeout of reads that name none."""
+"""Default timeout of reads."""
 WRITE_TIMEOUT_SECONDS = 2.0
-"""Timeout of writes that name none."""
+"""Default timeout of writes."""
 
 
 @dataclass(frozen=True, slots=True)
 class ReadNewest:
-    """Read a page of the newest record of each key, in the order of keys, after a key."""
+    """Read one page of the newest record of each key, ordered by key, after `after_key`."""
 
     call: int
     partition: Partition
@@ -62,7 +62,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReadRecords:
-    """Read records from an offset; wait up to `wait` seconds if there is none."""
+    """Read records from an offset on; wait up to `wait` seconds if there are none yet."""
 
     call: int
     partition: Partition
@@ -76,8 +76,8 @@
 class AppendRecords:
     """Append all records or none.
 
-    With `expected_end`, only if the partition ends there; with `stamp`, only if the
-    writer is not fenced off.
+    With `expected_end`, append only if the partition ends there. With `stamp`, append only if the
+    writer is not fenced off and its sequence number is the next one.
     """
 
     call: int
@@ -92,8 +92,9 @@
 class JoinGroup:
     """Join a group, or renew the membership, which lasts `ttl` seconds.
 
-    `generation` is that of the assignment that the member knows. The group assigns a partition that
-    the member has lost to another one only when the member knows it, or its membership expired.
+    `generation` is that of the assignment that the member knows. A partition that the member has
+    lost is assigned to another member only after this member knows of the loss, or after its
+    membership expired.
     """
 
     call: int
@@ -107,7 +108,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaveGroup:
-    """Leave a group, so that others are assigned the member's partitions at once."""
+    """Leave a group, so that the member's partitions are assigned to others immediately."""
 
     call: int
     group: str
@@ -123,7 +124,7 @@
 
 @dataclass(frozen=True, slots=True)
 class NewestPage:
-    """A page of newest records; `has_more` if the next page is to be read."""
+    """A page of newest records; `has_more` tells whether another page follows."""
 
     records: tuple[KeyedRecord, ...]
     has_more: bool
@@ -132,7 +133,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RecordsRead:
-    """Records from the given offset on; `next_offset` is where the next read begins."""
+    """Records from the requested offset on; `next_offset` is where the next read begins."""
 
     records: tuple[KeyedRecord, ...]
     next_offset: int
@@ -156,21 +157,21 @@
 
 @dataclass(frozen=True, slots=True)
 class EndMoved:
-    """Nothing was appended: the partition ends elsewhere."""
+    """Nothing was appended, as the partition ends at `end`, not at the expected offset."""
 
     end: int
 
 
 @dataclass(frozen=True, slots=True)
 class FencedOff:
-    """Nothing was appended: a higher epoch of the writer was seen."""
+    """Nothing was appended, as the store has seen a higher epoch of the writer."""
 
     epoch: int
 
 
 @dataclass(frozen=True, slots=True)
 class OutOfSequence:
-    """Nothing was appended: the next sequence number is another one."""
+    """Nothing was appended, as the writer's next sequence number is `expected`."""
 
     expected: int
 
@@ -190,10 +191,9 @@
 
 @dataclass(frozen=True, slots=True)
 class CallFailed:
-    """The call failed, or was not answered.
+    """The call failed or was not answered.
 
-    `may_have_acted` is False only where the store said that nothing was done, or was not reached at
-    all.
+    `may_have_acted` is False only if the store answered that it did nothing, or was not reached.
     """
 
     reason: str
@@ -216,7 +216,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StoreAnswered:
-    """Event: a store call has an outcome."""
+    """Event: a store call ended with an outcome."""
 
     call: int
     outcome: StoreOutcome
--- a/src/troutswitch/decisions/storage/read_attempts.py
+++ b/src/troutswitch/decisions/storage/read_attempts.py
@@ -1,20 +1,22 @@
 """Decides how long each read of one reader may take, and when the next one is sent.
 
-Inputs: the reads in flight, and the reads in a row that failed; this process's clock, in seconds.
+Inputs: the reads in flight, the number of consecutive failures, and this process's clock, in
+seconds.
 
 Rule:
 
-- The time-out is `INITIAL_TIMEOUT_SECONDS`, doubled with each failure up to `MAX_TIMEOUT_SECONDS`.
-- A read without an answer for `repeat_after` is repeated beside it, with at most
-  `MAX_READS_IN_FLIGHT` in flight; the first answer counts, the others are ignored.
-- After a failure with nothing else in flight the next read follows after a pause.
+- The timeout is `INITIAL_TIMEOUT_SECONDS`, doubled with each failure up to `MAX_TIMEOUT_SECONDS`.
+- A read without an answer after `repeat_after` seconds is sent again without abandoning the first,
+  with at most `MAX_READS_IN_FLIGHT` in flight. The first answer is used, the others are ignored.
+- After a failure with no other read in flight, the next read is sent after a pause.
 - While reads fail, each is sent on a new connection.
 
-Why: a slow store answers late, so time-outs must grow. A store that was silent never answers what
-it was sent meanwhile, so a reader that only waits for its time-out stays blind for that long after
-the store's return. And open connections may stay silent for good while new ones work.
+Why: a slow store answers late, so timeouts must grow. A store that recovers from an outage never
+answers the reads that were sent during it, so a reader that only waited for its timeout would learn
+nothing for that long after the recovery. Open connections may stay silent forever while new ones
+work.
 
-It owns the reads in flight. The reader makes the calls and takes their outcomes.
+Owns the reads in flight. The reader makes the calls and handles their outcomes.
 """
 
 import itertools
@@ -23,37 +25,37 @@
 from dataclasses import dataclass
 
 INITIAL_TIMEOUT_SECONDS = 0.6
-"""Timeout of the first try: a store that is well answers far sooner."""
+"""Timeout without previous failures: a healthy store answers far sooner."""
 MAX_TIMEOUT_SECONDS = 3.0
 MAX_TIMEOUT_DOUBLINGS = 5
 MISSING_OUTCOME_SECONDS = 2.0
-"""Time past its timeout after which a call without any outcome counts as failed."""
+"""Time after its timeout at which a call without any outcome counts as failed."""
 MAX_READS_IN_FLIGHT = 6
-"""Each takes a thread until its time-out: as many as a repetition each 0.6 s makes in the longest
-one, and one more."""
+"""Each read in flight occupies a thread until its timeout. This is one more than the reads that are
+sent during the longest timeout if one is repeated every 0.6 s."""
 MIN_RETRY_PAUSE_SECONDS = 0.1
-"""Pause after a failure; it doubles with each one."""
+"""Minimum pause after a failure; the pause doubles with each one."""
 MAX_RETRY_PAUSE_SECONDS = 1.0
 MAX_RETRY_DOUBLINGS = 6
 
 
 class CallNumbers:
-    """Numbers for the store calls of one process."""
+    """Source of unique numbers for the store calls of one process."""
 
     def __init__(self) -> None:
         self._numbers = itertools.count(1)
 
     def next(self) -> int:
-        """Returns a number that was not used before."""
+        """Returns the next unused number."""
         return next(self._numbers)
 
 
 @dataclass(frozen=True, slots=True)
 class ReadAttempt:
-    """One read. Times are this process's clock, in seconds.
+    """One read. Times are by this process's clock, in seconds.
 
-    `timeout` bounds it beyond its wait at the store; at `lost_at` it counts as failed without any
-    outcome.
+    `timeout` bounds the read in addition to its wait at the store. If there is no outcome by
+    `lost_at`, the read counts as failed.
     """
 
     call: int
@@ -69,13 +71,13 @@
     Args:
         numbers: source of call numbers.
         rng: source of jitter.
-        pause: returns the seconds to pause after a number of failures in a row; by default they
-            double from `MIN_RETRY_PAUSE_SECONDS` to `MAX_RETRY_PAUSE_SECONDS`.
+        pause: returns the pause, in seconds, after a number of consecutive failures. By default it
+            doubles with each failure up to `MAX_RETRY_PAUSE_SECONDS`, with jitter.
 
     Attributes:
-        repeat_after: seconds without an answer, beyond the wait at the store, after which a read
-            is repeated beside the one in flight; infinite for readers that never repeat.
-        failures: reads that failed since the last success.
+        repeat_after: seconds without an answer, beyond the wait at the store, after which another
+            read is sent; infinite for readers that never repeat a read in flight.
+        failures: number of reads that failed since the last success.
         failing_since: when the first of these failed, or infinite.
     """
 
@@ -110,7 +112,7 @@
         return bool(self._in_flight)
 
     def read_seconds(self, now: float) -> float:
-        """Returns how long the oldest read in flight has taken, 0 without one.
+        """Returns how long the oldest read in flight has taken, or 0 without one.
 
         Safe to call from any thread.
         """
@@ -118,7 +120,7 @@
         return now - min(begun, default=now)
 
     def next_due(self) -> float:
-        """Returns when a read is due, or one in flight counts as failed."""
+        """Returns when a read is due, or when a read in flight counts as failed."""
         lost = (attempt.lost_at for attempt in self._in_flight.values())
         due = float("inf") if self._is_full else self._due
         return min(due, min(lost, default=float("inf")))
@@ -128,14 +130,14 @@
         return len(self._in_flight) >= MAX_READS_IN_FLIGHT
 
     def is_due(self, now: float) -> bool:
-        """Returns whether a read is to be sent now; a call without any outcome counts as failed."""
+        """Marks overdue reads as failed; returns whether a read is to be sent now."""
         lost = [call for call, attempt in self._in_flight.items() if now >= attempt.lost_at]
         for call in lost:
             self.on_failed(now, call)
         return now >= self._due and not self._is_full
 
     def begin(self, now: float, wait: float = 0.0) -> ReadAttempt:
-        """Notes a read that is sent now and may wait at the store for `wait` seconds."""
+        """Records a read that is sent now and may wait at the store for `wait` seconds."""
         doublings = min(self.failures, MAX_TIMEOUT_DOUBLINGS)
         timeout = min(INITIAL_TIMEOUT_SECONDS * 2**doublings, MAX_TIMEOUT_SECONDS)
         is_suspect = self._doubts_connections or bool(self.failures or self._in_flight)
@@ -146,7 +148,7 @@
         return attempt
 
     def on_succeeded(self, call: int, due: float) -> ReadAttempt:
-        """Takes a read that was answered; the others are abandoned, the next is due at `due`."""
+        """Records an answered read and abandons the others; the next read is due at `due`."""
         attempt = self._in_flight[call]
         self._in_flight.clear()
         self._due = due
@@ -156,7 +158,7 @@
         return attempt
 
     def on_failed(self, now: float, call: int) -> None:
-        """Takes a read that failed; a pause follows unless another is in flight."""
+        """Records a failed read; a pause follows unless another read is in flight."""
         del self._in_flight[call]
         self.failures += 1
         self.failing_since = min(self.failing_since, now)
@@ -164,14 +166,14 @@
             self._due = now + self._pause(self.failures)
 
     def read_now(self, now: float) -> None:
-        """Has a read sent now, on a new connection, beside those in flight."""
+        """Makes another read due now, on a new connection, without abandoning those in flight."""
         self._due = min(self._due, now)
         self._doubts_connections = True
 
     def abandon(self, due: float, *, doubts_connections: bool = False) -> None:
-        """Abandons the reads in flight; the next is due at `due`.
+        """Abandons the reads in flight; the next read is due at `due`.
 
-        With `doubts_connections`, it is sent on a new connection.
+        With `doubts_connections`, the next read is sent on a new connection.
         """
         self._in_flight.clear()
         self._due = due
--- a/src/troutswitch/decisions/storage/refresh.py
+++ b/src/troutswitch/decisions/storage/refresh.py
@@ -1,7 +1,7 @@
-"""Reads a follower's partition to its end on demand, with one read for all who wait.
+"""Reads a follower's partition to its end on demand, with one read for all waiters.
 
-A waiter that comes while a read is in flight waits for the next one, since the store may have
-answered the read in flight before the waiter came. This module owns the waiters and that read.
+A waiter that is added while a read is in flight waits for the next read, because the store may
+have answered the one in flight before the waiter was added. Owns the waiters and the read.
 """
 
 from collections.abc import Callable
@@ -20,11 +20,11 @@
 """Time after which a read without an answer counts as failed."""
 
 Waiter = Callable[[float, bool], None]
-"""Called with the time and whether the partition was read to its end."""
+"""Callback with the time and whether the partition was read to its end."""
 
 
 class Refresher:
-    """Reads one follower's partition to its end for those who wait."""
+    """Reads one follower's partition to its end for its waiters."""
 
     def __init__(self, follower: PartitionFollower, numbers: CallNumbers) -> None:
         self._follower = follower
@@ -35,7 +35,7 @@
         self._waiting: list[Waiter] = []
 
     def refresh(self, waiter: Waiter) -> None:
-        """Has a waiter called once the partition was read to its end, or a read has failed."""
+        """Adds a waiter, called once the partition was read to its end or the read failed."""
         self._waiting.append(waiter)
 
     def next_due(self) -> float:
@@ -49,9 +49,10 @@
         return call == self._call != 0
 
     def on_timer(self, now: float) -> list[StoreCall]:
-        """Begins a read if somebody waits.
+        """Starts a read if there are waiters and no read is in flight.
 
-        While the follower makes its first reading, they go on waiting, unless that has failed.
+        While the follower reads the whole partition, waiters go on waiting; if that read has
+        failed, they are told of the failure.
         """
         if self._call and now >= self._requested_at + CALL_EXPIRY_SECONDS:
             self._call = 0
@@ -72,7 +73,7 @@
         return ReadRecords(self._call, self._follower.partition, self._follower.next_offset)
 
     def on_answer(self, now: float, outcome: StoreOutcome) -> list[StoreCall]:
-        """Takes the outcome of the read; while the partition has more, another one follows."""
+        """Handles the outcome of the read; returns another read while the partition has more."""
         self._call = 0
         match outcome:
             case RecordsRead():
--- a/src/troutswitch/outcomes.py
+++ b/src/troutswitch/outcomes.py
@@ -1,8 +1,7 @@
 """Tagged outcomes of online requests and of calls by callers and operators.
 
-Errors carry the step at which they arose and the peer that was involved.
-`NotRun` is a promise: no engine has run any part of the request. It is built
-only by `failure_outcome` from the evidence of all attempts.
+Errors name the step at which they occurred and the peer involved. `NotRun` guarantees that no
+engine has run any part of the request. `failure_outcome` derives this from how all attempts ended.
 """
 
 from dataclasses import dataclass
@@ -10,7 +9,7 @@
 
 
 class Step(StrEnum):
-    """Step of the path at which an outcome arose."""
+    """Processing step at which an outcome occurred."""
 
     PARSE = "parse"
     ADMIT = "admit"
@@ -26,14 +25,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Completed:
-    """The whole answer was delivered; `length` is its tokens."""
+    """The whole answer was delivered; `length` is its number of tokens."""
 
     length: int
 
 
 @dataclass(frozen=True, slots=True)
 class NotRun:
-    """Refused, and certain not to have run. `retry_after` is in seconds."""
+    """The request was refused, and no engine ran it. `retry_after` is in seconds."""
 
     reason: str
     step: Step
@@ -44,7 +43,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MayHaveRun:
-    """Nothing was delivered, but an engine or the log may have taken the request."""
+    """Nothing was delivered, but an engine may have run the request or the log accepted it."""
 
     reason: str
     step: Step
@@ -55,7 +54,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Cut:
-    """Part of the answer was delivered; it ends at token `position` and is not whole."""
+    """Only part of the answer was delivered, up to token `position`."""
 
     reason: str
     position: int
@@ -70,17 +69,17 @@
     """How one attempt on an engine ended."""
 
     COMPLETED = "completed"
-    REFUSED = "refused"  # the engine said that it did not run it
-    UNREACHABLE = "unreachable"  # no connection was made, so nothing was sent
-    CUT = "cut"  # sent, then the connection or the answer was lost
-    CANCELLED = "cancelled"  # cancelled by us
-    REJECTED = "rejected"  # the engine will never run it: the request is at fault
+    REFUSED = "refused"  # the engine answered that it did not run the request
+    UNREACHABLE = "unreachable"  # no connection was established, so nothing was sent
+    CUT = "cut"  # the connection or the answer was lost after sending
+    CANCELLED = "cancelled"  # cancelled by this daemon
+    REJECTED = "rejected"  # the request is invalid: the engine will never run it
 
 
 NOT_EXECUTED_OUTCOMES = frozenset(
     {AttemptOutcome.REFUSED, AttemptOutcome.UNREACHABLE, AttemptOutcome.REJECTED}
 )
-"""Attempt endings after which it is certain that the engine ran nothing."""
+"""Outcomes after which it is certain that the engine did not run the attempt."""
 
 
 def failure_outcome(
@@ -91,15 +90,15 @@
     peer: str,
     retry_after: float,
 ) -> NotRun | MayHaveRun | Cut:
-    """Builds the outcome of a request that is given up.
+    """Returns the outcome of a request that is given up.
 
     Args:
-        attempts: endings of all attempts made, in order.
-        position: tokens already delivered to the caller.
+        attempts: outcomes of all attempts, in order.
+        position: number of tokens already delivered to the caller.
         reason: why the request is given up.
         step: step at which it is given up.
         peer: engine of the last attempt, or empty.
-        retry_after: seconds after which the caller should ask again.
+        retry_after: seconds after which the caller should retry.
 
     Returns:
         `Cut` if tokens were delivered, `MayHaveRun` if any attempt may have run,
--- a/tests/decisions/crashes/test_shared.py
+++ b/tests/decisions/crashes/test_shared.py
@@ -53,10 +53,10 @@
             lambda event, **fields: self.logged.append(event),
         )
 
-    def apply(self, now: float, crash: Crash, at: float, stands: bool) -> bool:
-        is_news = (crash in self.known) != stands
-        (self.known.add if stands else self.known.discard)(crash)
-        return is_news
+    def apply(self, now: float, crash: Crash, at: float, is_valid: bool) -> bool:
+        is_new = (crash in self.known) != is_valid
+        (self.known.add if is_valid else self.known.discard)(crash)
+        return is_new
 
     def writes(self, now: float) -> list[AppendRecords]:
         return [i for i in self.shared.on_timer(now, True) if isinstance(i, AppendRecords)]
@@ -64,8 +64,8 @@
     def messages(self, now: float) -> list[SendToPeers]:
         return [i for i in self.shared.on_timer(now, True) if isinstance(i, SendToPeers)]
 
-    def news(self, stands: bool = True) -> CrashReport:
-        return CrashReport("p", (ReportedCrash(CRASH.content, CRASH.engine_id, int(AT), stands),))
+    def report(self, is_valid: bool = True) -> CrashReport:
+        return CrashReport("p", (ReportedCrash(CRASH.content, CRASH.engine_id, int(AT), is_valid),))
 
 
 def test_crashes_of_one_moment_go_in_one_write() -> None:
@@ -102,26 +102,26 @@
 
 def test_news_is_passed_on_once_to_some_peers() -> None:
     world = World()
-    world.shared.on_report(1.0, world.news())
+    world.shared.on_report(1.0, world.report())
     (message,) = world.messages(1.0)
     assert len(set(message.addresses)) == PEERS_NOTIFIED
-    world.shared.on_report(2.0, world.news())
+    world.shared.on_report(2.0, world.report())
     assert not world.messages(2.0)
 
 
 def test_a_late_message_does_not_bring_back_what_was_taken_back() -> None:
     world = World()
-    world.shared.on_report(1.0, world.news())
-    world.shared.on_report(2.0, world.news(stands=False))
+    world.shared.on_report(1.0, world.report())
+    world.shared.on_report(2.0, world.report(is_valid=False))
     assert not world.known
-    world.shared.on_report(3.0, world.news())
+    world.shared.on_report(3.0, world.report())
     assert not world.known
 
 
 def test_the_store_s_word_counts_also_after_it_was_taken_back() -> None:
     world = World()
-    world.shared.on_report(1.0, world.news())
-    world.shared.on_report(1.0, world.news(stands=False))
+    world.shared.on_report(1.0, world.report())
+    world.shared.on_report(1.0, world.report(is_valid=False))
     read = next(i for i in world.shared.on_timer(1.0, False) if isinstance(i, ReadNewest))
     record = KeyedRecord(f"{CRASH.content}/{CRASH.engine_id}", cbor2.dumps([int(AT)]), 0)
     world.shared.on_store(1.1, read.call, NewestPage((record,), False, 1))
