--- a/src/troutswitch/decisions/crashes/interface.py
+++ b/src/troutswitch/decisions/crashes/interface.py
@@ -57,7 +57,7 @@
     refused: frozenset[str] = frozenset()
 
     def refusal(self, now: float, content: str) -> NotRun:
-        """Is not called, as nothing is refused."""
+        """Is never called, because nothing is refused."""
         return NotRun("refused", Step.ADMIT)
 
     def awaits_crash_report(self, content: str) -> bool:
@@ -65,17 +65,17 @@
         return False
 
     def may_retry(self, now: float, content: str, pause: float, max_trials: int) -> bool:
-        """Is not called, as nothing is refused."""
+        """Is never called, because nothing is refused."""
         return True
 
     def on_lost(self, now: float, content: str, engine_id: str, *, is_silent: bool = False) -> None:
-        """Takes no note."""
+        """Does nothing."""
 
     def on_served(self, now: float, content: str) -> None:
-        """Takes no note."""
+        """Does nothing."""
 
     def on_answered(self, now: float, engine_id: str, sent_at: float) -> None:
-        """Takes no note."""
+        """Does nothing."""
 
 
 NO_SUSPECTS: Suspects = NoSuspects()
--- a/src/troutswitch/decisions/storage/refresh.py
+++ b/src/troutswitch/decisions/storage/refresh.py
@@ -52,7 +52,7 @@
         """Starts a read if there are waiters and no read is in flight.
 
         While the follower reads the whole partition, waiters go on waiting; if that read has
-        failed, they are told of the failure.
+        failed, they are notified of the failure.
         """
         if self._call and now >= self._requested_at + CALL_EXPIRY_SECONDS:
             self._call = 0
--- a/tests/decisions/crashes/test_content.py
+++ b/tests/decisions/crashes/test_content.py
@@ -1,12 +1,12 @@
-"""One request has one name in all its tries, and another request another one."""
+"""All attempts of one request have the same key, and different requests have different keys."""
 
 from itertools import combinations
 
 from troutswitch.decisions.crashes.content import content_key
 
 
-def test_what_an_engine_reads_makes_the_name() -> None:
-    asked = [
+def test_key_depends_on_all_that_an_engine_reads() -> None:
+    requests = [
         ("h", "POST", "/a/x", b"body"),
         ("g", "POST", "/a/x", b"body"),
         ("h", "GET", "/a/x", b"body"),
@@ -14,6 +14,6 @@
         ("h", "POST", "/a/x", b"other"),
         ("h", "POST", "/a/", b"xbody"),
     ]
-    keys = [content_key(*each) for each in asked]
-    assert keys[0] == content_key(*asked[0])
-    assert all(one != other for one, other in combinations(keys, 2))
+    keys = [content_key(*request) for request in requests]
+    assert keys[0] == content_key(*requests[0])
+    assert all(first != second for first, second in combinations(keys, 2))
--- a/tests/decisions/crashes/test_engine_crashes.py
+++ b/tests/decisions/crashes/test_engine_crashes.py
@@ -1,4 +1,4 @@
-"""An engine that ended is told from an answer that broke off, from silence and from a leave."""
+"""Crashes of engines are distinguished from lost answers, silence and planned ends."""
 
 from tests.decisions.forwarding.worlds import engine
 from troutswitch.decisions.crashes.engine_crashes import (
@@ -16,102 +16,105 @@
 
 
 class World:
+    """The engines `a` and `b`, and the checks that were requested of them."""
+
     def __init__(self) -> None:
         self.engines = EngineRegistry()
         self.engines.on_list(0.0, [engine("a"), engine("b")])
         self.checks: list[CheckEngine] = []
-        self.endings = EngineCrashes(self.engines, self.checks.append)
+        self.engine_crashes = EngineCrashes(self.engines, self.checks.append)
 
     def check(self, result: EngineCheckResult) -> list[Crash]:
-        return self.endings.on_checked(EngineChecked("a", result))
+        return self.engine_crashes.on_checked(EngineChecked("a", result))
 
 
-def test_an_engine_whose_port_refuses_has_ended_under_all_that_were_on_it() -> None:
+def test_refused_connection_is_a_crash_under_all_requests_on_the_engine() -> None:
     world = World()
-    world.endings.on_lost(1.0, "x", "a", False)
-    world.endings.on_lost(1.0, "y", "a", False)
+    world.engine_crashes.on_lost(1.0, "x", "a", False)
+    world.engine_crashes.on_lost(1.0, "y", "a", False)
     assert [check.engine_id for check in world.checks] == ["a"]
     assert world.check(EngineCheckResult.ENDED) == [Crash("x", "a"), Crash("y", "a")]
 
 
-def test_an_engine_that_answers_a_later_attempt_only_broke_an_answer_off() -> None:
+def test_answer_to_a_later_attempt_proves_that_the_engine_did_not_crash() -> None:
     world = World()
-    world.endings.on_lost(1.0, "x", "a", False)
+    world.engine_crashes.on_lost(1.0, "x", "a", False)
     assert world.check(EngineCheckResult.LISTENS) == []
-    world.endings.on_answered("a", sent_at=1.1)
+    world.engine_crashes.on_answered("a", sent_at=1.1)
     world.engines.on_list(5.0, [engine("b")])
-    assert world.endings.on_list() == []
+    assert world.engine_crashes.on_list() == []
 
 
-def test_an_answer_to_an_earlier_attempt_tells_nothing() -> None:
+def test_answer_to_an_earlier_attempt_proves_nothing() -> None:
     world = World()
-    world.endings.on_lost(1.0, "x", "a", False)
-    world.endings.on_answered("a", sent_at=0.9)
+    world.engine_crashes.on_lost(1.0, "x", "a", False)
+    world.engine_crashes.on_answered("a", sent_at=0.9)
     assert world.check(EngineCheckResult.ENDED) == [Crash("x", "a")]
 
 
-def test_a_proxy_that_takes_connections_for_an_ended_engine_hides_nothing() -> None:
-    """A check was believed that found a listening port: behind proxies a request went on ending
-    engines, eight times past the bound in a soak, as each check found the proxy."""
+def test_proxy_in_front_of_a_crashed_engine_does_not_hide_the_crash() -> None:
+    """Guards against taking an open port as proof that the engine is alive. Behind proxies, one
+    request then crashed engines eight times past the bound in a soak, as each check reached the
+    proxy."""
     world = World()
-    world.endings.on_lost(1.0, "x", "a", False)
+    world.engine_crashes.on_lost(1.0, "x", "a", False)
     assert world.check(EngineCheckResult.LISTENS) == []
     world.engines.on_list(3.0, [engine("b")])
-    assert world.endings.on_list() == [Crash("x", "a")]
+    assert world.engine_crashes.on_list() == [Crash("x", "a")]
 
 
-def test_an_engine_that_breaks_many_answers_off_is_checked_now_and_then() -> None:
+def test_checks_of_an_engine_that_loses_many_answers_are_rate_limited() -> None:
     world = World()
     for number in range(100):
-        world.endings.on_lost(1.0 + number / 100, f"x{number}", "a", False)
-        world.endings.on_timer(1.0 + number / 100)
+        world.engine_crashes.on_lost(1.0 + number / 100, f"x{number}", "a", False)
+        world.engine_crashes.on_timer(1.0 + number / 100)
     assert len(world.checks) == 1 + int(0.99 / MIN_CHECK_INTERVAL_SECONDS)
 
 
-def test_a_loss_right_after_a_check_is_checked_a_little_later() -> None:
+def test_loss_right_after_a_check_is_checked_after_the_minimum_interval() -> None:
     world = World()
-    world.endings.on_lost(1.0, "x", "a", False)
-    world.endings.on_lost(1.1, "y", "a", False)
+    world.engine_crashes.on_lost(1.0, "x", "a", False)
+    world.engine_crashes.on_lost(1.1, "y", "a", False)
     assert len(world.checks) == 1
-    assert world.endings.next_due() == 1.0 + MIN_CHECK_INTERVAL_SECONDS
-    world.endings.on_timer(1.0 + MIN_CHECK_INTERVAL_SECONDS)
+    assert world.engine_crashes.next_due() == 1.0 + MIN_CHECK_INTERVAL_SECONDS
+    world.engine_crashes.on_timer(1.0 + MIN_CHECK_INTERVAL_SECONDS)
     assert len(world.checks) == 2
 
 
-def test_a_silent_engine_is_not_asked_and_counts_once_its_entry_went() -> None:
+def test_silent_engine_is_not_checked_and_has_crashed_once_its_entry_is_removed() -> None:
     world = World()
-    world.endings.on_lost(1.0, "x", "a", True)
+    world.engine_crashes.on_lost(1.0, "x", "a", True)
     assert not world.checks
-    assert world.endings.on_list() == []
+    assert world.engine_crashes.on_list() == []
     world.engines.on_list(5.0, [engine("b")])
-    assert world.endings.on_list() == [Crash("x", "a")]
+    assert world.engine_crashes.on_list() == [Crash("x", "a")]
 
 
-def test_a_silent_engine_that_stays_listed_is_forgotten() -> None:
+def test_silent_engine_that_stays_listed_is_forgotten() -> None:
     world = World()
-    world.endings.on_lost(1.0, "x", "a", True)
-    world.endings.on_timer(1.0 + PENDING_SECONDS)
+    world.engine_crashes.on_lost(1.0, "x", "a", True)
+    world.engine_crashes.on_timer(1.0 + PENDING_SECONDS)
     world.engines.on_list(20.0, [engine("b")])
-    assert world.endings.on_list() == []
+    assert world.engine_crashes.on_list() == []
 
 
-def test_a_cut_machine_that_gets_no_word_waits_for_the_list() -> None:
+def test_check_without_a_response_leaves_the_decision_to_the_list() -> None:
     world = World()
-    world.endings.on_lost(1.0, "x", "a", False)
+    world.engine_crashes.on_lost(1.0, "x", "a", False)
     assert world.check(EngineCheckResult.UNKNOWN) == []
     world.engines.on_list(5.0, [engine("b")])
-    assert world.endings.on_list() == [Crash("x", "a")]
+    assert world.engine_crashes.on_list() == [Crash("x", "a")]
 
 
-def test_a_planned_end_has_no_cause_among_the_requests() -> None:
+def test_lost_answer_of_a_draining_engine_is_not_checked() -> None:
     world = World()
     world.engines.on_list(0.5, [engine("a", draining=True), engine("b")])
-    world.endings.on_lost(1.0, "x", "a", False)
+    world.engine_crashes.on_lost(1.0, "x", "a", False)
     assert not world.checks
 
 
-def test_a_silent_engine_that_then_drains_left_as_planned() -> None:
+def test_silent_engine_that_then_drains_has_not_crashed() -> None:
     world = World()
-    world.endings.on_lost(1.0, "x", "a", True)
+    world.engine_crashes.on_lost(1.0, "x", "a", True)
     world.engines.on_list(2.0, [engine("a", draining=True), engine("b")])
-    assert world.endings.on_list() == []
+    assert world.engine_crashes.on_list() == []
--- a/tests/decisions/crashes/test_record.py
+++ b/tests/decisions/crashes/test_record.py
@@ -1,4 +1,4 @@
-"""Which requests are refused by what is on record, whoever told it and in which order."""
+"""Which requests are refused, given the crashes on record in any order."""
 
 import random
 from itertools import permutations
@@ -20,7 +20,7 @@
 
 
 def record_of(**engines: str) -> CrashRecord:
-    """Returns a record; each request's engines are letters."""
+    """Returns a record of requests, each with the letters of its crashed engines."""
     record = CrashRecord(MAX_DEFERRAL_SECONDS)
     for content, letters in engines.items():
         for letter in letters:
@@ -28,32 +28,33 @@
     return record
 
 
-def test_three_lives_refuse_a_request_and_two_do_not() -> None:
+def test_request_is_refused_after_three_crashes_but_not_after_two() -> None:
     assert record_of(x="ab").refused == frozenset()
     assert record_of(x="abc").refused == {"x"}
 
 
-def test_one_life_told_by_many_counts_once() -> None:
+def test_crash_reported_repeatedly_counts_once() -> None:
     record = record_of(x="ab")
     for _ in range(5):
         assert not record.add(NOW, Crash("x", "a"), NOW)
     assert record.crash_count("x") == 2
 
 
-def test_a_request_that_was_beside_the_cause_is_not_refused() -> None:
+def test_request_on_the_same_engines_as_the_cause_is_not_refused() -> None:
     assert record_of(cause="abcd", beside="abc", once="a").refused == {"cause"}
 
 
-def test_two_with_the_same_three_crashes_are_told_apart_by_a_fourth() -> None:
+def test_fourth_crash_separates_two_requests_with_the_same_three_crashes() -> None:
     assert record_of(cause="abc", beside="abc").refused == frozenset()
     assert record_of(cause="abcd", beside="abc").refused == {"cause"}
     assert record_of(cause="abcd", beside="abcd").refused == frozenset()
     assert record_of(cause="abcde", beside="abcd").refused == {"cause"}
 
 
-def test_a_request_that_met_two_causes_is_not_refused() -> None:
-    """With longer records counting first, this one was: two of its engines ended by one cause and
-    one by the other, in four of eight worlds with two marked requests at the same moment."""
+def test_request_that_shared_engines_with_two_causes_is_not_refused() -> None:
+    """Guards against a rule that examines the requests with the most crashes first. It refused this
+    request, of whose engines one cause crashed two and another cause one. This happened in four of
+    eight simulations with two simultaneous causes."""
     assert record_of(one="abc", two="def", beside="bce").refused == {"one", "two"}
 
 
@@ -61,12 +62,14 @@
     assert record_of(one="abcde", two="axyz", beside="abx").refused == {"one", "two"}
 
 
-def test_a_request_that_always_meets_another_cause_is_refused_in_the_end() -> None:
+def test_cause_that_always_shares_engines_with_another_is_refused_after_conclusive_crashes() -> (
+    None
+):
     shared = "abcdefgh"[:CONCLUSIVE_CRASHES]
     assert record_of(one=shared + "z", two=shared).refused == {"one", "two"}
 
 
-def test_a_crash_that_is_taken_back_frees_the_request_and_what_it_explained() -> None:
+def test_removed_crashes_change_which_request_is_the_cause() -> None:
     record = record_of(cause="abcd", beside="abc")
     assert record.remove(NOW, Crash("cause", "d"))
     assert not record.remove(NOW, Crash("cause", "d"))
@@ -77,7 +80,7 @@
     assert len(record) == 1
 
 
-def test_the_order_of_tellings_changes_nothing() -> None:
+def test_order_of_reports_makes_no_difference() -> None:
     crashes = [Crash("x", "a"), Crash("x", "b"), Crash("x", "c"), Crash("y", "a"), Crash("y", "b")]
     for order in permutations(crashes):
         record = CrashRecord(MAX_DEFERRAL_SECONDS)
@@ -86,7 +89,7 @@
         assert record.refused == {"x"}
 
 
-def test_a_refusal_ends_and_one_more_crash_renews_it() -> None:
+def test_refusal_expires_and_one_more_crash_renews_it() -> None:
     record = record_of(x="abc")
     record.expire(NOW + REFUSAL_SECONDS)
     assert record.refused == frozenset()
@@ -95,7 +98,7 @@
     assert record.refused == {"x"}
 
 
-def test_renewal_goes_on_when_the_record_is_full() -> None:
+def test_newest_crashes_are_kept_when_the_record_of_a_request_is_full() -> None:
     record = CrashRecord(MAX_DEFERRAL_SECONDS)
     for number in range(MAX_CRASHES_PER_CONTENT + 3):
         at = NOW + number
@@ -104,21 +107,21 @@
     assert record.last_crash_at("x") == NOW + MAX_CRASHES_PER_CONTENT + 2
 
 
-def test_crashes_are_forgotten_after_their_time() -> None:
+def test_crashes_expire_after_the_retention_time() -> None:
     record = record_of(x="abc")
     assert len(record.expire(NOW + RETENTION_SECONDS)) == 3
     assert len(record) == 0
     assert not record.add(NOW + RETENTION_SECONDS, Crash("x", "a"), NOW)
 
 
-def test_a_clock_that_is_ahead_elsewhere_does_not_prolong_a_refusal() -> None:
+def test_crash_time_in_the_future_does_not_prolong_a_refusal() -> None:
     record = CrashRecord(MAX_DEFERRAL_SECONDS)
     for letter in "abc":
         record.add(NOW, Crash("x", letter), NOW + 1e6)
     assert record.last_crash_at("x") == NOW
 
 
-def test_a_flood_of_different_requests_does_not_push_out_the_refused() -> None:
+def test_flood_of_different_requests_does_not_evict_the_refused_ones() -> None:
     record = record_of(x="abc", twice="ab")
     for number in range(MAX_CONTENTS + 500):
         record.add(NOW, Crash(f"flood-{number}", f"s{number % 50}"), NOW)
@@ -127,19 +130,21 @@
     assert record.crash_count("twice") == 2
 
 
-def test_what_is_noted_by_engine_follows_what_is_noted_by_request() -> None:
+def test_index_by_engine_agrees_with_the_index_by_request() -> None:
     """Random additions and removals, checked against a plain set."""
-    drawn = random.Random(7)
-    record, held = CrashRecord(MAX_DEFERRAL_SECONDS), set[Crash]()
+    rng = random.Random(7)
+    record, expected = CrashRecord(MAX_DEFERRAL_SECONDS), set[Crash]()
     for _ in range(3000):
-        crash = Crash(f"c{drawn.randrange(9)}", f"s{drawn.randrange(9)}")
-        if drawn.random() < 0.6:
-            assert record.add(NOW, crash, NOW) == (crash not in held)
-            held.add(crash)
+        crash = Crash(f"c{rng.randrange(9)}", f"s{rng.randrange(9)}")
+        if rng.random() < 0.6:
+            assert record.add(NOW, crash, NOW) == (crash not in expected)
+            expected.add(crash)
         else:
-            assert record.remove(NOW, crash) == (crash in held)
-            held.discard(crash)
+            assert record.remove(NOW, crash) == (crash in expected)
+            expected.discard(crash)
         assert record.crashes_of_engine(crash.engine_id) == sorted(
-            each for each in held if each.engine_id == crash.engine_id
+            known for known in expected if known.engine_id == crash.engine_id
+        )
+        assert record.crash_count(crash.content) == sum(
+            known.content == crash.content for known in expected
         )
-        assert record.crash_count(crash.content) == sum(e.content == crash.content for e in held)
--- a/tests/decisions/crashes/test_shared.py
+++ b/tests/decisions/crashes/test_shared.py
@@ -1,4 +1,4 @@
-"""How crashes reach other daemons: what is written, told, passed on and taken back."""
+"""How crashes and their retractions are written, reported and forwarded to other daemons."""
 
 import random
 
@@ -39,7 +39,7 @@
 
 
 class World:
-    """One daemon's sharing, with a record that takes each crash once."""
+    """The sharing of one daemon, and the set of crashes that it applied."""
 
     def __init__(self, peers: list[Address] = PEERS) -> None:
         self.known: set[Crash] = set()
@@ -68,7 +68,7 @@
         return CrashReport("p", (ReportedCrash(CRASH.content, CRASH.engine_id, int(AT), is_valid),))
 
 
-def test_crashes_of_one_moment_go_in_one_write() -> None:
+def test_simultaneous_crashes_are_written_together() -> None:
     world = World()
     for number in range(5):
         world.shared.publish(1.0, Crash("x", f"s{number}"), AT, True)
@@ -78,7 +78,7 @@
     assert cbor2.loads(write.records[0].value) == [int(AT)]
 
 
-def test_a_write_that_fails_is_made_again_and_the_rest_follows() -> None:
+def test_failed_write_is_repeated_before_the_remaining_records() -> None:
     world = World()
     for number in range(MAX_RECORDS_PER_WRITE + 1):
         world.shared.publish(1.0, Crash("x", f"s{number}"), AT, True)
@@ -92,7 +92,7 @@
     assert [record.key for record in rest.records] == [f"x/s{MAX_RECORDS_PER_WRITE}"]
 
 
-def test_what_waits_is_bounded() -> None:
+def test_pending_writes_and_reports_are_bounded() -> None:
     world = World()
     for number in range(2 * MAX_PENDING_RECORDS):
         world.shared.publish(1.0, Crash("x", f"s{number}"), AT, True)
@@ -100,7 +100,7 @@
     assert len(world.shared._pending_reports) == MAX_PENDING_REPORTS
 
 
-def test_news_is_passed_on_once_to_some_peers() -> None:
+def test_new_report_is_forwarded_once_to_some_peers() -> None:
     world = World()
     world.shared.on_report(1.0, world.report())
     (message,) = world.messages(1.0)
@@ -109,7 +109,7 @@
     assert not world.messages(2.0)
 
 
-def test_a_late_message_does_not_bring_back_what_was_taken_back() -> None:
+def test_late_report_does_not_restore_a_retracted_crash() -> None:
     world = World()
     world.shared.on_report(1.0, world.report())
     world.shared.on_report(2.0, world.report(is_valid=False))
@@ -118,7 +118,7 @@
     assert not world.known
 
 
-def test_the_store_s_word_counts_also_after_it_was_taken_back() -> None:
+def test_record_in_the_store_restores_a_retracted_crash() -> None:
     world = World()
     world.shared.on_report(1.0, world.report())
     world.shared.on_report(1.0, world.report(is_valid=False))
@@ -129,7 +129,7 @@
 
 
 @pytest.mark.parametrize("value", [b"\xff", cbor2.dumps({}), cbor2.dumps(["late"])])
-def test_a_malformed_record_is_logged_and_left(value: bytes) -> None:
+def test_malformed_record_is_logged_and_ignored(value: bytes) -> None:
     world = World()
     read = next(i for i in world.shared.on_timer(1.0, False) if isinstance(i, ReadNewest))
     record = KeyedRecord("x/s", value, 0)
@@ -138,7 +138,7 @@
     assert not world.known
 
 
-def test_reads_wait_long_only_while_nothing_is_known_of() -> None:
+def test_reads_wait_longer_at_the_store_while_no_crash_is_on_record() -> None:
     world = World()
     read = next(i for i in world.shared.on_timer(1.0, False) if isinstance(i, ReadNewest))
     world.shared.on_store(1.1, read.call, NewestPage((), False, 0))
@@ -151,15 +151,15 @@
     )
 
 
-def test_a_full_message_fits_into_a_packet() -> None:
-    told = ReportedCrash(CRASH.content, CRASH.engine_id, int(AT), True)
-    news = CrashReport("edge-guediawaye-3", (told,) * MAX_CRASHES_PER_REPORT)
-    data = encode(news)
+def test_report_of_maximum_size_fits_into_a_packet() -> None:
+    reported = ReportedCrash(CRASH.content, CRASH.engine_id, int(AT), True)
+    report = CrashReport("edge-guediawaye-3", (reported,) * MAX_CRASHES_PER_REPORT)
+    data = encode(report)
     assert len(data) < 1400 < MAX_DATAGRAM_BYTES
-    assert decode(data) == news
+    assert decode(data) == report
 
 
-def test_of_all_daemons_about_one_removes_what_is_too_old() -> None:
+def test_about_one_of_all_daemons_removes_an_expired_crash() -> None:
     removed = 0
     for seed in range(2000):
         world = World()
--- a/tests/decisions/crashes/test_suspects.py
+++ b/tests/decisions/crashes/test_suspects.py
@@ -1,4 +1,4 @@
-"""What a daemon answers to requests under which engines ended, and what clears them."""
+"""How a daemon refuses requests under which engines crashed, and what clears them."""
 
 import random
 
@@ -19,6 +19,8 @@
 
 
 class World:
+    """The crash suspects of one daemon with six engines."""
+
     def __init__(self, name: str = "d") -> None:
         self.engines = EngineRegistry()
         self.engines.on_list(0.0, [engine(f"s{n}") for n in range(6)])
@@ -39,22 +41,24 @@
             self.suspects.on_lost(now, content, engine_id)
             self.suspects.on_checked(now, EngineChecked(engine_id, EngineCheckResult.ENDED))
 
-    def told(self, now: float, content: str, *engine_ids: str) -> None:
-        told = tuple(ReportedCrash(content, name, int(now + OFFSET), True) for name in engine_ids)
-        self.suspects.on_report(now, CrashReport("p", told))
+    def report(self, now: float, content: str, *engine_ids: str) -> None:
+        reported = tuple(
+            ReportedCrash(content, name, int(now + OFFSET), True) for name in engine_ids
+        )
+        self.suspects.on_report(now, CrashReport("p", reported))
 
 
-def test_own_crashes_and_those_of_others_count_together() -> None:
+def test_detected_and_reported_crashes_count_together() -> None:
     world = World()
     world.crash(1.0, "x", "s0")
-    world.told(1.1, "x", "s0", "s1")
+    world.report(1.1, "x", "s0", "s1")
     assert not world.suspects.refused
-    world.told(1.2, "x", "elsewhere")
+    world.report(1.2, "x", "elsewhere")
     assert world.suspects.refused == {"x"}
     assert "request refused from now on" in world.logged
 
 
-def test_a_caller_is_asked_to_come_back_first_and_told_to_stop_later() -> None:
+def test_refused_caller_may_retry_at_first_and_not_after_the_retraction_window() -> None:
     world = World()
     world.crash(1.0, "x", "s0", "s1", "s2")
     first = world.suspects.refusal(1.1, "x")
@@ -63,7 +67,7 @@
     assert (later.status, later.retry_after) == (NON_RETRYABLE_STATUS, None)
 
 
-def test_a_request_that_was_served_is_cleared() -> None:
+def test_request_that_was_served_is_cleared() -> None:
     world = World()
     world.crash(1.0, "x", "s0", "s1", "s2")
     world.suspects.on_served(2.0, "x")
@@ -71,11 +75,11 @@
     assert world.suspects.count == 0
 
 
-def test_an_engine_that_answers_a_later_attempt_has_not_ended() -> None:
-    """A daemon cut off with resets takes all its engines for ended, under all its requests."""
+def test_engine_that_answers_a_later_attempt_has_not_crashed() -> None:
+    """A daemon whose connections are reset considers all its engines crashed under all requests."""
     world = World()
-    world.told(1.0, "x", "s0", "s1", "s2")
-    world.told(1.0, "y", "s0", "s1", "s2")
+    world.report(1.0, "x", "s0", "s1", "s2")
+    world.report(1.0, "y", "s0", "s1", "s2")
     world.suspects.on_answered(2.0, "s0", sent_at=1.5)
     assert world.suspects.count == 2
     assert not world.suspects.awaits_crash_report("z")
@@ -84,32 +88,32 @@
     assert world.suspects.count == 0
 
 
-def test_an_answer_to_an_attempt_sent_before_tells_nothing() -> None:
+def test_answer_to_an_attempt_sent_before_the_crash_proves_nothing() -> None:
     world = World()
-    world.told(1.0, "x", "s0", "s1", "s2")
+    world.report(1.0, "x", "s0", "s1", "s2")
     world.suspects.on_answered(1.1, "s0", sent_at=0.9)
     assert world.suspects.refused == {"x"}
 
 
-def test_a_second_crash_makes_the_next_attempt_wait() -> None:
+def test_next_attempt_waits_for_the_crash_report_after_two_crashes() -> None:
     world = World()
     world.crash(1.0, "x", "s0")
     assert not world.suspects.awaits_crash_report("x")
-    world.told(1.1, "x", "s1")
+    world.report(1.1, "x", "s1")
     assert world.suspects.awaits_crash_report("x")
 
 
-def test_daemons_free_what_they_hold_back_one_after_the_other() -> None:
-    """What was seen: a cause that was held back was free at all daemons in the same millisecond.
+def test_daemons_end_deferrals_at_different_times() -> None:
+    """Guards against all daemons admitting a deferred cause at the same moment.
 
-    Order: its callers, who had come all the while, sent it to two engines 80 ms later, before the
-    first of these ended. Cause: all daemons counted ten seconds from the same crash. Evidence: the
-    lines of one play, in which eleven daemons free it between 23.7519 and 23.7535 s.
+    When all daemons counted ten seconds from the same crash, eleven daemons of one simulation ended
+    a deferral between 23.7519 and 23.7535 s. Callers that kept retrying then sent the cause to two
+    engines 80 ms later, before the first of these crashed.
     """
     fleet = [World(f"daemon-{number}") for number in range(20)]
     for world in fleet:
         for content in ("cause", "other"):
-            world.told(0.0, content, "s0", "s1", "s2")
+            world.report(0.0, content, "s0", "s1", "s2")
         assert world.suspects.refused == {"cause", "other"}
     released: list[float] = []
     for world in fleet:
--- a/tests/decisions/peers/test_catch_up.py
+++ b/tests/decisions/peers/test_catch_up.py
@@ -1,3 +1,5 @@
+"""When a daemon asks peers for their state, and what it learns while it is cut from the store."""
+
 import random
 
 import pytest
@@ -13,7 +15,7 @@
 )
 
 NEVER = float("inf")
-SOUND = ReadingState(3, 3, NEVER, NEVER)
+HEALTHY = ReadingState(3, 3, NEVER, NEVER)
 CUT = "daemon-0"
 
 
@@ -31,62 +33,62 @@
 ONE_PEER = OnePeer()
 
 
-def test_a_daemon_that_reads_the_store_asks_nobody() -> None:
+def test_no_peer_is_asked_while_reads_of_the_store_succeed() -> None:
     catch_up = PeerCatchUp(random.Random(1))
-    assert all(not catch_up.on_timer(now / 10, SOUND, ONE_PEER) for now in range(100))
+    assert all(not catch_up.on_timer(now / 10, HEALTHY, ONE_PEER) for now in range(100))
     assert catch_up.next_due() == NEVER
 
 
-def test_a_peer_is_asked_once_a_reading_fails_for_a_while() -> None:
+def test_peer_is_asked_after_reads_have_failed_for_the_grace_period() -> None:
     catch_up = PeerCatchUp(random.Random(1))
     failing = ReadingState(3, 3, 10.0, NEVER)
     assert catch_up.on_timer(10.1, failing, ONE_PEER) == []
-    (asked,) = catch_up.on_timer(10.0 + GRACE_SECONDS, failing, ONE_PEER)
-    assert (asked.host, asked.version) == ("10.0.0.9", 3)
+    (request,) = catch_up.on_timer(10.0 + GRACE_SECONDS, failing, ONE_PEER)
+    assert (request.host, request.version) == ("10.0.0.9", 3)
     assert catch_up.on_timer(10.9, failing, ONE_PEER) == []
 
 
-def test_another_peer_is_asked_when_one_does_not_answer() -> None:
+def test_peer_is_asked_again_after_the_reply_timeout() -> None:
     catch_up = PeerCatchUp(random.Random(1))
     failing = ReadingState(3, 3, NEVER, 10.0)
     assert catch_up.on_timer(11.0, failing, ONE_PEER)
     assert catch_up.on_timer(11.0 + REPLY_TIMEOUT_SECONDS, failing, ONE_PEER)
 
 
-def test_a_newer_version_at_a_peer_is_asked_for_when_the_reading_does_not_bring_it() -> None:
+def test_peer_is_asked_for_a_newer_version_that_the_store_does_not_return() -> None:
     catch_up = PeerCatchUp(random.Random(1))
     older = ReadingState(3, 4, NEVER, NEVER)
     assert catch_up.on_timer(10.0, older, ONE_PEER) == []
     assert catch_up.on_timer(10.0 + GRACE_SECONDS, older, ONE_PEER)
 
 
-class NearPeersAndOneThatIsNewer(OnePeer):
+class PeersWithANewerOne(OnePeer):
     newer = Address("10.0.9.9", 7)
 
     def newer_addresses(self, now: float, version: int) -> list[Address]:
         return [self.newer]
 
 
-def test_the_peer_that_acts_on_the_newer_version_is_asked_and_soon() -> None:
+def test_peer_with_the_newer_version_is_asked_after_the_shorter_grace_period() -> None:
     catch_up = PeerCatchUp(random.Random(1))
     older = ReadingState(3, 4, NEVER, NEVER)
-    peers = NearPeersAndOneThatIsNewer()
+    peers = PeersWithANewerOne()
     assert catch_up.on_timer(10.0, older, peers) == []
-    (asked,) = catch_up.on_timer(10.0 + NEWER_GRACE_SECONDS, older, peers)
-    assert asked.host == peers.newer.host
+    (request,) = catch_up.on_timer(10.0 + NEWER_GRACE_SECONDS, older, peers)
+    assert request.host == peers.newer.host
 
 
-class NearAndFarPeer(OnePeer):
+class PeersOfTwoZones(OnePeer):
     def live_addresses_in_any_zone(self, now: float) -> list[Address]:
         return [Address("10.0.9.9", 7)]
 
 
-def test_peers_of_this_zone_and_of_any_zone_are_asked_by_turns() -> None:
+def test_peers_of_this_zone_and_of_any_zone_are_asked_alternately() -> None:
     catch_up = PeerCatchUp(random.Random(1))
     failing = ReadingState(3, 3, 10.0, NEVER)
     hosts = []
     for second in range(11, 15):
-        hosts += [asked.host for asked in catch_up.on_timer(second, failing, NearAndFarPeer())]
+        hosts += [request.host for request in catch_up.on_timer(second, failing, PeersOfTwoZones())]
         catch_up.on_reply()
     assert hosts == ["10.0.0.9", "10.0.9.9"] * 2
 
@@ -99,30 +101,30 @@
     return world, world.daemons[CUT]
 
 
-def test_a_daemon_cut_from_the_store_learns_a_configuration_from_peers() -> None:
+def test_daemon_cut_from_the_store_learns_a_configuration_from_peers() -> None:
     world, cut = cut_world()
     world.publish(2)
     world.run(3.0)
     assert cut.core.routes.version == 2
 
 
-def test_a_daemon_cut_from_the_store_learns_from_peers_that_an_engine_drains() -> None:
+def test_daemon_cut_from_the_store_learns_from_peers_that_an_engine_drains() -> None:
     world, cut = cut_world()
     world.list_engine("server-1", 8, is_draining=True)
     world.run(3.0)
     assert cut.core.engines.engines["server-1"].is_draining
 
 
-def test_a_daemon_that_starts_cut_from_the_store_becomes_ready_through_peers() -> None:
+def test_daemon_that_starts_cut_from_the_store_becomes_ready_through_peers() -> None:
     world, _ = cut_world()
     world.kill(CUT, down=0.5)
     world.run(4.0)
-    again = world.daemons[CUT]
-    assert again.incarnation == 1
-    assert again.core.is_ready
+    restarted = world.daemons[CUT]
+    assert restarted.incarnation == 1
+    assert restarted.core.is_ready
 
 
-def test_what_a_peer_tells_is_never_taken_back_behind_what_is_known() -> None:
+def test_older_state_of_a_peer_does_not_replace_newer_state() -> None:
     world, cut = cut_world()
     cut.is_cut_from_store = False
     world.publish(5)
@@ -134,7 +136,7 @@
     assert cut.core.routes.version == 5
 
 
-def test_without_asking_peers_a_daemon_cut_from_the_store_learns_nothing(
+def test_daemon_cut_from_the_store_learns_nothing_without_asking_peers(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(PeerCatchUp, "on_timer", lambda *_: [])
--- a/tests/decisions/peers/test_heartbeats.py
+++ b/tests/decisions/peers/test_heartbeats.py
@@ -1,4 +1,4 @@
-"""Daemons know of each other without sending everything to everybody."""
+"""Daemons learn of each other from the registry and from heartbeats to a few others."""
 
 import random
 
@@ -17,7 +17,7 @@
 OWN = Address("10.0.0.1", 7)
 
 
-def peers() -> Peers:
+def make_peers() -> Peers:
     return Peers("me", "here", OWN, 1, lambda: 4, lambda: (), random.Random(1))
 
 
@@ -29,67 +29,67 @@
     return Heartbeat(name, zone, Address("10.0.0.2", port), 1, version)
 
 
-def test_a_registered_daemon_is_known_once_and_never_oneself() -> None:
-    held = peers()
+def test_registered_daemon_is_added_once_and_the_own_entry_is_ignored() -> None:
+    known = make_peers()
     for name in ("other", "other", "me"):
-        held.on_registered(entry(name, 1))
-    assert set(held.peers) == {"other"}
+        known.on_registered(entry(name, 1))
+    assert set(known.peers) == {"other"}
 
 
-def test_what_is_sent_does_not_grow_with_the_fleet() -> None:
+def test_number_of_heartbeats_sent_is_independent_of_the_fleet_size() -> None:
     for size in (1, 3, 700):
-        held = peers()
+        known = make_peers()
         for number in range(size):
-            held.on_registered(entry(f"d{number}", number))
-        made = [held.on_timer(tick * HEARTBEAT_INTERVAL_SECONDS / 4) for tick in range(1, 41)]
-        sent = [len(each.addresses) for instructions in made for each in instructions]
+            known.on_registered(entry(f"d{number}", number))
+        rounds = [known.on_timer(tick * HEARTBEAT_INTERVAL_SECONDS / 4) for tick in range(1, 41)]
+        sent = [len(message.addresses) for messages in rounds for message in messages]
         assert len(sent) == 10
         assert set(sent) == {min(size, HEARTBEAT_FANOUT)}
 
 
-def test_everybody_gets_heartbeats_in_turn() -> None:
-    held = peers()
+def test_all_peers_get_heartbeats_over_time() -> None:
+    known = make_peers()
     for number in range(20):
-        held.on_registered(entry(f"d{number}", number))
+        known.on_registered(entry(f"d{number}", number))
     reached: set[int] = set()
     for tick in range(200):
-        for made in held.on_timer(tick * HEARTBEAT_INTERVAL_SECONDS):
-            reached.update(address.port for address in made.addresses)
+        for message in known.on_timer(tick * HEARTBEAT_INTERVAL_SECONDS):
+            reached.update(address.port for address in message.addresses)
     assert reached == set(range(20))
 
 
-def test_a_live_peer_comes_before_silent_ones_and_the_own_zone_first() -> None:
-    held = peers()
+def test_live_peers_of_the_own_zone_come_first_and_silent_peers_last() -> None:
+    known = make_peers()
     for number in range(20):
-        held.on_registered(entry(f"d{number}", number))
-    assert len(held.live_addresses(0.0)) == 3
-    held.on_heartbeat(1.0, heartbeat("far", 90, zone="there"))
-    assert [address.port for address in held.live_addresses(1.0)] == [90]
-    held.on_heartbeat(1.0, heartbeat("near", 91))
-    assert [address.port for address in held.live_addresses(1.0)] == [91]
-    assert len(held.live_addresses(1.1 + LIVENESS_SECONDS)) == 3
-
-
-def test_the_newest_version_that_a_daemon_acts_on_is_known() -> None:
-    held = peers()
-    assert held.newest_version() == -1
-    held.on_heartbeat(0.0, heartbeat("a", 1, version=7))
-    held.on_heartbeat(0.0, heartbeat("b", 2, version=5))
-    assert held.newest_version() == 7
-
-
-def test_a_version_of_a_daemon_that_is_gone_is_forgotten_with_it() -> None:
-    """Guards against a daemon that takes itself for outdated for as long as it runs."""
-    held = peers()
-    held.on_heartbeat(0.0, heartbeat("a", 1, version=7))
-    held.on_heartbeat(RETENTION_SECONDS, heartbeat("b", 2, version=5))
-    held.on_timer(RETENTION_SECONDS + 1.0)
-    assert held.newest_version() == 5
-
-
-def test_a_daemon_that_moved_gets_heartbeats_at_its_new_address() -> None:
-    held = peers()
-    held.on_registered(entry("a", 1))
-    held.on_heartbeat(0.0, heartbeat("a", 2))
-    (made,) = held.on_timer(1.0)
-    assert [address.port for address in made.addresses] == [2]
+        known.on_registered(entry(f"d{number}", number))
+    assert len(known.live_addresses(0.0)) == 3
+    known.on_heartbeat(1.0, heartbeat("far", 90, zone="there"))
+    assert [address.port for address in known.live_addresses(1.0)] == [90]
+    known.on_heartbeat(1.0, heartbeat("near", 91))
+    assert [address.port for address in known.live_addresses(1.0)] == [91]
+    assert len(known.live_addresses(1.1 + LIVENESS_SECONDS)) == 3
+
+
+def test_newest_version_is_the_highest_one_in_a_heartbeat() -> None:
+    known = make_peers()
+    assert known.newest_version() == -1
+    known.on_heartbeat(0.0, heartbeat("a", 1, version=7))
+    known.on_heartbeat(0.0, heartbeat("b", 2, version=5))
+    assert known.newest_version() == 7
+
+
+def test_version_of_a_forgotten_peer_is_forgotten() -> None:
+    """Guards against a daemon that considers itself outdated until it is restarted."""
+    known = make_peers()
+    known.on_heartbeat(0.0, heartbeat("a", 1, version=7))
+    known.on_heartbeat(RETENTION_SECONDS, heartbeat("b", 2, version=5))
+    known.on_timer(RETENTION_SECONDS + 1.0)
+    assert known.newest_version() == 5
+
+
+def test_peer_with_a_new_address_gets_heartbeats_there() -> None:
+    known = make_peers()
+    known.on_registered(entry("a", 1))
+    known.on_heartbeat(0.0, heartbeat("a", 2))
+    (message,) = known.on_timer(1.0)
+    assert [address.port for address in message.addresses] == [2]
--- a/tests/decisions/peers/test_peer_registry.py
+++ b/tests/decisions/peers/test_peer_registry.py
@@ -1,4 +1,4 @@
-"""The registry of daemons, and what they have learnt."""
+"""The peer registry: its reads and writes, its encoding and the use of shared run times."""
 
 import random
 
@@ -44,28 +44,28 @@
 DETERMINISTIC = settings(derandomize=True, deadline=None, max_examples=60)
 
 
-class Store:
-    """A registry, and the calls that it makes to the store."""
+class RegistryHarness:
+    """A registry, the calls that it makes to the store, and the entries that it applied."""
 
     def __init__(self) -> None:
         self.experience = Experience()
-        self.taken: list[PeerRegistryEntry] = []
+        self.applied: list[PeerRegistryEntry] = []
         self.malformed = 0
         self.peer_registry = PeerRegistry(
             lambda: PeerRegistryEntry("me", ADDRESS, "z", self.experience),
             lambda: 8,
             CallNumbers(),
-            lambda now, entry: self.taken.append(entry),
+            lambda now, entry: self.applied.append(entry),
             self._log,
         )
 
     def _log(self, event: str, **fields: object) -> None:
         self.malformed += 1
 
-    def read(self, now: float) -> ReadNewest | None:
+    def next_read(self, now: float) -> ReadNewest | None:
         return next((c for c in self.calls(now) if isinstance(c, ReadNewest)), None)
 
-    def written(self, now: float) -> AppendRecords | None:
+    def next_write(self, now: float) -> AppendRecords | None:
         return next((c for c in self.calls(now) if isinstance(c, AppendRecords)), None)
 
     def calls(self, now: float) -> list[StoreCall]:
@@ -77,73 +77,75 @@
         self.peer_registry.on_answer(now, call.call, outcome)
 
 
-def test_the_registry_is_read_before_this_daemon_s_entry_is_replaced() -> None:
-    store = Store()
-    first = store.calls(0.0)
+def test_registry_is_read_before_the_own_entry_is_replaced() -> None:
+    registry = RegistryHarness()
+    first = registry.calls(0.0)
     assert [type(call) for call in first] == [ReadNewest]
     earlier = KeyedRecord("me", encode_entry(PeerRegistryEntry("me", ADDRESS, "z", KNOWN)))
-    store.answer(0.1, first[0], earlier, KeyedRecord("bad", b"\xff"), KeyedRecord("odd", b"\x01"))
-    assert [entry.experience for entry in store.taken] == [KNOWN]
-    assert store.malformed == 2
-    store.experience = store.taken[0].experience
-    written = store.written(0.1)
+    registry.answer(
+        0.1, first[0], earlier, KeyedRecord("bad", b"\xff"), KeyedRecord("odd", b"\x01")
+    )
+    assert [entry.experience for entry in registry.applied] == [KNOWN]
+    assert registry.malformed == 2
+    registry.experience = registry.applied[0].experience
+    written = registry.next_write(0.1)
     assert written is not None
     assert decode_entry(written.records[0]).experience == KNOWN
 
 
-def test_without_an_answer_the_entry_is_written_all_the_same() -> None:
-    store = Store()
-    store.calls(0.0)
-    assert store.written(INITIAL_READ_INTERVAL_SECONDS / 2) is None
-    written = store.written(INITIAL_READ_INTERVAL_SECONDS)
+def test_entry_is_written_even_if_the_read_is_not_answered() -> None:
+    registry = RegistryHarness()
+    registry.calls(0.0)
+    assert registry.next_write(INITIAL_READ_INTERVAL_SECONDS / 2) is None
+    written = registry.next_write(INITIAL_READ_INTERVAL_SECONDS)
     assert written is not None
-    store.peer_registry.on_answer(2.0, written.call, CallFailed("down", True))
-    assert store.written(2.0 + WRITE_RETRY_PAUSE_SECONDS) is not None
+    registry.peer_registry.on_answer(2.0, written.call, CallFailed("down", True))
+    assert registry.next_write(2.0 + WRITE_RETRY_PAUSE_SECONDS) is not None
 
 
-def test_a_daemon_that_starts_while_the_store_is_away_reads_of_its_peers_soon_after() -> None:
-    """Guards against a daemon that knows no peer for ten seconds after the store's return."""
-    store = Store()
+def test_daemon_that_starts_during_a_store_outage_reads_the_registry_soon_after_it() -> None:
+    """Guards against a daemon that knows no peer for ten seconds after a store outage."""
+    registry = RegistryHarness()
     for second in range(5):
-        read = store.read(float(second))
+        read = registry.next_read(float(second))
         assert read is not None
-        store.peer_registry.on_answer(float(second), read.call, CallFailed("down", False))
-    read = store.read(4.0 + INITIAL_READ_INTERVAL_SECONDS)
+        registry.peer_registry.on_answer(float(second), read.call, CallFailed("down", False))
+    read = registry.next_read(4.0 + INITIAL_READ_INTERVAL_SECONDS)
     assert read is not None
-    store.answer(5.0, read)
-    assert store.read(5.0 + INITIAL_READ_INTERVAL_SECONDS) is not None
+    registry.answer(5.0, read)
+    assert registry.next_read(5.0 + INITIAL_READ_INTERVAL_SECONDS) is not None
 
 
-def test_only_what_changed_is_written_again_and_not_often() -> None:
-    store = Store()
-    read = store.read(0.0)
+def test_entry_is_written_again_only_if_changed_and_after_the_minimum_interval() -> None:
+    registry = RegistryHarness()
+    read = registry.next_read(0.0)
     assert read is not None
-    store.answer(0.0, read)
-    written = store.written(0.0)
+    registry.answer(0.0, read)
+    written = registry.next_write(0.0)
     assert written is not None
-    store.answer(0.1, written)
-    store.experience = KNOWN
-    assert store.written(MIN_EXPERIENCE_INTERVAL_SECONDS / 2) is None
-    written = store.written(0.1 + MIN_EXPERIENCE_INTERVAL_SECONDS)
+    registry.answer(0.1, written)
+    registry.experience = KNOWN
+    assert registry.next_write(MIN_EXPERIENCE_INTERVAL_SECONDS / 2) is None
+    written = registry.next_write(0.1 + MIN_EXPERIENCE_INTERVAL_SECONDS)
     assert written is not None
-    store.answer(7.0, written)
-    store.experience = Experience({"s": (65, 660)}, {"r": 5000})
-    assert store.written(7.0 + MIN_EXPERIENCE_INTERVAL_SECONDS) is None
+    registry.answer(7.0, written)
+    registry.experience = Experience({"s": (65, 660)}, {"r": 5000})
+    assert registry.next_write(7.0 + MIN_EXPERIENCE_INTERVAL_SECONDS) is None
 
 
 @DETERMINISTIC
 @given(EXPERIENCES)
-def test_an_entry_comes_back_as_it_went(experience: Experience) -> None:
+def test_decoded_entry_equals_the_encoded_one(experience: Experience) -> None:
     entry = PeerRegistryEntry("me", ADDRESS, "z", experience)
     assert decode_entry(KeyedRecord("me", encode_entry(entry))) == entry
     assert experience.is_like(experience)
 
 
-# Its use.
+# Use of the shared run times.
 
 
 def busy_world(experience: Experience | None) -> World:
-    """Returns a world whose one engine was sent 40 requests since the daemon started."""
+    """Returns a world whose only engine was sent 40 requests since the daemon started."""
     world = World(engines=1)
     world.requests = ForwardedRequests(
         "z", world.routes, world.engines, random.Random(1), "prefix_aware", "defer_late"
@@ -155,18 +157,18 @@
     return world
 
 
-def test_a_daemon_that_starts_knows_who_came_back_and_what_would_be_late() -> None:
+def test_daemon_with_shared_experience_defers_late_requests_but_not_retried_ones() -> None:
     world = busy_world(KNOWN)
     assert isinstance(world.arrive(1.0, arrival(90, time_left=5.0)), FinishRequest)
     assert isinstance(world.arrive(1.0, arrival(91, time_left=3.0)), SendRequest)
 
 
-def test_without_experience_it_defers_nothing_yet() -> None:
+def test_daemon_without_experience_defers_no_request() -> None:
     world = busy_world(None)
     assert isinstance(world.arrive(1.0, arrival(90, time_left=5.0)), SendRequest)
 
 
-def test_what_is_learnt_here_counts_more_than_what_others_knew() -> None:
+def test_own_run_times_take_precedence_over_shared_ones() -> None:
     world = World(engines=1)
     sent = world.arrive(0.0, arrival(1, time_left=5.0))
     assert isinstance(sent, SendRequest)
--- a/tests/decisions/test_configuration_logs.py
+++ b/tests/decisions/test_configuration_logs.py
@@ -1,6 +1,6 @@
-"""Logs tell which configuration a daemon and a request went by, and why engines were left out.
+"""Logs show which configuration a daemon and a request used, and why engines were excluded.
 
-Guards against incidents that nobody can explain afterwards.
+Without these lines, incidents cannot be explained afterwards.
 """
 
 from tests.decisions.forwarding.worlds import World, arrival, engine
@@ -11,8 +11,8 @@
 from troutswitch.outcomes import AttemptOutcome
 
 
-class LoggedWorld(GatewayWorld):
-    """Keeps the log lines of each daemon."""
+class LoggingWorld(GatewayWorld):
+    """Records the log lines of each daemon."""
 
     def __init__(self, seed: int) -> None:
         self.lines: dict[str, list[LogLine]] = {}
@@ -27,8 +27,8 @@
         return [line.fields for line in self.lines[daemon] if line.event == event]
 
 
-def test_each_way_in_which_a_configuration_comes_is_told() -> None:
-    world = LoggedWorld(1)
+def test_source_of_each_configuration_is_logged() -> None:
+    world = LoggingWorld(1)
     world.run(3.0)
     world.publish(2)
     world.run(1.0)
@@ -49,7 +49,7 @@
     assert int(str(again["failing_ms"])) > 3000
 
 
-def test_the_age_of_what_is_known_grows_while_neither_store_nor_peers_answer() -> None:
+def test_configuration_age_grows_while_neither_store_nor_peers_answer() -> None:
     world = GatewayWorld(1)
     world.run(3.0)
     core = world.daemons["daemon-0"].core
@@ -59,7 +59,7 @@
     assert core.configuration.age(world.now) > 3.0
 
 
-def test_a_peer_without_a_newer_configuration_confirms_the_one_in_force() -> None:
+def test_peer_without_a_newer_configuration_confirms_the_active_one() -> None:
     world = GatewayWorld(1)
     world.run(3.0)
     core = world.daemons["daemon-0"].core
@@ -72,7 +72,7 @@
     return [i.fields for i in instructions if isinstance(i, LogLine) and i.event == event]
 
 
-def test_a_request_tells_the_version_it_was_admitted_by_and_the_one_in_force() -> None:
+def test_request_logs_its_admitted_version_and_the_active_version() -> None:
     world = World(engines=1)
     world.routes.confirm(9.5)
     (row,) = lines(list(world.requests.on_arrived(10.0, arrival(1))), "request sent")
@@ -81,8 +81,8 @@
     assert row["learnt_by"] == LearntBy.STORE.value
 
 
-def test_a_job_that_is_taken_in_tells_the_version_in_force() -> None:
-    world = LoggedWorld(1)
+def test_accepted_job_logs_the_active_version() -> None:
+    world = LoggingWorld(1)
     world.run(3.0)
     world.hand_in("job", 2)
     world.run(1.0)
@@ -90,7 +90,7 @@
     assert [row["configuration_version"] for row in rows] == [1]
 
 
-def test_a_route_without_an_engine_to_use_tells_why_each_was_left_out() -> None:
+def test_request_without_a_usable_engine_logs_why_each_engine_was_excluded() -> None:
     world = World(engines=0)
     world.engines.on_list(0.0, [engine("drains", draining=True), engine("goes"), engine("fails")])
     world.engines.on_list(1.0, [engine("drains", draining=True), engine("fails")])
--- a/tests/decisions/test_gateway.py
+++ b/tests/decisions/test_gateway.py
@@ -1,4 +1,4 @@
-"""The gateway core hands each event to the part that it concerns."""
+"""The gateway core passes each event to the part that handles it."""
 
 from dataclasses import replace
 
@@ -21,7 +21,7 @@
     return sum(engine.prefill_tokens for engine in daemon.core.engines.engines.values())
 
 
-def test_a_begun_item_no_longer_waits_to_be_read() -> None:
+def test_item_that_has_begun_no_longer_counts_as_waiting_prefill() -> None:
     world = GatewayWorld(1)
     world.run(START_SECONDS)
     world.hand_in("job", 3, tokens=1000)
@@ -37,14 +37,14 @@
     assert waiting_prefill(owner) == 0
 
 
-def test_an_event_that_nobody_takes_is_an_error() -> None:
+def test_unhandled_event_type_is_an_error() -> None:
     world = GatewayWorld(1)
     daemon = next(iter(world.daemons.values()))
     with pytest.raises(AssertionError, match="unreachable"):
         daemon.core.step(0.0, object())  # type: ignore[arg-type]
 
 
-def test_a_word_of_a_run_that_is_over_changes_nothing() -> None:
+def test_event_of_an_unknown_run_is_ignored() -> None:
     world = GatewayWorld(1)
     world.run(START_SECONDS)
     daemon = next(iter(world.daemons.values()))
@@ -52,7 +52,7 @@
     assert waiting_prefill(daemon) == 0
 
 
-def test_changed_bounds_are_in_force_at_once() -> None:
+def test_changed_bounds_apply_immediately() -> None:
     world = GatewayWorld(1)
     core = next(iter(world.daemons.values())).core
     core.step(0.0, BoundsChanged(drain_bound=1.0, apply_bound=4.0, job_retention=60.0))
@@ -61,7 +61,7 @@
     assert core.jobs.retention.job_kept == 60.0
 
 
-def test_readings_slow_down_only_in_a_fleet_that_would_use_up_the_store_s_reads() -> None:
+def test_reads_slow_down_only_in_a_fleet_that_would_exceed_the_store_s_read_bound() -> None:
     world = GatewayWorld(1)
     core = next(iter(world.daemons.values())).core
     core.identity = replace(core.identity, store_reads_per_second=2000.0)
--- a/tests/test_clock.py
+++ b/tests/test_clock.py
@@ -1,10 +1,9 @@
-"""The clock goes on while the machine is suspended, and nothing uses another one.
+"""The process's clock advances while the machine is suspended.
 
-What users would see: after a machine was suspended for seconds, its daemon goes on with leases
-that others took over, gives engines more time than callers have left, and uses connections that
-are long dead. Cause: `time.monotonic` stands still meanwhile. That no module uses it is checked by
-the linter (rule TID251 in pyproject.toml), except in the soak and the stand-ins, which measure
-their own machine.
+Guards against a daemon that, after a suspension of some seconds, keeps using leases that others
+took over, gives engines more time than callers have left, and uses dead connections, because
+`time.monotonic` does not advance during a suspension. The linter (rule TID251 in pyproject.toml)
+forbids `time.monotonic` except in the soak and the stand-ins, which measure their own machine.
 """
 
 import time
@@ -14,7 +13,7 @@
 from troutswitch.clock import steady_seconds
 
 
-def test_time_in_suspension_counts(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_time_in_suspension_is_counted(monkeypatch: pytest.MonkeyPatch) -> None:
     readings = {time.CLOCK_BOOTTIME: 110.0, time.CLOCK_MONOTONIC: 100.0}
     monkeypatch.setattr(time, "clock_gettime", lambda clock: readings[clock])
     assert steady_seconds() == 110.0
