--- a/src/troutswitch/common.py
+++ b/src/troutswitch/common.py
@@ -1,4 +1,4 @@
-"""Types shared by several packages."""
+"""Types and hash functions shared by several packages."""
 
 from typing import NamedTuple
 
--- a/src/troutswitch/decisions/__init__.py
+++ b/src/troutswitch/decisions/__init__.py
@@ -1,1 +1,1 @@
-"""Pure decision modules: typed events in, typed effects out, no input or output."""
+"""Pure decision modules: they take typed events, return typed instructions and do no I/O."""
--- a/src/troutswitch/decisions/active_configuration.py
+++ b/src/troutswitch/decisions/active_configuration.py
@@ -97,7 +97,7 @@
         return now - self.follower.attempts.failing_since >= OUTDATED_SECONDS
 
     def on_heartbeat(self, now: float, heartbeat: Heartbeat) -> None:
-        """Reads immediately if a peer has a newer configuration, as an own read may have been lost.
+        """Reads immediately if a peer has a newer configuration: a read of it may have been lost.
 
         The read in flight is not abandoned: a slow store may be about to answer it.
         """
--- a/src/troutswitch/decisions/crashes/__init__.py
+++ b/src/troutswitch/decisions/crashes/__init__.py
@@ -1,1 +1,1 @@
-"""Requests under which engines end: who was there, what is known of it, and what is refused."""
+"""Pure decisions about engine crashes: which requests cause them and are therefore refused."""
--- a/src/troutswitch/decisions/crashes/shared.py
+++ b/src/troutswitch/decisions/crashes/shared.py
@@ -97,9 +97,9 @@
         self._pending_writes: deque[KeyedRecord] = deque()
         self._in_flight: tuple[KeyedRecord, ...] = ()
         self._write_call = 0
-        self._write_at = float("inf")
+        self._next_write_at = float("inf")
         self._pending_reports: deque[ReportedCrash] = deque()
-        self._reported_at = float("-inf")
+        self._last_report_at = float("-inf")
         self._retracted: OrderedDict[Crash, None] = OrderedDict()
 
     # Crashes that this daemon detected.
@@ -124,7 +124,7 @@
         if len(self._pending_writes) > MAX_PENDING_RECORDS:
             self._pending_writes.popleft()
         if not self._write_call:
-            self._write_at = min(self._write_at, now + WRITE_DELAY_SECONDS)
+            self._next_write_at = min(self._next_write_at, now + WRITE_DELAY_SECONDS)
 
     def _enqueue_report(self, crash: Crash, at: float, is_valid: bool) -> None:
         self._remember_if_retracted(crash, is_valid)
@@ -177,17 +177,17 @@
         self._write_call = 0
         if isinstance(outcome, Appended):
             self._in_flight = ()
-            self._write_at = now if self._pending_writes else float("inf")
+            self._next_write_at = now if self._pending_writes else float("inf")
         else:
-            self._write_at = now + WRITE_RETRY_PAUSE_SECONDS
+            self._next_write_at = now + WRITE_RETRY_PAUSE_SECONDS
 
     # Timers.
 
     def next_due(self) -> float:
         """Returns when `on_timer` has something to do."""
-        due = self._reported_at + MIN_REPORT_INTERVAL_SECONDS
+        due = self._last_report_at + MIN_REPORT_INTERVAL_SECONDS
         report_at = due if self._pending_reports else float("inf")
-        return min(self.follower.next_due(), self._write_at, report_at)
+        return min(self.follower.next_due(), self._next_write_at, report_at)
 
     def on_timer(self, now: float, is_alert: bool) -> list[StoreCall | SendToPeers]:
         """Returns the calls and messages that are due.
@@ -198,9 +198,9 @@
         self._now = now
         self.follower.wait = ALERT_READ_WAIT_SECONDS if is_alert else READ_WAIT_SECONDS
         due: list[StoreCall | SendToPeers] = list(self.follower.on_timer(now))
-        if now >= self._write_at:
+        if now >= self._next_write_at:
             due.append(self._write(now))
-        if self._pending_reports and now >= self._reported_at + MIN_REPORT_INTERVAL_SECONDS:
+        if self._pending_reports and now >= self._last_report_at + MIN_REPORT_INTERVAL_SECONDS:
             due += self._report(now)
         return due
 
@@ -210,11 +210,11 @@
             count = min(MAX_RECORDS_PER_WRITE, len(self._pending_writes))
             self._in_flight = tuple(self._pending_writes.popleft() for _ in range(count))
         self._write_call = self._numbers.next()
-        self._write_at = now + WRITE_EXPIRY_SECONDS
+        self._next_write_at = now + WRITE_EXPIRY_SECONDS
         return AppendRecords(self._write_call, Partition(CRASHES_TOPIC), self._in_flight)
 
     def _report(self, now: float) -> list[SendToPeers]:
-        self._reported_at = now
+        self._last_report_at = now
         count = min(MAX_CRASHES_PER_REPORT, len(self._pending_reports))
         crashes = tuple(self._pending_reports.popleft() for _ in range(count))
         peers = self._peers()
--- a/src/troutswitch/decisions/gateway_parts.py
+++ b/src/troutswitch/decisions/gateway_parts.py
@@ -25,7 +25,7 @@
 from troutswitch.decisions.jobs.batch_capacity import BATCH_CAPACITY_POLICIES
 from troutswitch.decisions.jobs.coordinator import JobCoordinator
 from troutswitch.decisions.jobs.dependencies import JobDependencies, JobSettings
-from troutswitch.decisions.peer_messages import PeerMessageDispatch
+from troutswitch.decisions.peer_messages import PeerMessageDispatcher
 from troutswitch.decisions.peer_state_exchange import PeerStateExchange
 from troutswitch.decisions.peers.drain_notices import DrainNotices
 from troutswitch.decisions.peers.heartbeats import Peers
@@ -113,8 +113,8 @@
         self.configuration = ActiveConfiguration(
             self.routes, formats, self.numbers, rng, identity.apply_bound, self.output
         )
-        self._connect_peers(incarnation, rng)
-        self._follow_engine_list(formats, rng)
+        self._make_peers(incarnation, rng)
+        self._make_engine_membership(formats, rng)
         self._make_peer_exchanges(policies, incarnation, rng)
 
     def _make_requests(self, policies: Policies, rng: random.Random) -> ForwardedRequests:
@@ -169,7 +169,7 @@
         )
         return JobCoordinator(dependencies, settings)
 
-    def _connect_peers(self, incarnation: int, rng: random.Random) -> None:
+    def _make_peers(self, incarnation: int, rng: random.Random) -> None:
         """Constructs the parts that track the other daemons."""
         identity = self.identity
         self.peers = Peers(
@@ -190,7 +190,7 @@
             self._log,
         )
 
-    def _follow_engine_list(self, formats: Formats, rng: random.Random) -> None:
+    def _make_engine_membership(self, formats: Formats, rng: random.Random) -> None:
         """Constructs the parts that track the engines."""
         reader = EngineListReader(self.numbers, rng, ENGINE_LIST_SHARE * self.identity.drain_bound)
         self._read_intervals = ReadIntervals(
@@ -226,7 +226,7 @@
         )
         self.requests.arrivals.quota = self.quota
         self._peer_state = PeerStateExchange(self.configuration, self.membership, self.peers, rng)
-        self._peer_messages = PeerMessageDispatch(
+        self._peer_messages = PeerMessageDispatcher(
             self.peers,
             self.configuration,
             self.membership,
--- a/src/troutswitch/decisions/instruction_queue.py
+++ b/src/troutswitch/decisions/instruction_queue.py
@@ -26,5 +26,5 @@
 
     def take(self) -> list[GatewayInstruction | InternalInstruction]:
         """Returns and removes the pending instructions."""
-        taken, self._instructions = self._instructions, []
-        return taken
+        instructions, self._instructions = self._instructions, []
+        return instructions
--- a/src/troutswitch/decisions/peer_messages.py
+++ b/src/troutswitch/decisions/peer_messages.py
@@ -32,7 +32,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class PeerMessageDispatch:
+class PeerMessageDispatcher:
     """Dispatches peers' messages to these parts."""
 
     peers: Peers
--- a/src/troutswitch/decisions/peers/catch_up.py
+++ b/src/troutswitch/decisions/peers/catch_up.py
@@ -95,7 +95,7 @@
 
     def __init__(self, rng: random.Random) -> None:
         self._rng = rng
-        self._request_at = float("-inf")
+        self._next_request_at = float("-inf")
         self._requested_at = float("-inf")
         self._is_requesting = False
         self._behind_at = float("inf")
@@ -106,7 +106,7 @@
         """Returns when `on_timer` has something to do."""
         if self._is_requesting:
             return self._requested_at + REPLY_TIMEOUT_SECONDS
-        return max(self._request_at, self._behind_at)
+        return max(self._next_request_at, self._behind_at)
 
     def on_timer(
         self, now: float, reading: ReadingState, peers: LivePeers
@@ -117,7 +117,7 @@
         self._behind_at = self._compute_behind_at(now, reading)
         if self._is_requesting or now < self.next_due():
             return []
-        self._request_at = now + REQUEST_INTERVAL_SECONDS * self._rng.uniform(0.8, 1.2)
+        self._next_request_at = now + REQUEST_INTERVAL_SECONDS * self._rng.uniform(0.8, 1.2)
         addresses = self._candidates(now, reading.version, peers)
         if not addresses:
             return []
--- a/src/troutswitch/decisions/peers/drain_notices.py
+++ b/src/troutswitch/decisions/peers/drain_notices.py
@@ -58,7 +58,7 @@
         self._rng = rng
         self._notified: OrderedDict[tuple[str, bool], None] = OrderedDict()
         self._pending: deque[tuple[str, bool]] = deque()
-        self._notify_at = float("inf")
+        self._next_notice_at = float("inf")
 
     def on_list_read(self, now: float, draining: Iterable[str], left: Iterable[str]) -> None:
         """Records which engines drain by a new list, and which were removed from it."""
@@ -83,7 +83,7 @@
             self._notified.popitem(last=False)
         if self._is_needed():
             self._pending.append(key)
-            self._notify_at = min(self._notify_at, now + NOTICE_DELAY_SECONDS)
+            self._next_notice_at = min(self._next_notice_at, now + NOTICE_DELAY_SECONDS)
             if len(self._pending) > MAX_PENDING_ENGINES:
                 self._pending.popleft()
         return True
@@ -95,15 +95,15 @@
 
     def next_due(self) -> float:
         """Returns when `on_timer` has something to do."""
-        return self._notify_at
+        return self._next_notice_at
 
     def on_timer(self, now: float) -> list[SendToPeers]:
         """Sends a notice of the pending engines if it is due."""
-        if now < self._notify_at:
+        if now < self._next_notice_at:
             return []
         count = min(MAX_ENGINES_PER_NOTICE, len(self._pending))
         noted = [self._pending.popleft() for _ in range(count)]
-        self._notify_at = now + NOTICE_DELAY_SECONDS if self._pending else float("inf")
+        self._next_notice_at = now + NOTICE_DELAY_SECONDS if self._pending else float("inf")
         peers = self._peers()
         chosen = self._rng.sample(peers, min(PEERS_NOTIFIED, len(peers)))
         if not noted or not chosen:
--- a/src/troutswitch/decisions/peers/heartbeats.py
+++ b/src/troutswitch/decisions/peers/heartbeats.py
@@ -1,4 +1,4 @@
-"""The other daemons that this one knows, and the heartbeats that it sends to them.
+"""Tracks the other daemons, and sends heartbeats to them.
 
 Each daemon sends heartbeats to `HEARTBEAT_FANOUT` others drawn at random, so the traffic of one
 daemon does not grow with the fleet. A daemon that starts while it cannot read the store learns from
@@ -78,7 +78,7 @@
         self._version = version
         self._claims = claims
         self._rng = rng
-        self._heartbeat_at = float("-inf")
+        self._last_heartbeat_at = float("-inf")
         self._newest_version = -1
 
     def on_registered(self, entry: PeerRegistryEntry) -> None:
@@ -96,13 +96,13 @@
 
     def next_due(self) -> float:
         """Returns when `on_timer` has something to do."""
-        return self._heartbeat_at + HEARTBEAT_INTERVAL_SECONDS if self.peers else float("inf")
+        return self._last_heartbeat_at + HEARTBEAT_INTERVAL_SECONDS if self.peers else float("inf")
 
     def on_timer(self, now: float) -> list[SendToPeers]:
         """Sends heartbeats to some daemons if they are due."""
         if now < self.next_due():
             return []
-        self._heartbeat_at = now
+        self._last_heartbeat_at = now
         self._forget_silent(now)
         names = list(self.peers)
         drawn = self._rng.sample(names, min(HEARTBEAT_FANOUT, len(names)))
--- a/src/troutswitch/decisions/peers/peer_registry.py
+++ b/src/troutswitch/decisions/peers/peer_registry.py
@@ -78,35 +78,35 @@
         self._numbers = numbers
         self._apply_entry = apply_entry
         self._log = log
-        self._read_at = float("-inf")
+        self._next_read_at = float("-inf")
         self._read_call = 0
-        self._write_at = float("inf")
+        self._next_write_at = float("inf")
         self._write_call = 0
         self._last_written = Experience()
         self._successful_reads = 0
 
     def next_due(self) -> float:
         """Returns when `on_timer` has something to do."""
-        return min(self._read_at, self._write_at)
+        return min(self._next_read_at, self._next_write_at)
 
     def on_timer(self, now: float) -> list[StoreCall]:
         """Makes the calls that are due."""
         calls: list[StoreCall] = []
-        if now >= self._write_at:
+        if now >= self._next_write_at:
             calls += self._write(now)
-        if now >= self._read_at:
+        if now >= self._next_read_at:
             calls.append(self._read(now))
             if self._successful_reads == 0:
-                self._write_at = min(self._write_at, now + INITIAL_READ_INTERVAL_SECONDS)
+                self._next_write_at = min(self._next_write_at, now + INITIAL_READ_INTERVAL_SECONDS)
         return calls
 
     def _write(self, now: float) -> list[StoreCall]:
         entry = self._own_entry()
         is_first = self._write_call == 0
         if not is_first and entry.experience.is_like(self._last_written):
-            self._write_at = now + self._experience_interval()
+            self._next_write_at = now + self._experience_interval()
             return []
-        self._write_at = now + CALL_EXPIRY_SECONDS
+        self._next_write_at = now + CALL_EXPIRY_SECONDS
         self._write_call = self._numbers.next()
         self._last_written = entry.experience
         record = KeyedRecord(entry.name, encode_entry(entry))
@@ -119,7 +119,7 @@
         )
 
     def _read(self, now: float) -> StoreCall:
-        self._read_at = now + CALL_EXPIRY_SECONDS
+        self._next_read_at = now + CALL_EXPIRY_SECONDS
         self._read_call = self._numbers.next()
         return ReadNewest(self._read_call, Partition(PEERS_TOPIC))
 
@@ -133,24 +133,26 @@
             self._on_written(now, isinstance(outcome, Appended))
             return
         if not isinstance(outcome, NewestPage):
-            self._read_at = now + INITIAL_READ_INTERVAL_SECONDS
+            self._next_read_at = now + INITIAL_READ_INTERVAL_SECONDS
             return
         self._successful_reads += 1
         if self._successful_reads == 1:
             # The entry of this daemon's previous incarnation must be read before it is replaced.
-            self._write_at = min(self._write_at, now)
+            self._next_write_at = min(self._next_write_at, now)
         is_early = self._successful_reads <= INITIAL_READS
-        self._read_at = now + (INITIAL_READ_INTERVAL_SECONDS if is_early else READ_INTERVAL_SECONDS)
+        self._next_read_at = now + (
+            INITIAL_READ_INTERVAL_SECONDS if is_early else READ_INTERVAL_SECONDS
+        )
         for record in outcome.records:
             self._apply_record(now, record)
 
     def _on_written(self, now: float, succeeded: bool) -> None:
         if succeeded:
-            self._write_at = now + self._experience_interval()
+            self._next_write_at = now + self._experience_interval()
         else:
             self._last_written = Experience()
             self._write_call = 0
-            self._write_at = now + WRITE_RETRY_PAUSE_SECONDS
+            self._next_write_at = now + WRITE_RETRY_PAUSE_SECONDS
 
     def _apply_record(self, now: float, record: KeyedRecord) -> None:
         try:
--- a/src/troutswitch/decisions/read_intervals.py
+++ b/src/troutswitch/decisions/read_intervals.py
@@ -30,7 +30,7 @@
 
 
 class ReadIntervals:
-    """Sets the minimum interval of each reader to the size of the fleet."""
+    """Sets the minimum interval of each reader according to the size of the fleet."""
 
     def __init__(
         self,
--- a/src/troutswitch/decisions/storage/refresh.py
+++ b/src/troutswitch/decisions/storage/refresh.py
@@ -31,18 +31,18 @@
         self._numbers = numbers
         self._call = 0
         self._requested_at = float("-inf")
-        self._readers: list[Waiter] = []
-        self._waiting: list[Waiter] = []
+        self._current_waiters: list[Waiter] = []
+        self._next_waiters: list[Waiter] = []
 
     def refresh(self, waiter: Waiter) -> None:
         """Adds a waiter, called once the partition was read to its end or the read failed."""
-        self._waiting.append(waiter)
+        self._next_waiters.append(waiter)
 
     def next_due(self) -> float:
         """Returns when `on_timer` has something to do."""
         if self._call:
             return self._requested_at + CALL_EXPIRY_SECONDS
-        return float("-inf") if self._waiting and self._follower.is_current else float("inf")
+        return float("-inf") if self._next_waiters and self._follower.is_current else float("inf")
 
     def owns(self, call: int) -> bool:
         """Returns whether a store call is this refresher's read."""
@@ -57,14 +57,14 @@
         if self._call and now >= self._requested_at + CALL_EXPIRY_SECONDS:
             self._call = 0
             self._notify(now, False)
-        if self._call or not self._waiting:
+        if self._call or not self._next_waiters:
             return []
         if not self._follower.is_current:
             if self._follower.attempts.failures:
-                self._readers, self._waiting = self._waiting, []
+                self._current_waiters, self._next_waiters = self._next_waiters, []
                 self._notify(now, False)
             return []
-        self._readers, self._waiting = self._waiting, []
+        self._current_waiters, self._next_waiters = self._next_waiters, []
         return [self._read(now)]
 
     def _read(self, now: float) -> StoreCall:
@@ -83,13 +83,13 @@
                 self._notify(now, True)
             case HistoryGone():
                 self._follower.on_history_gone(now, outcome)
-                self._waiting = self._readers + self._waiting
-                self._readers = []
+                self._next_waiters = self._current_waiters + self._next_waiters
+                self._current_waiters = []
             case _:
                 self._notify(now, False)
         return []
 
     def _notify(self, now: float, succeeded: bool) -> None:
-        waiters, self._readers = self._readers, []
+        waiters, self._current_waiters = self._current_waiters, []
         for waiter in waiters:
             waiter(now, succeeded)
