--- a/tests/decisions/crashes/test_record.py
+++ b/tests/decisions/crashes/test_record.py
@@ -41,42 +41,40 @@
 
 
 def test_request_on_the_same_engines_as_the_cause_is_not_refused() -> None:
-    assert record_of(cause="abcd", beside="abc", once="a").refused == {"cause"}
+    assert record_of(cause="abcd", bystander="abc", once="a").refused == {"cause"}
 
 
 def test_fourth_crash_separates_two_requests_with_the_same_three_crashes() -> None:
-    assert record_of(cause="abc", beside="abc").refused == frozenset()
-    assert record_of(cause="abcd", beside="abc").refused == {"cause"}
-    assert record_of(cause="abcd", beside="abcd").refused == frozenset()
-    assert record_of(cause="abcde", beside="abcd").refused == {"cause"}
+    assert record_of(cause="abc", bystander="abc").refused == frozenset()
+    assert record_of(cause="abcd", bystander="abc").refused == {"cause"}
+    assert record_of(cause="abcd", bystander="abcd").refused == frozenset()
+    assert record_of(cause="abcde", bystander="abcd").refused == {"cause"}
 
 
 def test_request_that_shared_engines_with_two_causes_is_not_refused() -> None:
     """Guards against a rule that examines the requests with the most crashes first. It refused this
     request, of whose engines one cause crashed two and another cause one. This happened in four of
     eight simulations with two simultaneous causes."""
-    assert record_of(one="abc", two="def", beside="bce").refused == {"one", "two"}
+    assert record_of(one="abc", two="def", bystander="bce").refused == {"one", "two"}
 
 
 def test_two_causes_are_both_found() -> None:
-    assert record_of(one="abcde", two="axyz", beside="abx").refused == {"one", "two"}
+    assert record_of(one="abcde", two="axyz", bystander="abx").refused == {"one", "two"}
 
 
-def test_cause_that_always_shares_engines_with_another_is_refused_after_conclusive_crashes() -> (
-    None
-):
+def test_cause_that_always_runs_beside_another_is_refused_after_conclusive_crashes() -> None:
     shared = "abcdefgh"[:CONCLUSIVE_CRASHES]
     assert record_of(one=shared + "z", two=shared).refused == {"one", "two"}
 
 
 def test_removed_crashes_change_which_request_is_the_cause() -> None:
-    record = record_of(cause="abcd", beside="abc")
+    record = record_of(cause="abcd", bystander="abc")
     assert record.remove(NOW, Crash("cause", "d"))
     assert not record.remove(NOW, Crash("cause", "d"))
     assert record.refused == frozenset()
     for letter in "abc":
         record.remove(NOW, Crash("cause", letter))
-    assert record.refused == {"beside"}
+    assert record.refused == {"bystander"}
     assert len(record) == 1
 
 
--- a/tests/decisions/crashes/test_suspects.py
+++ b/tests/decisions/crashes/test_suspects.py
@@ -76,7 +76,7 @@
 
 
 def test_engine_that_answers_a_later_attempt_has_not_crashed() -> None:
-    """A daemon whose connections are reset considers all its engines crashed under all requests."""
+    """Guards against a daemon whose connections are reset: it considers all its engines crashed."""
     world = World()
     world.report(1.0, "x", "s0", "s1", "s2")
     world.report(1.0, "y", "s0", "s1", "s2")
@@ -115,14 +115,14 @@
         for content in ("cause", "other"):
             world.report(0.0, content, "s0", "s1", "s2")
         assert world.suspects.refused == {"cause", "other"}
-    released: list[float] = []
+    ended_at: list[float] = []
     for world in fleet:
         now = 0.0
         while world.suspects.refused:
             now = max(now + 0.01, world.suspects.next_due())
             world.suspects.on_timer(now)
-        released.append(now)
-    released.sort()
-    assert released[0] >= MIN_DEFERRAL_SHARE * MAX_DEFERRAL_SECONDS
-    assert released[-1] <= MAX_DEFERRAL_SECONDS + 0.1
-    assert sum(at < released[0] + 0.15 for at in released) <= 3
+        ended_at.append(now)
+    ended_at.sort()
+    assert ended_at[0] >= MIN_DEFERRAL_SHARE * MAX_DEFERRAL_SECONDS
+    assert ended_at[-1] <= MAX_DEFERRAL_SECONDS + 0.1
+    assert sum(at < ended_at[0] + 0.15 for at in ended_at) <= 3
--- a/tests/decisions/peers/test_drain_notices.py
+++ b/tests/decisions/peers/test_drain_notices.py
@@ -85,9 +85,8 @@
     registry.on_list(0.0, records)
     registry.on_drain_notice(1.0, ["s1", "unknown"])
     assert [listed.record.engine_id for listed in registry.of_service("s")] == ["s0"]
-    registry.on_list(
-        1.0 + DRAIN_NOTICE_SECONDS / 2, records
-    )  # may have been read before the removal
+    # This list may have been read before the removal.
+    registry.on_list(1.0 + DRAIN_NOTICE_SECONDS / 2, records)
     assert [listed.record.engine_id for listed in registry.of_service("s")] == ["s0"]
     registry.on_list(1.1 + DRAIN_NOTICE_SECONDS, records)
     assert len(registry.of_service("s")) == 2
--- a/tests/decisions/test_configuration_logs.py
+++ b/tests/decisions/test_configuration_logs.py
@@ -23,7 +23,7 @@
             self.lines.setdefault(daemon.name, []).append(instruction)
         super().carry_out(daemon, instruction)
 
-    def of(self, daemon: str, event: str) -> list[dict[str, object]]:
+    def fields_of(self, daemon: str, event: str) -> list[dict[str, object]]:
         return [line.fields for line in self.lines[daemon] if line.event == event]
 
 
@@ -36,15 +36,15 @@
     world.run(2.0)
     world.publish(3)
     world.run(2.0)
-    rows = world.of("daemon-0", "configuration in force")
+    rows = world.fields_of("daemon-0", "configuration in force")
     assert [row["learnt_by"] for row in rows] == ["start", "store", "peer"]
     assert [row["replaced_version"] for row in rows] == [-1, 1, 2]
     assert rows[2]["peer"] in {f"10.0.1.{number}" for number in (2, 3, 4)}
-    (failed,) = world.of("daemon-0", "configuration read failed")
+    (failed,) = world.fields_of("daemon-0", "configuration read failed")
     assert (failed["version"], failed["learnt_by"]) == (2, "store")
     world.daemons["daemon-0"].is_cut_from_store = False
     world.run(2.0)
-    (again,) = world.of("daemon-0", "configuration read again")
+    (again,) = world.fields_of("daemon-0", "configuration read again")
     assert again["version"] == 3
     assert int(str(again["failing_ms"])) > 3000
 
@@ -86,7 +86,7 @@
     world.run(3.0)
     world.hand_in("job", 2)
     world.run(1.0)
-    rows = [row for name in world.lines for row in world.of(name, "job submission ended")]
+    rows = [row for name in world.lines for row in world.fields_of(name, "job submission ended")]
     assert [row["configuration_version"] for row in rows] == [1]
 
 
