--- a/src/troutswitch/decisions/active_configuration.py
+++ b/src/troutswitch/decisions/active_configuration.py
@@ -12,7 +12,7 @@
 from troutswitch.daemons.messages import Heartbeat
 from troutswitch.daemons.peer_state import PeerState, StoredRecord
 from troutswitch.decisions.forwarding.log_events import milliseconds
-from troutswitch.decisions.forwarding.routes import LearntBy, RouteTable
+from troutswitch.decisions.forwarding.routes import ConfigurationSource, RouteTable
 from troutswitch.decisions.gateway_messages import Formats, LimitsChanged
 from troutswitch.decisions.instruction_queue import InstructionQueue
 from troutswitch.decisions.storage.follower import PartitionFollower
@@ -128,7 +128,7 @@
             event,
             version=known.version,
             age_ms=milliseconds(known.age),
-            learnt_by=known.learnt_by.value,
+            learnt_by=known.source.value,
             failing_ms=milliseconds(now - failing_since),
             outcome="" if outcome is None else str(outcome)[:OUTCOME_LOGGED_CHARACTERS],
         )
@@ -150,15 +150,19 @@
         self._now = now
         if state.configuration is not None:
             record = KeyedRecord(state.configuration.key, state.configuration.value)
-            if not self._activate(record, LearntBy.PEER, peer):
+            if not self._activate(record, ConfigurationSource.PEER, peer):
                 return
         self._routes.confirm(now - state.configuration_age)
 
     def _apply_record(self, record: KeyedRecord) -> None:
         is_first = self._routes.configuration is None
-        self._activate(record, LearntBy.START if is_first else LearntBy.STORE)
+        self._activate(
+            record, ConfigurationSource.START if is_first else ConfigurationSource.STORE
+        )
 
-    def _activate(self, record: KeyedRecord, learnt_by: LearntBy, peer: str = "") -> bool:
+    def _activate(
+        self, record: KeyedRecord, learnt_by: ConfigurationSource, peer: str = ""
+    ) -> bool:
         """Activates a record's configuration if it is newer; returns whether it was decodable."""
         try:
             configuration = self._formats.configuration(record.key, record.value)
--- a/src/troutswitch/decisions/engine_membership.py
+++ b/src/troutswitch/decisions/engine_membership.py
@@ -149,6 +149,6 @@
             came=added,
             left=removed,
             listed=listed,
-            slots=self._engines.slots_in_use(),
+            slots=self._engines.total_slots(),
             peer=peer,
         )
--- a/src/troutswitch/decisions/forwarding/admission.py
+++ b/src/troutswitch/decisions/forwarding/admission.py
@@ -13,7 +13,7 @@
 2. One that will miss it anyway is sent where a slot is free, and otherwise waits here.
 3. One that can't end before its deadline is refused at once. `Retry-After` names the time at
    which a slot is expected, in the order of refusals.
-4. One that has waited for `DELAY_SHARE_MOST` of the client's timeout, or is within
+4. One that has waited for `MAX_DELAY_SHARE` of the client's timeout, or is within
    `SEND_MARGIN_SECONDS` of the last moment at which it can end in time, is sent whatever the wait.
 
 Why: engines serve in the order of arrival. While more arrives than they can do, each late request
@@ -30,27 +30,27 @@
 
 from troutswitch.decisions.forwarding.request import ForwardedRequest
 from troutswitch.decisions.forwarding.run_times import RunTimes, ServiceTimes
-from troutswitch.decisions.forwarding.wait_estimate import Estimate
+from troutswitch.decisions.forwarding.wait_estimate import WaitEstimate
 
 OBJECTIVE_SHARE = 0.85
 """Share of the latency objective inside which `DeferLate` expects the first event. The rest covers
 requests on their way to the engine, and the way to the client."""
-RETRY_AFTER_SHARE_MOST = 1 / 3
+MAX_RETRY_AFTER_SHARE = 1 / 3
 """Longest `Retry-After` of `DeferLate`, in shares of the time left: clients ignore longer ones."""
-RETRY_AFTER_LEAST = 0.6
+MIN_RETRY_AFTER_SHARE = 0.6
 """Shortest `Retry-After` of `DeferLate`, in shares of the longest: retries are spread over the
 rest."""
-DELAY_SHARE_MOST = 1 / 3
+MAX_DELAY_SHARE = 1 / 3
 """Longest wait of a late request here, in shares of the client's timeout. Clients that have
 received nothing disconnect after about half of it."""
 SEND_MARGIN_SECONDS = 0.5
 """Time before the last moment at which a late request can still end in time, at which it is sent
 whatever the wait: the error of the wait estimate."""
-ROUTES_REMEMBERED = 512
+MAX_REMEMBERED_ROUTES = 512
 """Routes whose client timeout is remembered; the one used longest ago is forgotten first."""
-RETRIED_SECONDS = 0.1
+RETRY_THRESHOLD_SECONDS = 0.1
 """Time left below the client's timeout from which a request counts as a retry."""
-RETRY_AFTER_LEAST_SECONDS = 0.1
+MIN_RETRY_AFTER_SECONDS = 0.1
 """Least `Retry-After` of `HoldLate`: the age of the slot counts behind the estimate."""
 
 
@@ -95,7 +95,7 @@
     """A refusal: the client is to retry after some seconds; `estimate` is the reason."""
 
     retry_after: float
-    estimate: Estimate
+    estimate: WaitEstimate
 
 
 class AdmissionPolicy(Protocol):
@@ -113,12 +113,12 @@
         """
         ...
 
-    def on_late(self, now: float, request: LateRequest, estimate: Estimate) -> LateAction:
+    def on_late(self, now: float, request: LateRequest, estimate: WaitEstimate) -> LateAction:
         """Decides on a request whose wait for a slot would be longer than `longest_wait`."""
         ...
 
     def retry_after(
-        self, now: float, time_left: float, estimate: Estimate, rng: random.Random
+        self, now: float, time_left: float, estimate: WaitEstimate, rng: random.Random
     ) -> float:
         """Returns the seconds after which a deferred request is to be retried."""
         ...
@@ -134,12 +134,12 @@
         """Takes any wait."""
         return float("inf")
 
-    def on_late(self, now: float, request: LateRequest, estimate: Estimate) -> LateAction:
+    def on_late(self, now: float, request: LateRequest, estimate: WaitEstimate) -> LateAction:
         """Is not called, as every wait is taken."""
         return LateAction.DEFER
 
     def retry_after(
-        self, now: float, time_left: float, estimate: Estimate, rng: random.Random
+        self, now: float, time_left: float, estimate: WaitEstimate, rng: random.Random
     ) -> float:
         """Returns the end of the wait; it is not called, as every wait is taken."""
         return estimate.wait
@@ -153,7 +153,9 @@
 
     def longest_wait(self, request: AdmissionRequest, times: ServiceTimes) -> float:
         """Returns the wait up to which a first try meets its objective."""
-        is_retry = request.is_resumed or self._time_since_first_try(request) > RETRIED_SECONDS
+        is_retry = (
+            request.is_resumed or self._time_since_first_try(request) > RETRY_THRESHOLD_SECONDS
+        )
         if is_retry or request.objective <= 0 or times.slot_time == 0.0:
             return float("inf")
         return max(0.0, request.objective * OBJECTIVE_SHARE - times.first_event)
@@ -166,19 +168,19 @@
         longest = max(request.time_left, self.client_timeouts.get(request.route, 0.0))
         self.client_timeouts.pop(request.route, None)
         self.client_timeouts[request.route] = longest
-        if len(self.client_timeouts) > ROUTES_REMEMBERED:
+        if len(self.client_timeouts) > MAX_REMEMBERED_ROUTES:
             del self.client_timeouts[next(iter(self.client_timeouts))]
         return longest - request.time_left
 
-    def on_late(self, now: float, request: LateRequest, estimate: Estimate) -> LateAction:
+    def on_late(self, now: float, request: LateRequest, estimate: WaitEstimate) -> LateAction:
         """Refuses it."""
         return LateAction.DEFER
 
     def retry_after(
-        self, now: float, time_left: float, estimate: Estimate, rng: random.Random
+        self, now: float, time_left: float, estimate: WaitEstimate, rng: random.Random
     ) -> float:
         """Returns a random time inside what clients wait for."""
-        return time_left * RETRY_AFTER_SHARE_MOST * rng.uniform(RETRY_AFTER_LEAST, 1.0)
+        return time_left * MAX_RETRY_AFTER_SHARE * rng.uniform(MIN_RETRY_AFTER_SHARE, 1.0)
 
 
 class HoldLate(DeferLate):
@@ -201,18 +203,18 @@
         is_late = waited + times.first_event > request.objective
         return 0.0 if is_late else request.objective - waited
 
-    def on_late(self, now: float, request: LateRequest, estimate: Estimate) -> LateAction:
+    def on_late(self, now: float, request: LateRequest, estimate: WaitEstimate) -> LateAction:
         """Decides by the time that is left; see the rule above, 3 and 4."""
         spare = request.ends_at - now - estimate.slot_time - estimate.wait
         if spare < 0:
             return LateAction.DEFER
-        delayed_until = request.arrived_at + request.client_timeout * DELAY_SHARE_MOST
+        delayed_until = request.arrived_at + request.client_timeout * MAX_DELAY_SHARE
         if spare < SEND_MARGIN_SECONDS or now >= delayed_until:
             return LateAction.SEND
         return LateAction.WAIT
 
     def retry_after(
-        self, now: float, time_left: float, estimate: Estimate, rng: random.Random
+        self, now: float, time_left: float, estimate: WaitEstimate, rng: random.Random
     ) -> float:
         """Returns the time until a slot is expected, in the order of refusals."""
         return self._retry_times.next(now, estimate)
@@ -228,10 +230,10 @@
     def __init__(self) -> None:
         self._last = float("-inf")
 
-    def next(self, now: float, estimate: Estimate) -> float:
+    def next(self, now: float, estimate: WaitEstimate) -> float:
         """Returns the seconds until the next time."""
         interval = estimate.slot_time / estimate.slots if estimate.slots else 0.0
-        earliest = now + max(RETRY_AFTER_LEAST_SECONDS, estimate.wait)
+        earliest = now + max(MIN_RETRY_AFTER_SECONDS, estimate.wait)
         self._last = max(earliest, self._last + interval)
         return self._last - now
 
@@ -263,13 +265,13 @@
         new = AdmissionRequest(route.name, route.objective, arrival.time_left, is_resumed)
         return self._policy.longest_wait(new, self.times_of(request))
 
-    def on_late(self, now: float, request: ForwardedRequest, estimate: Estimate) -> LateAction:
+    def on_late(self, now: float, request: ForwardedRequest, estimate: WaitEstimate) -> LateAction:
         """Decides on a request for which no slot is free in time."""
         time_left = request.arrival.time_left
         late = LateRequest(request.arrived_at, request.ends_at, client_timeout=time_left)
         return self._policy.on_late(now, late, estimate)
 
-    def deferral(self, now: float, request: ForwardedRequest, estimate: Estimate) -> Deferral:
+    def deferral(self, now: float, request: ForwardedRequest, estimate: WaitEstimate) -> Deferral:
         """Returns when the client of a deferred request is to retry."""
         time_left = request.arrival.time_left
         retry_after = self._policy.retry_after(now, time_left, estimate, self._rng)
@@ -280,7 +282,7 @@
         timeouts = self._policy.client_timeouts
         return {route: round(seconds * 1000) for route, seconds in timeouts.items()}
 
-    def begin_with(self, client_timeouts: dict[str, int]) -> None:
+    def merge(self, client_timeouts: dict[str, int]) -> None:
         """Takes what another daemon learnt of client timeouts, in milliseconds by route."""
         timeouts = self._policy.client_timeouts
         for route, milliseconds in client_timeouts.items():
--- a/src/troutswitch/decisions/forwarding/arrivals.py
+++ b/src/troutswitch/decisions/forwarding/arrivals.py
@@ -77,7 +77,7 @@
     """Decides on arrivals, and keeps those that await a quota decision."""
 
     def __init__(self, routes: RouteTable, suspects: Suspects) -> None:
-        self.callers = TenantKeys(routes)
+        self.tenant_keys = TenantKeys(routes)
         self.quota: Quota = NoQuota()
         self._routes = routes
         self._suspects = suspects
@@ -94,7 +94,7 @@
             return Refused(event, NotRun(reason, Step.ROUTE, "", OUTDATED_RETRY_SECONDS))
         if route is None or route.is_for_jobs:
             return Refused(event, NotRun("no such route", Step.ROUTE, "", None, NO_ROUTE_STATUS))
-        tenant = self.callers.identify(event.caller_key, route)
+        tenant = self.tenant_keys.identify(event.caller_key, route)
         if isinstance(tenant, NotRun):
             return Refused(event, tenant)
         if event.content in self._suspects.refused:
@@ -104,9 +104,9 @@
         if decision is None:
             self._awaiting_quota[event.token] = waiting
             return None
-        return self._decided(waiting, decision)
+        return self._apply_quota(waiting, decision)
 
-    def on_counted(self, now: float, end: QuotaCompletion) -> Admitted | Refused | None:
+    def on_quota_decided(self, now: float, end: QuotaCompletion) -> Admitted | Refused | None:
         """Takes a quota decision; None if the request doesn't await it any more.
 
         The key is checked again: a configuration may have come in between.
@@ -114,13 +114,13 @@
         waiting = self._awaiting_quota.pop(end.token, None)
         if waiting is None:
             return None
-        tenant = self.callers.identify(waiting.arrival.caller_key, waiting.route)
+        tenant = self.tenant_keys.identify(waiting.arrival.caller_key, waiting.route)
         if isinstance(tenant, NotRun):
             return Refused(waiting.arrival, tenant)
-        return self._decided(replace(waiting, tenant=tenant), end.result)
+        return self._apply_quota(replace(waiting, tenant=tenant), end.result)
 
     @staticmethod
-    def _decided(waiting: _AwaitingQuota, decision: QuotaResult) -> Admitted | Refused:
+    def _apply_quota(waiting: _AwaitingQuota, decision: QuotaResult) -> Admitted | Refused:
         arrival, tenant = waiting.arrival, waiting.tenant
         if decision.is_allowed:
             return Admitted(arrival, waiting.route, waiting.version, tenant, decision.decided_by)
--- a/src/troutswitch/decisions/forwarding/attempts.py
+++ b/src/troutswitch/decisions/forwarding/attempts.py
@@ -6,7 +6,7 @@
 """
 
 from troutswitch.decisions.crashes.interface import Suspects
-from troutswitch.decisions.forwarding.candidates import FULL_SECONDS
+from troutswitch.decisions.forwarding.candidates import FULL_EXCLUSION_SECONDS
 from troutswitch.decisions.forwarding.engine import Engine, RequestSize
 from troutswitch.decisions.forwarding.engine_silence import event_gap_timeout, first_event_timeout
 from troutswitch.decisions.forwarding.engines import EngineRegistry
@@ -14,9 +14,9 @@
 from troutswitch.decisions.forwarding.messages import (
     AbortAttempt,
     AnswerBegun,
+    PreemptBatchItem,
     RequestAttemptEnded,
     SendRequest,
-    SlotWanted,
 )
 from troutswitch.decisions.forwarding.placer import AssignedBy, Assignment
 from troutswitch.decisions.forwarding.request import ForwardedRequest, RequestState
@@ -24,7 +24,7 @@
 from troutswitch.decisions.invariants import ensure
 from troutswitch.outcomes import AttemptOutcome
 
-FAILED_STATUS_LEAST = 300
+MIN_FAILURE_STATUS = 300
 """Least status of a whole answer that doesn't show that an engine ran the request to its end."""
 
 
@@ -39,7 +39,7 @@
     def start(self, now: float, request: ForwardedRequest, assignment: Assignment) -> SendRequest:
         """Starts the next attempt of a request, on the engine that it was assigned to."""
         ensure(
-            not request.runs or request.route.is_repeatable,
+            not request.possible_runs or request.route.is_repeatable,
             "a request not to be repeated is sent again",
         )
         engine = assignment.engine
@@ -58,7 +58,7 @@
         prompt = request.arrival.prompt
         engines = self._engines.of_service(request.service) or [engine]
         prefill = expected_prefill(prompt, engine, engines)
-        return RequestSize(prompt.prompt_tokens + prompt.output_tokens_most, prefill)
+        return RequestSize(prompt.prompt_tokens + prompt.max_output_tokens, prefill)
 
     def on_answer_begun(self, now: float, request: ForwardedRequest, event: AnswerBegun) -> None:
         """Notes that the engine runs the request, unless the answer is a rejection.
@@ -70,7 +70,7 @@
         if event.not_run:
             return
         request.answer_began_at = now
-        self._engines.on_begun(request.engine_id, request.size)
+        self._engines.on_first_token(request.engine_id, request.size)
         self._suspects.on_answered(now, request.engine_id, request.sent_at)
         if event.load is not None:
             self._engines.on_load(now, request.engine_id, event.load)
@@ -96,7 +96,7 @@
     def _note_rejection(self, now: float, request: ForwardedRequest) -> None:
         engine = self._engines.engines.get(request.engine_id)
         if engine is not None:
-            engine.full_until = now + FULL_SECONDS
+            engine.full_until = now + FULL_EXCLUSION_SECONDS
         request.rejected_by.add(request.engine_id)
 
     def _note_completion(
@@ -106,7 +106,7 @@
 
         Answers without events occupy no slot for long.
         """
-        if event.status < FAILED_STATUS_LEAST:
+        if event.status < MIN_FAILURE_STATUS:
             self._suspects.on_served(now, request.arrival.content)
         if not event.delivered or request.answer_began_at > now:
             return
@@ -152,7 +152,9 @@
     )
 
 
-def slot_wanted(now: float, request: ForwardedRequest, assignment: Assignment) -> list[SlotWanted]:
+def preempt_if_full(
+    now: float, request: ForwardedRequest, assignment: Assignment
+) -> list[PreemptBatchItem]:
     """Returns the order to preempt a batch item, if a request just sent has no slot otherwise.
 
     A coordinator that assigns the last slot has an item preempted itself.
@@ -160,6 +162,6 @@
     engine = assignment.engine
     if assignment.assigned_by is AssignedBy.COORDINATOR:
         return []
-    if engine.in_flight(now) <= engine.slots or engine.batch() == 0:
+    if engine.in_flight(now) <= engine.slots or engine.batch_count() == 0:
         return []
-    return [SlotWanted(engine.record.engine_id, request.arrival.request_id)]
+    return [PreemptBatchItem(engine.record.engine_id, request.arrival.request_id)]
--- a/src/troutswitch/decisions/forwarding/candidates.py
+++ b/src/troutswitch/decisions/forwarding/candidates.py
@@ -3,9 +3,9 @@
 Inputs: the engines of its service that this daemon knows and that take new work (`engines`), and
 those that the request was sent to.
 
-Rule: engines that it was not sent to, but for those that rejected some request as full less than
-`FULL_SECONDS` ago, unless no others are left. A request that waited may go again to engines that
-rejected it, and if none is left, also to those that failed.
+Rule: engines that the request was not sent to. Of these, engines that rejected some request as full
+less than `FULL_EXCLUSION_SECONDS` ago are excluded, unless no others remain. After a wait, a
+request may go again to engines that rejected it, and if none remains, also to those that failed.
 
 Measurements: docs/POLICY.md.
 """
@@ -16,9 +16,9 @@
 from troutswitch.decisions.forwarding.engines import EngineRegistry
 from troutswitch.decisions.forwarding.request import ForwardedRequest
 
-FULL_SECONDS = 0.15
+FULL_EXCLUSION_SECONDS = 0.15
 """Time for which an engine that rejected a request as full is left out."""
-ENGINES_LOGGED_MOST = 32
+MAX_LOGGED_ENGINES = 32
 """Engines that one log line names."""
 
 
@@ -31,23 +31,23 @@
     return [engine for engine in untried if now >= engine.full_until] or untried
 
 
-def engines_left_out(
+def excluded_engines(
     now: float, request: ForwardedRequest, engines: EngineRegistry
 ) -> dict[str, str]:
     """Returns why each engine of the request's service may not be sent it, by engine, for logs.
 
     Entries of the engine list that could not be used stand there too, of whatever service.
     """
-    left_out = {
+    excluded = {
         engine.record.engine_id: reason
         for engine in engines.all_of_service(request.service)
-        if (reason := _reason_left_out(now, request, engine))
+        if (reason := _exclusion_reason(now, request, engine))
     }
-    left_out |= engines.unusable_entries
-    return dict(itertools.islice(left_out.items(), ENGINES_LOGGED_MOST))
+    excluded |= engines.unusable_entries
+    return dict(itertools.islice(excluded.items(), MAX_LOGGED_ENGINES))
 
 
-def _reason_left_out(now: float, request: ForwardedRequest, engine: Engine) -> str:
+def _exclusion_reason(now: float, request: ForwardedRequest, engine: Engine) -> str:
     """Returns why an engine is left out; an empty string if it isn't."""
     if engine.is_draining:
         return "draining"
@@ -60,7 +60,7 @@
     return "rejected requests as full" if now < engine.full_until else ""
 
 
-def forget_tried(now: float, request: ForwardedRequest, engines: EngineRegistry) -> None:
+def reset_tried(now: float, request: ForwardedRequest, engines: EngineRegistry) -> None:
     """Lets a request that waited go again to engines that it was sent to."""
     request.tried -= request.rejected_by
     request.rejected_by.clear()
--- a/src/troutswitch/decisions/forwarding/engine.py
+++ b/src/troutswitch/decisions/forwarding/engine.py
@@ -4,7 +4,7 @@
 
 - this daemon's own requests there, exact;
 - those of other daemons, by the reports of peers and coordinators (`peers_*`, up to a second old);
-- the engine's own load, that comes with its answers, and counts up to `LOAD_FRESH_SECONDS`.
+- the engine's own load, that comes with its answers, and counts up to `MAX_LOAD_AGE_SECONDS`.
 
 Rule: the larger of the counts and of the engine's load, as both lag. Of prompt tokens that wait
 to be read, and of slots that online requests take, moving averages are kept too.
@@ -20,7 +20,7 @@
 
 from troutswitch.decisions.forwarding.types import EngineLoad, EngineRecord
 
-LOAD_FRESH_SECONDS = 0.4
+MAX_LOAD_AGE_SECONDS = 0.4
 """Age up to which a load that an engine reported counts."""
 SAMPLE_SECONDS = 0.1
 """Interval between samples of the waiting prompt tokens and of the slots taken online."""
@@ -103,11 +103,11 @@
         """Prompt tokens that the engine has still to read, by the counts of daemons."""
         return self.prefill_tokens + self.peers_prefill_tokens
 
-    def online(self) -> int:
+    def online_count(self) -> int:
         """Returns the online requests on the engine, by the counts of daemons."""
         return self.online_in_flight + self.peers_online
 
-    def batch(self) -> int:
+    def batch_count(self) -> int:
         """Returns the batch items on the engine, by the counts of daemons."""
         return self.batch_in_flight + self.peers_batch
 
@@ -115,7 +115,7 @@
         """Returns the requests on the engine: the larger of the counts and of its own load."""
         own = self.online_in_flight + self.batch_in_flight
         counted = own + self.peers_online + self.peers_batch
-        if self.load is None or now - self.load_at > LOAD_FRESH_SECONDS:
+        if self.load is None or now - self.load_at > MAX_LOAD_AGE_SECONDS:
             return counted
         reported = self.load.running + self.load.waiting + self.sent_since_load
         if self.peers_online or self.peers_batch:
@@ -124,7 +124,7 @@
 
     def online_load(self, now: float) -> int:
         """Returns the online requests on the engine: the larger of counts and load."""
-        return max(self.online(), self.in_flight(now) - self.batch())
+        return max(self.online_count(), self.in_flight(now) - self.batch_count())
 
     def change_peers_online(self, now: float, change: int) -> None:
         """Takes a change of the online requests that peers have on the engine."""
@@ -149,7 +149,7 @@
         """Takes the present counts into the averages; called each `SAMPLE_SECONDS`."""
         change = self.waiting_prefill_tokens - self.mean_prefill_tokens
         self.mean_prefill_tokens += PREFILL_WEIGHT * change
-        online_change = min(self.online(), self.slots) - self.mean_online
+        online_change = min(self.online_count(), self.slots) - self.mean_online
         self.online_samples += 1
         weight = max(ONLINE_WEIGHT, 1 / self.online_samples)
         self.mean_online += weight * online_change
--- a/src/troutswitch/decisions/forwarding/engine_ejection.py
+++ b/src/troutswitch/decisions/forwarding/engine_ejection.py
@@ -5,7 +5,7 @@
 Inputs: its failures in a row, as seen by this daemon alone; this process's clock, in seconds.
 
 Rule: after `FAILURES_TO_EJECT` failures in a row it is left out, at first for
-`EJECT_LEAST_SECONDS`, then twice as long after each further failure, up to `EJECT_MOST_SECONDS`.
+`MIN_EJECTION_SECONDS`, then twice as long after each further failure, up to `MAX_EJECTION_SECONDS`.
 Any attempt that doesn't fail ends this. When all engines of a service are left out, all are used:
 that all of them failed is more often a fault of this daemon's own network.
 
@@ -16,9 +16,9 @@
 
 FAILURES_TO_EJECT = 2
 """Failures in a row after which an engine is left out."""
-EJECT_LEAST_SECONDS = 0.5
-EJECT_MOST_SECONDS = 4.0
-DOUBLINGS_MOST = 8
+MIN_EJECTION_SECONDS = 0.5
+MAX_EJECTION_SECONDS = 4.0
+MAX_DOUBLINGS = 8
 """Guards against a power that grows without bound."""
 
 
@@ -27,8 +27,8 @@
     engine.failures += 1
     if engine.failures < FAILURES_TO_EJECT:
         return
-    doublings = min(engine.failures - FAILURES_TO_EJECT, DOUBLINGS_MOST)
-    pause = min(EJECT_LEAST_SECONDS * 2**doublings, EJECT_MOST_SECONDS)
+    doublings = min(engine.failures - FAILURES_TO_EJECT, MAX_DOUBLINGS)
+    pause = min(MIN_EJECTION_SECONDS * 2**doublings, MAX_EJECTION_SECONDS)
     engine.ejected_until = now + pause
 
 
--- a/src/troutswitch/decisions/forwarding/engine_list.py
+++ b/src/troutswitch/decisions/forwarding/engine_list.py
@@ -26,21 +26,21 @@
 """Shares of that time, between which it is drawn."""
 INTERVAL_JITTER = (0.8, 1.2)
 """Shares of the interval, between which the time to the next reading is drawn."""
-READING_SECONDS_MOST = 3.0
+MAX_READING_SECONDS = 3.0
 """Age up to which the first pages of a reading count when a later one must be read again. Begun
 anew after each failure, a list of many pages is hardly ever read while one call in two fails."""
 
 
 class EngineListReader:
-    """Reads the list each `interval` seconds, or `least_interval` if that is longer.
+    """Reads the list each `interval` seconds, or `min_interval` if that is longer.
 
     A call without an answer is repeated beside it after the same time.
     """
 
     def __init__(self, numbers: CallNumbers, rng: random.Random, interval: float) -> None:
         self.interval = interval
-        self.least_interval = 0.0
-        self.pages = 1
+        self.min_interval = 0.0
+        self.page_count = 1
         """Pages of the last whole reading."""
         self.attempts = ReadAttempts(numbers, rng, self._pause)
         self._rng = rng
@@ -73,7 +73,7 @@
 
     def on_timer(self, now: float) -> list[StoreCall]:
         """Returns the call for the next page, if it is due."""
-        self.attempts.repeat_after = max(self.interval, self.least_interval)
+        self.attempts.repeat_after = max(self.interval, self.min_interval)
         if not self.attempts.is_due(now):
             return []
         self._forget_old_pages(now)
@@ -101,15 +101,15 @@
             self._after_key = outcome.records[-1].key
             self.attempts.on_succeeded(call, now)
             return None
-        rows, self.pages = self._rows, self._pages_read
+        rows, self.page_count = self._rows, self._pages_read
         self._forget_pages()
-        interval = max(self.interval, self.least_interval)
+        interval = max(self.interval, self.min_interval)
         self.attempts.on_succeeded(call, now + interval * self._rng.uniform(*INTERVAL_JITTER))
         return rows
 
     def _forget_old_pages(self, now: float) -> None:
         """Begins the list anew if a page failed and the pages before it are old."""
-        is_old = now - self._began_at > READING_SECONDS_MOST
+        is_old = now - self._began_at > MAX_READING_SECONDS
         if self._after_key and self.attempts.failures and is_old:
             self._forget_pages()
             self.attempts.abandon(now)
--- a/src/troutswitch/decisions/forwarding/engine_silence.py
+++ b/src/troutswitch/decisions/forwarding/engine_silence.py
@@ -22,7 +22,7 @@
 from troutswitch.decisions.forwarding.engine import Engine
 from troutswitch.decisions.forwarding.request import ForwardedRequest
 
-SILENCE_LEAST_SECONDS = 0.4
+MIN_SILENCE_SECONDS = 0.4
 """Least time without a first event, and without any byte of the engine, before another engine is
 tried."""
 SILENCE_OBJECTIVES = 1.0
@@ -30,7 +30,7 @@
 HUNG_TIMEOUTS = 5.0
 """Time for the first event, in silence timeouts, after which a request is taken for hung although
 its engine answers others."""
-EVENT_GAP_LEAST_SECONDS = 0.3
+MIN_EVENT_GAP_SECONDS = 0.3
 """Least time between events before a resumable stream goes on elsewhere."""
 EVENT_GAP_LIMITS = 2.0
 """The same time in pauses that the route allows."""
@@ -38,12 +38,12 @@
 
 def silence_timeout(request: ForwardedRequest) -> float:
     """Returns the seconds for which a request's engine may send nothing at all."""
-    return max(SILENCE_LEAST_SECONDS, SILENCE_OBJECTIVES * request.route.objective)
+    return max(MIN_SILENCE_SECONDS, SILENCE_OBJECTIVES * request.route.objective)
 
 
 def is_engine_silent(now: float, request: ForwardedRequest, engine: Engine | None) -> bool:
     """Returns whether the engine seems not to answer a running request any more."""
-    if request.answer_began_at <= now or not request.may_try_again:
+    if request.answer_began_at <= now or not request.may_retry:
         return False
     timeout = silence_timeout(request)
     if now - request.sent_at > HUNG_TIMEOUTS * timeout:
@@ -59,7 +59,7 @@
     connection lives on: it would hold its thread and slot until the deadline.
     """
     left = request.ends_at - now
-    if not request.may_try_again:
+    if not request.may_retry:
         return left
     return min(left, HUNG_TIMEOUTS * silence_timeout(request))
 
@@ -67,7 +67,7 @@
 def event_gap_timeout(now: float, request: ForwardedRequest) -> float:
     """Returns the seconds that each next event may take."""
     left = request.ends_at - now
-    if not request.may_try_again:
+    if not request.may_retry:
         return left
-    gap = max(EVENT_GAP_LEAST_SECONDS, EVENT_GAP_LIMITS * request.route.gap_limit)
+    gap = max(MIN_EVENT_GAP_SECONDS, EVENT_GAP_LIMITS * request.route.gap_limit)
     return min(left, gap)
--- a/src/troutswitch/decisions/forwarding/engines.py
+++ b/src/troutswitch/decisions/forwarding/engines.py
@@ -27,7 +27,7 @@
 DRAIN_NOTICE_SECONDS = 1.0
 """Time for which a list that has an engine doesn't overrule a peer's notice that it left: the
 list may have been read before, as a reading takes some pages and may be shared by a peer."""
-DRAINING_REMEMBERED = 4096
+MAX_REMEMBERED_DRAINING = 4096
 """Incarnations that are remembered as draining or replaced."""
 
 
@@ -37,7 +37,7 @@
 
     engines: dict[str, Engine] = field(default_factory=dict)
     expired: ExpiredEntries = field(default_factory=ExpiredEntries)
-    changes: int = 0
+    own_changes: int = 0
     """Changes of this daemon's own requests on engines, to tell whether peers know them all."""
     list_changes: int = 0
     """Changes of which engines there are, after which groups are made anew."""
@@ -46,7 +46,7 @@
     unusable_entries: dict[str, str] = field(default_factory=dict)
     """Entries of the last list that name no engine to use, and why."""
     _sample_at: float = float("-inf")
-    _left_at: dict[str, float] = field(default_factory=dict)
+    _reported_gone_at: dict[str, float] = field(default_factory=dict)
     """When peers reported that engines left the list, until a list read later decides."""
     _draining: dict[str, None] = field(default_factory=dict)
     _by_service: dict[str, list[Engine]] = field(default_factory=dict)
@@ -59,18 +59,20 @@
             now: when the list was read, here or by a peer, in seconds of this process's clock.
             records: all entries.
         """
-        before = self._taking_work()
-        self._left_at = {
-            name: at for name, at in self._left_at.items() if now < at + DRAIN_NOTICE_SECONDS
+        before = self._accepting_work()
+        self._reported_gone_at = {
+            name: at
+            for name, at in self._reported_gone_at.items()
+            if now < at + DRAIN_NOTICE_SECONDS
         }
-        records = [record for record in records if record.engine_id not in self._left_at]
+        records = [record for record in records if record.engine_id not in self._reported_gone_at]
         listed = {record.engine_id for record in records}
         for record in records:
             self._take(record)
         missing = self.engines.keys() - listed
         restarted = self._restarted(missing, records)
         self._unlist(self.expired.on_list(now, missing - restarted) | restarted)
-        after = self._taking_work()
+        after = self._accepting_work()
         self.kept_missing = {name for name in after if name not in listed}
         if before != after:
             self.list_changes += 1
@@ -82,7 +84,7 @@
         instances = {record.instance for record in records if record.instance}
         return {name for name in missing if self.engines[name].record.instance in instances}
 
-    def _taking_work(self) -> set[str]:
+    def _accepting_work(self) -> set[str]:
         return {name for name, engine in self.engines.items() if not engine.is_leaving}
 
     @property
@@ -114,7 +116,7 @@
 
     def _remember_draining(self, engine_id: str) -> None:
         self._draining[engine_id] = None
-        if len(self._draining) > DRAINING_REMEMBERED:
+        if len(self._draining) > MAX_REMEMBERED_DRAINING:
             del self._draining[next(iter(self._draining))]
 
     def _index(self) -> None:
@@ -142,7 +144,7 @@
         """
         return engine_ejection.without_ejected(now, self.of_service(service))
 
-    def take_counts(self, now: float, counts: Iterable[EngineCounts]) -> None:
+    def update_peer_counts(self, now: float, counts: Iterable[EngineCounts]) -> None:
         """Takes a coordinator's counts of all daemons' requests on its engines."""
         for counted in counts:
             engine = self.by_key(counted.engine_key)
@@ -155,16 +157,18 @@
     def counts_of(self, engines: Iterable[Engine]) -> tuple[EngineCounts, ...]:
         """Returns the requests of all daemons on some engines, as they are sent to peers."""
         return tuple(
-            EngineCounts(engine_key(engine.record.engine_id), engine.online(), engine.batch())
+            EngineCounts(
+                engine_key(engine.record.engine_id), engine.online_count(), engine.batch_count()
+            )
             for engine in engines
         )
 
-    def slots_in_use(self) -> int:
+    def total_slots(self) -> int:
         """Returns the slots of all engines that have not begun to leave."""
         return sum(engine.slots for engine in self.engines.values() if not engine.is_leaving)
 
     @staticmethod
-    def usual_free_slots(now: float, engines: Iterable[Engine]) -> float:
+    def mean_free_slots(now: float, engines: Iterable[Engine]) -> float:
         """Returns the mean number of slots, at some engines, that online requests leave."""
         return sum(
             engine.slots - engine.mean_online
@@ -189,7 +193,7 @@
             engine = self.engines.get(engine_id)
             if engine is None or engine.is_leaving:
                 continue
-            self._left_at[engine_id] = now
+            self._reported_gone_at[engine_id] = now
             engine.is_listed = False
             self.list_changes += 1
 
@@ -219,7 +223,7 @@
     def on_sent(self, now: float, engine_id: str, is_batch: bool, size: RequestSize) -> None:
         """A request was sent to the engine."""
         engine = self.engines[engine_id]
-        self.changes += 1
+        self.own_changes += 1
         engine.prefill_tokens += size.prefill_tokens
         engine.sent_since_load += 1
         engine.tokens_in_flight += size.tokens
@@ -228,14 +232,14 @@
         else:
             engine.change_own_online(now, 1)
 
-    def on_begun(self, engine_id: str, size: RequestSize) -> None:
+    def on_first_token(self, engine_id: str, size: RequestSize) -> None:
         """The engine read a request's prompt and made its first token."""
         engine = self.engines.get(engine_id)
         if engine is not None and size.prefill_tokens:
-            self.changes += 1
+            self.own_changes += 1
             engine.prefill_tokens = max(0, engine.prefill_tokens - size.prefill_tokens)
 
-    def on_stopped(self, now: float, engine_id: str, size: RequestSize, *, begun: bool) -> None:
+    def on_preempted(self, now: float, engine_id: str, size: RequestSize, *, begun: bool) -> None:
         """A batch item was preempted, which says nothing of the engine."""
         engine = self.engines.get(engine_id)
         if engine is not None:
@@ -264,9 +268,9 @@
     def _free(
         self, now: float, engine: Engine, is_batch: bool, size: RequestSize, begun: bool
     ) -> None:
-        self.changes += 1
+        self.own_changes += 1
         if not begun:
-            self.on_begun(engine.record.engine_id, size)
+            self.on_first_token(engine.record.engine_id, size)
         engine.tokens_in_flight = max(0, engine.tokens_in_flight - size.tokens)
         if is_batch:
             engine.batch_in_flight = max(0, engine.batch_in_flight - 1)
--- a/src/troutswitch/decisions/forwarding/experience.py
+++ b/src/troutswitch/decisions/forwarding/learned_times.py
@@ -8,9 +8,9 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-ALIKE_SHARE = 0.2
+SIMILARITY_TOLERANCE = 0.2
 """Change, as a share of the older figure, up to which two experiences are alike."""
-NAMES_MOST = 64
+MAX_NAMES = 64
 """Services, and routes, that are kept."""
 
 
@@ -28,7 +28,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Experience:
+class LearnedTimes:
     """What one daemon has learnt. Times are milliseconds.
 
     `times` holds, by service, the time to the first event where a slot was free and the time for
@@ -40,11 +40,11 @@
     client_timeouts: dict[str, int] = field(default_factory=dict)
     batch_run_times: BatchRunTimes | None = None
 
-    def is_like(self, other: "Experience") -> bool:
+    def is_similar_to(self, other: "LearnedTimes") -> bool:
         """Returns whether the other one has the same names, with nearly the same figures."""
         mine, others = self._figures(), other._figures()
         return mine.keys() == others.keys() and all(
-            abs(mine[name] - others[name]) <= ALIKE_SHARE * others[name] for name in mine
+            abs(mine[name] - others[name]) <= SIMILARITY_TOLERANCE * others[name] for name in mine
         )
 
     def _figures(self) -> dict[tuple[str, str], int]:
@@ -56,10 +56,10 @@
         timeouts = self.client_timeouts.items()
         return figures | {("client timeout", name): timeout for name, timeout in timeouts}
 
-    def as_fields(self) -> list[Any]:
+    def to_fields(self) -> list[Any]:
         """Returns plain maps and lists, of bounded size."""
-        times = dict(list(self.times.items())[:NAMES_MOST])
-        timeouts = dict(list(self.client_timeouts.items())[:NAMES_MOST])
+        times = dict(list(self.times.items())[:MAX_NAMES])
+        timeouts = dict(list(self.client_timeouts.items())[:MAX_NAMES])
         batch = self.batch_run_times
         batch_fields = (
             [batch.event_microseconds, batch.item_events, batch.duty_percent] if batch else None
@@ -67,8 +67,8 @@
         return [{name: list(pair) for name, pair in times.items()}, timeouts, batch_fields]
 
     @classmethod
-    def of_fields(cls, fields: Any) -> "Experience":
-        """Reads what `as_fields` returned.
+    def from_fields(cls, fields: Any) -> "LearnedTimes":
+        """Reads what `to_fields` returned.
 
         Raises:
             ValueError, TypeError or AttributeError: it is malformed.
--- a/src/troutswitch/decisions/forwarding/log_events.py
+++ b/src/troutswitch/decisions/forwarding/log_events.py
@@ -6,7 +6,7 @@
 `client_timeout_ms` the time left with which the request came, `elapsed_ms` the time since then.
 `configuration_version` is the version in force, `configuration_age_ms` the time since the daemon
 knew that no newer one existed, `learnt_by` how it came; `admitted_version` is the version whose
-route the request goes by. `engines_left_out` has each engine of the service that it can't be sent
+route the request goes by. `excluded_engines` has each engine of the service that it can't be sent
 to, and why, where a search for an engine found none.
 """
 
@@ -14,9 +14,9 @@
 from troutswitch.decisions.forwarding.arrivals import Refused
 from troutswitch.decisions.forwarding.messages import (
     CallerGone,
+    CallerGoneBeforeHandling,
     LogLine,
     RequestAttemptEnded,
-    RequestUnserved,
 )
 from troutswitch.decisions.forwarding.placer import Assignment
 from troutswitch.decisions.forwarding.request import ForwardedRequest
@@ -24,25 +24,25 @@
 from troutswitch.decisions.forwarding.run_times import ServiceTimes
 from troutswitch.outcomes import AttemptOutcome, Cut, MayHaveRun, NotRun, Step
 
-MILLISECONDS_MOST = 3_600_000
+MAX_MILLISECONDS = 3_600_000
 """Stands for a time that never was."""
 
 
 def milliseconds(seconds: float) -> int:
     """Returns whole milliseconds, an hour at most."""
-    return round(min(seconds * 1000, MILLISECONDS_MOST))
+    return round(min(seconds * 1000, MAX_MILLISECONDS))
 
 
-def fields_of_configuration(known: KnownConfiguration) -> dict[str, object]:
+def configuration_fields(known: KnownConfiguration) -> dict[str, object]:
     """Returns the fields that tell what a daemon knows of the configuration."""
     return {
         "configuration_version": known.version,
         "configuration_age_ms": milliseconds(known.age),
-        "learnt_by": known.learnt_by.value,
+        "learnt_by": known.source.value,
     }
 
 
-def line_of_refusal(refused: Refused, known: KnownConfiguration) -> LogLine:
+def refusal_line(refused: Refused, known: KnownConfiguration) -> LogLine:
     """Returns the line of a request that is refused on its arrival."""
     refusal = refused.refusal
     return LogLine(
@@ -56,12 +56,12 @@
             "status": refusal.status,
             "retry_after_ms": milliseconds(refusal.retry_after or 0.0),
             "decided_by": refused.decided_by,
-            **fields_of_configuration(known),
+            **configuration_fields(known),
         },
     )
 
 
-def line_of_start(
+def attempt_started_line(
     now: float,
     request: ForwardedRequest,
     assignment: Assignment,
@@ -84,7 +84,7 @@
             "load_age_ms": milliseconds(now - engine.load_at),
             "objective_ms": milliseconds(request.route.objective),
             "time_left_ms": milliseconds(request.ends_at - now),
-            **fields_of_configuration(known),
+            **configuration_fields(known),
             "admitted_version": request.admitted_version,
             "list_age_ms": milliseconds(now - listed_at),
             "client_timeout_ms": milliseconds(request.arrival.time_left),
@@ -93,7 +93,7 @@
     )
 
 
-def line_of_deferral(
+def deferral_line(
     now: float,
     request: ForwardedRequest,
     deferral: Deferral,
@@ -115,14 +115,16 @@
             "objective_ms": milliseconds(request.route.objective),
             "retry_after_ms": milliseconds(deferral.retry_after),
             "admitted_version": request.admitted_version,
-            **fields_of_configuration(known),
+            **configuration_fields(known),
             "client_timeout_ms": milliseconds(request.arrival.time_left),
             "elapsed_ms": milliseconds(now - request.arrived_at),
         },
     )
 
 
-def line_of_end(now: float, request: ForwardedRequest, event: RequestAttemptEnded) -> LogLine:
+def attempt_ended_line(
+    now: float, request: ForwardedRequest, event: RequestAttemptEnded
+) -> LogLine:
     """Returns the line of an attempt that ended."""
     return LogLine(
         "attempt ended",
@@ -142,7 +144,7 @@
     )
 
 
-def line_of_silence(now: float, request: ForwardedRequest) -> LogLine:
+def silence_line(now: float, request: ForwardedRequest) -> LogLine:
     """Returns the line of an attempt that is abandoned since its engine sends nothing."""
     return LogLine(
         "engine fell silent",
@@ -154,7 +156,7 @@
     )
 
 
-def line_of_gone_caller(now: float, request: ForwardedRequest, event: CallerGone) -> LogLine:
+def caller_gone_line(now: float, request: ForwardedRequest, event: CallerGone) -> LogLine:
     """Returns the line of a caller that closed its connection."""
     left_at = min(event.aborted_at, now)
     return LogLine(
@@ -172,19 +174,19 @@
     )
 
 
-def line_of_unserved(event: RequestUnserved) -> LogLine:
+def unhandled_caller_gone_line(event: CallerGoneBeforeHandling) -> LogLine:
     """Returns the line of a request whose connection was found closed."""
     age = milliseconds(event.age)
     fields: dict[str, object] = {"request_id": event.request_id, "state": "not yet handled"}
     return LogLine("caller gone", {**fields, "close_age_ms": age})
 
 
-def line_of_wait(
+def wait_line(
     now: float,
     request: ForwardedRequest,
     reason: str,
     known: KnownConfiguration,
-    left_out: dict[str, str],
+    excluded: dict[str, str],
 ) -> LogLine:
     """Returns the line of a request that waits for capacity for the first time.
 
@@ -200,20 +202,20 @@
             "delivered": request.delivered,
             "time_left_ms": milliseconds(request.ends_at - now),
             "admitted_version": request.admitted_version,
-            **fields_of_configuration(known),
-            "engines_left_out": left_out,
+            **configuration_fields(known),
+            "engines_left_out": excluded,
         },
     )
 
 
-def line_of_give_up(
+def give_up_line(
     now: float,
     request: ForwardedRequest,
     outcome: NotRun | MayHaveRun | Cut,
     step: Step,
     known: KnownConfiguration,
     engines_known: int,
-    left_out: dict[str, str],
+    excluded: dict[str, str],
     list_age: float,
 ) -> LogLine:
     """Returns the line of a request that gets its final answer; `list_age` is in seconds."""
@@ -237,9 +239,9 @@
             "elapsed_ms": milliseconds(now - request.arrived_at),
             "objective_ms": milliseconds(request.route.objective),
             "admitted_version": request.admitted_version,
-            **fields_of_configuration(known),
+            **configuration_fields(known),
             "engines_known": engines_known,
-            "engines_left_out": left_out,
+            "engines_left_out": excluded,
             "list_age_ms": milliseconds(list_age),
         },
     )
--- a/src/troutswitch/decisions/forwarding/messages.py
+++ b/src/troutswitch/decisions/forwarding/messages.py
@@ -89,7 +89,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class RequestUnserved:
+class CallerGoneBeforeHandling:
     """A request was found with its connection closed by the caller, `age` seconds ago."""
 
     request_id: str
@@ -133,12 +133,12 @@
 class FinishRequest:
     """Give the caller its final answer.
 
-    `passes_on`: pass on the engine's whole answer, which the relay has.
+    `relays_answer`: pass on the engine's whole answer, which the relay has.
     """
 
     token: int
     outcome: NotRun | MayHaveRun | Cut
-    passes_on: bool = False
+    relays_answer: bool = False
 
 
 @dataclass(frozen=True, slots=True)
@@ -154,7 +154,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class SlotWanted:
+class PreemptBatchItem:
     """A request was sent to an engine that has no free slot: preempt a batch item there."""
 
     engine_id: str
@@ -169,4 +169,4 @@
     fields: dict[str, object]
 
 
-ForwardingInstruction = SendRequest | FinishRequest | AbortAttempt | SlotWanted | LogLine
+ForwardingInstruction = SendRequest | FinishRequest | AbortAttempt | PreemptBatchItem | LogLine
--- a/src/troutswitch/decisions/forwarding/open_requests.py
+++ b/src/troutswitch/decisions/forwarding/open_requests.py
@@ -8,13 +8,13 @@
 
 from troutswitch.decisions.forwarding.admission import Deferral
 from troutswitch.decisions.forwarding.arrivals import Refused
-from troutswitch.decisions.forwarding.candidates import engines_left_out
+from troutswitch.decisions.forwarding.candidates import excluded_engines
 from troutswitch.decisions.forwarding.engines import EngineRegistry
 from troutswitch.decisions.forwarding.log_events import (
-    line_of_deferral,
-    line_of_give_up,
-    line_of_refusal,
-    line_of_wait,
+    deferral_line,
+    give_up_line,
+    refusal_line,
+    wait_line,
 )
 from troutswitch.decisions.forwarding.messages import (
     FinishRequest,
@@ -65,45 +65,43 @@
     def wait(now: float, request: ForwardedRequest) -> None:
         """Has a request wait until it asks again for an engine."""
         request.state = RequestState.WAITING
-        request.asks_again_at = now + CAPACITY_RETRY_SECONDS
+        request.retry_at = now + CAPACITY_RETRY_SECONDS
 
     def delay(self, now: float, request: ForwardedRequest) -> Instructions:
         """Has a late request wait for a slot that is free; only the first wait is logged."""
         was_delayed, request.was_delayed = request.was_delayed, True
         request.longest_wait = 0.0
         self.wait(now, request)
-        return [] if was_delayed else [self._line_of_wait(now, request, LATE_REASON, Step.ADMIT)]
+        return [] if was_delayed else [self._wait_line(now, request, LATE_REASON, Step.ADMIT)]
 
     def wait_or_end(
         self, now: float, request: ForwardedRequest, reason: str, step: Step
     ) -> Instructions:
         """No engine can take the request now: it waits if it can't be refused any more."""
         if not may_wait_for_capacity(now, request):
-            return self.end_unserved(now, request, reason, step)
+            return self.end_unanswered(now, request, reason, step)
         self.wait(now, request)
         request.waits += 1
-        return [self._line_of_wait(now, request, reason, step)] if request.waits == 1 else []
+        return [self._wait_line(now, request, reason, step)] if request.waits == 1 else []
 
-    def _line_of_wait(
-        self, now: float, request: ForwardedRequest, reason: str, step: Step
-    ) -> LogLine:
-        left_out = self._engines_left_out(now, request, step)
-        return line_of_wait(now, request, reason, self._routes.known(now), left_out)
+    def _wait_line(self, now: float, request: ForwardedRequest, reason: str, step: Step) -> LogLine:
+        excluded = self._excluded_engines(now, request, step)
+        return wait_line(now, request, reason, self._routes.known(now), excluded)
 
-    def _engines_left_out(
+    def _excluded_engines(
         self, now: float, request: ForwardedRequest, step: Step
     ) -> dict[str, str]:
         """Returns why each engine was left out of a search that found none; empty elsewhere.
 
         Looking at all engines for each request that ends otherwise would cost most under load.
         """
-        return engines_left_out(now, request, self._engines) if step is Step.ROUTE else {}
+        return excluded_engines(now, request, self._engines) if step is Step.ROUTE else {}
 
     # Ends.
 
     def refuse(self, now: float, refused: Refused) -> Instructions:
         """Refuses a request on its arrival, or one that is not kept here any more."""
-        line = line_of_refusal(refused, self._routes.known(now))
+        line = refusal_line(refused, self._routes.known(now))
         return [FinishRequest(refused.arrival.token, refused.refusal), line]
 
     def defer(
@@ -113,16 +111,16 @@
         ensure(not request.ended_attempts, "a request that was sent is deferred")
         self.remove(request)
         refusal = NotRun(LATE_REASON, Step.ADMIT, "", deferral.retry_after)
-        line = line_of_deferral(now, request, deferral, times, self._routes.known(now))
+        line = deferral_line(now, request, deferral, times, self._routes.known(now))
         return [FinishRequest(request.arrival.token, refusal), line]
 
     def pass_answer_on(self, request: ForwardedRequest, event: RequestAttemptEnded) -> Instructions:
         """Ends a request with the engine's whole answer, although the attempt failed."""
         self.remove(request)
         outcome = MayHaveRun(event.reason, Step.RELAY, request.engine_id)
-        return [FinishRequest(request.arrival.token, outcome, passes_on=True)]
+        return [FinishRequest(request.arrival.token, outcome, relays_answer=True)]
 
-    def end_unserved(
+    def end_unanswered(
         self, now: float, request: ForwardedRequest, reason: str, step: Step
     ) -> Instructions:
         """Ends a request by what is certain of its attempts: not run, may have run, or cut."""
@@ -135,14 +133,14 @@
             request.engine_id,
             retry_after(self._rng),
         )
-        line = line_of_give_up(
+        line = give_up_line(
             now,
             request,
             outcome,
             step,
             self._routes.known(now),
             len(self._engines.engines),
-            self._engines_left_out(now, request, step),
+            self._excluded_engines(now, request, step),
             now - self._engines.listed_at,
         )
         return [FinishRequest(request.arrival.token, outcome), line]
--- a/src/troutswitch/decisions/forwarding/placement.py
+++ b/src/troutswitch/decisions/forwarding/placement.py
@@ -28,19 +28,19 @@
 from troutswitch.decisions.forwarding.long_prompts import PromptSizes, choose_home
 from troutswitch.decisions.forwarding.types import PromptShape
 
-PREFILL_TOKENS_AS_FULL = 8192
+FULL_PREFILL_TOKENS = 8192
 """Prompt tokens waiting at an engine that count as much as all its slots taken."""
 ZONE_PENALTY = 0.1
 """Load share that an engine of another zone counts as more."""
 WEIGHTED_CHOICES = 2
 """Engines drawn by `Headroom`, of which the better one is taken."""
-HEADROOM_LEAST = 0.05
+MIN_HEADROOM = 0.05
 """Free share by which an engine without any is still drawn now and then."""
 BATCH_WEIGHT = 0.2
 """Part of an online request that a batch item counts as, since it is preempted at once."""
-ZONE_CHOICES = 2
+RANDOM_CHOICES = 2
 """Engines drawn by `TwoChoices`, and the least number of near ones of which it draws."""
-QUEUE_NOISE = 0.1
+COST_JITTER = 0.1
 """Random part of an engine's cost, in shares of its slots: daemons with the same counts don't
 all choose the same engine."""
 
@@ -80,7 +80,7 @@
 
 def queue_cost(now: float, engine: Engine, zone: str) -> float:
     """Returns how bad an engine is for the next request where batch items are preempted."""
-    taken = engine.online_load(now) + BATCH_WEIGHT * engine.batch()
+    taken = engine.online_load(now) + BATCH_WEIGHT * engine.batch_count()
     return taken / engine.slots + _zone_cost(engine, zone) + _prefill_cost(engine)
 
 
@@ -99,7 +99,7 @@
     Where there often are some, there probably are again when the request arrives.
     """
     waiting = max(engine.waiting_prefill_tokens, engine.mean_prefill_tokens)
-    return waiting / PREFILL_TOKENS_AS_FULL
+    return waiting / FULL_PREFILL_TOKENS
 
 
 class Headroom:
@@ -119,7 +119,7 @@
     ) -> Engine:
         """Chooses the better of the engines drawn."""
         costs = [placement_cost(now, engine, zone) for engine in candidates]
-        weights = [max(HEADROOM_LEAST, 1.0 - cost) ** 2 for cost in costs]
+        weights = [max(MIN_HEADROOM, 1.0 - cost) ** 2 for cost in costs]
         drawn = rng.choices(range(len(candidates)), weights, k=WEIGHTED_CHOICES)
         return candidates[min(drawn, key=lambda index: costs[index])]
 
@@ -142,7 +142,7 @@
         """Chooses the best engine, any of those that are nearly alike."""
         return min(
             candidates,
-            key=lambda engine: queue_cost(now, engine, zone) + QUEUE_NOISE * rng.random(),
+            key=lambda engine: queue_cost(now, engine, zone) + COST_JITTER * rng.random(),
         )
 
 
@@ -162,8 +162,8 @@
     ) -> Engine:
         """Chooses the better of the engines drawn."""
         near = [engine for engine in candidates if engine.record.zone == zone]
-        pool = near if len(near) >= ZONE_CHOICES else candidates
-        drawn = rng.sample(pool, min(ZONE_CHOICES, len(pool)))
+        pool = near if len(near) >= RANDOM_CHOICES else candidates
+        drawn = rng.sample(pool, min(RANDOM_CHOICES, len(pool)))
         return min(drawn, key=lambda engine: queue_cost(now, engine, zone))
 
 
--- a/src/troutswitch/decisions/forwarding/placer.py
+++ b/src/troutswitch/decisions/forwarding/placer.py
@@ -19,7 +19,7 @@
 from troutswitch.decisions.forwarding.placement import PlacementPolicy
 from troutswitch.decisions.forwarding.run_times import RunTimes
 from troutswitch.decisions.forwarding.types import PromptShape
-from troutswitch.decisions.forwarding.wait_estimate import Estimate, least_wait
+from troutswitch.decisions.forwarding.wait_estimate import WaitEstimate, shortest_wait
 
 
 @dataclass(frozen=True, slots=True)
@@ -58,7 +58,7 @@
 class NoSlotInTime:
     """The request would wait too long at every engine; `estimate` is the shortest wait."""
 
-    estimate: Estimate
+    estimate: WaitEstimate
 
 
 @dataclass(frozen=True, slots=True)
@@ -105,7 +105,7 @@
     ) -> Placement | None:
         """Chooses by the policy, unless the wait is too long everywhere."""
         if request.longest_wait < float("inf"):
-            best = least_wait(now, candidates, self._times.of(request.service))
+            best = shortest_wait(now, candidates, self._times.of(request.service))
             if best is not None and best.wait > request.longest_wait:
                 return NoSlotInTime(best)
         engine = self._policy.choose(now, candidates, request.prompt, self._zone, self._rng)
--- a/src/troutswitch/decisions/forwarding/placing.py
+++ b/src/troutswitch/decisions/forwarding/placing.py
@@ -9,10 +9,10 @@
 
 from troutswitch.decisions.forwarding.admission import Admission, LateAction
 from troutswitch.decisions.forwarding.arrivals import Refused
-from troutswitch.decisions.forwarding.attempts import EngineAttempts, slot_wanted
+from troutswitch.decisions.forwarding.attempts import EngineAttempts, preempt_if_full
 from troutswitch.decisions.forwarding.candidates import candidate_engines
 from troutswitch.decisions.forwarding.engines import EngineRegistry
-from troutswitch.decisions.forwarding.log_events import line_of_start
+from troutswitch.decisions.forwarding.log_events import attempt_started_line
 from troutswitch.decisions.forwarding.open_requests import (
     NO_ENGINE_REASON,
     Instructions,
@@ -64,7 +64,7 @@
     def place(self, now: float, request: ForwardedRequest, reason: str) -> Instructions:
         """Seeks an engine; `reason` tells the caller why there may be none."""
         if not has_time_to_send(now, request):
-            return self._open.end_unserved(now, request, "time ran out", Step.DISPATCH)
+            return self._open.end_unanswered(now, request, "time ran out", Step.DISPATCH)
         candidates = candidate_engines(now, request, self._engines)
         if not candidates:
             return self._open.wait_or_end(now, request, reason, Step.ROUTE)
@@ -115,16 +115,16 @@
         self, now: float, request: ForwardedRequest, assignment: Assignment
     ) -> Instructions:
         if not has_time_to_send(now, request):
-            return self._open.end_unserved(now, request, "time ran out", Step.DISPATCH)
+            return self._open.end_unanswered(now, request, "time ran out", Step.DISPATCH)
         refusal = self._identify_again(request)
         if refusal is not None:
             self._open.remove(request)
             return self._open.refuse(now, Refused(request.arrival, refusal, request.tenant))
         send = self._attempts.start(now, request, assignment)
-        line = line_of_start(
+        line = attempt_started_line(
             now, request, assignment, self._routes.known(now), self._engines.listed_at
         )
-        return [send, line, *slot_wanted(now, request, assignment)]
+        return [send, line, *preempt_if_full(now, request, assignment)]
 
     def _identify_again(self, request: ForwardedRequest) -> NotRun | None:
         """Checks the caller's key once more before its request is first sent.
--- a/src/troutswitch/decisions/forwarding/request.py
+++ b/src/troutswitch/decisions/forwarding/request.py
@@ -20,7 +20,7 @@
     PLACING = "placing"
     """An engine is being chosen."""
     WAITING = "waiting for capacity"
-    """No engine can take it now; it asks again at `asks_again_at`."""
+    """No engine can take it now; it asks again at `retry_at`."""
     RUNNING = "running"
     """An attempt is in flight."""
 
@@ -34,7 +34,7 @@
     service: str
     deadline: float
     """When the client stops to wait."""
-    limit_at: float
+    time_limit_at: float
     """When the route's time limit ends."""
     state: RequestState = RequestState.PLACING
     tenant: str = NO_TENANT
@@ -54,7 +54,7 @@
     """Id of the last whole event delivered to the client."""
     delivered: int = 0
     """Events delivered to the client."""
-    owes_retry: bool = False
+    needs_retry_budget: bool = False
     """Whether the next attempt must first be taken from the retry budget."""
 
     # The newest attempt.
@@ -68,7 +68,7 @@
     """Whether all slots of the engine seemed taken when it was sent."""
 
     # Waiting for capacity.
-    asks_again_at: float = float("inf")
+    retry_at: float = float("inf")
     """When a waiting request asks again for an engine; infinite in other states."""
     waits: int = 0
     """Times for which it waited as no engine could take it."""
@@ -83,31 +83,31 @@
     @property
     def arrived_at(self) -> float:
         """When the request reached this daemon."""
-        return self.limit_at - self.route.time_limit
+        return self.time_limit_at - self.route.time_limit
 
     @property
     def ends_at(self) -> float:
         """When the request gets its final answer at the latest."""
-        return min(self.deadline, self.limit_at)
+        return min(self.deadline, self.time_limit_at)
 
     @property
     def due_at(self) -> float:
         """When something is to be done for the request whether or not an event comes."""
-        return min(self.ends_at, self.asks_again_at)
+        return min(self.ends_at, self.retry_at)
 
     @property
-    def runs(self) -> int:
+    def possible_runs(self) -> int:
         """Ended attempts that may have run at an engine."""
         return sum(kind not in NOT_EXECUTED_OUTCOMES for kind in self.ended_attempts)
 
     @property
-    def may_try_again(self) -> bool:
+    def may_retry(self) -> bool:
         """Whether another attempt is allowed if the one in flight may have run.
 
         Rejections don't count: otherwise a request with one run and a few rejections would stay
         with a silent engine until its deadline.
         """
-        return self.route.is_repeatable and self.runs + 1 < self.route.attempts_most
+        return self.route.is_repeatable and self.possible_runs + 1 < self.route.max_attempts
 
     def state_text(self, now: float) -> str:
         """Returns the request's state for logs; a running one by whether its answer began."""
--- a/src/troutswitch/decisions/forwarding/requests.py
+++ b/src/troutswitch/decisions/forwarding/requests.py
@@ -29,15 +29,15 @@
 from troutswitch.decisions.forwarding.admission import Admission
 from troutswitch.decisions.forwarding.arrivals import Admitted, Arrivals, Refused
 from troutswitch.decisions.forwarding.attempts import EngineAttempts
-from troutswitch.decisions.forwarding.candidates import candidate_engines, forget_tried
+from troutswitch.decisions.forwarding.candidates import candidate_engines, reset_tried
 from troutswitch.decisions.forwarding.engine import Engine
 from troutswitch.decisions.forwarding.engine_silence import is_engine_silent
 from troutswitch.decisions.forwarding.engines import EngineRegistry
-from troutswitch.decisions.forwarding.experience import Experience
+from troutswitch.decisions.forwarding.learned_times import LearnedTimes
 from troutswitch.decisions.forwarding.log_events import (
-    line_of_end,
-    line_of_gone_caller,
-    line_of_silence,
+    attempt_ended_line,
+    caller_gone_line,
+    silence_line,
 )
 from troutswitch.decisions.forwarding.messages import (
     AnswerBegun,
@@ -55,7 +55,7 @@
 from troutswitch.decisions.forwarding.placer import LocalPlacer, Placement, Placer
 from troutswitch.decisions.forwarding.placing import RequestPlacing
 from troutswitch.decisions.forwarding.request import ForwardedRequest, RequestState
-from troutswitch.decisions.forwarding.retry import AfterFailure, after_failure
+from troutswitch.decisions.forwarding.retry import FailureAction, action_after_failure
 from troutswitch.decisions.forwarding.routes import RouteTable, choose_service
 from troutswitch.decisions.forwarding.run_times import RunTimes
 from troutswitch.decisions.invariants import ensure
@@ -92,7 +92,7 @@
             self._open,
             routes,
             engines,
-            self.arrivals.callers,
+            self.arrivals.tenant_keys,
             self._admission,
             self._attempts,
             LocalPlacer(zone, POLICIES[policy](), self.times, rng),
@@ -121,9 +121,9 @@
         ensure(event.token not in self.requests, "a request token is used twice")
         return self._on_arrival_decided(now, self.arrivals.on_arrived(now, event))
 
-    def on_counted(self, now: float, end: QuotaCompletion) -> Instructions:
+    def on_quota_decided(self, now: float, end: QuotaCompletion) -> Instructions:
         """Starts or refuses a request by the decision on its tenant's quota."""
-        return self._on_arrival_decided(now, self.arrivals.on_counted(now, end))
+        return self._on_arrival_decided(now, self.arrivals.on_quota_decided(now, end))
 
     def _on_arrival_decided(self, now: float, decided: Admitted | Refused | None) -> Instructions:
         match decided:
@@ -143,7 +143,7 @@
             route,
             choose_service(route, self._rng),
             deadline=min(now, arrival.read_at) + arrival.time_left,
-            limit_at=now + route.time_limit,
+            time_limit_at=now + route.time_limit,
             position=arrival.resume_after,
             tenant=admitted.tenant.name,
             admitted_version=admitted.version,
@@ -164,15 +164,15 @@
             return []
         return self._placing.on_placement(now, request, placement)
 
-    def _ask_again(self, now: float, request: ForwardedRequest) -> Instructions:
+    def _retry_placement(self, now: float, request: ForwardedRequest) -> Instructions:
         request.state = RequestState.PLACING
-        request.asks_again_at = float("inf")
-        forget_tried(now, request, self._engines)
+        request.retry_at = float("inf")
+        reset_tried(now, request, self._engines)
         return self._try_another_engine(now, request, "no room came in time")
 
     # Attempts.
 
-    def _of_attempt(self, token: int, attempt: int) -> ForwardedRequest | None:
+    def _find_attempt(self, token: int, attempt: int) -> ForwardedRequest | None:
         """Returns the request of an attempt; None if the attempt was aborted or abandoned."""
         request = self.requests.get(token)
         if request is None or not request.is_running or request.attempt != attempt:
@@ -181,18 +181,18 @@
 
     def on_answer_begun(self, now: float, event: AnswerBegun) -> Instructions:
         """The engine's first bytes came."""
-        request = self._of_attempt(event.token, event.attempt)
+        request = self._find_attempt(event.token, event.attempt)
         if request is not None:
             self._attempts.on_answer_begun(now, request, event)
         return []
 
     def on_attempt_ended(self, now: float, event: RequestAttemptEnded) -> Instructions:
         """Forgets the request, or tries another engine where that is allowed."""
-        request = self._of_attempt(event.token, event.attempt)
+        request = self._find_attempt(event.token, event.attempt)
         if request is None:
             return []
         self._attempts.on_ended(now, request, event)
-        line = line_of_end(now, request, event)
+        line = attempt_ended_line(now, request, event)
         if event.kind is not AttemptOutcome.COMPLETED:
             return [line, *self._after_failure(now, request, event)]
         self._budget.on_success(request.service)
@@ -203,20 +203,20 @@
         self, now: float, request: ForwardedRequest, event: RequestAttemptEnded
     ) -> Instructions:
         may_have_run = event.kind not in NOT_EXECUTED_OUTCOMES
-        request.owes_retry |= may_have_run
+        request.needs_retry_budget |= may_have_run
         content = request.arrival.content
         awaits_report = may_have_run and self._suspects.awaits_crash_report(content)
-        following = after_failure(request, event, awaits_crash_report=awaits_report)
+        following = action_after_failure(request, event, awaits_crash_report=awaits_report)
         match following:
-            case AfterFailure.PASS_ANSWER_ON:
+            case FailureAction.PASS_ANSWER_ON:
                 return self._open.pass_answer_on(request, event)
-            case AfterFailure.END:
-                return self._open.end_unserved(now, request, event.reason, Step.RELAY)
-            case AfterFailure.AWAIT_CRASH_REPORT:
+            case FailureAction.END:
+                return self._open.end_unanswered(now, request, event.reason, Step.RELAY)
+            case FailureAction.AWAIT_CRASH_REPORT:
                 return self._open.wait_or_end(now, request, CRASHES_REASON, Step.DISPATCH)
-            case AfterFailure.AWAIT_CAPACITY:
+            case FailureAction.AWAIT_CAPACITY:
                 return self._open.wait_or_end(now, request, event.reason, Step.DISPATCH)
-            case AfterFailure.TRY_ANOTHER_ENGINE:
+            case FailureAction.TRY_ANOTHER_ENGINE:
                 return self._try_another_engine(now, request, event.reason)
             case _:
                 assert_never(following)
@@ -225,16 +225,16 @@
         self, now: float, request: ForwardedRequest, reason: str
     ) -> Instructions:
         """Places a request again, if the retry budget allows one whose attempt may have run."""
-        if request.owes_retry and not self._budget.take(request.service):
+        if request.needs_retry_budget and not self._budget.take(request.service):
             reason = f"{reason}; retry budget spent"
             return self._open.wait_or_end(now, request, reason, Step.DISPATCH)
-        request.owes_retry = False
+        request.needs_retry_budget = False
         return self._placing.place(now, request, reason)
 
     def _abandon_engine(self, now: float, request: ForwardedRequest) -> Instructions:
         abort = self._attempts.abandon(now, request)
-        line = line_of_silence(now, request)
-        request.owes_retry = True
+        line = silence_line(now, request)
+        request.needs_retry_budget = True
         return [abort, line, *self._try_another_engine(now, request, SILENT_REASON)]
 
     def _stop(
@@ -251,12 +251,12 @@
         request = self.requests.get(event.token)
         if request is None:
             return self._withdraw_arrival(now, event)
-        line = line_of_gone_caller(now, request, event)
+        line = caller_gone_line(now, request, event)
         stopped = self._stop(now, request)
         return [
             line,
             *stopped,
-            *self._open.end_unserved(now, request, "caller went away", Step.RELAY),
+            *self._open.end_unanswered(now, request, "caller went away", Step.RELAY),
         ]
 
     def _withdraw_arrival(self, now: float, event: CallerGone) -> Instructions:
@@ -266,7 +266,7 @@
             return []
         return self._open.refuse(now, Refused(arrival, NotRun("caller went away", Step.ADMIT)))
 
-    def end_refused(self, now: float) -> Instructions:
+    def end_refused_for_crashes(self, now: float) -> Instructions:
         """Ends the requests that are refused for crashes from now on, wherever they are.
 
         Guards against one that waits, is on its way or queued at an engine when the third crash
@@ -276,7 +276,7 @@
         instructions: Instructions = []
         for request in [r for r in self.requests.values() if r.arrival.content in refused]:
             instructions += self._stop(now, request)
-            instructions += self._open.end_unserved(now, request, CRASHES_REASON, Step.DISPATCH)
+            instructions += self._open.end_unanswered(now, request, CRASHES_REASON, Step.DISPATCH)
         return instructions
 
     # Timers.
@@ -292,8 +292,8 @@
         instructions: Instructions = []
         for request in [r for r in self.requests.values() if r.ends_at <= now]:
             instructions += self._time_out(now, request)
-        for request in [r for r in self.requests.values() if r.asks_again_at <= now]:
-            instructions += self._ask_again(now, request)
+        for request in [r for r in self.requests.values() if r.retry_at <= now]:
+            instructions += self._retry_placement(now, request)
         if now >= self._check_silence_at:
             self._check_silence_at = now + SILENCE_CHECK_SECONDS
             for request in [r for r in self.requests.values() if self._is_silent(now, r)]:
@@ -301,10 +301,10 @@
         return instructions
 
     def _time_out(self, now: float, request: ForwardedRequest) -> Instructions:
-        at_limit = request.limit_at <= request.deadline
+        at_limit = request.time_limit_at <= request.deadline
         reason = "route's time limit reached" if at_limit else "deadline reached"
         stopped = self._stop(now, request, is_silent=True)
-        return stopped + self._open.end_unserved(now, request, reason, Step.RELAY)
+        return stopped + self._open.end_unanswered(now, request, reason, Step.RELAY)
 
     def _is_silent(self, now: float, request: ForwardedRequest) -> bool:
         engine = self._engines.engines.get(request.engine_id)
@@ -312,14 +312,14 @@
 
     # What outlives the process.
 
-    def experience(self) -> Experience:
+    def learned_times(self) -> LearnedTimes:
         """Returns what was learnt here and may be of use to a daemon that starts."""
-        return Experience(self.times.learnt(), self._admission.client_timeouts())
+        return LearnedTimes(self.times.snapshot(), self._admission.client_timeouts())
 
-    def begin_with(self, experience: Experience) -> None:
+    def merge(self, learned_times: LearnedTimes) -> None:
         """Takes what another daemon learnt and this one doesn't know."""
-        self.times.begin_with(experience.times)
-        self._admission.begin_with(experience.client_timeouts)
+        self.times.merge(learned_times.times)
+        self._admission.merge(learned_times.client_timeouts)
 
     def validate(self) -> None:
         """Asserts what must hold between events."""
@@ -328,5 +328,5 @@
             attempts = len(request.ended_attempts) + request.is_running
             ensure(request.attempt == attempts, "an attempt of a request is not accounted for")
             is_waiting = request.state is RequestState.WAITING
-            asks_again = request.asks_again_at < float("inf")
+            asks_again = request.retry_at < float("inf")
             ensure(is_waiting == asks_again, "a request waits without end, or asks without need")
--- a/src/troutswitch/decisions/forwarding/routes.py
+++ b/src/troutswitch/decisions/forwarding/routes.py
@@ -15,7 +15,7 @@
 configuration that may be old: as often as such a daemon requests a newer one from a peer."""
 
 
-class LearntBy(Enum):
+class ConfigurationSource(Enum):
     """How this daemon learnt the configuration in force; the values stand in logs."""
 
     NOTHING = "none"
@@ -34,7 +34,7 @@
 
     version: int
     age: float
-    learnt_by: LearntBy
+    source: ConfigurationSource
 
 
 class RouteTable:
@@ -49,7 +49,7 @@
         self.may_be_outdated = False
         """Whether a newer configuration may be in force elsewhere: what this one doesn't have is
         then no ground for a final refusal."""
-        self.learnt_by = LearntBy.NOTHING
+        self.source = ConfigurationSource.NOTHING
         self.current_at = float("-inf")
         """The latest time at which no newer version existed, on this process's clock."""
         self._by_host: dict[str, list[Route]] = {}
@@ -62,14 +62,16 @@
 
     def known(self, now: float) -> KnownConfiguration:
         """Returns what is known of the configuration now."""
-        return KnownConfiguration(self.version, now - self.current_at, self.learnt_by)
+        return KnownConfiguration(self.version, now - self.current_at, self.source)
 
     def confirm(self, current_at: float) -> None:
         """Takes note that at some time no newer version existed than the one in force."""
         self.current_at = max(self.current_at, current_at)
 
     def replace(
-        self, configuration: FleetConfiguration, learnt_by: LearntBy = LearntBy.STORE
+        self,
+        configuration: FleetConfiguration,
+        source: ConfigurationSource = ConfigurationSource.STORE,
     ) -> bool:
         """Puts a configuration in force; returns False if it is not newer."""
         if configuration.version <= self.version:
@@ -83,7 +85,7 @@
         self._by_host = by_host
         self._by_name = {route.name: route for route in configuration.routes}
         self.configuration = configuration
-        self.learnt_by = learnt_by
+        self.source = source
         return True
 
     def match(self, host: str, path: str) -> Route | None:
--- a/src/troutswitch/decisions/forwarding/run_times.py
+++ b/src/troutswitch/decisions/forwarding/run_times.py
@@ -1,13 +1,13 @@
 """Learns how long requests take to their first event, and how long they occupy a slot.
 
 Owns moving averages by service, of this daemon's own answers, in seconds. They outlive the
-process as part of its `Experience`. `admission`, `wait_estimate` and the coordinators of slots
+process as part of its `LearnedTimes`. `admission`, `wait_estimate` and the coordinators of slots
 rely on them.
 """
 
 from dataclasses import dataclass
 
-WEIGHT_OF_NEW = 0.05
+NEW_SAMPLE_WEIGHT = 0.05
 """Weight of the newest request in the moving averages."""
 
 
@@ -33,7 +33,7 @@
         """Returns the times of a service."""
         return self._by_service.setdefault(service, ServiceTimes())
 
-    def learnt(self) -> dict[str, tuple[int, int]]:
+    def snapshot(self) -> dict[str, tuple[int, int]]:
         """Returns first-event and slot times by service, in milliseconds."""
         return {
             name: (round(times.first_event * 1000), round(times.slot_time * 1000))
@@ -41,9 +41,9 @@
             if times.slot_time > 0
         }
 
-    def begin_with(self, learnt: dict[str, tuple[int, int]]) -> None:
+    def merge(self, snapshot: dict[str, tuple[int, int]]) -> None:
         """Takes what another daemon learnt of services that have no times here."""
-        for name, (first_event, slot_time) in learnt.items():
+        for name, (first_event, slot_time) in snapshot.items():
             times = self.of(name)
             if times.slot_time == 0.0 and slot_time > 0:
                 times.first_event = first_event / 1000
@@ -63,9 +63,9 @@
         """
         times = self.of(service)
         if not was_queued:
-            times.first_event = moving_average(times.first_event, first_event, WEIGHT_OF_NEW)
+            times.first_event = moving_average(times.first_event, first_event, NEW_SAMPLE_WEIGHT)
         slot_time = total - max(0.0, first_event - times.first_event)
-        times.slot_time = moving_average(times.slot_time, slot_time, WEIGHT_OF_NEW)
+        times.slot_time = moving_average(times.slot_time, slot_time, NEW_SAMPLE_WEIGHT)
 
 
 def moving_average(average: float, value: float, weight: float) -> float:
--- a/src/troutswitch/decisions/forwarding/types.py
+++ b/src/troutswitch/decisions/forwarding/types.py
@@ -33,7 +33,7 @@
 
     `time_limit` bounds a request from its arrival on, `gap_limit` the pause between two events of
     a stream. `objective` is the latency objective: the time to the first event, 0 for none.
-    `attempts_most` bounds the attempts that may have run. `queued_tokens_most`,
+    `max_attempts` bounds the attempts that may have run. `max_queued_tokens`,
     `completion_target` and `retention` hold for routes of batch jobs: tokens that may wait, the
     time in which an item is to be done, and the time for which results are kept.
     """
@@ -45,11 +45,11 @@
     backends: tuple[Backend, ...]
     time_limit: float
     objective: float
-    attempts_most: int
+    max_attempts: int
     priority: int = 0
     is_resumable: bool = False
     gap_limit: float = 0.0
-    queued_tokens_most: int = 0
+    max_queued_tokens: int = 0
     completion_target: float = 0.0
     retention: float = 0.0
     allows_anonymous: bool = False
@@ -72,7 +72,7 @@
     """A service's limits: connections from all callers, slots and cache tokens an engine."""
 
     name: str
-    connections_most: int
+    max_connections: int
     slots: int
     cache_tokens: int
 
@@ -139,7 +139,7 @@
     """What is known of a request's size, in tokens, before it runs."""
 
     prompt_tokens: int = 0
-    output_tokens_most: int = 0
+    max_output_tokens: int = 0
     parts: tuple[PromptPart, ...] = ()
 
     @property
--- a/src/troutswitch/decisions/forwarding/wait_estimate.py
+++ b/src/troutswitch/decisions/forwarding/wait_estimate.py
@@ -14,7 +14,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Estimate:
+class WaitEstimate:
     """The wait for a slot at an engine, and what it was estimated from.
 
     `wait` and `slot_time` are seconds; `queued` counts the requests that would be queued there,
@@ -27,21 +27,21 @@
     slot_time: float
 
 
-NO_WAIT = Estimate(0.0, 0, 0, 0.0)
+NO_WAIT = WaitEstimate(0.0, 0, 0, 0.0)
 
 
-def slot_wait(now: float, engine: Engine, times: ServiceTimes) -> Estimate:
+def slot_wait(now: float, engine: Engine, times: ServiceTimes) -> WaitEstimate:
     """Returns how long one more request waits at an engine.
 
     The larger of two estimates: by the times of sending, as slots that were taken together are
     free together; and by the number of queued requests, as it is not known which request ended.
     """
-    queued = max(0, engine.online() + 1 - engine.slots)
+    queued = max(0, engine.online_count() + 1 - engine.slots)
     if queued == 0:
-        return Estimate(0.0, 0, engine.slots, times.slot_time)
+        return WaitEstimate(0.0, 0, engine.slots, times.slot_time)
     by_times = max(0.0, _next_slot_at(now, engine, times.slot_time) - now)
     by_count = queued * times.slot_time / engine.slots
-    return Estimate(max(by_times, by_count), queued, engine.slots, times.slot_time)
+    return WaitEstimate(max(by_times, by_count), queued, engine.slots, times.slot_time)
 
 
 def _next_slot_at(now: float, engine: Engine, slot_time: float) -> float:
@@ -54,7 +54,9 @@
     return min(free_at)
 
 
-def least_wait(now: float, engines: Iterable[Engine], times: ServiceTimes) -> Estimate | None:
+def shortest_wait(
+    now: float, engines: Iterable[Engine], times: ServiceTimes
+) -> WaitEstimate | None:
     """Returns the shortest of the waits at some engines; None if there is no engine."""
     waits = (slot_wait(now, engine, times) for engine in engines)
     return min(waits, key=lambda estimate: estimate.wait, default=None)
--- a/src/troutswitch/decisions/gateway.py
+++ b/src/troutswitch/decisions/gateway.py
@@ -10,14 +10,14 @@
 
 from troutswitch.daemons.peer_state import PeerState
 from troutswitch.decisions.crashes.messages import EngineChecked
-from troutswitch.decisions.forwarding.log_events import line_of_unserved, milliseconds
+from troutswitch.decisions.forwarding.log_events import milliseconds, unhandled_caller_gone_line
 from troutswitch.decisions.forwarding.messages import (
     AnswerBegun,
     CallerGone,
+    CallerGoneBeforeHandling,
     EngineActivity,
     RequestArrived,
     RequestAttemptEnded,
-    RequestUnserved,
 )
 from troutswitch.decisions.gateway_interface import (
     GatewayEvent,
@@ -106,7 +106,7 @@
                 | AnswerBegun()
                 | RequestAttemptEnded()
                 | CallerGone()
-                | RequestUnserved()
+                | CallerGoneBeforeHandling()
             ):
                 self._on_request_event(now, event)
             case JobSubmitted() | ResultsRequested() | BodyRequested() | JobEndRequested():
@@ -144,8 +144,8 @@
                 self.output.emit_all(self.requests.on_attempt_ended(now, event))
             case CallerGone():
                 self.output.emit_all(self.requests.on_caller_gone(now, event))
-            case RequestUnserved():
-                self._emit(line_of_unserved(event))
+            case CallerGoneBeforeHandling():
+                self._emit(unhandled_caller_gone_line(event))
             case _:
                 assert_never(event)
 
@@ -259,4 +259,4 @@
         if self._suspects_changes == self.suspects.changes:
             return
         self._suspects_changes = self.suspects.changes
-        self.output.emit_all(self.requests.end_refused(now))
+        self.output.emit_all(self.requests.end_refused_for_crashes(now))
--- a/src/troutswitch/decisions/gateway_interface.py
+++ b/src/troutswitch/decisions/gateway_interface.py
@@ -9,14 +9,14 @@
     AbortAttempt,
     AnswerBegun,
     CallerGone,
+    CallerGoneBeforeHandling,
     EngineActivity,
     FinishRequest,
     LogLine,
+    PreemptBatchItem,
     RequestArrived,
     RequestAttemptEnded,
-    RequestUnserved,
     SendRequest,
-    SlotWanted,
 )
 from troutswitch.decisions.gateway_messages import (
     BoundsChanged,
@@ -33,7 +33,9 @@
 from troutswitch.decisions.slots.messages import PeerMessageReceived, SendToPeers, StartItems
 from troutswitch.decisions.storage.messages import StoreAnswered, StoreCall
 
-RequestEvent = RequestArrived | AnswerBegun | RequestAttemptEnded | CallerGone | RequestUnserved
+RequestEvent = (
+    RequestArrived | AnswerBegun | RequestAttemptEnded | CallerGone | CallerGoneBeforeHandling
+)
 """Events of callers' forwarded requests."""
 
 ProcessEvent = BoundsChanged | ClockCompared | ProcessResumed | DrainRequested | TimerFired
@@ -66,5 +68,5 @@
     | StoreCall
 )
 
-InternalInstruction = SlotWanted | StartItems
+InternalInstruction = PreemptBatchItem | StartItems
 """Instructions between parts of the core; the core resolves them into runs and stops of items."""
--- a/src/troutswitch/decisions/gateway_parts.py
+++ b/src/troutswitch/decisions/gateway_parts.py
@@ -154,7 +154,7 @@
             self.engines,
             self.slots,
             self.suspects,
-            self.requests.arrivals.callers,
+            self.requests.arrivals.tenant_keys,
             self.numbers,
             rng,
             self._emit,
--- a/src/troutswitch/decisions/jobs/batch_capacity.py
+++ b/src/troutswitch/decisions/jobs/batch_capacity.py
@@ -87,9 +87,9 @@
 
 
 def _surplus(now: float, engine: Engine, most: int) -> int:
-    if engine.online() == 0:
+    if engine.online_count() == 0:
         return 0
-    return max(0, min(engine.in_flight(now) - most, engine.batch()))
+    return max(0, min(engine.in_flight(now) - most, engine.batch_count()))
 
 
 BATCH_CAPACITY_POLICIES: dict[str, Callable[[], BatchCapacityPolicy]] = {
--- a/src/troutswitch/decisions/jobs/intake.py
+++ b/src/troutswitch/decisions/jobs/intake.py
@@ -23,7 +23,7 @@
 from enum import Enum
 from typing import assert_never
 
-from troutswitch.decisions.forwarding.log_events import fields_of_configuration
+from troutswitch.decisions.forwarding.log_events import configuration_fields
 from troutswitch.decisions.forwarding.routes import OUTDATED_RETRY_SECONDS
 from troutswitch.decisions.forwarding.types import Route, RouteKind
 from troutswitch.decisions.jobs.dependencies import JobDependencies
@@ -194,7 +194,7 @@
             job_id=event.job_id,
             answer=type(answer).__name__,
             reason=getattr(answer, "reason", ""),
-            **fields_of_configuration(self._routes.known(now)),
+            **configuration_fields(self._routes.known(now)),
         )
         self._answer(event.token, answer)
         return []
@@ -336,7 +336,7 @@
             job_id=submission.event.job_id,
             tokens=submission.manifest.tokens,
             waiting=self._token_limits.waiting(submission.manifest),
-            most=submission.route.queued_tokens_most,
+            most=submission.route.max_queued_tokens,
         )
         status = 504 if submission.may_be_accepted else 429
         refusal = JobRefused(status, "too many tokens wait", LIMIT_RETRY_AFTER_SECONDS)
@@ -362,7 +362,7 @@
             status=getattr(answer, "status", 202),
             took_ms=round((now - submission.begun_at) * 1000),
             due_ms=round(completion_target(self._routes, manifest) * 1000),
-            **fields_of_configuration(self._routes.known(now)),
+            **configuration_fields(self._routes.known(now)),
         )
         self._answer(submission.event.token, answer)
 
--- a/src/troutswitch/decisions/jobs/item_retries.py
+++ b/src/troutswitch/decisions/jobs/item_retries.py
@@ -89,7 +89,7 @@
         if route.retention and now - entry.seen_at > route.retention:
             self._endings.dead_letter(progress, "its retention is over")
             return None
-        if progress.failures >= route.attempts_most:
+        if progress.failures >= route.max_attempts:
             reason = f"{progress.failures} runs failed at earlier owners"
             self._endings.dead_letter(progress, reason)
             return None
@@ -123,5 +123,5 @@
         progress.retry_at = now + FAILED_RETRY_SECONDS
         entry = self._index.jobs.get(progress.job_id)
         route = self._routes.named(entry.manifest.route) if entry is not None else None
-        if route is not None and progress.failures >= route.attempts_most:
+        if route is not None and progress.failures >= route.max_attempts:
             self._endings.dead_letter(progress, f"{progress.failures} runs failed")
--- a/src/troutswitch/decisions/jobs/run_time_estimate.py
+++ b/src/troutswitch/decisions/jobs/run_time_estimate.py
@@ -12,7 +12,7 @@
 and 11).
 """
 
-from troutswitch.decisions.forwarding.experience import BatchRunTimes
+from troutswitch.decisions.forwarding.learned_times import BatchRunTimes
 from troutswitch.decisions.forwarding.run_times import moving_average
 from troutswitch.decisions.jobs.items import ItemProgress
 
--- a/src/troutswitch/decisions/jobs/runs.py
+++ b/src/troutswitch/decisions/jobs/runs.py
@@ -10,7 +10,7 @@
 
 from troutswitch.decisions.forwarding.engine import Engine, RequestSize
 from troutswitch.decisions.forwarding.engines import EngineRegistry
-from troutswitch.decisions.forwarding.log_events import fields_of_configuration
+from troutswitch.decisions.forwarding.log_events import configuration_fields
 from troutswitch.decisions.forwarding.routes import RouteTable
 from troutswitch.decisions.invariants import ensure
 from troutswitch.decisions.jobs.items import ItemProgress
@@ -28,7 +28,7 @@
 """Longest wait for the first bytes of an engine's response."""
 EVENT_TIMEOUT_SECONDS = 1.5
 """Longest wait for each further event."""
-FULL_SECONDS = 0.2
+FULL_EXCLUSION_SECONDS = 0.2
 """Time for which an engine that rejected an item as full gets no more items."""
 
 
@@ -98,7 +98,7 @@
             engine=engine.record.engine_id,
             load=engine.in_flight(now),
             resume_after=progress.position,
-            **fields_of_configuration(self._routes.known(now)),
+            **configuration_fields(self._routes.known(now)),
         )
 
     def on_begun(self, event: ItemBegun) -> None:
@@ -106,7 +106,7 @@
         run = self.by_number.get(event.run)
         if run is not None and not run.is_begun and not run.is_stopped:
             run.is_begun = True
-            self._engines.on_begun(run.engine_id, run.size)
+            self._engines.on_first_token(run.engine_id, run.size)
 
     def on_progressed(self, event: ItemProgressed) -> None:
         """Takes the next events of a run's output."""
@@ -119,7 +119,7 @@
         run = self.by_number[number]
         ensure(not run.is_stopped, "a run is stopped twice")
         run.is_stopped = True
-        self._engines.on_stopped(now, run.engine_id, run.size, begun=run.is_begun)
+        self._engines.on_preempted(now, run.engine_id, run.size, begun=run.is_begun)
         return StopItem(number)
 
     def end(self, now: float, event: ItemRunEnded) -> ItemRun | None:
@@ -158,4 +158,4 @@
             self._engines.mark_draining(run.engine_id)
         engine = self._engines.engines.get(run.engine_id)
         if event.kind is AttemptOutcome.REFUSED and engine is not None:
-            engine.full_until = now + FULL_SECONDS
+            engine.full_until = now + FULL_EXCLUSION_SECONDS
--- a/src/troutswitch/decisions/jobs/token_limits.py
+++ b/src/troutswitch/decisions/jobs/token_limits.py
@@ -36,13 +36,13 @@
 
     def fits(self, route: Route, manifest: Manifest) -> bool:
         """Returns whether a job that is not accepted yet is within its route's limit."""
-        most = route.queued_tokens_most
+        most = route.max_queued_tokens
         return most <= 0 or self.waiting(manifest) + manifest.tokens <= most
 
     def is_crowded(self, job_id: str) -> bool:
         """Returns whether the tokens that wait on an accepted job's route are near its limit."""
         entry = self._index.jobs.get(job_id)
         route = self._routes.named(entry.manifest.route) if entry is not None else None
-        if entry is None or route is None or route.queued_tokens_most <= 0:
+        if entry is None or route is None or route.max_queued_tokens <= 0:
             return False
-        return self.waiting(entry.manifest) > CROWDED_SHARE * route.queued_tokens_most
+        return self.waiting(entry.manifest) > CROWDED_SHARE * route.max_queued_tokens
--- a/src/troutswitch/decisions/peer_messages.py
+++ b/src/troutswitch/decisions/peer_messages.py
@@ -81,7 +81,7 @@
     def end_quota_waits(self, now: float, ended: list[QuotaCompletion]) -> None:
         """Continues the requests whose quota was decided."""
         for end in ended:
-            self.output.emit_all(self.requests.on_counted(now, end))
+            self.output.emit_all(self.requests.on_quota_decided(now, end))
 
     def end_slot_searches(self, now: float, ended: list[PlacementResult]) -> None:
         """Continues the requests whose search for a slot ended."""
--- a/src/troutswitch/decisions/peers/peer_registry.py
+++ b/src/troutswitch/decisions/peers/peer_registry.py
@@ -13,7 +13,7 @@
 import cbor2
 
 from troutswitch.common import Address
-from troutswitch.decisions.forwarding.experience import Experience
+from troutswitch.decisions.forwarding.learned_times import LearnedTimes
 from troutswitch.decisions.storage.messages import (
     Appended,
     AppendRecords,
@@ -51,7 +51,7 @@
     name: str
     address: Address
     zone: str
-    experience: Experience
+    experience: LearnedTimes
 
 
 class PeerRegistry:
@@ -82,7 +82,7 @@
         self._read_call = 0
         self._next_write_at = float("inf")
         self._write_call = 0
-        self._last_written = Experience()
+        self._last_written = LearnedTimes()
         self._successful_reads = 0
 
     def next_due(self) -> float:
@@ -103,7 +103,7 @@
     def _write(self, now: float) -> list[StoreCall]:
         entry = self._own_entry()
         is_first = self._write_call == 0
-        if not is_first and entry.experience.is_like(self._last_written):
+        if not is_first and entry.experience.is_similar_to(self._last_written):
             self._next_write_at = now + self._experience_interval()
             return []
         self._next_write_at = now + CALL_EXPIRY_SECONDS
@@ -150,7 +150,7 @@
         if succeeded:
             self._next_write_at = now + self._experience_interval()
         else:
-            self._last_written = Experience()
+            self._last_written = LearnedTimes()
             self._write_call = 0
             self._next_write_at = now + WRITE_RETRY_PAUSE_SECONDS
 
@@ -166,7 +166,7 @@
 def encode_entry(entry: PeerRegistryEntry) -> bytes:
     """Encodes an entry as a record's value."""
     address = entry.address
-    return cbor2.dumps([address.host, address.port, entry.zone, entry.experience.as_fields()])
+    return cbor2.dumps([address.host, address.port, entry.zone, entry.experience.to_fields()])
 
 
 def decode_entry(record: KeyedRecord) -> PeerRegistryEntry:
@@ -177,5 +177,5 @@
     """
     fields: list[Any] = cbor2.loads(record.value)
     host, port, zone, learnt = fields
-    experience = Experience.of_fields(learnt)
+    experience = LearnedTimes.from_fields(learnt)
     return PeerRegistryEntry(record.key, Address(str(host), int(port)), str(zone), experience)
--- a/src/troutswitch/decisions/read_intervals.py
+++ b/src/troutswitch/decisions/read_intervals.py
@@ -54,14 +54,14 @@
 
     def is_engine_list_slowed(self) -> bool:
         """Returns whether the size of the fleet makes reads of the engine list rarer than usual."""
-        return self._engine_list.least_interval > self._engine_list.interval
+        return self._engine_list.min_interval > self._engine_list.interval
 
     def update(self, reads_per_second: float) -> None:
         """Sets the intervals for the current number of daemons."""
         interval = min_read_interval(self.daemons(), reads_per_second)
         engine_list = self._engine_list
-        engine_list.least_interval = interval * engine_list.pages
-        self._engines.expired.interval = max(engine_list.least_interval, engine_list.interval)
+        engine_list.min_interval = interval * engine_list.page_count
+        self._engines.expired.interval = max(engine_list.min_interval, engine_list.interval)
         self._claims.set_min_read_interval(interval)
         self._replicas.index_follower.min_interval = interval
         self._suspects.set_min_interval(interval)
--- a/src/troutswitch/decisions/run_time_sharing.py
+++ b/src/troutswitch/decisions/run_time_sharing.py
@@ -32,13 +32,13 @@
         """Returns this daemon's current entry."""
         identity = self._identity
         experience = replace(
-            self._requests.experience(), batch_run_times=self._job_owner.run_times.learnt()
+            self._requests.learned_times(), batch_run_times=self._job_owner.run_times.learnt()
         )
         return PeerRegistryEntry(identity.name, identity.peer_address, identity.zone, experience)
 
     def apply_entry(self, now: float, entry: PeerRegistryEntry) -> None:
         """Records a daemon's address, and its run times where this daemon has none yet."""
         self._peers.on_registered(entry)
-        self._requests.begin_with(entry.experience)
+        self._requests.merge(entry.experience)
         if entry.experience.batch_run_times is not None:
             self._job_owner.run_times.begin_with(entry.experience.batch_run_times)
--- a/src/troutswitch/decisions/slot_instructions.py
+++ b/src/troutswitch/decisions/slot_instructions.py
@@ -1,12 +1,12 @@
 """Resolves instructions between parts of the core into runs and stops of batch items.
 
     StartItems   a coordinator granted or retracted slots: items are started or stopped
-    SlotWanted   a request was sent to a full engine: one item of this daemon on it is stopped
+    PreemptBatchItem   a request was sent to a full engine: one item of this daemon on it is stopped
 
 Relies on `JobOwner` to choose the items. All other instructions are returned unchanged.
 """
 
-from troutswitch.decisions.forwarding.messages import LogLine, SlotWanted
+from troutswitch.decisions.forwarding.messages import LogLine, PreemptBatchItem
 from troutswitch.decisions.gateway_interface import GatewayInstruction, InternalInstruction
 from troutswitch.decisions.instruction_queue import InstructionQueue
 from troutswitch.decisions.jobs.owner import JobOwner
@@ -31,7 +31,7 @@
     now: float, instruction: GatewayInstruction | InternalInstruction, job_owner: JobOwner
 ) -> list[GatewayInstruction]:
     match instruction:
-        case SlotWanted():
+        case PreemptBatchItem():
             return _stop_item(now, instruction, job_owner)
         case StartItems():
             return list(job_owner.on_slots_granted(now, instruction))
@@ -39,7 +39,9 @@
             return [instruction]
 
 
-def _stop_item(now: float, wanted: SlotWanted, job_owner: JobOwner) -> list[GatewayInstruction]:
+def _stop_item(
+    now: float, wanted: PreemptBatchItem, job_owner: JobOwner
+) -> list[GatewayInstruction]:
     """Stops an item to free a slot for a request placed without the engine's coordinator."""
     stop = job_owner.give_slot(now, wanted.engine_id)
     fields: dict[str, object] = {
--- a/src/troutswitch/decisions/slots/coordinator.py
+++ b/src/troutswitch/decisions/slots/coordinator.py
@@ -227,4 +227,4 @@
 
     def mean_free_slots(self, now: float, group: str) -> float:
         """Returns the mean number of slots that online requests leave free in a group."""
-        return self._engines.usual_free_slots(now, self.engines_of(group))
+        return self._engines.mean_free_slots(now, self.engines_of(group))
--- a/src/troutswitch/decisions/slots/fleet.py
+++ b/src/troutswitch/decisions/slots/fleet.py
@@ -157,7 +157,7 @@
         self.batch.on_digest(now, digest)
         self.claims.on_activity(digest.group, digest.sender)
         if not self.coordinator.coordinates(digest.group):
-            self._engines.take_counts(now, digest.counts)
+            self._engines.update_peer_counts(now, digest.counts)
 
     def claim_by(self, group: str, sender: str) -> Claim | None:
         """Returns the newest known claim of a group if `sender` made it, else None."""
--- a/src/troutswitch/decisions/slots/group_search.py
+++ b/src/troutswitch/decisions/slots/group_search.py
@@ -26,7 +26,7 @@
 from dataclasses import dataclass
 
 from troutswitch.decisions.forwarding.placer import PlacementRequest
-from troutswitch.decisions.forwarding.wait_estimate import Estimate
+from troutswitch.decisions.forwarding.wait_estimate import WaitEstimate
 from troutswitch.decisions.slots.groups import Group
 
 MAX_GROUPS_TRIED = 3
@@ -49,7 +49,7 @@
     """The shortest wait at a group's engines, as its coordinator estimates it."""
 
     group: Group
-    estimate: Estimate
+    estimate: WaitEstimate
 
 
 class GroupSearch:
@@ -77,14 +77,14 @@
             return self.request.longest_wait
         return min(SHORT_WAIT_SECONDS, self.request.longest_wait)
 
-    def record_wait(self, group: Group, estimate: Estimate) -> None:
+    def record_wait(self, group: Group, estimate: WaitEstimate) -> None:
         """Records the wait at a group that was not accepted."""
         if estimate.slots == 0:
             return  # the group has no engine for the request
         if self._shortest is None or estimate.wait < self._shortest.estimate.wait:
             self._shortest = _GroupWait(group, estimate)
 
-    def too_long_wait(self) -> Estimate | None:
+    def too_long_wait(self) -> WaitEstimate | None:
         """Returns the shortest replied wait if it is longer than the request accepts, else None."""
         if self._shortest is None or self._joins_queue:
             return None
--- a/src/troutswitch/decisions/slots/preemption.py
+++ b/src/troutswitch/decisions/slots/preemption.py
@@ -46,8 +46,8 @@
         in this step and are not counted yet.
         """
         instructions: list[SlotInstruction] = []
-        surplus = engine.online() + engine.batch() + about_to_send - engine.slots
-        for _ in range(min(surplus, engine.batch())):
+        surplus = engine.online_count() + engine.batch_count() + about_to_send - engine.slots
+        for _ in range(min(surplus, engine.batch_count())):
             instructions += self._stop_one(now, engine)
         return instructions
 
--- a/src/troutswitch/decisions/slots/reports.py
+++ b/src/troutswitch/decisions/slots/reports.py
@@ -145,7 +145,7 @@
     def _update(self) -> None:
         """Computes the holdings for each coordinator, if an input changed."""
         inputs = _HoldingsInputs(
-            self._engines.changes,
+            self._engines.own_changes,
             self._claims.changes,
             self._groups.changes,
             self._own_items.waiting,
--- a/src/troutswitch/decisions/slots/slot_choice.py
+++ b/src/troutswitch/decisions/slots/slot_choice.py
@@ -30,7 +30,7 @@
 from troutswitch.decisions.forwarding.engine import Engine
 from troutswitch.decisions.forwarding.placement import queue_cost
 from troutswitch.decisions.forwarding.run_times import RunTimes
-from troutswitch.decisions.forwarding.wait_estimate import NO_WAIT, Estimate, slot_wait
+from troutswitch.decisions.forwarding.wait_estimate import NO_WAIT, WaitEstimate, slot_wait
 from troutswitch.decisions.slots.groups import Group
 from troutswitch.decisions.slots.ledger import SlotLedger
 
@@ -58,7 +58,7 @@
     """The engine for a request, or None, and the expected wait at the best engine."""
 
     engine: Engine | None
-    estimate: Estimate
+    estimate: WaitEstimate
 
 
 class SlotChoice:
--- a/src/troutswitch/decisions/slots/slot_requests.py
+++ b/src/troutswitch/decisions/slots/slot_requests.py
@@ -35,7 +35,7 @@
     Placement,
     PlacementRequest,
 )
-from troutswitch.decisions.forwarding.wait_estimate import Estimate
+from troutswitch.decisions.forwarding.wait_estimate import WaitEstimate
 from troutswitch.decisions.slots.coordinator import SlotCoordinator
 from troutswitch.decisions.slots.coordinator_claims import Claim, CoordinatorClaims
 from troutswitch.decisions.slots.group_search import GroupSearch, groups_in_order
@@ -260,6 +260,6 @@
         return PlacementResult(search.request.token, placement)
 
 
-def _estimate(reply: SlotReply) -> Estimate:
+def _estimate(reply: SlotReply) -> WaitEstimate:
     """Returns the wait in a reply, which does not state how long requests use their slots."""
-    return Estimate(reply.wait_ms / 1000, reply.queued, reply.slots, 0.0)
+    return WaitEstimate(reply.wait_ms / 1000, reply.queued, reply.slots, 0.0)
--- a/src/troutswitch/gateway/callers/application.py
+++ b/src/troutswitch/gateway/callers/application.py
@@ -6,7 +6,7 @@
 
 from collections.abc import Callable, Iterable, Iterator
 
-from troutswitch.decisions.forwarding.messages import RequestUnserved
+from troutswitch.decisions.forwarding.messages import CallerGoneBeforeHandling
 from troutswitch.decisions.gateway_interface import GatewayEvent
 from troutswitch.gateway.callers.listener import CONNECTION_KEY
 from troutswitch.gateway.callers.relay import CompleteAnswer, Relay
@@ -69,7 +69,7 @@
     def on_unserved(self, headers: dict[str, str], age: float) -> None:
         """Reports a request not served because its caller disconnected `age` seconds ago."""
         request_id = headers.get(names.REQUEST_ID.upper().replace("-", "_"), "")
-        self._post(RequestUnserved(request_id, age))
+        self._post(CallerGoneBeforeHandling(request_id, age))
 
     def _forward(
         self,
@@ -99,7 +99,7 @@
 
     def _send_complete(self, relay: Relay, start_response: StartResponse) -> Iterable[bytes]:
         finish = relay.finish
-        if finish is not None and not finish.passes_on:
+        if finish is not None and not finish.relays_answer:
             return send(error_response(finish.outcome, relay.request.request_id), start_response)
         if relay.complete_answer is not None:
             return _forward_answer(relay.complete_answer, start_response)
--- a/src/troutswitch/gateway/metrics.py
+++ b/src/troutswitch/gateway/metrics.py
@@ -12,7 +12,7 @@
 
 from troutswitch.clock import steady_seconds
 from troutswitch.decisions.forwarding.messages import LogLine
-from troutswitch.decisions.forwarding.routes import LearntBy
+from troutswitch.decisions.forwarding.routes import ConfigurationSource
 from troutswitch.decisions.gateway import GatewayCore
 
 SECONDS_BUCKETS = (0.01, 0.025, 0.05, 0.1, 0.2, 0.4, 0.8, 1.6, 3.2, 6.4)
@@ -129,7 +129,7 @@
             ("way",),
             registry=self.registry,
         )
-        for way in LearntBy:
+        for way in ConfigurationSource:
             learnt_by.labels(way.value).set_function(partial(_is_learnt_by, core, way))
         self._gauge(
             "engine_entries_unusable",
@@ -178,8 +178,8 @@
         return generate_latest(self.registry)
 
 
-def _is_learnt_by(core: GatewayCore, way: LearntBy) -> float:
-    return float(core.routes.learnt_by is way)
+def _is_learnt_by(core: GatewayCore, way: ConfigurationSource) -> float:
+    return float(core.routes.source is way)
 
 
 def _label(line: LogLine, field: str) -> str:
--- a/tests/decisions/forwarding/test_admission.py
+++ b/tests/decisions/forwarding/test_admission.py
@@ -9,9 +9,9 @@
 
 from tests.decisions.forwarding.worlds import World, arrival, engine
 from troutswitch.decisions.forwarding.admission import (
-    RETRY_AFTER_LEAST,
-    RETRY_AFTER_SHARE_MOST,
-    ROUTES_REMEMBERED,
+    MAX_REMEMBERED_ROUTES,
+    MAX_RETRY_AFTER_SHARE,
+    MIN_RETRY_AFTER_SHARE,
     AdmissionPolicy,
     AdmissionRequest,
     AdmitAll,
@@ -28,7 +28,7 @@
 )
 from troutswitch.decisions.forwarding.requests import ForwardedRequests
 from troutswitch.decisions.forwarding.run_times import RunTimes, ServiceTimes
-from troutswitch.decisions.forwarding.wait_estimate import least_wait
+from troutswitch.decisions.forwarding.wait_estimate import shortest_wait
 from troutswitch.outcomes import AttemptOutcome, NotRun
 
 TIMES = ServiceTimes(first_event=0.06, slot_time=0.64)
@@ -56,7 +56,7 @@
     times: ServiceTimes = TIMES,
 ) -> Deferral | None:
     longest_wait = policy.longest_wait(request, times)
-    best = least_wait(0.0, engines, times)
+    best = shortest_wait(0.0, engines, times)
     if best is None or best.wait <= longest_wait:
         return None
     retry_after = policy.retry_after(0.0, request.time_left, best, random.Random(1))
@@ -73,8 +73,8 @@
     assert deferral.estimate.slots == 8
     assert deferral.estimate.queued == 7
     assert deferral.estimate.wait > OBJECTIVE_SECONDS
-    longest = TIME_LEFT_SECONDS * RETRY_AFTER_SHARE_MOST
-    assert longest * RETRY_AFTER_LEAST <= deferral.retry_after <= longest
+    longest = TIME_LEFT_SECONDS * MAX_RETRY_AFTER_SHARE
+    assert longest * MIN_RETRY_AFTER_SHARE <= deferral.retry_after <= longest
 
 
 def test_a_free_slot_is_used_however_slow_the_engines_are() -> None:
@@ -113,10 +113,10 @@
 
 def test_the_patience_of_few_routes_is_remembered() -> None:
     policy = DeferLate()
-    for number in range(2 * ROUTES_REMEMBERED):
+    for number in range(2 * MAX_REMEMBERED_ROUTES):
         decide(policy, replace(asked(), route=f"r{number}"), held_engines(0))
         decide(policy, asked(), held_engines(0))
-    assert len(policy.client_timeouts) == ROUTES_REMEMBERED
+    assert len(policy.client_timeouts) == MAX_REMEMBERED_ROUTES
     assert "r" in policy.client_timeouts
 
 
@@ -161,7 +161,7 @@
     assert isinstance(refused.outcome, NotRun)
     assert refused.outcome.status == 503
     assert refused.outcome.retry_after is not None
-    assert refused.outcome.retry_after <= TIME_LEFT_SECONDS * RETRY_AFTER_SHARE_MOST
+    assert refused.outcome.retry_after <= TIME_LEFT_SECONDS * MAX_RETRY_AFTER_SHARE
     assert 900 not in world.requests.requests
     back = world.arrive(2.0, arrival(901, time_left=TIME_LEFT_SECONDS - 1.0))
     assert isinstance(back, SendRequest)
@@ -181,7 +181,7 @@
     assert isinstance(sent, SendRequest)
     world.requests.on_answer_begun(0.003, AnswerBegun(1, sent.attempt, None))
     world.end(0.003, sent, AttemptOutcome.COMPLETED)
-    assert world.requests.experience().times == {}
+    assert world.requests.learned_times().times == {}
 
 
 def test_without_the_policy_all_join_the_queue() -> None:
--- a/tests/decisions/forwarding/test_arrivals.py
+++ b/tests/decisions/forwarding/test_arrivals.py
@@ -115,16 +115,16 @@
     world.requests.arrivals.quota = LateQuota()
     assert not world.requests.on_arrived(0.0, replace(arrival(1), caller_key=KEY))
     allowed = QuotaCompletion(1, QuotaResult(True, 0.0, "peer"))
-    made = world.requests.on_counted(0.01, allowed)
+    made = world.requests.on_quota_decided(0.01, allowed)
     assert [m.tenant for m in made if isinstance(m, SendRequest)] == ["ours"]
-    assert world.requests.on_counted(0.02, allowed) == []
+    assert world.requests.on_quota_decided(0.02, allowed) == []
 
 
 def test_above_its_quota_a_request_gets_429_with_when_there_is_room() -> None:
     world = tenant_world()
     world.requests.arrivals.quota = LateQuota()
     world.requests.on_arrived(0.0, replace(arrival(1), caller_key=KEY))
-    made = world.requests.on_counted(0.01, QuotaCompletion(1, QuotaResult(False, 0.7, "peer")))
+    made = world.requests.on_quota_decided(0.01, QuotaCompletion(1, QuotaResult(False, 0.7, "peer")))
     finish = made[0]
     assert status(finish) == 429
     assert isinstance(finish, FinishRequest)
@@ -137,7 +137,7 @@
     world.requests.arrivals.quota = LateQuota()
     world.requests.on_arrived(0.0, replace(arrival(1), caller_key=KEY))
     put(world, 3, Tenant("ours", frozenset({OTHER})))
-    made = world.requests.on_counted(0.01, QuotaCompletion(1, QuotaResult(True, 0.0, "peer")))
+    made = world.requests.on_quota_decided(0.01, QuotaCompletion(1, QuotaResult(True, 0.0, "peer")))
     assert status(made[0]) == 401
 
 
--- a/tests/decisions/forwarding/test_engine_list.py
+++ b/tests/decisions/forwarding/test_engine_list.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from troutswitch.decisions.forwarding.engine_list import READING_SECONDS_MOST, EngineListReader
+from troutswitch.decisions.forwarding.engine_list import MAX_READING_SECONDS, EngineListReader
 from troutswitch.decisions.storage.messages import CallFailed, KeyedRecord, NewestPage, ReadNewest
 from troutswitch.decisions.storage.read_attempts import CallNumbers
 
@@ -46,7 +46,7 @@
     rows = held.on_answer(1.2, call.call, page_of(1200, call.after_key))
     assert rows is not None
     assert len(rows) == 1200
-    assert held.pages == 3
+    assert held.page_count == 3
 
 
 def test_pages_that_are_old_are_read_again() -> None:
@@ -54,8 +54,8 @@
     call = ask(held, 0.0)
     held.on_answer(0.1, call.call, page_of(1200, call.after_key))
     call = ask(held, 0.1)
-    held.on_answer(READING_SECONDS_MOST + 1, call.call, CallFailed("timeout", False))
-    assert ask(held, READING_SECONDS_MOST + 2).after_key == ""
+    held.on_answer(MAX_READING_SECONDS + 1, call.call, CallFailed("timeout", False))
+    assert ask(held, MAX_READING_SECONDS + 2).after_key == ""
 
 
 def test_a_late_answer_to_an_earlier_page_is_not_taken_for_the_next_one() -> None:
@@ -93,7 +93,7 @@
         now, number = heapq.heappop(due)
         one = held[number]
         if paced:
-            one.least_interval = daemons * one.pages / (calls_a_second / 4)
+            one.min_interval = daemons * one.page_count / (calls_a_second / 4)
         for call in one.on_timer(now):
             assert isinstance(call, ReadNewest)
             tokens = min(calls_a_second / 10, tokens + (now - filled_at) * calls_a_second)
--- a/tests/decisions/forwarding/test_engines.py
+++ b/tests/decisions/forwarding/test_engines.py
@@ -70,7 +70,7 @@
     size = RequestSize(100, 60)
     registry.on_sent(0.0, "a", False, size)
     registry.on_sent(0.0, "a", True, size)
-    registry.on_begun("a", size)
+    registry.on_first_token("a", size)
     registry.on_ended(1.0, "a", False, size, begun=True, failed=False)
     registry.on_ended(1.0, "a", True, size, begun=False, failed=False)
     held = registry.engines["a"]
--- a/tests/decisions/forwarding/test_hold_late.py
+++ b/tests/decisions/forwarding/test_hold_late.py
@@ -6,7 +6,7 @@
 from tests.decisions.forwarding.worlds import World, arrival
 from troutswitch.decisions.forwarding.admission import (
     ADMISSION_POLICIES,
-    DELAY_SHARE_MOST,
+    MAX_DELAY_SHARE,
     SEND_MARGIN_SECONDS,
     AdmissionRequest,
 )
@@ -43,7 +43,7 @@
 
 
 def held(world: World) -> list[int]:
-    return [token for token, r in world.requests.requests.items() if r.asks_again_at < 1e9]
+    return [token for token, r in world.requests.requests.items() if r.retry_at < 1e9]
 
 
 def test_a_late_request_waits_here_and_gets_the_slot_that_is_free_first() -> None:
@@ -91,7 +91,7 @@
 def test_a_held_request_is_sent_before_its_caller_leaves() -> None:
     world, _ = full_world()
     (late,) = held(world)
-    held_most = TIME_LEFT_SECONDS * DELAY_SHARE_MOST
+    held_most = TIME_LEFT_SECONDS * MAX_DELAY_SHARE
     assert held_most <= sent_at(world, late) - 1.0 <= held_most + 2 * CAPACITY_RETRY_SECONDS
 
 
--- a/tests/decisions/forwarding/test_placement.py
+++ b/tests/decisions/forwarding/test_placement.py
@@ -6,7 +6,7 @@
 from troutswitch.decisions.forwarding.engine import Engine
 from troutswitch.decisions.forwarding.engines import EngineRegistry
 from troutswitch.decisions.forwarding.long_prompts import (
-    LONG_PROMPT_LEAST_TOKENS,
+    MIN_LONG_PROMPT_TOKENS,
     PromptSizes,
     expected_prefill,
     homes_of,
@@ -173,8 +173,8 @@
     sizes = PromptSizes()
     assert not sizes.is_long("s", 600)
     sizes.add("s", 100)
-    assert not sizes.is_long("s", LONG_PROMPT_LEAST_TOKENS - 1)
-    assert sizes.is_long("s", LONG_PROMPT_LEAST_TOKENS)
+    assert not sizes.is_long("s", MIN_LONG_PROMPT_TOKENS - 1)
+    assert sizes.is_long("s", MIN_LONG_PROMPT_TOKENS)
 
 
 def test_an_engine_where_prompts_often_wait_is_avoided_by_others() -> None:
--- a/tests/decisions/forwarding/test_rejections.py
+++ b/tests/decisions/forwarding/test_rejections.py
@@ -9,7 +9,7 @@
 """
 
 from tests.decisions.forwarding.worlds import World, arrival, route
-from troutswitch.decisions.forwarding.candidates import FULL_SECONDS
+from troutswitch.decisions.forwarding.candidates import FULL_EXCLUSION_SECONDS
 from troutswitch.decisions.forwarding.messages import FinishRequest, SendRequest
 from troutswitch.outcomes import AttemptOutcome
 
@@ -41,7 +41,7 @@
     third = world.end(now + 0.01, second, AttemptOutcome.REFUSED)
     assert isinstance(third, SendRequest)
     assert world.end(now + 0.02, third, AttemptOutcome.REFUSED) is None
-    again, _ = next_directive(world, now + 0.02, now + 0.02 + 2 * FULL_SECONDS)
+    again, _ = next_directive(world, now + 0.02, now + 0.02 + 2 * FULL_EXCLUSION_SECONDS)
     assert isinstance(again, SendRequest)
     assert again.engine_id != first.engine_id
 
@@ -54,7 +54,7 @@
     fourth = world.end(now + 0.02, third, AttemptOutcome.REFUSED)
     assert isinstance(fourth, SendRequest)
     held = world.requests.requests[1]
-    assert held.runs == 1  # two more may run
+    assert held.possible_runs == 1  # two more may run
     again, at = next_directive(world, now + 0.02, 3.9)
     assert isinstance(again, SendRequest), f"it stays at a silent server until {at:.2f} s"
 
--- a/tests/decisions/forwarding/test_requests.py
+++ b/tests/decisions/forwarding/test_requests.py
@@ -15,7 +15,7 @@
     SendRequest,
 )
 from troutswitch.decisions.forwarding.requests import ForwardedRequests
-from troutswitch.decisions.forwarding.retry import CAPACITY_RETRY_SECONDS, TIME_LEFT_LEAST_SECONDS
+from troutswitch.decisions.forwarding.retry import CAPACITY_RETRY_SECONDS, MIN_TIME_LEFT_SECONDS
 from troutswitch.decisions.forwarding.routes import RouteTable
 from troutswitch.decisions.forwarding.types import RouteKind
 from troutswitch.outcomes import AttemptOutcome, Cut, MayHaveRun, NotRun
@@ -74,7 +74,7 @@
         found = world.requests.on_timer(now)
         directive = next((i for i in found if isinstance(i, SendRequest | FinishRequest)), None)
     assert isinstance(directive.outcome, MayHaveRun)
-    assert now >= arrival(1).time_left - TIME_LEFT_LEAST_SECONDS
+    assert now >= arrival(1).time_left - MIN_TIME_LEFT_SECONDS
 
 
 def test_a_cut_stream_goes_on_after_its_last_event() -> None:
@@ -182,7 +182,7 @@
     world = World(route(resumable=False))
     first = sent(world.arrive(0.0, arrival(1)))
     end = finished(world.end(0.1, first, AttemptOutcome.CUT, status=500, has_answer=True))
-    assert end.passes_on
+    assert end.relays_answer
 
 
 def test_a_route_of_jobs_takes_no_requests() -> None:
@@ -245,7 +245,7 @@
     world.arrive(0.0, replace(arrival(1), content="x"))
     world.arrive(0.0, replace(arrival(2), content="y"))
     suspects.refused = frozenset({"x"})
-    made = world.requests.end_refused(0.1)
+    made = world.requests.end_refused_for_crashes(0.1)
     assert [i.token for i in made if isinstance(i, AbortAttempt)] == [1]
     (finish,) = (i for i in made if isinstance(i, FinishRequest))
     assert isinstance(finish.outcome, MayHaveRun)
--- a/tests/decisions/forwarding/test_wait_estimate.py
+++ b/tests/decisions/forwarding/test_wait_estimate.py
@@ -48,7 +48,7 @@
     held.change_peers_online(1.1, -5)
     assert held.peers_online == 0
     assert list(held.online_sent_at) == [1.0, 1.0]
-    assert held.online() == 2
+    assert held.online_count() == 2
 
 
 @DETERMINISTIC
@@ -61,5 +61,5 @@
         held.change_own_online(at, 1)
         wait = slot_wait(3.0, held, TIMES).wait
         assert before <= wait <= TIMES.slot_time * (1 + len(times) / slots)
-        assert (wait == 0.0) or held.online() >= slots
+        assert (wait == 0.0) or held.online_count() >= slots
         before = wait
--- a/tests/decisions/jobs/test_engine_choice.py
+++ b/tests/decisions/jobs/test_engine_choice.py
@@ -49,6 +49,6 @@
             registry.on_sent(1.0, "a", True, NO_SIZE)
             sent += 1
         for _ in range(sent):
-            registry.on_stopped(1.0, "a", NO_SIZE, begun=True)
+            registry.on_preempted(1.0, "a", NO_SIZE, begun=True)
         started += sent
     assert 2.3 < started / 400 < 2.7  # 10 free slots, shared by 4 daemons
--- a/tests/decisions/peers/test_heartbeats.py
+++ b/tests/decisions/peers/test_heartbeats.py
@@ -4,7 +4,7 @@
 
 from troutswitch.common import Address
 from troutswitch.daemons.messages import Heartbeat
-from troutswitch.decisions.forwarding.experience import Experience
+from troutswitch.decisions.forwarding.learned_times import LearnedTimes
 from troutswitch.decisions.peers.heartbeats import (
     HEARTBEAT_FANOUT,
     HEARTBEAT_INTERVAL_SECONDS,
@@ -22,7 +22,7 @@
 
 
 def entry(name: str, port: int, zone: str = "here") -> PeerRegistryEntry:
-    return PeerRegistryEntry(name, Address("10.0.0.2", port), zone, Experience())
+    return PeerRegistryEntry(name, Address("10.0.0.2", port), zone, LearnedTimes())
 
 
 def heartbeat(name: str, port: int, zone: str = "here", version: int = 4) -> Heartbeat:
--- a/tests/decisions/peers/test_peer_registry.py
+++ b/tests/decisions/peers/test_peer_registry.py
@@ -7,7 +7,7 @@
 
 from tests.decisions.forwarding.worlds import World, arrival
 from troutswitch.common import Address
-from troutswitch.decisions.forwarding.experience import BatchRunTimes, Experience
+from troutswitch.decisions.forwarding.learned_times import BatchRunTimes, LearnedTimes
 from troutswitch.decisions.forwarding.messages import AnswerBegun, FinishRequest, SendRequest
 from troutswitch.decisions.forwarding.requests import ForwardedRequests
 from troutswitch.decisions.peers.peer_registry import (
@@ -32,11 +32,11 @@
 from troutswitch.outcomes import AttemptOutcome
 
 ADDRESS = Address("10.0.0.1", 7)
-KNOWN = Experience({"s": (60, 640)}, {"r": 5000})
+KNOWN = LearnedTimes({"s": (60, 640)}, {"r": 5000})
 NAMES = st.text(max_size=8)
 MILLISECONDS = st.integers(0, 100_000)
 EXPERIENCES = st.builds(
-    Experience,
+    LearnedTimes,
     st.dictionaries(NAMES, st.tuples(MILLISECONDS, MILLISECONDS), max_size=5),
     st.dictionaries(NAMES, MILLISECONDS, max_size=5),
     st.none() | st.builds(BatchRunTimes, MILLISECONDS, MILLISECONDS, st.integers(0, 100)),
@@ -48,7 +48,7 @@
     """A registry, the calls that it makes to the store, and the entries that it applied."""
 
     def __init__(self) -> None:
-        self.experience = Experience()
+        self.experience = LearnedTimes()
         self.applied: list[PeerRegistryEntry] = []
         self.malformed = 0
         self.peer_registry = PeerRegistry(
@@ -129,29 +129,29 @@
     written = registry.next_write(0.1 + MIN_EXPERIENCE_INTERVAL_SECONDS)
     assert written is not None
     registry.answer(7.0, written)
-    registry.experience = Experience({"s": (65, 660)}, {"r": 5000})
+    registry.experience = LearnedTimes({"s": (65, 660)}, {"r": 5000})
     assert registry.next_write(7.0 + MIN_EXPERIENCE_INTERVAL_SECONDS) is None
 
 
 @DETERMINISTIC
 @given(EXPERIENCES)
-def test_decoded_entry_equals_the_encoded_one(experience: Experience) -> None:
+def test_decoded_entry_equals_the_encoded_one(experience: LearnedTimes) -> None:
     entry = PeerRegistryEntry("me", ADDRESS, "z", experience)
     assert decode_entry(KeyedRecord("me", encode_entry(entry))) == entry
-    assert experience.is_like(experience)
+    assert experience.is_similar_to(experience)
 
 
 # Use of the shared run times.
 
 
-def busy_world(experience: Experience | None) -> World:
+def busy_world(experience: LearnedTimes | None) -> World:
     """Returns a world whose only engine was sent 40 requests since the daemon started."""
     world = World(engines=1)
     world.requests = ForwardedRequests(
         "z", world.routes, world.engines, random.Random(1), "prefix_aware", "defer_late"
     )
     if experience is not None:
-        world.requests.begin_with(experience)
+        world.requests.merge(experience)
     for token in range(40):
         world.requests.on_arrived(1.0, arrival(token, time_left=3.0))
     return world
@@ -174,5 +174,5 @@
     assert isinstance(sent, SendRequest)
     world.requests.on_answer_begun(0.1, AnswerBegun(1, sent.attempt, None))
     world.end(1.0, sent, AttemptOutcome.COMPLETED, delivered=31)
-    world.requests.begin_with(KNOWN)
-    assert world.requests.experience().times["s"] == (100, 1000)
+    world.requests.merge(KNOWN)
+    assert world.requests.learned_times().times["s"] == (100, 1000)
--- a/tests/decisions/slots/test_coordinator.py
+++ b/tests/decisions/slots/test_coordinator.py
@@ -68,7 +68,7 @@
     coordinator.receive(NOW, slot_request())
     (retracted,) = batch_grants(coordinator)
     assert (retracted.engine_key, retracted.count) == (engine_key("s0"), -1)
-    assert coordinator.engine("s0").batch() == 1
+    assert coordinator.engine("s0").batch_count() == 1
 
 
 def test_own_items_are_stopped_too() -> None:
--- a/tests/decisions/slots/test_group_search.py
+++ b/tests/decisions/slots/test_group_search.py
@@ -4,7 +4,7 @@
 
 from troutswitch.decisions.forwarding.placer import PlacementRequest
 from troutswitch.decisions.forwarding.types import PromptShape
-from troutswitch.decisions.forwarding.wait_estimate import NO_WAIT, Estimate
+from troutswitch.decisions.forwarding.wait_estimate import NO_WAIT, WaitEstimate
 from troutswitch.decisions.slots.group_search import (
     MAX_GROUPS_TRIED,
     SHORT_WAIT_SECONDS,
@@ -21,8 +21,8 @@
     return GroupSearch(PlacementRequest(1, "service", PromptShape(), max_wait), list(groups))
 
 
-def wait(seconds: float) -> Estimate:
-    return Estimate(seconds, 1, 8, 0.6)
+def wait(seconds: float) -> WaitEstimate:
+    return WaitEstimate(seconds, 1, 8, 0.6)
 
 
 def test_groups_in_the_own_zone_or_spanning_zones_come_first() -> None:
--- a/tests/decisions/slots/test_machine.py
+++ b/tests/decisions/slots/test_machine.py
@@ -193,8 +193,8 @@
         for number in range(ENGINES):
             engine = coordinator.engine(f"s{number}")
             online = sum(list(d.online.values()).count(f"s{number}") for d in self.daemons.values())
-            assert engine.batch() == self.actual_batch(f"s{number}")
-            assert engine.online() == online
+            assert engine.batch_count() == self.actual_batch(f"s{number}")
+            assert engine.online_count() == online
 
 
 SETTINGS = settings(
--- a/tests/decisions/slots/test_reports.py
+++ b/tests/decisions/slots/test_reports.py
@@ -34,7 +34,7 @@
     assert [share.batch for share in report.shares] == [1]
     assert sent_reports(peer, NOW + REFRESH_SECONDS / 2) == []
     assert len(sent_reports(peer, NOW + REFRESH_SECONDS)) == 1
-    peer.engines.on_stopped(NOW, "s0", NO_SIZE, begun=True)
+    peer.engines.on_preempted(NOW, "s0", NO_SIZE, begun=True)
     (last_report,) = sent_reports(peer, NOW + REFRESH_SECONDS + REPORT_SECONDS)
     assert last_report.shares == ()
     assert sent_reports(peer, NOW + 9.0) == []
--- a/tests/decisions/slots/test_slot_requests.py
+++ b/tests/decisions/slots/test_slot_requests.py
@@ -38,7 +38,7 @@
     assert peer.placements == []
     deliver(NOW, coordinator, peer)
     assert assigned_by(peer) == [AssignedBy.COORDINATOR]
-    assert coordinator.engine(peer.online[1]).online() == 1
+    assert coordinator.engine(peer.online[1]).online_count() == 1
 
 
 def test_no_request_waits_longer_than_the_timeout_for_a_silent_coordinator() -> None:
--- a/tests/decisions/slots/worlds.py
+++ b/tests/decisions/slots/worlds.py
@@ -133,7 +133,7 @@
     def end_item(self, now: float, engine_id: str) -> None:
         if engine_id in self.items:
             self.items.remove(engine_id)
-            self.engines.on_stopped(now, engine_id, NO_SIZE, begun=True)
+            self.engines.on_preempted(now, engine_id, NO_SIZE, begun=True)
 
     def coordinate(
         self, now: float, *others: "SlotsDaemon", group: str = GROUP, offset: int = 1
--- a/tests/decisions/test_configuration_logs.py
+++ b/tests/decisions/test_configuration_logs.py
@@ -6,7 +6,7 @@
 from tests.decisions.forwarding.worlds import World, arrival, engine
 from tests.worlds.gateway_world import GatewayWorld
 from troutswitch.decisions.forwarding.messages import LogLine
-from troutswitch.decisions.forwarding.routes import LearntBy
+from troutswitch.decisions.forwarding.routes import ConfigurationSource
 from troutswitch.decisions.gateway_interface import GatewayInstruction
 from troutswitch.outcomes import AttemptOutcome
 
@@ -78,7 +78,7 @@
     (row,) = lines(list(world.requests.on_arrived(10.0, arrival(1))), "request sent")
     assert row["admitted_version"] == row["configuration_version"] == 1
     assert row["configuration_age_ms"] == 500
-    assert row["learnt_by"] == LearntBy.STORE.value
+    assert row["learnt_by"] == ConfigurationSource.STORE.value
 
 
 def test_accepted_job_logs_the_active_version() -> None:
--- a/tests/decisions/test_gateway.py
+++ b/tests/decisions/test_gateway.py
@@ -69,8 +69,8 @@
         address = Address("10.0.9.9", 7)
         core.peers.peers = {f"p-{n}": Peer(address, "z", 0.0) for n in range(peers)}
         core.step(0.0, TimerFired())
-        read_every = max(core.membership.reader.interval, core.membership.reader.least_interval)
+        read_every = max(core.membership.reader.interval, core.membership.reader.min_interval)
         assert peers / read_every <= READS_SHARE * 2000.0
         assert read_every < core.identity.drain_bound / 2
-    assert core.membership.reader.least_interval > core.membership.reader.interval
-    assert core.jobs.replicas.index_follower.min_interval == core.membership.reader.least_interval
+    assert core.membership.reader.min_interval > core.membership.reader.interval
+    assert core.jobs.replicas.index_follower.min_interval == core.membership.reader.min_interval
--- a/tests/forms/samples.py
+++ b/tests/forms/samples.py
@@ -28,7 +28,7 @@
 from troutswitch.decisions.crashes.messages import Crash
 from troutswitch.decisions.crashes.shared import SharedCrashes
 from troutswitch.decisions.forwarding import engine_list as serverlist
-from troutswitch.decisions.forwarding.experience import BatchRunTimes, Experience
+from troutswitch.decisions.forwarding.learned_times import BatchRunTimes, LearnedTimes
 from troutswitch.decisions.forwarding.long_prompts import homes_of
 from troutswitch.decisions.forwarding.messages import LogLine
 from troutswitch.decisions.forwarding.types import EngineRecord
@@ -546,12 +546,12 @@
 
 # What daemons have learnt, in their directory in the store.
 
-_LEARNT = Experience(
+_LEARNT = LearnedTimes(
     {"s1": (120, 900), "s2": (3, LARGE)}, {"r1": 5000, "r2": 1}, BatchRunTimes(1, 2, 3)
 )
 
 
-def _directory(experience: Experience) -> Form:
+def _directory(experience: LearnedTimes) -> Form:
     entry = PeerRegistryEntry("d-1", HOST, "z1", experience)
     return Form(
         lambda: encode_entry(entry),
@@ -560,12 +560,14 @@
 
 
 EXPERIENCES = {
-    "nothing learnt": _directory(Experience()),
-    "times alone": _directory(Experience({"s1": (120, 900)})),
-    "patience alone": _directory(Experience({}, {"r1": 5000})),
+    "nothing learnt": _directory(LearnedTimes()),
+    "times alone": _directory(LearnedTimes({"s1": (120, 900)})),
+    "patience alone": _directory(LearnedTimes({}, {"r1": 5000})),
     "everything learnt": _directory(_LEARNT),
     "more names than are kept": _directory(
-        Experience({f"s{n}": (n, n + 1) for n in range(70)}, {f"r{n}": n for n in range(70)}, None)
+        LearnedTimes(
+            {f"s{n}": (n, n + 1) for n in range(70)}, {f"r{n}": n for n in range(70)}, None
+        )
     ),
 }
 
--- a/tests/gateway/callers/test_caller_gone.py
+++ b/tests/gateway/callers/test_caller_gone.py
@@ -29,10 +29,10 @@
 from troutswitch.common import Address
 from troutswitch.decisions.forwarding.messages import (
     CallerGone,
+    CallerGoneBeforeHandling,
     FinishRequest,
     RequestArrived,
     RequestAttemptEnded,
-    RequestUnserved,
     SendRequest,
 )
 from troutswitch.gateway.callers.application import CallerApplication
@@ -89,7 +89,7 @@
             self.send(event.token, 1)
         elif isinstance(event, RequestAttemptEnded):
             self.attempt_ended.set()
-        elif isinstance(event, RequestUnserved):
+        elif isinstance(event, CallerGoneBeforeHandling):
             self.unserved.append(event.request_id)
         elif isinstance(event, CallerGone):
             self.disconnects.append(event)
--- a/tests/platform/test_forms.py
+++ b/tests/platform/test_forms.py
@@ -132,7 +132,7 @@
 
 def test_prompt_parts_are_decoded() -> None:
     shape = read_prompt("1460,80", "5c1e:800,91bd:410,e440:250")
-    assert (shape.prompt_tokens, shape.output_tokens_most) == (1460, 80)
+    assert (shape.prompt_tokens, shape.max_output_tokens) == (1460, 80)
     assert (shape.shared_tokens, shape.session_part) == (1210, "91bd")
 
 
--- a/tests/worlds/gateway_world.py
+++ b/tests/worlds/gateway_world.py
@@ -143,7 +143,7 @@
             30.0,
             0.5,
             3,
-            queued_tokens_most=tokens_most,
+            max_queued_tokens=tokens_most,
             completion_target=20.0,
             retention=600.0,
         )
