--- a/tests/decisions/crashes/test_engine_crashes.py
+++ b/tests/decisions/crashes/test_engine_crashes.py
@@ -1,6 +1,6 @@
 """Crashes of engines are distinguished from lost answers, silence and planned ends."""
 
-from tests.decisions.forwarding.worlds import engine
+from tests.decisions.forwarding.harness import engine
 from troutswitch.decisions.crashes.engine_crashes import (
     MIN_CHECK_INTERVAL_SECONDS,
     PENDING_SECONDS,
--- a/tests/decisions/crashes/test_suspects.py
+++ b/tests/decisions/crashes/test_suspects.py
@@ -2,7 +2,7 @@
 
 import random
 
-from tests.decisions.forwarding.worlds import engine
+from tests.decisions.forwarding.harness import engine
 from troutswitch.daemons.messages import CrashReport, ReportedCrash
 from troutswitch.decisions.crashes.causes import MAX_DEFERRAL_SECONDS
 from troutswitch.decisions.crashes.messages import EngineChecked, EngineCheckResult
--- a/tests/decisions/forwarding/worlds.py
+++ b/tests/decisions/forwarding/harness.py
@@ -35,7 +35,7 @@
     attempts: int = 2,
     resumable: bool = True,
     time_limit: float = 5.0,
-    **more: object,
+    **fields: object,
 ) -> Route:
     return Route(
         name,
@@ -47,13 +47,15 @@
         0.2,
         attempts,
         is_resumable=resumable,
-        **more,  # type: ignore[arg-type]
+        **fields,  # type: ignore[arg-type]
     )
 
 
 def configuration(version: int = 1, *routes: Route) -> FleetConfiguration:
-    held = routes or (route(),)
-    return FleetConfiguration(version, held, {"s": Service("s", 100, 8, 0)}, RequestLimits())
+    configured_routes = routes or (route(),)
+    return FleetConfiguration(
+        version, configured_routes, {"s": Service("s", 100, 8, 0)}, RequestLimits()
+    )
 
 
 def engine(name: str, draining: bool = False, service: str = "s", slots: int = 8) -> EngineRecord:
@@ -64,7 +66,7 @@
     return RequestArrived(token, f"id-{token}", HOST, path, time_left, PromptShape())
 
 
-class World:
+class ForwardingHarness:
     """Routes, engines and requests of one daemon."""
 
     def __init__(self, *routes: Route, engines: int = 3) -> None:
@@ -77,19 +79,19 @@
         )
 
     def arrive(self, now: float, event: RequestArrived) -> SendRequest | FinishRequest:
-        return self.directive(self.requests.on_arrived(now, event))
+        return self.only_instruction(self.requests.on_arrived(now, event))
 
     def end(
-        self, now: float, sent: SendRequest, kind: AttemptOutcome, **more: object
+        self, now: float, sent: SendRequest, kind: AttemptOutcome, **fields: object
     ) -> SendRequest | FinishRequest | None:
-        event = RequestAttemptEnded(sent.token, sent.attempt, kind, **more)  # type: ignore[arg-type]
+        event = RequestAttemptEnded(sent.token, sent.attempt, kind, **fields)  # type: ignore[arg-type]
         instructions = self.requests.on_attempt_ended(now, event)
         self.requests.validate()
         found = [i for i in instructions if isinstance(i, SendRequest | FinishRequest)]
         return found[0] if found else None
 
     @staticmethod
-    def directive(instructions: Sequence[object]) -> SendRequest | FinishRequest:
+    def only_instruction(instructions: Sequence[object]) -> SendRequest | FinishRequest:
         found = [i for i in instructions if isinstance(i, SendRequest | FinishRequest)]
         assert len(found) == 1
         return found[0]
--- a/tests/decisions/forwarding/test_arrivals.py
+++ b/tests/decisions/forwarding/test_arrivals.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from tests.decisions.forwarding.worlds import World, arrival, route
+from tests.decisions.forwarding.harness import ForwardingHarness, arrival, route
 from troutswitch.decisions.forwarding.engine import Engine
 from troutswitch.decisions.forwarding.messages import FinishRequest, SendRequest
 from troutswitch.decisions.forwarding.placer import (
@@ -24,80 +24,82 @@
 OTHER = key_digest("second")
 
 
-def tenant_world(version: int = 2, *more: Tenant, of: Route | None = None) -> World:
-    world = World(of or route())
-    put(world, version, Tenant("ours", frozenset({KEY})), *more)
-    return world
+def harness_with_tenants(
+    version: int = 2, *more: Tenant, on_route: Route | None = None
+) -> ForwardingHarness:
+    harness = ForwardingHarness(on_route or route())
+    put_in_force(harness, version, Tenant("ours", frozenset({KEY})), *more)
+    return harness
 
 
-def put(world: World, version: int, *tenants: Tenant) -> None:
-    held = world.routes.configuration
-    assert held is not None
-    world.routes.replace(replace(held, version=version, tenants=tenants))
+def put_in_force(harness: ForwardingHarness, version: int, *tenants: Tenant) -> None:
+    current = harness.routes.configuration
+    assert current is not None
+    harness.routes.replace(replace(current, version=version, tenants=tenants))
 
 
-def status(directive: object) -> int:
-    assert isinstance(directive, FinishRequest)
-    assert isinstance(directive.outcome, NotRun)
-    return directive.outcome.status
+def refusal_status(instruction: object) -> int:
+    assert isinstance(instruction, FinishRequest)
+    assert isinstance(instruction.outcome, NotRun)
+    return instruction.outcome.status
 
 
-def test_a_known_key_s_tenant_is_told_to_the_engine() -> None:
-    sent = tenant_world().arrive(0.0, replace(arrival(1), caller_key=KEY))
+def test_tenant_of_a_known_key_is_sent_to_the_engine() -> None:
+    sent = harness_with_tenants().arrive(0.0, replace(arrival(1), caller_key=KEY))
     assert isinstance(sent, SendRequest)
     assert sent.tenant == "ours"
 
 
 @pytest.mark.parametrize("key", ["", OTHER, key_digest("first "), key_digest("first, first")])
-def test_a_missing_or_unknown_key_gets_401_and_no_engine_hears_of_it(key: str) -> None:
-    world = tenant_world()
-    assert status(world.arrive(0.0, replace(arrival(1), caller_key=key))) == 401
-    assert not world.requests.requests
+def test_missing_or_unknown_key_gets_401_and_is_not_sent(key: str) -> None:
+    harness = harness_with_tenants()
+    assert refusal_status(harness.arrive(0.0, replace(arrival(1), caller_key=key))) == 401
+    assert not harness.requests.requests
 
 
-def test_a_route_may_need_no_key_and_then_a_known_one_still_names_its_tenant() -> None:
-    world = tenant_world(of=replace(route(), allows_anonymous=True))
-    sent = world.arrive(0.0, arrival(1))
+def test_anonymous_route_accepts_no_key_but_still_checks_a_given_key() -> None:
+    harness = harness_with_tenants(on_route=replace(route(), allows_anonymous=True))
+    sent = harness.arrive(0.0, arrival(1))
     assert isinstance(sent, SendRequest)
     assert sent.tenant == ""
-    sent = world.arrive(0.0, replace(arrival(2), caller_key=KEY))
+    sent = harness.arrive(0.0, replace(arrival(2), caller_key=KEY))
     assert isinstance(sent, SendRequest)
     assert sent.tenant == "ours"
-    assert status(world.arrive(0.0, replace(arrival(3), caller_key=OTHER))) == 401
+    assert refusal_status(harness.arrive(0.0, replace(arrival(3), caller_key=OTHER))) == 401
 
 
-def test_where_no_tenants_are_configured_no_key_is_asked_for() -> None:
-    sent = World(route()).arrive(0.0, replace(arrival(1), caller_key=OTHER))
+def test_configuration_without_tenant_list_requires_no_key() -> None:
+    sent = ForwardingHarness(route()).arrive(0.0, replace(arrival(1), caller_key=OTHER))
     assert isinstance(sent, SendRequest)
     assert sent.tenant == ""
 
 
-def test_a_list_without_tenants_lets_nobody_in() -> None:
-    world = World(route())
-    put(world, 2)
-    assert status(world.arrive(0.0, replace(arrival(1), caller_key=KEY))) == 401
+def test_empty_tenant_list_refuses_every_key() -> None:
+    harness = ForwardingHarness(route())
+    put_in_force(harness, 2)
+    assert refusal_status(harness.arrive(0.0, replace(arrival(1), caller_key=KEY))) == 401
 
 
-def test_a_key_holds_from_the_version_that_has_it_and_no_longer() -> None:
-    world = tenant_world()
-    put(world, 3, Tenant("ours", frozenset({OTHER})))
-    assert status(world.arrive(0.0, replace(arrival(1), caller_key=KEY))) == 401
-    assert isinstance(world.arrive(0.0, replace(arrival(2), caller_key=OTHER)), SendRequest)
+def test_key_is_valid_only_while_the_configuration_in_force_has_it() -> None:
+    harness = harness_with_tenants()
+    put_in_force(harness, 3, Tenant("ours", frozenset({OTHER})))
+    assert refusal_status(harness.arrive(0.0, replace(arrival(1), caller_key=KEY))) == 401
+    assert isinstance(harness.arrive(0.0, replace(arrival(2), caller_key=OTHER)), SendRequest)
 
 
-def test_a_daemon_that_knows_it_is_behind_has_an_unknown_key_retry_after() -> None:
+def test_unknown_key_gets_503_while_the_configuration_may_be_outdated() -> None:
     """A 401 is final for a caller, and the key may have been added a second ago."""
-    world = tenant_world()
-    world.routes.may_be_outdated = True
-    finish = world.arrive(0.0, replace(arrival(1), caller_key=OTHER))
-    assert status(finish) == 503
+    harness = harness_with_tenants()
+    harness.routes.may_be_outdated = True
+    finish = harness.arrive(0.0, replace(arrival(1), caller_key=OTHER))
+    assert refusal_status(finish) == 503
     assert isinstance(finish, FinishRequest)
     assert isinstance(finish.outcome, NotRun)
     assert finish.outcome.retry_after
-    assert status(world.arrive(0.0, arrival(2))) == 401
+    assert refusal_status(harness.arrive(0.0, arrival(2))) == 401
 
 
-class LateQuota(NoQuota):
+class PendingQuota(NoQuota):
     """A quota whose word comes when the test gives it."""
 
     def __init__(self) -> None:
@@ -110,45 +112,49 @@
         self.withdrawn.append(token)
 
 
-def test_a_request_waits_for_the_word_on_its_quota() -> None:
-    world = tenant_world()
-    world.requests.arrivals.quota = LateQuota()
-    assert not world.requests.on_arrived(0.0, replace(arrival(1), caller_key=KEY))
+def test_request_is_sent_once_its_pending_quota_decision_allows_it() -> None:
+    harness = harness_with_tenants()
+    harness.requests.arrivals.quota = PendingQuota()
+    assert not harness.requests.on_arrived(0.0, replace(arrival(1), caller_key=KEY))
     allowed = QuotaCompletion(1, QuotaResult(True, 0.0, "peer"))
-    made = world.requests.on_quota_decided(0.01, allowed)
-    assert [m.tenant for m in made if isinstance(m, SendRequest)] == ["ours"]
-    assert world.requests.on_quota_decided(0.02, allowed) == []
-
-
-def test_above_its_quota_a_request_gets_429_with_when_there_is_room() -> None:
-    world = tenant_world()
-    world.requests.arrivals.quota = LateQuota()
-    world.requests.on_arrived(0.0, replace(arrival(1), caller_key=KEY))
-    made = world.requests.on_quota_decided(0.01, QuotaCompletion(1, QuotaResult(False, 0.7, "peer")))
-    finish = made[0]
-    assert status(finish) == 429
+    instructions = harness.requests.on_quota_decided(0.01, allowed)
+    assert [i.tenant for i in instructions if isinstance(i, SendRequest)] == ["ours"]
+    assert harness.requests.on_quota_decided(0.02, allowed) == []
+
+
+def test_request_above_its_quota_gets_429_with_retry_after() -> None:
+    harness = harness_with_tenants()
+    harness.requests.arrivals.quota = PendingQuota()
+    harness.requests.on_arrived(0.0, replace(arrival(1), caller_key=KEY))
+    instructions = harness.requests.on_quota_decided(
+        0.01, QuotaCompletion(1, QuotaResult(False, 0.7, "peer"))
+    )
+    finish = instructions[0]
+    assert refusal_status(finish) == 429
     assert isinstance(finish, FinishRequest)
     assert isinstance(finish.outcome, NotRun)
     assert finish.outcome.retry_after == 0.7
 
 
-def test_a_key_taken_away_while_its_quota_is_asked_for_gets_401() -> None:
-    world = tenant_world()
-    world.requests.arrivals.quota = LateQuota()
-    world.requests.on_arrived(0.0, replace(arrival(1), caller_key=KEY))
-    put(world, 3, Tenant("ours", frozenset({OTHER})))
-    made = world.requests.on_quota_decided(0.01, QuotaCompletion(1, QuotaResult(True, 0.0, "peer")))
-    assert status(made[0]) == 401
+def test_key_revoked_while_its_quota_decision_is_pending_gets_401() -> None:
+    harness = harness_with_tenants()
+    harness.requests.arrivals.quota = PendingQuota()
+    harness.requests.on_arrived(0.0, replace(arrival(1), caller_key=KEY))
+    put_in_force(harness, 3, Tenant("ours", frozenset({OTHER})))
+    instructions = harness.requests.on_quota_decided(
+        0.01, QuotaCompletion(1, QuotaResult(True, 0.0, "peer"))
+    )
+    assert refusal_status(instructions[0]) == 401
 
 
-class LatePlacer:
+class PendingPlacer:
     """A placer whose places come when the test gives them."""
 
     def __init__(self) -> None:
         self.engine: Engine | None = None
 
     def place(
-        self, now: float, wish: PlacementRequest, candidates: list[Engine]
+        self, now: float, request: PlacementRequest, candidates: list[Engine]
     ) -> Placement | None:
         self.engine = candidates[0]
         return None
@@ -157,33 +163,33 @@
         """Has nothing to forget."""
 
 
-def test_a_key_taken_away_while_its_request_waits_for_a_place_gets_401() -> None:
+def test_key_revoked_while_its_placement_is_pending_gets_401() -> None:
     """Nothing was sent, so the refusal is true, and no engine sees the old tenant."""
-    world = tenant_world()
-    placer = LatePlacer()
-    world.requests.placer = placer
-    assert not sends(world.requests.on_arrived(0.0, replace(arrival(1), caller_key=KEY)))
-    put(world, 3, Tenant("ours", frozenset({OTHER})))
+    harness = harness_with_tenants()
+    placer = PendingPlacer()
+    harness.requests.placer = placer
+    assert not sent_requests(harness.requests.on_arrived(0.0, replace(arrival(1), caller_key=KEY)))
+    put_in_force(harness, 3, Tenant("ours", frozenset({OTHER})))
     assert placer.engine is not None
-    made = world.requests.on_placed(
+    instructions = harness.requests.on_placed(
         0.01, 1, Assignment(placer.engine, AssignedBy.COORDINATOR, False)
     )
-    assert status(made[0]) == 401
-    assert not world.requests.requests
+    assert refusal_status(instructions[0]) == 401
+    assert not harness.requests.requests
 
 
-def sends(made: Sequence[object]) -> list[SendRequest]:
-    return [m for m in made if isinstance(m, SendRequest)]
+def sent_requests(instructions: Sequence[object]) -> list[SendRequest]:
+    return [i for i in instructions if isinstance(i, SendRequest)]
 
 
-def test_a_daemon_whose_configuration_may_be_old_has_an_unknown_route_retried() -> None:
+def test_unknown_route_gets_503_while_the_configuration_may_be_outdated() -> None:
     """Guards against a final 404 on a route that was added while the store could not be read."""
-    world = tenant_world()
+    harness = harness_with_tenants()
     unknown = replace(arrival(1, path="/new/x"), caller_key=KEY)
-    assert status(world.arrive(0.0, unknown)) == 404
-    world.routes.may_be_outdated = True
-    refused = world.arrive(0.0, replace(unknown, token=2))
-    assert status(refused) == 503
+    assert refusal_status(harness.arrive(0.0, unknown)) == 404
+    harness.routes.may_be_outdated = True
+    refused = harness.arrive(0.0, replace(unknown, token=2))
+    assert refusal_status(refused) == 503
     assert isinstance(refused, FinishRequest)
     assert isinstance(refused.outcome, NotRun)
     assert refused.outcome.retry_after == OUTDATED_RETRY_SECONDS
--- a/tests/decisions/forwarding/test_expired_entries.py
+++ b/tests/decisions/forwarding/test_expired_entries.py
@@ -11,7 +11,7 @@
 
 import pytest
 
-from tests.decisions.forwarding.worlds import engine
+from tests.decisions.forwarding.harness import engine
 from tests.worlds.gateway_world import GatewayWorld
 from tests.worlds.plain_formats import SERVICE
 from troutswitch.decisions.forwarding.engine_list import EngineListReader
@@ -22,7 +22,7 @@
 DRAIN_SECONDS = 2.0
 
 
-class HalfRandom:
+class ExtremeJitter:
     """Source of jitter that always gives one end of a range."""
 
     def __init__(self, is_high: bool) -> None:
@@ -33,13 +33,13 @@
 
 
 def in_use(registry: EngineRegistry, service: str = "s") -> set[str]:
-    return {held.record.engine_id for held in registry.of_service(service)}
+    return {engine_state.record.engine_id for engine_state in registry.of_service(service)}
 
 
 @pytest.mark.parametrize("is_high", [False, True])
-def test_one_unanswered_reading_keeps_no_engine_beyond_the_bound(is_high: bool) -> None:
+def test_one_unanswered_reading_keeps_no_engine_in_use_beyond_the_bound(is_high: bool) -> None:
     """The reader's own timing: one reading times out, every other one is answered."""
-    jitter = HalfRandom(is_high)
+    jitter = ExtremeJitter(is_high)
     reader = EngineListReader(CallNumbers(), jitter, 0.3 * DRAIN_SECONDS)  # type: ignore[arg-type]
     registry = EngineRegistry()
     now, readings, left_at = 0.0, 0, float("inf")
@@ -62,7 +62,7 @@
             assert in_use(registry) == {"b"}, f"in use {now - left_at:.2f} s after it left"
 
 
-def test_engines_that_lapsed_in_an_outage_stay_for_all_of_its_time_with_short_intervals() -> None:
+def test_entries_expired_in_an_outage_stay_in_use_with_short_read_intervals() -> None:
     """A bound for draining of 1 s has the list read each 0.3 s."""
     registry = EngineRegistry()
     registry.on_list(0.0, [engine("a"), engine("b")])
@@ -72,7 +72,7 @@
     assert in_use(registry) == {"a", "b"}
 
 
-def test_readings_that_end_without_any_outcome_show_an_outage_too() -> None:
+def test_readings_without_any_outcome_count_as_an_outage() -> None:
     """All calls are lost for 8 s; an entry lapsed meanwhile and is not back at once."""
     world = GatewayWorld(1)
     world.run(3.0)
@@ -89,9 +89,7 @@
         assert "server-0" in in_use(daemon.core.engines, SERVICE), name
 
 
-def test_entries_that_come_back_two_seconds_after_a_silent_outage_were_in_use_all_the_time() -> (
-    None
-):
+def test_entries_renewed_within_two_seconds_after_a_silent_outage_stay_in_use() -> None:
     for seed in range(1, 6):
         world = GatewayWorld(seed)
         world.run(3.0)
--- a/tests/decisions/forwarding/test_gone_engines.py
+++ b/tests/decisions/forwarding/test_gone_engines.py
@@ -10,7 +10,7 @@
 Evidence: below, both worlds kept the engine in use for as long as the readings went on failing.
 """
 
-from tests.decisions.forwarding.worlds import engine
+from tests.decisions.forwarding.harness import engine
 from tests.worlds.gateway_world import GatewayWorld
 from tests.worlds.plain_formats import SERVICE
 from troutswitch.decisions.forwarding.engines import EngineRegistry
@@ -21,10 +21,10 @@
 
 
 def in_use(registry: EngineRegistry, service: str = "s") -> set[str]:
-    return {held.record.engine_id for held in registry.of_service(service)}
+    return {engine_state.record.engine_id for engine_state in registry.of_service(service)}
 
 
-def test_readings_that_fail_now_and_then_do_not_keep_a_gone_engine() -> None:
+def test_occasional_failed_readings_do_not_keep_an_unlisted_engine_in_use() -> None:
     registry = EngineRegistry()
     registry.on_list(0.0, [engine("a"), engine("b")])
     for number in range(1, 41):
@@ -33,23 +33,23 @@
         now = number * READ_SECONDS
         registry.on_list(now, [engine("b")])
         if now > DRAIN_SECONDS:
-            assert in_use(registry) == {"b"}, f"the gone server is in use after {now} s"
+            assert in_use(registry) == {"b"}, f"the unlisted engine is in use after {now} s"
 
 
-def test_a_daemon_that_the_store_turns_away_drops_what_its_peers_no_longer_list() -> None:
+def test_daemon_cut_off_from_the_store_drops_engines_that_peers_no_longer_list() -> None:
     world = GatewayWorld(1)
     world.run(3.0)
-    turned_away = world.daemons["daemon-0"]
-    turned_away.is_cut_from_store = True
+    cut_off_daemon = world.daemons["daemon-0"]
+    cut_off_daemon.is_cut_from_store = True
     world.run(2.0)
     world.remove_engine("server-0")
     world.run(DRAIN_SECONDS)
     for name, daemon in world.daemons.items():
         assert "server-0" not in in_use(daemon.core.engines, SERVICE), name
-    assert in_use(turned_away.core.engines, SERVICE) == {"server-1", "server-2"}
+    assert in_use(cut_off_daemon.core.engines, SERVICE) == {"server-1", "server-2"}
 
 
-def test_lists_that_come_seldom_with_failures_between_do_not_keep_a_gone_engine() -> None:
+def test_rare_lists_with_failed_readings_between_do_not_keep_an_unlisted_engine_in_use() -> None:
     registry = EngineRegistry()
     registry.on_list(0.0, [engine("a"), engine("b")])
     for now in (2.5, 5.0):
@@ -58,7 +58,7 @@
         assert in_use(registry) == ({"a", "b"} if now < 5.0 else {"b"})
 
 
-def test_one_failed_reading_keeps_nothing() -> None:
+def test_one_failed_reading_keeps_no_engine_in_use() -> None:
     registry = EngineRegistry()
     registry.on_list(0.0, [engine("a"), engine("b")])
     registry.on_list_failed(0.6)
@@ -66,7 +66,7 @@
     assert in_use(registry) == {"b"}
 
 
-def test_entries_may_lapse_some_lists_after_the_store_is_back() -> None:
+def test_entry_missing_shortly_after_an_outage_stays_in_use() -> None:
     registry = EngineRegistry()
     registry.on_list(0.0, [engine("a"), engine("b")])
     registry.on_list_failed(9.8)
--- a/tests/decisions/forwarding/test_kept_missing.py
+++ b/tests/decisions/forwarding/test_kept_missing.py
@@ -1,12 +1,12 @@
 """An engine that stays in use although the list lacks it can be seen from outside."""
 
-from tests.decisions.forwarding.worlds import World, arrival, engine
+from tests.decisions.forwarding.harness import ForwardingHarness, arrival, engine
 from tests.worlds.gateway_world import GatewayWorld
 from troutswitch.decisions.forwarding.engines import EngineRegistry
 from troutswitch.decisions.forwarding.messages import CallerGone, LogLine
 
 
-def test_the_registry_tells_which_missing_engines_it_keeps() -> None:
+def test_registry_lists_the_missing_engines_that_it_keeps_in_use() -> None:
     registry = EngineRegistry()
     registry.on_list(0.0, [engine("a"), engine("b")])
     assert registry.kept_missing == set()
@@ -17,7 +17,7 @@
     assert registry.kept_missing == set()
 
 
-def test_a_kept_engine_is_logged_once_with_the_age_of_the_failed_reading() -> None:
+def test_kept_engines_are_logged_once_with_the_age_of_the_failed_reading() -> None:
     world = GatewayWorld(1)
     world.run(3.0)
     core = world.daemons["daemon-0"].core
@@ -26,17 +26,17 @@
     core.membership._apply_list(world.now, world.now + 5.0, [], "")
     core.membership._apply_list(world.now, world.now + 5.5, [], "")
     lines = [i for i in core.output.take() if isinstance(i, LogLine)]
-    told = [line.fields for line in lines if line.event == "missing engines kept"]
-    assert len(told) == 1
-    assert told[0]["reading_failed_ms"] == 1000
-    assert told[0]["engines"] == ["server-0", "server-1", "server-2"]
+    fields = [line.fields for line in lines if line.event == "missing engines kept"]
+    assert len(fields) == 1
+    assert fields[0]["reading_failed_ms"] == 1000
+    assert fields[0]["engines"] == ["server-0", "server-1", "server-2"]
 
 
-def test_the_end_of_a_request_tells_the_time_left() -> None:
-    world = World()
-    world.arrive(0.0, arrival(1, time_left=4.0))
-    made = world.requests.on_caller_gone(1.0, CallerGone(1, 0.9))
-    lines = {i.event: i.fields for i in made if isinstance(i, LogLine)}
+def test_log_lines_of_a_gone_caller_have_the_time_left_and_the_state() -> None:
+    harness = ForwardingHarness()
+    harness.arrive(0.0, arrival(1, time_left=4.0))
+    instructions = harness.requests.on_caller_gone(1.0, CallerGone(1, 0.9))
+    lines = {i.event: i.fields for i in instructions if isinstance(i, LogLine)}
     assert set(lines) == {"caller gone", "request given up"}
     assert lines["request given up"]["time_left_ms"] == 3000
     assert (lines["caller gone"]["state"], lines["caller gone"]["close_age_ms"]) == ("sent", 100)
--- a/tests/decisions/forwarding/test_placement.py
+++ b/tests/decisions/forwarding/test_placement.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from tests.decisions.forwarding.worlds import engine
+from tests.decisions.forwarding.harness import engine
 from troutswitch.decisions.forwarding.engine import Engine
 from troutswitch.decisions.forwarding.engines import EngineRegistry
 from troutswitch.decisions.forwarding.long_prompts import (
@@ -40,7 +40,7 @@
     assert len(chosen) == 6
 
 
-def test_a_session_keeps_to_its_home_on_every_daemon() -> None:
+def test_session_has_the_same_home_on_every_daemon() -> None:
     homes = {
         POLICIES["prefix_aware"]()
         .choose(0.0, engines(), SESSION, zone, random.Random(seed))
@@ -50,15 +50,15 @@
     assert len(homes) == 1
 
 
-def test_a_loaded_home_is_not_chosen() -> None:
-    held = engines()
-    for home in homes_of(SESSION, held)[:2]:
+def test_homes_without_free_slots_are_not_chosen() -> None:
+    fleet = engines()
+    for home in homes_of(SESSION, fleet)[:2]:
         home.online_in_flight = home.slots
-    chosen = POLICIES["prefix_aware"]().choose(0.0, held, SESSION, "z", random.Random(1))
+    chosen = POLICIES["prefix_aware"]().choose(0.0, fleet, SESSION, "z", random.Random(1))
     assert chosen.online_in_flight == 0
 
 
-def test_the_shortest_queue_is_that_of_online_requests() -> None:
+def test_shortest_queue_compares_online_requests_not_batch_items() -> None:
     busy, batch = engines(2)
     busy.online_in_flight = 5
     batch.batch_in_flight = 8
@@ -68,18 +68,18 @@
         assert chosen is batch
 
 
-def test_the_shortest_queue_takes_nearly_equal_engines_in_turn() -> None:
-    held = engines(6)
-    held[0].online_in_flight = 4
+def test_shortest_queue_spreads_requests_over_equally_loaded_engines() -> None:
+    fleet = engines(6)
+    fleet[0].online_in_flight = 4
     rng = random.Random(1)
     chosen = {
-        ShortestQueue().choose(0.0, held, PromptShape(), "z", rng).record.engine_id
+        ShortestQueue().choose(0.0, fleet, PromptShape(), "z", rng).record.engine_id
         for _ in range(100)
     }
     assert chosen == {"s1", "s2", "s3", "s4", "s5"}
 
 
-def test_an_engine_with_prompts_to_read_is_worse_than_one_with_some_requests() -> None:
+def test_waiting_prompt_tokens_cost_more_than_some_running_requests() -> None:
     reading, running = engines(2)
     reading.prefill_tokens = 8000
     running.online_in_flight = 4
@@ -87,77 +87,77 @@
     assert chosen is running
 
 
-def test_daemons_with_the_same_stale_view_do_not_all_take_the_same_engine() -> None:
-    held = engines()
-    for number, one in enumerate(held):
-        one.peers_online = number
+def test_daemons_with_the_same_stale_counts_choose_different_engines() -> None:
+    fleet = engines()
+    for number, loaded_engine in enumerate(fleet):
+        loaded_engine.peers_online = number
     chosen = [
-        TwoChoices().choose(0.0, held, PromptShape(), "z", random.Random(seed)).record.engine_id
+        TwoChoices().choose(0.0, fleet, PromptShape(), "z", random.Random(seed)).record.engine_id
         for seed in range(100)
     ]
     assert max(chosen.count(name) for name in set(chosen)) < 70
 
 
-def test_only_the_home_is_expected_to_have_read_a_session() -> None:
-    held = engines()
-    first, second = homes_of(SESSION, held)[:2]
-    assert expected_prefill(SESSION, first, held) == 2700
-    assert expected_prefill(SESSION, second, held) == 9000
+def test_only_the_first_home_is_expected_to_have_the_session_cached() -> None:
+    fleet = engines()
+    first, second = homes_of(SESSION, fleet)[:2]
+    assert expected_prefill(SESSION, first, fleet) == 2700
+    assert expected_prefill(SESSION, second, fleet) == 9000
 
 
-def test_headroom_fills_engines_in_proportion_to_their_room() -> None:
-    held = engines(4)
-    held[0].online_in_flight = 7
-    held[1].online_in_flight = 4
+def test_headroom_favours_engines_with_more_free_capacity() -> None:
+    fleet = engines(4)
+    fleet[0].online_in_flight = 7
+    fleet[1].online_in_flight = 4
     rng = random.Random(1)
-    counts = dict.fromkeys((s.record.engine_id for s in held), 0)
+    counts = dict.fromkeys((e.record.engine_id for e in fleet), 0)
     for _ in range(2000):
-        chosen = Headroom().choose(0.0, held, PromptShape(), "z", rng)
+        chosen = Headroom().choose(0.0, fleet, PromptShape(), "z", rng)
         counts[chosen.record.engine_id] += 1
     assert counts["s0"] < 40
     assert counts["s0"] < counts["s1"] < counts["s2"]
     assert 0.8 < counts["s2"] / counts["s3"] < 1.25
 
 
-def test_headroom_still_chooses_where_no_engine_has_room() -> None:
-    held = engines(2)
-    for full in held:
+def test_headroom_chooses_an_engine_even_if_all_are_full() -> None:
+    fleet = engines(2)
+    for full in fleet:
         full.online_in_flight = 3 * full.slots
-    assert Headroom().choose(0.0, held, PromptShape(), "z", random.Random(1)) in held
+    assert Headroom().choose(0.0, fleet, PromptShape(), "z", random.Random(1)) in fleet
 
 
-def test_all_daemons_agree_on_few_engines_for_long_prompts() -> None:
-    held = engines(9)
-    chosen = {s.record.engine_id for s in long_prompt_engines(held)}
+def test_all_daemons_choose_the_same_third_of_engines_for_long_prompts() -> None:
+    fleet = engines(9)
+    chosen = {e.record.engine_id for e in long_prompt_engines(fleet)}
     assert len(chosen) == 3
-    assert chosen == {s.record.engine_id for s in long_prompt_engines(held[::-1])}
+    assert chosen == {e.record.engine_id for e in long_prompt_engines(fleet[::-1])}
     # Of the others, at most one takes over when an engine goes.
-    gone = [s for s in held if s.record.engine_id != min(chosen)]
-    assert len(chosen - {s.record.engine_id for s in long_prompt_engines(gone)}) == 1
+    remaining = [e for e in fleet if e.record.engine_id != min(chosen)]
+    assert len(chosen - {e.record.engine_id for e in long_prompt_engines(remaining)}) == 1
 
 
-def test_long_prompts_stay_off_the_other_engines() -> None:
-    held = engines(9)
+def test_long_prompts_go_only_to_the_engines_for_long_prompts() -> None:
+    fleet = engines(9)
     policy = POLICIES["prefix_aware"]()
     rng = random.Random(1)
-    long_ones = {s.record.engine_id for s in long_prompt_engines(held)}
+    long_prompt_ids = {e.record.engine_id for e in long_prompt_engines(fleet)}
     for number in range(60):
         parts = (PromptPart("a", 2500), PromptPart(str(number), 3800), PromptPart("own", 2700))
-        policy.choose(0.0, held, PromptShape(600, 50), "z", rng)
-        policy.choose(0.0, held, PromptShape(600, 50), "z", rng)
-        chosen = policy.choose(0.0, held, PromptShape(9000, 50, parts), "z", rng)
-        assert chosen.record.engine_id in long_ones
+        policy.choose(0.0, fleet, PromptShape(600, 50), "z", rng)
+        policy.choose(0.0, fleet, PromptShape(600, 50), "z", rng)
+        chosen = policy.choose(0.0, fleet, PromptShape(9000, 50, parts), "z", rng)
+        assert chosen.record.engine_id in long_prompt_ids
 
 
-def test_a_long_prompt_goes_elsewhere_once_its_engines_have_too_much_to_read() -> None:
-    held = engines(9)
-    for one in long_prompt_engines(held):
-        one.prefill_tokens = 40_000
-    chosen = POLICIES["prefix_aware"]().choose(0.0, held, SESSION, "z", random.Random(1))
-    assert chosen not in long_prompt_engines(held)
+def test_long_prompt_goes_elsewhere_if_its_engines_have_too_many_waiting_tokens() -> None:
+    fleet = engines(9)
+    for loaded_engine in long_prompt_engines(fleet):
+        loaded_engine.prefill_tokens = 40_000
+    chosen = POLICIES["prefix_aware"]().choose(0.0, fleet, SESSION, "z", random.Random(1))
+    assert chosen not in long_prompt_engines(fleet)
 
 
-def test_what_is_long_follows_the_service_s_prompts() -> None:
+def test_long_prompt_threshold_follows_the_mean_of_the_service() -> None:
     sizes = PromptSizes()
     assert sizes.is_long("s", 5000)
     for _ in range(200):
@@ -169,7 +169,7 @@
     assert not sizes.is_long("s", 9000)
 
 
-def test_a_prompt_that_is_read_at_once_is_never_long_whatever_was_seen() -> None:
+def test_prompt_below_the_minimum_size_is_never_long() -> None:
     sizes = PromptSizes()
     assert not sizes.is_long("s", 600)
     sizes.add("s", 100)
@@ -177,15 +177,15 @@
     assert sizes.is_long("s", MIN_LONG_PROMPT_TOKENS)
 
 
-def test_an_engine_where_prompts_often_wait_is_avoided_by_others() -> None:
+def test_engine_with_often_waiting_prompts_stays_costly_for_a_while() -> None:
     registry = EngineRegistry()
     registry.on_list(0.0, [engine("usual"), engine("free")])
     registry.engines["usual"].prefill_tokens = 9000
-    for look in range(60):
-        registry.on_timer(look / 10)
+    for sample in range(60):
+        registry.on_timer(sample / 10)
     registry.engines["usual"].prefill_tokens = 0
-    usual, free = registry.engines["usual"], registry.engines["free"]
-    assert placement_cost(6.0, usual, "z") > 0.9 + placement_cost(6.0, free, "z")
-    for look in range(60, 200):
-        registry.on_timer(look / 10)
-    assert placement_cost(20.0, usual, "z") < 0.1 + placement_cost(20.0, free, "z")
+    often_waiting, free = registry.engines["usual"], registry.engines["free"]
+    assert placement_cost(6.0, often_waiting, "z") > 0.9 + placement_cost(6.0, free, "z")
+    for sample in range(60, 200):
+        registry.on_timer(sample / 10)
+    assert placement_cost(20.0, often_waiting, "z") < 0.1 + placement_cost(20.0, free, "z")
--- a/tests/decisions/forwarding/test_policy_properties.py
+++ b/tests/decisions/forwarding/test_policy_properties.py
@@ -6,7 +6,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from tests.decisions.forwarding.worlds import World, arrival, engine
+from tests.decisions.forwarding.harness import ForwardingHarness, arrival, engine
 from troutswitch.decisions.forwarding.admission import ADMISSION_POLICIES
 from troutswitch.decisions.forwarding.messages import AnswerBegun, FinishRequest, SendRequest
 from troutswitch.decisions.forwarding.placement import POLICIES
@@ -26,13 +26,13 @@
 every_admission = pytest.mark.parametrize("admission", sorted(ADMISSION_POLICIES))
 
 
-class Driver:
+class PolicyDriver:
     """Plays steps on one daemon's forwarding and checks each instruction."""
 
     def __init__(self, placement: str, admission: str) -> None:
-        self.world = World(engines=ENGINES)
-        self.world.requests = ForwardedRequests(
-            "z", self.world.routes, self.world.engines, random.Random(1), placement, admission
+        self.harness = ForwardingHarness(engines=ENGINES)
+        self.harness.requests = ForwardedRequests(
+            "z", self.harness.routes, self.harness.engines, random.Random(1), placement, admission
         )
         self.running: dict[int, SendRequest] = {}
         self.leaving: set[str] = set()
@@ -40,72 +40,72 @@
         self.arrived = 0
         self.now = 0.0
 
-    def take(self, given_out: SendRequest | FinishRequest | None) -> None:
-        match given_out:
+    def on_instruction(self, instruction: SendRequest | FinishRequest | None) -> None:
+        match instruction:
             case SendRequest():
-                assert given_out.engine_id not in self.leaving
-                self.running[given_out.token] = given_out
-                begun = AnswerBegun(given_out.token, given_out.attempt, None)
-                self.world.requests.on_answer_begun(self.now, begun)
+                assert instruction.engine_id not in self.leaving
+                self.running[instruction.token] = instruction
+                begun = AnswerBegun(instruction.token, instruction.attempt, None)
+                self.harness.requests.on_answer_begun(self.now, begun)
             case FinishRequest():
-                self.running.pop(given_out.token, None)
+                self.running.pop(instruction.token, None)
                 self.finished += 1
 
     def fire_timers(self) -> None:
         """Offers requests again that wait for room."""
-        for instruction in self.world.requests.on_timer(self.now):
+        for instruction in self.harness.requests.on_timer(self.now):
             if isinstance(instruction, SendRequest | FinishRequest):
-                self.take(instruction)
+                self.on_instruction(instruction)
 
     def end_all(self) -> None:
         """Lets engines end what runs there, and offers what waits until nothing is left."""
-        while self.world.requests.requests:
+        while self.harness.requests.requests:
             if not self.running:
-                self.now = max(self.now + 0.001, self.world.requests.next_due())
+                self.now = max(self.now + 0.001, self.harness.requests.next_due())
                 self.fire_timers()
             while self.running:
-                self.play("end", 0)
+                self.apply_step("end", 0)
 
-    def play(self, step: str, place: int) -> None:
+    def apply_step(self, step: str, index: int) -> None:
         self.now += 0.02
         self.fire_timers()
         match step:
             case "arrive":
                 self.arrived += 1
-                self.take(self.world.arrive(self.now, arrival(self.arrived)))
+                self.on_instruction(self.harness.arrive(self.now, arrival(self.arrived)))
             case "drain":
-                self.leaving.add(f"s{place}")
-                self.world.engines.mark_draining(f"s{place}")
+                self.leaving.add(f"s{index}")
+                self.harness.engines.mark_draining(f"s{index}")
             case "list":
                 listed = [engine(f"s{n}", f"s{n}" in self.leaving) for n in range(ENGINES)]
-                self.world.engines.on_list(self.now, listed)
+                self.harness.engines.on_list(self.now, listed)
             case _ if self.running:
-                self.end(step, place)
+                self.end(step, index)
 
-    def end(self, step: str, place: int) -> None:
-        token = sorted(self.running)[place % len(self.running)]
+    def end(self, step: str, index: int) -> None:
+        token = sorted(self.running)[index % len(self.running)]
         sent = self.running.pop(token)
         if step == "end":
             self.finished += 1
-            self.world.end(self.now, sent, AttemptOutcome.COMPLETED, delivered=3)
+            self.harness.end(self.now, sent, AttemptOutcome.COMPLETED, delivered=3)
         elif step == "refuse":
-            self.take(self.world.end(self.now, sent, AttemptOutcome.REFUSED))
+            self.on_instruction(self.harness.end(self.now, sent, AttemptOutcome.REFUSED))
         else:
-            self.take(self.world.end(self.now, sent, AttemptOutcome.CUT))
+            self.on_instruction(self.harness.end(self.now, sent, AttemptOutcome.CUT))
 
 
 @every_placement
 @every_admission
 @DETERMINISTIC
 @given(steps=STEPS)
-def test_no_request_goes_to_a_leaving_engine_and_every_request_ends(
+def test_no_request_is_sent_to_a_leaving_engine_and_every_request_ends(
     placement: str, admission: str, steps: list[tuple[str, int]]
 ) -> None:
-    driver = Driver(placement, admission)
-    for step, place in steps:
-        driver.play(step, place)
+    driver = PolicyDriver(placement, admission)
+    for step, index in steps:
+        driver.apply_step(step, index)
     driver.end_all()
     assert driver.finished == driver.arrived
-    assert not driver.world.requests.requests
-    held = driver.world.engines.engines.values()
-    assert all(s.online_in_flight == 0 and not s.online_sent_at for s in held)
+    assert not driver.harness.requests.requests
+    engines = driver.harness.engines.engines.values()
+    assert all(s.online_in_flight == 0 and not s.online_sent_at for s in engines)
--- a/tests/decisions/forwarding/test_rejections.py
+++ b/tests/decisions/forwarding/test_rejections.py
@@ -8,73 +8,75 @@
 Evidence: below, the request stayed at a silent engine for the rest of its time.
 """
 
-from tests.decisions.forwarding.worlds import World, arrival, route
+from tests.decisions.forwarding.harness import ForwardingHarness, arrival, route
 from troutswitch.decisions.forwarding.candidates import FULL_EXCLUSION_SECONDS
 from troutswitch.decisions.forwarding.messages import FinishRequest, SendRequest
 from troutswitch.outcomes import AttemptOutcome
 
 
-def next_directive(world: World, now: float, until: float) -> tuple[object | None, float]:
+def next_instruction(
+    harness: ForwardingHarness, now: float, until: float
+) -> tuple[object | None, float]:
     while now < until:
-        now = max(now + 0.001, world.requests.next_due())
-        made = world.requests.on_timer(now)
-        world.requests.validate()
-        for instruction in made:
+        now = max(now + 0.001, harness.requests.next_due())
+        instructions = harness.requests.on_timer(now)
+        harness.requests.validate()
+        for instruction in instructions:
             if isinstance(instruction, SendRequest | FinishRequest):
                 return instruction, now
     return None, now
 
 
-def left_for_silence(world: World) -> tuple[SendRequest, SendRequest, float]:
+def abandon_for_silence(harness: ForwardingHarness) -> tuple[SendRequest, SendRequest, float]:
     """Returns the attempt that was left as its engine fell silent, the next one, and when."""
-    first = world.arrive(0.0, arrival(1))
+    first = harness.arrive(0.0, arrival(1))
     assert isinstance(first, SendRequest)
-    second, now = next_directive(world, 0.0, 3.0)
+    second, now = next_instruction(harness, 0.0, 3.0)
     assert isinstance(second, SendRequest)
     assert second.engine_id != first.engine_id
     return first, second, now
 
 
-def test_a_request_does_not_go_back_to_the_engine_that_fell_silent_while_others_are_full() -> None:
-    world = World(route(attempts=3), engines=3)
-    first, second, now = left_for_silence(world)
-    third = world.end(now + 0.01, second, AttemptOutcome.REFUSED)
+def test_request_does_not_return_to_the_silent_engine_while_others_are_full() -> None:
+    harness = ForwardingHarness(route(attempts=3), engines=3)
+    first, second, now = abandon_for_silence(harness)
+    third = harness.end(now + 0.01, second, AttemptOutcome.REFUSED)
     assert isinstance(third, SendRequest)
-    assert world.end(now + 0.02, third, AttemptOutcome.REFUSED) is None
-    again, _ = next_directive(world, now + 0.02, now + 0.02 + 2 * FULL_EXCLUSION_SECONDS)
+    assert harness.end(now + 0.02, third, AttemptOutcome.REFUSED) is None
+    again, _ = next_instruction(harness, now + 0.02, now + 0.02 + 2 * FULL_EXCLUSION_SECONDS)
     assert isinstance(again, SendRequest)
     assert again.engine_id != first.engine_id
 
 
-def test_a_silent_engine_is_left_also_after_rejections() -> None:
-    world = World(route(attempts=3), engines=4)
-    _, second, now = left_for_silence(world)
-    third = world.end(now + 0.01, second, AttemptOutcome.REFUSED)
+def test_silent_engine_is_abandoned_after_rejections() -> None:
+    harness = ForwardingHarness(route(attempts=3), engines=4)
+    _, second, now = abandon_for_silence(harness)
+    third = harness.end(now + 0.01, second, AttemptOutcome.REFUSED)
     assert isinstance(third, SendRequest)
-    fourth = world.end(now + 0.02, third, AttemptOutcome.REFUSED)
+    fourth = harness.end(now + 0.02, third, AttemptOutcome.REFUSED)
     assert isinstance(fourth, SendRequest)
-    held = world.requests.requests[1]
-    assert held.possible_runs == 1  # two more may run
-    again, at = next_directive(world, now + 0.02, 3.9)
-    assert isinstance(again, SendRequest), f"it stays at a silent server until {at:.2f} s"
+    request = harness.requests.requests[1]
+    assert request.possible_runs == 1  # two more may run
+    again, sent_at = next_instruction(harness, now + 0.02, 3.9)
+    assert isinstance(again, SendRequest), f"it stays at a silent engine until {sent_at:.2f} s"
 
 
-def test_without_rejections_the_silent_engine_is_left() -> None:
-    world = World(route(attempts=3), engines=4)
-    _, _, now = left_for_silence(world)
-    again, at = next_directive(world, now, 3.9)
+def test_silent_engine_is_abandoned_without_rejections() -> None:
+    harness = ForwardingHarness(route(attempts=3), engines=4)
+    _, _, now = abandon_for_silence(harness)
+    again, sent_at = next_instruction(harness, now, 3.9)
     assert isinstance(again, SendRequest)
-    assert at < 2.0
+    assert sent_at < 2.0
 
 
-def test_the_gap_between_events_is_bounded_also_after_rejections() -> None:
-    world = World(route(attempts=3), engines=4)
-    first = world.arrive(0.0, arrival(1))
+def test_gap_between_events_is_bounded_after_rejections() -> None:
+    harness = ForwardingHarness(route(attempts=3), engines=4)
+    first = harness.arrive(0.0, arrival(1))
     assert isinstance(first, SendRequest)
-    second = world.end(0.1, first, AttemptOutcome.CUT, position="3", delivered=3)
+    second = harness.end(0.1, first, AttemptOutcome.CUT, position="3", delivered=3)
     assert isinstance(second, SendRequest)
-    third = world.end(0.12, second, AttemptOutcome.REFUSED, delivered=3)
+    third = harness.end(0.12, second, AttemptOutcome.REFUSED, delivered=3)
     assert isinstance(third, SendRequest)
-    fourth = world.end(0.14, third, AttemptOutcome.REFUSED, delivered=3)
+    fourth = harness.end(0.14, third, AttemptOutcome.REFUSED, delivered=3)
     assert isinstance(fourth, SendRequest)
     assert fourth.gap_wait <= second.gap_wait
--- a/tests/decisions/forwarding/test_requests.py
+++ b/tests/decisions/forwarding/test_requests.py
@@ -3,7 +3,7 @@
 
 import pytest
 
-from tests.decisions.forwarding.worlds import World, arrival, engine, route
+from tests.decisions.forwarding.harness import ForwardingHarness, arrival, engine, route
 from troutswitch.decisions.crashes.interface import NO_SUSPECTS, NoSuspects
 from troutswitch.decisions.forwarding.arrivals import Arrivals
 from troutswitch.decisions.forwarding.messages import (
@@ -21,254 +21,265 @@
 from troutswitch.outcomes import AttemptOutcome, Cut, MayHaveRun, NotRun
 
 
-def sent(directive: object) -> SendRequest:
-    assert isinstance(directive, SendRequest)
-    return directive
+def sent(instruction: object) -> SendRequest:
+    assert isinstance(instruction, SendRequest)
+    return instruction
 
 
-def finished(directive: object) -> FinishRequest:
-    assert isinstance(directive, FinishRequest)
-    return directive
+def finished(instruction: object) -> FinishRequest:
+    assert isinstance(instruction, FinishRequest)
+    return instruction
 
 
-def test_before_any_configuration_the_answer_is_not_404() -> None:
-    world = World()
-    world.requests.arrivals = Arrivals(RouteTable(), NO_SUSPECTS)
-    outcome = finished(world.arrive(0.0, arrival(1))).outcome
+def test_request_before_the_first_configuration_gets_503() -> None:
+    harness = ForwardingHarness()
+    harness.requests.arrivals = Arrivals(RouteTable(), NO_SUSPECTS)
+    outcome = finished(harness.arrive(0.0, arrival(1))).outcome
     assert isinstance(outcome, NotRun)
     assert outcome.status == 503
     assert outcome.retry_after
 
 
-def test_an_unknown_route_is_404() -> None:
-    outcome = finished(World().arrive(0.0, arrival(1, "/b/x"))).outcome
+def test_unknown_route_gets_404() -> None:
+    outcome = finished(ForwardingHarness().arrive(0.0, arrival(1, "/b/x"))).outcome
     assert isinstance(outcome, NotRun)
     assert outcome.status == 404
 
 
-def test_what_an_engine_did_not_run_is_offered_to_another() -> None:
-    world = World(route(resumable=False, attempts=1))
-    first = sent(world.arrive(0.0, arrival(1)))
-    second = sent(world.end(0.1, first, AttemptOutcome.REFUSED))
+def test_rejected_request_is_sent_to_another_engine() -> None:
+    harness = ForwardingHarness(route(resumable=False, attempts=1))
+    first = sent(harness.arrive(0.0, arrival(1)))
+    second = sent(harness.end(0.1, first, AttemptOutcome.REFUSED))
     assert second.engine_id != first.engine_id
 
 
-def test_a_request_that_may_have_run_is_not_repeated_unless_allowed() -> None:
-    world = World(route(resumable=False, attempts=2))
-    first = sent(world.arrive(0.0, arrival(1)))
-    outcome = finished(world.end(0.1, first, AttemptOutcome.CUT)).outcome
+def test_request_that_may_have_run_is_not_repeated_unless_the_route_allows_it() -> None:
+    harness = ForwardingHarness(route(resumable=False, attempts=2))
+    first = sent(harness.arrive(0.0, arrival(1)))
+    outcome = finished(harness.end(0.1, first, AttemptOutcome.CUT)).outcome
     assert isinstance(outcome, MayHaveRun)
 
 
-def test_a_refusal_is_only_given_if_nothing_ran() -> None:
-    world = World(route(attempts=2), engines=2)
-    first = sent(world.arrive(0.0, arrival(1)))
-    second = sent(world.end(0.1, first, AttemptOutcome.CUT))
-    directive = world.end(0.2, second, AttemptOutcome.REFUSED)
+def test_request_that_may_have_run_is_never_refused_as_not_run() -> None:
+    harness = ForwardingHarness(route(attempts=2), engines=2)
+    first = sent(harness.arrive(0.0, arrival(1)))
+    second = sent(harness.end(0.1, first, AttemptOutcome.CUT))
+    instruction = harness.end(0.2, second, AttemptOutcome.REFUSED)
     now = 0.2
-    while not isinstance(directive, FinishRequest):
-        if directive is not None:
-            directive = world.end(now, directive, AttemptOutcome.REFUSED)
+    while not isinstance(instruction, FinishRequest):
+        if instruction is not None:
+            instruction = harness.end(now, instruction, AttemptOutcome.REFUSED)
             continue
-        now = max(now + 0.001, world.requests.next_due())
-        found = world.requests.on_timer(now)
-        directive = next((i for i in found if isinstance(i, SendRequest | FinishRequest)), None)
-    assert isinstance(directive.outcome, MayHaveRun)
+        now = max(now + 0.001, harness.requests.next_due())
+        found = harness.requests.on_timer(now)
+        instruction = next((i for i in found if isinstance(i, SendRequest | FinishRequest)), None)
+    assert isinstance(instruction.outcome, MayHaveRun)
     assert now >= arrival(1).time_left - MIN_TIME_LEFT_SECONDS
 
 
-def test_a_cut_stream_goes_on_after_its_last_event() -> None:
-    world = World()
-    first = sent(world.arrive(0.0, arrival(1)))
-    second = sent(world.end(0.1, first, AttemptOutcome.CUT, position="7", delivered=7))
+def test_cut_stream_resumes_after_its_last_event() -> None:
+    harness = ForwardingHarness()
+    first = sent(harness.arrive(0.0, arrival(1)))
+    second = sent(harness.end(0.1, first, AttemptOutcome.CUT, position="7", delivered=7))
     assert second.resume_after == "7"
     assert second.engine_id != first.engine_id
 
 
-def test_attempts_that_may_have_run_are_bounded() -> None:
-    world = World(route(attempts=2), engines=4)
-    first = sent(world.arrive(0.0, arrival(1)))
-    second = sent(world.end(0.1, first, AttemptOutcome.CUT))
-    assert finished(world.end(0.2, second, AttemptOutcome.CUT))
+def test_number_of_attempts_that_may_have_run_is_bounded() -> None:
+    harness = ForwardingHarness(route(attempts=2), engines=4)
+    first = sent(harness.arrive(0.0, arrival(1)))
+    second = sent(harness.end(0.1, first, AttemptOutcome.CUT))
+    assert finished(harness.end(0.2, second, AttemptOutcome.CUT))
 
 
-def test_a_cut_stream_that_cannot_go_on_is_never_an_end() -> None:
-    world = World(route(resumable=False))
-    first = sent(world.arrive(0.0, arrival(1)))
-    outcome = finished(world.end(0.1, first, AttemptOutcome.CUT, position="3", delivered=3)).outcome
+def test_cut_stream_that_cannot_resume_ends_as_cut() -> None:
+    harness = ForwardingHarness(route(resumable=False))
+    first = sent(harness.arrive(0.0, arrival(1)))
+    outcome = finished(harness.end(0.1, first, AttemptOutcome.CUT, position="3", delivered=3)).outcome
     assert isinstance(outcome, Cut)
 
 
 @pytest.mark.parametrize(("deadline", "limit"), [(1.0, 5.0), (5.0, 1.0)])
-def test_the_final_answer_comes_at_the_deadline_or_the_limit(deadline: float, limit: float) -> None:
-    world = World(route(time_limit=limit, resumable=False))
-    sent(world.arrive(0.0, arrival(1, time_left=deadline)))
-    assert world.requests.on_timer(0.99) == []
-    assert world.requests.next_due() <= 1.0
-    instructions = world.requests.on_timer(1.0)
+def test_final_answer_is_given_at_the_deadline_or_the_time_limit(
+    deadline: float, limit: float
+) -> None:
+    harness = ForwardingHarness(route(time_limit=limit, resumable=False))
+    sent(harness.arrive(0.0, arrival(1, time_left=deadline)))
+    assert harness.requests.on_timer(0.99) == []
+    assert harness.requests.next_due() <= 1.0
+    instructions = harness.requests.on_timer(1.0)
     assert any(isinstance(i, AbortAttempt) for i in instructions)
     assert any(isinstance(i, FinishRequest) for i in instructions)
-    assert world.requests.requests == {}
+    assert harness.requests.requests == {}
 
 
-def test_a_caller_that_left_stops_the_engine() -> None:
-    world = World()
-    first = sent(world.arrive(0.0, arrival(1)))
-    instructions = world.requests.on_caller_gone(0.1, CallerGone(1, 0.1))
+def test_disconnected_caller_aborts_the_attempt() -> None:
+    harness = ForwardingHarness()
+    first = sent(harness.arrive(0.0, arrival(1)))
+    instructions = harness.requests.on_caller_gone(0.1, CallerGone(1, 0.1))
     assert AbortAttempt(1, first.attempt) in instructions
-    assert world.engines.engines[first.engine_id].online_in_flight == 0
+    assert harness.engines.engines[first.engine_id].online_in_flight == 0
 
 
-def test_a_silent_engine_is_left_for_another() -> None:
-    world = World()
-    first = sent(world.arrive(0.0, arrival(1)))
-    instructions = world.requests.on_timer(0.5)
-    again = sent(World.directive(instructions))
+def test_silent_engine_is_abandoned_for_another() -> None:
+    harness = ForwardingHarness()
+    first = sent(harness.arrive(0.0, arrival(1)))
+    instructions = harness.requests.on_timer(0.5)
+    again = sent(ForwardingHarness.only_instruction(instructions))
     assert again.engine_id != first.engine_id
     assert AbortAttempt(1, first.attempt, is_silent=True) in instructions
 
 
-def test_a_caller_reads_the_same_reason_when_a_silent_engine_was_the_last() -> None:
+def test_reason_given_to_the_caller_after_a_silent_engine_is_stable() -> None:
     """A renaming of engines once changed this text, which callers and their logs act on."""
-    world = World(engines=1)
-    world.arrive(0.0, arrival(1, time_left=0.42))
-    while world.requests._budget.take("s"):
+    harness = ForwardingHarness(engines=1)
+    harness.arrive(0.0, arrival(1, time_left=0.42))
+    while harness.requests._budget.take("s"):
         pass
-    finish = World.directive(world.requests.on_timer(0.41))
+    finish = ForwardingHarness.only_instruction(harness.requests.on_timer(0.41))
     assert isinstance(finish, FinishRequest)
     assert isinstance(finish.outcome, MayHaveRun)
     assert finish.outcome.reason == "server fell silent; retry budget spent"
 
 
-def test_a_loaded_engine_that_answers_others_is_not_left() -> None:
+def test_engine_that_answers_other_requests_is_not_abandoned() -> None:
     """A trial lost half of a day's requests: each loaded engine was left for the next."""
-    world = World()
-    first = sent(world.arrive(0.0, arrival(1)))
-    world.engines.on_activity(0.45, EngineActivity(first.engine_id).engine_id)
-    assert world.requests.on_timer(0.5) == []
-
-
-def test_a_hung_request_is_left_although_the_engine_answers_others() -> None:
-    world = World()
-    first = sent(world.arrive(0.0, arrival(1)))
-    world.engines.on_activity(2.4, first.engine_id)
-    assert sent(World.directive(world.requests.on_timer(2.5))).engine_id != first.engine_id
+    harness = ForwardingHarness()
+    first = sent(harness.arrive(0.0, arrival(1)))
+    harness.engines.on_activity(0.45, EngineActivity(first.engine_id).engine_id)
+    assert harness.requests.on_timer(0.5) == []
+
+
+def test_hung_request_is_abandoned_even_if_the_engine_answers_others() -> None:
+    harness = ForwardingHarness()
+    first = sent(harness.arrive(0.0, arrival(1)))
+    harness.engines.on_activity(2.4, first.engine_id)
+    assert (
+        sent(ForwardingHarness.only_instruction(harness.requests.on_timer(2.5))).engine_id
+        != first.engine_id
+    )
 
 
-def test_a_begun_stream_is_not_left_for_silence_by_the_loop() -> None:
-    world = World()
-    first = sent(world.arrive(0.0, arrival(1)))
-    world.requests.on_answer_begun(0.1, AnswerBegun(1, first.attempt, None))
-    assert world.requests.on_timer(3.0) == []
+def test_stream_that_has_begun_is_not_abandoned_by_the_silence_timer() -> None:
+    harness = ForwardingHarness()
+    first = sent(harness.arrive(0.0, arrival(1)))
+    harness.requests.on_answer_begun(0.1, AnswerBegun(1, first.attempt, None))
+    assert harness.requests.on_timer(3.0) == []
 
 
-def test_a_late_end_of_an_attempt_that_was_given_up_changes_nothing() -> None:
-    world = World()
-    first = sent(world.arrive(0.0, arrival(1)))
-    world.requests.on_timer(0.5)
-    assert world.end(0.6, first, AttemptOutcome.COMPLETED) is None
-    assert len(world.requests.requests) == 1
+def test_late_end_of_an_abandoned_attempt_is_ignored() -> None:
+    harness = ForwardingHarness()
+    first = sent(harness.arrive(0.0, arrival(1)))
+    harness.requests.on_timer(0.5)
+    assert harness.end(0.6, first, AttemptOutcome.COMPLETED) is None
+    assert len(harness.requests.requests) == 1
 
 
-def test_another_instance_at_the_address_is_never_asked_again() -> None:
-    world = World(engines=1)
-    first = sent(world.arrive(0.0, arrival(1)))
-    world.end(0.1, first, AttemptOutcome.REFUSED, wrong_instance=True)
-    world.engines.on_list(0.2, [engine("s0")])
-    assert world.engines.of_service("s") == []
+def test_engine_whose_address_has_another_incarnation_is_not_used_again() -> None:
+    harness = ForwardingHarness(engines=1)
+    first = sent(harness.arrive(0.0, arrival(1)))
+    harness.end(0.1, first, AttemptOutcome.REFUSED, wrong_instance=True)
+    harness.engines.on_list(0.2, [engine("s0")])
+    assert harness.engines.of_service("s") == []
 
 
-def test_a_failure_is_passed_on_where_it_may_not_be_repeated() -> None:
-    world = World(route(resumable=False))
-    first = sent(world.arrive(0.0, arrival(1)))
-    end = finished(world.end(0.1, first, AttemptOutcome.CUT, status=500, has_answer=True))
+def test_failed_answer_is_relayed_if_the_request_may_not_be_repeated() -> None:
+    harness = ForwardingHarness(route(resumable=False))
+    first = sent(harness.arrive(0.0, arrival(1)))
+    end = finished(harness.end(0.1, first, AttemptOutcome.CUT, status=500, has_answer=True))
     assert end.relays_answer
 
 
-def test_a_route_of_jobs_takes_no_requests() -> None:
-    world = World(route(kind=RouteKind.JOBS))
-    outcome = finished(world.arrive(0.0, arrival(1))).outcome
+def test_jobs_route_refuses_online_requests() -> None:
+    harness = ForwardingHarness(route(kind=RouteKind.JOBS))
+    outcome = finished(harness.arrive(0.0, arrival(1))).outcome
     assert isinstance(outcome, NotRun)
 
 
-def test_a_repeatable_answer_of_which_a_part_was_delivered_is_not_begun_anew() -> None:
-    world = World(route(kind=RouteKind.REPEATABLE, resumable=False))
-    first = sent(world.arrive(0.0, arrival(1)))
-    outcome = finished(world.end(0.1, first, AttemptOutcome.CUT, position="3", delivered=3)).outcome
+def test_partly_delivered_answer_that_cannot_resume_is_not_repeated() -> None:
+    harness = ForwardingHarness(route(kind=RouteKind.REPEATABLE, resumable=False))
+    first = sent(harness.arrive(0.0, arrival(1)))
+    outcome = finished(harness.end(0.1, first, AttemptOutcome.CUT, position="3", delivered=3)).outcome
     assert isinstance(outcome, Cut)
 
 
-def test_time_between_reading_and_deciding_is_the_caller_s() -> None:
+def test_time_since_the_request_was_read_counts_against_its_deadline() -> None:
     """A machine that was suspended in between gave the engine time that its caller had lost."""
-    world = World(route())
-    sent = world.arrive(103.0, replace(arrival(1, time_left=4.0), read_at=100.0))
+    harness = ForwardingHarness(route())
+    sent = harness.arrive(103.0, replace(arrival(1, time_left=4.0), read_at=100.0))
     assert isinstance(sent, SendRequest)
     assert sent.time_left == pytest.approx(1.0)
 
 
-class Refusing(NoSuspects):
+class FakeSuspects(NoSuspects):
     """Suspects that refuse what a test names."""
 
     def __init__(self) -> None:
         self.refused = frozenset()
-        self.waits = False
+        self.awaits_report = False
         self.lost: list[tuple[str, bool]] = []
 
     def awaits_crash_report(self, content: str) -> bool:
-        return self.waits
+        return self.awaits_report
 
     def on_lost(self, now: float, content: str, engine_id: str, *, is_silent: bool = False) -> None:
         self.lost.append((engine_id, is_silent))
 
 
-def crash_world() -> tuple[World, Refusing]:
-    world = World(route(attempts=3))
-    suspects = Refusing()
-    world.requests = ForwardedRequests(
-        "z", world.routes, world.engines, random.Random(1), "prefix_aware", "defer_late", suspects
+def harness_with_suspects() -> tuple[ForwardingHarness, FakeSuspects]:
+    harness = ForwardingHarness(route(attempts=3))
+    suspects = FakeSuspects()
+    harness.requests = ForwardedRequests(
+        "z",
+        harness.routes,
+        harness.engines,
+        random.Random(1),
+        "prefix_aware",
+        "defer_late",
+        suspects,
     )
-    return world, suspects
+    return harness, suspects
 
 
-def test_a_refused_request_is_sent_nowhere() -> None:
-    world, suspects = crash_world()
+def test_request_refused_for_crashes_is_not_sent() -> None:
+    harness, suspects = harness_with_suspects()
     suspects.refused = frozenset({"x"})
-    finish = world.arrive(0.0, replace(arrival(1), content="x"))
+    finish = harness.arrive(0.0, replace(arrival(1), content="x"))
     assert isinstance(finish, FinishRequest)
     assert isinstance(finish.outcome, NotRun)
-    assert isinstance(world.arrive(0.0, replace(arrival(2), content="y")), SendRequest)
+    assert isinstance(harness.arrive(0.0, replace(arrival(2), content="y")), SendRequest)
 
 
-def test_a_request_in_flight_is_ended_when_it_is_refused() -> None:
+def test_request_in_flight_ends_when_it_is_refused_for_crashes() -> None:
     """It is at an engine, queued there perhaps, and would end this one too."""
-    world, suspects = crash_world()
-    world.arrive(0.0, replace(arrival(1), content="x"))
-    world.arrive(0.0, replace(arrival(2), content="y"))
+    harness, suspects = harness_with_suspects()
+    harness.arrive(0.0, replace(arrival(1), content="x"))
+    harness.arrive(0.0, replace(arrival(2), content="y"))
     suspects.refused = frozenset({"x"})
-    made = world.requests.end_refused_for_crashes(0.1)
-    assert [i.token for i in made if isinstance(i, AbortAttempt)] == [1]
-    (finish,) = (i for i in made if isinstance(i, FinishRequest))
+    instructions = harness.requests.end_refused_for_crashes(0.1)
+    assert [i.token for i in instructions if isinstance(i, AbortAttempt)] == [1]
+    (finish,) = (i for i in instructions if isinstance(i, FinishRequest))
     assert isinstance(finish.outcome, MayHaveRun)
-    assert list(world.requests.requests) == [2]
-    world.requests.validate()
+    assert list(harness.requests.requests) == [2]
+    harness.requests.validate()
 
 
-def test_a_suspect_waits_before_its_next_attempt_and_goes_on_unless_it_is_refused() -> None:
-    world, suspects = crash_world()
-    suspects.waits = True
-    sent = world.arrive(0.0, replace(arrival(1), content="x"))
+def test_suspect_request_waits_before_its_next_attempt() -> None:
+    harness, suspects = harness_with_suspects()
+    suspects.awaits_report = True
+    sent = harness.arrive(0.0, replace(arrival(1), content="x"))
     assert isinstance(sent, SendRequest)
-    assert world.end(0.1, sent, AttemptOutcome.CUT) is None
+    assert harness.end(0.1, sent, AttemptOutcome.CUT) is None
     assert suspects.lost == [(sent.engine_id, False)]
-    again = world.directive(world.requests.on_timer(0.1 + CAPACITY_RETRY_SECONDS))
+    again = harness.only_instruction(harness.requests.on_timer(0.1 + CAPACITY_RETRY_SECONDS))
     assert isinstance(again, SendRequest)
     assert again.engine_id != sent.engine_id
 
 
-def test_a_suspect_goes_on_at_once_after_an_engine_that_ran_nothing() -> None:
-    world, suspects = crash_world()
-    suspects.waits = True
-    sent = world.arrive(0.0, replace(arrival(1), content="x"))
+def test_suspect_request_is_sent_immediately_after_an_unreachable_engine() -> None:
+    harness, suspects = harness_with_suspects()
+    suspects.awaits_report = True
+    sent = harness.arrive(0.0, replace(arrival(1), content="x"))
     assert isinstance(sent, SendRequest)
-    assert isinstance(world.end(0.1, sent, AttemptOutcome.UNREACHABLE), SendRequest)
+    assert isinstance(harness.end(0.1, sent, AttemptOutcome.UNREACHABLE), SendRequest)
     assert not suspects.lost
--- a/tests/decisions/forwarding/test_routes.py
+++ b/tests/decisions/forwarding/test_routes.py
@@ -1,8 +1,8 @@
-from tests.decisions.forwarding.worlds import HOST, configuration, route
+from tests.decisions.forwarding.harness import HOST, configuration, route
 from troutswitch.decisions.forwarding.routes import RouteTable
 
 
-def test_the_longest_prefix_of_the_host_wins() -> None:
+def test_longest_matching_prefix_of_the_host_is_chosen() -> None:
     table = RouteTable()
     table.replace(configuration(1, route("short", "/a/"), route("long", "/a/b/")))
     found = table.match(HOST, "/a/b/c")
@@ -12,7 +12,7 @@
     assert table.match(HOST, "/ab") is None
 
 
-def test_an_older_version_never_comes_back() -> None:
+def test_older_or_equal_version_does_not_replace_the_one_in_force() -> None:
     table = RouteTable()
     assert table.replace(configuration(7, route("new")))
     assert not table.replace(configuration(6, route("old")))
--- a/tests/decisions/jobs/test_batch_capacity.py
+++ b/tests/decisions/jobs/test_batch_capacity.py
@@ -6,7 +6,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from tests.decisions.forwarding.worlds import engine
+from tests.decisions.forwarding.harness import engine
 from troutswitch.decisions.forwarding.engine import Engine
 from troutswitch.decisions.jobs.batch_capacity import (
     BATCH_CAPACITY_POLICIES,
--- a/tests/decisions/jobs/test_engine_choice.py
+++ b/tests/decisions/jobs/test_engine_choice.py
@@ -1,6 +1,6 @@
 import random
 
-from tests.decisions.forwarding.worlds import engine
+from tests.decisions.forwarding.harness import engine
 from tests.decisions.jobs.worlds import ROUTE, item, job_index, route_table
 from troutswitch.decisions.forwarding.engine import NO_SIZE, Engine
 from troutswitch.decisions.forwarding.engines import EngineRegistry
--- a/tests/decisions/peers/test_drain_notices.py
+++ b/tests/decisions/peers/test_drain_notices.py
@@ -2,7 +2,7 @@
 
 import random
 
-from tests.decisions.forwarding.worlds import engine
+from tests.decisions.forwarding.harness import engine
 from troutswitch.common import Address
 from troutswitch.daemons import datagram
 from troutswitch.daemons.messages import EngineDrainNotice
--- a/tests/decisions/peers/test_peer_registry.py
+++ b/tests/decisions/peers/test_peer_registry.py
@@ -5,7 +5,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from tests.decisions.forwarding.worlds import World, arrival
+from tests.decisions.forwarding.harness import ForwardingHarness, arrival
 from troutswitch.common import Address
 from troutswitch.decisions.forwarding.learned_times import BatchRunTimes, LearnedTimes
 from troutswitch.decisions.forwarding.messages import AnswerBegun, FinishRequest, SendRequest
@@ -144,9 +144,9 @@
 # Use of the shared run times.
 
 
-def busy_world(experience: LearnedTimes | None) -> World:
+def busy_world(experience: LearnedTimes | None) -> ForwardingHarness:
     """Returns a world whose only engine was sent 40 requests since the daemon started."""
-    world = World(engines=1)
+    world = ForwardingHarness(engines=1)
     world.requests = ForwardedRequests(
         "z", world.routes, world.engines, random.Random(1), "prefix_aware", "defer_late"
     )
@@ -169,7 +169,7 @@
 
 
 def test_own_run_times_take_precedence_over_shared_ones() -> None:
-    world = World(engines=1)
+    world = ForwardingHarness(engines=1)
     sent = world.arrive(0.0, arrival(1, time_left=5.0))
     assert isinstance(sent, SendRequest)
     world.requests.on_answer_begun(0.1, AnswerBegun(1, sent.attempt, None))
--- a/tests/decisions/tenants/test_coordinated_quota.py
+++ b/tests/decisions/tenants/test_coordinated_quota.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from tests.decisions.forwarding.worlds import engine
+from tests.decisions.forwarding.harness import engine
 from tests.worlds.quota_world import FixedFleet
 from troutswitch.common import Address
 from troutswitch.daemons import datagram
--- a/tests/decisions/tenants/test_machine.py
+++ b/tests/decisions/tenants/test_machine.py
@@ -11,7 +11,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
 
-from tests.decisions.forwarding.worlds import engine
+from tests.decisions.forwarding.harness import engine
 from tests.worlds.quota_world import FixedFleet
 from troutswitch.common import Address
 from troutswitch.daemons.identity import DaemonIdentity
--- a/tests/decisions/test_configuration_logs.py
+++ b/tests/decisions/test_configuration_logs.py
@@ -3,7 +3,7 @@
 Without these lines, incidents cannot be explained afterwards.
 """
 
-from tests.decisions.forwarding.worlds import World, arrival, engine
+from tests.decisions.forwarding.harness import ForwardingHarness, arrival, engine
 from tests.worlds.gateway_world import GatewayWorld
 from troutswitch.decisions.forwarding.messages import LogLine
 from troutswitch.decisions.forwarding.routes import ConfigurationSource
@@ -73,7 +73,7 @@
 
 
 def test_request_logs_its_admitted_version_and_the_active_version() -> None:
-    world = World(engines=1)
+    world = ForwardingHarness(engines=1)
     world.routes.confirm(9.5)
     (row,) = lines(list(world.requests.on_arrived(10.0, arrival(1))), "request sent")
     assert row["admitted_version"] == row["configuration_version"] == 1
@@ -91,7 +91,7 @@
 
 
 def test_request_without_a_usable_engine_logs_why_each_engine_was_excluded() -> None:
-    world = World(engines=0)
+    world = ForwardingHarness(engines=0)
     world.engines.on_list(0.0, [engine("drains", draining=True), engine("goes"), engine("fails")])
     world.engines.on_list(1.0, [engine("drains", draining=True), engine("fails")])
     world.engines.unusable_entries = {"odd": "no address"}
