--- a/src/troutswitch/decisions/forwarding/__init__.py
+++ b/src/troutswitch/decisions/forwarding/__init__.py
@@ -1,1 +1,1 @@
-"""Pure decisions about opaque requests: routes, engines, placement and attempts."""
+"""Pure decisions about opaque online requests: routes, engines, placement and attempts."""
--- a/src/troutswitch/decisions/forwarding/admission.py
+++ b/src/troutswitch/decisions/forwarding/admission.py
@@ -1,23 +1,25 @@
 """Decides whether a new request is sent, waits here for a free slot, or is refused.
 
-Question: a request has not been sent to any engine. Up to which wait for a slot is it sent? And
-if the wait is longer at every engine, does it wait here, go there all the same, or end as refused?
+Question: a request has not been sent to any engine. What is the longest wait for a slot with which
+it is still sent? If the wait is longer at every engine, does the request wait here, is it sent
+anyway, or is it refused?
 
 Inputs: the latency objective of the route and the request's times, in seconds; the run times that
-this daemon learnt from its own answers (`run_times`); the shortest wait for a slot, estimated by
-the coordinator of the engines' slots or from the local slot counts (`wait_estimate`), as of now.
+this daemon measured on its own answers (`run_times`); the current estimate of the shortest wait for
+a slot, made by the coordinator of the engines' slots or from the local slot counts
+(`wait_estimate`).
 
 Rule of `HoldLate`, the default:
 
 1. A request that may meet its objective, counted from its first try, is sent.
-2. One that will miss it anyway is sent where a slot is free, and otherwise waits here.
-3. One that can't end before its deadline is refused at once. `Retry-After` names the time at
-   which a slot is expected, in the order of refusals.
-4. One that has waited for `MAX_DELAY_SHARE` of the client's timeout, or is within
+2. A request that will miss its objective is sent if a slot is free, and waits here otherwise.
+3. A request that can't end before its deadline is refused immediately. `Retry-After` is the time
+   until a slot is expected; requests that were refused earlier come first.
+4. A request that has waited for `MAX_DELAY_SHARE` of the client's timeout, or is within
    `SEND_MARGIN_SECONDS` of the last moment at which it can end in time, is sent whatever the wait.
 
-Why: engines serve in the order of arrival. While more arrives than they can do, each late request
-that joins their queue makes the next ones late too.
+Why: engines serve requests in the order of arrival. Under overload, each late request that joins
+their queue makes the following ones late too.
 
 Measurements: docs/POLICY.md, "Admission by this figure".
 """
@@ -33,33 +35,33 @@
 from troutswitch.decisions.forwarding.wait_estimate import WaitEstimate
 
 OBJECTIVE_SHARE = 0.85
-"""Share of the latency objective inside which `DeferLate` expects the first event. The rest covers
-requests on their way to the engine, and the way to the client."""
+"""Share of the latency objective within which `DeferLate` expects the first event. The rest covers
+requests in transit to the engine, and the transfer to the client."""
 MAX_RETRY_AFTER_SHARE = 1 / 3
-"""Longest `Retry-After` of `DeferLate`, in shares of the time left: clients ignore longer ones."""
+"""Maximum `Retry-After` of `DeferLate`, as a share of the time left: clients ignore longer ones."""
 MIN_RETRY_AFTER_SHARE = 0.6
-"""Shortest `Retry-After` of `DeferLate`, in shares of the longest: retries are spread over the
-rest."""
+"""Minimum `Retry-After` of `DeferLate`, as a share of the maximum: retries are spread between
+the two."""
 MAX_DELAY_SHARE = 1 / 3
-"""Longest wait of a late request here, in shares of the client's timeout. Clients that have
+"""Maximum wait of a late request here, as a share of the client's timeout. Clients that have
 received nothing disconnect after about half of it."""
 SEND_MARGIN_SECONDS = 0.5
-"""Time before the last moment at which a late request can still end in time, at which it is sent
-whatever the wait: the error of the wait estimate."""
+"""A late request is sent whatever the wait this long before the last moment at which it can still
+end in time. Covers the error of the wait estimate."""
 MAX_REMEMBERED_ROUTES = 512
-"""Routes whose client timeout is remembered; the one used longest ago is forgotten first."""
+"""Routes whose client timeout is remembered; the least recently used one is dropped first."""
 RETRY_THRESHOLD_SECONDS = 0.1
-"""Time left below the client's timeout from which a request counts as a retry."""
+"""A request counts as a retry if its time left is shorter than the client's timeout by more."""
 MIN_RETRY_AFTER_SECONDS = 0.1
-"""Least `Retry-After` of `HoldLate`: the age of the slot counts behind the estimate."""
+"""Minimum `Retry-After` of `HoldLate`: the age of the slot counts that the estimate is based on."""
 
 
 @dataclass(frozen=True, slots=True)
 class AdmissionRequest:
     """A request that has not been sent. Times are seconds.
 
-    `time_left` is what the client will still wait; `is_resumed` tells that it goes on with a
-    stream that broke off.
+    `time_left` is how much longer the client will wait. `is_resumed` is set if the request
+    resumes a stream that was cut.
     """
 
     route: str
@@ -74,7 +76,7 @@
 
     arrived_at: float
     ends_at: float
-    """When it gets its final answer at the latest."""
+    """The latest time of its final answer."""
     client_timeout: float
     """Seconds from its arrival until its client gives up."""
 
@@ -85,14 +87,14 @@
     DEFER = "defer"
     """Refuse it, with a time after which to retry."""
     WAIT = "wait"
-    """Keep it here, and ask again soon for a free slot."""
+    """Keep it here, and check again soon for a free slot."""
     SEND = "send"
     """Send it whatever the wait."""
 
 
 @dataclass(frozen=True, slots=True)
 class Deferral:
-    """A refusal: the client is to retry after some seconds; `estimate` is the reason."""
+    """A refusal: the client should retry after `retry_after` seconds; `estimate` is the reason."""
 
     retry_after: float
     estimate: WaitEstimate
@@ -101,7 +103,7 @@
 class AdmissionPolicy(Protocol):
     """Decides on requests that have not been sent yet.
 
-    `client_timeouts` holds the longest time left, in seconds, with which requests came, by route.
+    `client_timeouts` holds the longest time left of any request on arrival, in seconds, by route.
     """
 
     client_timeouts: dict[str, float]
@@ -109,7 +111,7 @@
     def longest_wait(self, request: AdmissionRequest, times: ServiceTimes) -> float:
         """Returns the longest wait for a slot, in seconds, with which a request is sent.
 
-        Called once for each request; infinite if it is sent whatever the wait.
+        The result is infinite if the request is sent whatever the wait. Called once per request.
         """
         ...
 
@@ -120,39 +122,39 @@
     def retry_after(
         self, now: float, time_left: float, estimate: WaitEstimate, rng: random.Random
     ) -> float:
-        """Returns the seconds after which a deferred request is to be retried."""
+        """Returns the seconds after which the client of a deferred request should retry."""
         ...
 
 
 class AdmitAll:
-    """Sends every request at once: the baseline."""
+    """Sends every request immediately: the baseline."""
 
     def __init__(self) -> None:
         self.client_timeouts: dict[str, float] = {}
 
     def longest_wait(self, request: AdmissionRequest, times: ServiceTimes) -> float:
-        """Takes any wait."""
+        """Returns infinity: any wait is accepted."""
         return float("inf")
 
     def on_late(self, now: float, request: LateRequest, estimate: WaitEstimate) -> LateAction:
-        """Is not called, as every wait is taken."""
+        """Never called, as every wait is accepted."""
         return LateAction.DEFER
 
     def retry_after(
         self, now: float, time_left: float, estimate: WaitEstimate, rng: random.Random
     ) -> float:
-        """Returns the end of the wait; it is not called, as every wait is taken."""
+        """Returns the estimated wait; never called, as every wait is accepted."""
         return estimate.wait
 
 
 class DeferLate:
-    """Refuses a request that would be late, once; its retry is sent whatever the wait."""
+    """Refuses the first try of a late request; its retry is sent whatever the wait."""
 
     def __init__(self) -> None:
         self.client_timeouts: dict[str, float] = {}
 
     def longest_wait(self, request: AdmissionRequest, times: ServiceTimes) -> float:
-        """Returns the wait up to which a first try meets its objective."""
+        """Returns the longest wait with which a first try meets its objective."""
         is_retry = (
             request.is_resumed or self._time_since_first_try(request) > RETRY_THRESHOLD_SECONDS
         )
@@ -161,9 +163,10 @@
         return max(0.0, request.objective * OBJECTIVE_SHARE - times.first_event)
 
     def _time_since_first_try(self, request: AdmissionRequest) -> float:
-        """Returns an estimate, in seconds, and notes the time left of a request.
+        """Returns the estimated seconds since the first try, and records the request's time left.
 
-        Clients of one route are taken to have one timeout: what is missing of it has passed.
+        Clients of one route are assumed to share one timeout. The difference between it and the
+        request's time left is the time since its first try.
         """
         longest = max(request.time_left, self.client_timeouts.get(request.route, 0.0))
         self.client_timeouts.pop(request.route, None)
@@ -173,22 +176,22 @@
         return longest - request.time_left
 
     def on_late(self, now: float, request: LateRequest, estimate: WaitEstimate) -> LateAction:
-        """Refuses it."""
+        """Refuses the request."""
         return LateAction.DEFER
 
     def retry_after(
         self, now: float, time_left: float, estimate: WaitEstimate, rng: random.Random
     ) -> float:
-        """Returns a random time inside what clients wait for."""
+        """Returns a random time that is short enough for clients to wait for."""
         return time_left * MAX_RETRY_AFTER_SHARE * rng.uniform(MIN_RETRY_AFTER_SHARE, 1.0)
 
 
 class HoldLate(DeferLate):
-    """Has a request that will miss its objective wait here for a slot that no other needs.
+    """Makes a request that will miss its objective wait here for a slot that no other needs.
 
-    A request counts as late only if the wait for a slot alone is longer than what is left of its
-    objective. The expected time to the first event is left out, as the estimate errs, and a request
-    that waits here is late for certain.
+    A request counts as late only if the wait for a slot alone is longer than the rest of its
+    objective. The expected time to the first event is not counted: the estimate may be wrong, while
+    a request that waits here is certain to be late.
     """
 
     def __init__(self) -> None:
@@ -196,7 +199,11 @@
         self._retry_times = _RetryTimes()
 
     def longest_wait(self, request: AdmissionRequest, times: ServiceTimes) -> float:
-        """Returns the wait up to which a request may meet its objective since its first try."""
+        """Returns the longest wait with which a request may meet its objective.
+
+        The objective counts from the first try. A request that misses it whatever the wait is sent
+        only to a free slot.
+        """
         waited = self._time_since_first_try(request)
         if request.is_resumed or request.objective <= 0 or times.slot_time == 0.0:
             return float("inf")
@@ -204,34 +211,34 @@
         return 0.0 if is_late else request.objective - waited
 
     def on_late(self, now: float, request: LateRequest, estimate: WaitEstimate) -> LateAction:
-        """Decides by the time that is left; see the rule above, 3 and 4."""
-        spare = request.ends_at - now - estimate.slot_time - estimate.wait
-        if spare < 0:
+        """Decides by the time left, according to rules 3 and 4 of this module."""
+        slack = request.ends_at - now - estimate.slot_time - estimate.wait
+        if slack < 0:
             return LateAction.DEFER
         delayed_until = request.arrived_at + request.client_timeout * MAX_DELAY_SHARE
-        if spare < SEND_MARGIN_SECONDS or now >= delayed_until:
+        if slack < SEND_MARGIN_SECONDS or now >= delayed_until:
             return LateAction.SEND
         return LateAction.WAIT
 
     def retry_after(
         self, now: float, time_left: float, estimate: WaitEstimate, rng: random.Random
     ) -> float:
-        """Returns the time until a slot is expected, in the order of refusals."""
+        """Returns the seconds until a slot is expected, after those of earlier refusals."""
         return self._retry_times.next(now, estimate)
 
 
 class _RetryTimes:
-    """Gives refused clients times to retry in the order in which they came.
+    """Assigns retry times to refused clients in the order of their requests.
 
-    Each is no sooner than the present queue is served, and later than the one before by the time
-    in which the engine frees one slot.
+    A retry time is not before the end of the current queue, and is later than the previous one by
+    the mean interval at which the engine frees a slot.
     """
 
     def __init__(self) -> None:
         self._last = float("-inf")
 
     def next(self, now: float, estimate: WaitEstimate) -> float:
-        """Returns the seconds until the next time."""
+        """Returns the seconds until the next retry time."""
         interval = estimate.slot_time / estimate.slots if estimate.slots else 0.0
         earliest = now + max(MIN_RETRY_AFTER_SECONDS, estimate.wait)
         self._last = max(earliest, self._last + interval)
@@ -247,7 +254,7 @@
 
 
 class Admission:
-    """The policy in force, applied to this daemon's requests with the run times learnt here."""
+    """Applies the configured policy to this daemon's requests, with its own run times."""
 
     def __init__(self, policy: str, times: RunTimes, rng: random.Random) -> None:
         self._policy = ADMISSION_POLICIES[policy]()
@@ -272,18 +279,18 @@
         return self._policy.on_late(now, late, estimate)
 
     def deferral(self, now: float, request: ForwardedRequest, estimate: WaitEstimate) -> Deferral:
-        """Returns when the client of a deferred request is to retry."""
+        """Returns the deferral of a request, with the time after which its client should retry."""
         time_left = request.arrival.time_left
         retry_after = self._policy.retry_after(now, time_left, estimate, self._rng)
         return Deferral(retry_after, estimate)
 
     def client_timeouts(self) -> dict[str, int]:
-        """Returns the longest time left, in milliseconds, with which requests came, by route."""
+        """Returns the longest time left of any request on arrival, in milliseconds, by route."""
         timeouts = self._policy.client_timeouts
         return {route: round(seconds * 1000) for route, seconds in timeouts.items()}
 
     def merge(self, client_timeouts: dict[str, int]) -> None:
-        """Takes what another daemon learnt of client timeouts, in milliseconds by route."""
+        """Merges client timeouts of another daemon, in milliseconds by route; the longer wins."""
         timeouts = self._policy.client_timeouts
         for route, milliseconds in client_timeouts.items():
             timeouts[route] = max(timeouts.get(route, 0.0), milliseconds / 1000)
--- a/src/troutswitch/decisions/forwarding/arrivals.py
+++ b/src/troutswitch/decisions/forwarding/arrivals.py
@@ -1,22 +1,22 @@
-"""Decides on a request's arrival: may its caller send it at all?
+"""Checks on arrival whether a request's caller is allowed to send it.
 
-Inputs: the newest configuration that this daemon has (routes, tenants' keys); the contents that
+Inputs: the newest configuration of this daemon (routes, tenants' keys); the request contents that
 are refused for crashes (`crashes`); the tenant's quota, counted here or by a peer (`tenants`).
 
-Rule, in this order; the first that fails refuses the request:
+Rule: the checks run in this order, and the first that fails refuses the request.
 
 1. There is a configuration. (503, to be retried)
-2. A route for online requests matches host and path. (404; 503, to be retried, where none matches
-   and the configuration may be old)
-3. The key is one of a tenant, or the route allows anonymous callers. (401)
-4. The request is not refused for engines that crashed under it. (503, then 400)
-5. Its tenant is inside the quota. (429, with the time after which a request fits)
+2. A route for online requests matches host and path. (404; 503, to be retried, if none matches
+   and the configuration may be outdated)
+3. The key belongs to a tenant, or the route allows anonymous callers. (401)
+4. The request is not refused because engines crashed while they ran it. (503, then 400)
+5. The tenant is within its quota. (429, with the time after which a request fits)
 
 A request's states:
 
-    (arrived)      -> admitted or refused at once
-    (arrived)      -> AWAITING_QUOTA   the peer that counts the tenant's requests is asked
-    AWAITING_QUOTA -> admitted or refused, by its decision
+    (arrived)      -> admitted or refused immediately
+    (arrived)      -> AWAITING_QUOTA   the peer that counts the tenant's requests must decide
+    AWAITING_QUOTA -> admitted or refused, by that peer's decision
 
 Owns the requests that await a quota decision. Measurements: docs/POLICY.md, docs/design/tenants.md.
 """
@@ -42,8 +42,8 @@
 class Admitted:
     """A request that may be sent.
 
-    `version` is that of the configuration that has `route`; `decided_by` says who counted it for
-    the quota. Both are for logs.
+    `version` is the version of the configuration that `route` comes from; `decided_by` names what
+    counted the request for the quota. Both are for logs.
     """
 
     arrival: RequestArrived
@@ -55,7 +55,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Refused:
-    """A request that is not sent anywhere; `tenant` and `decided_by` are for logs."""
+    """A request that is not sent to any engine; `tenant` and `decided_by` are for logs."""
 
     arrival: RequestArrived
     refusal: NotRun
@@ -65,7 +65,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _AwaitingQuota:
-    """A request whose quota decision is awaited."""
+    """A request whose quota decision is pending."""
 
     arrival: RequestArrived
     route: Route
@@ -74,7 +74,7 @@
 
 
 class Arrivals:
-    """Decides on arrivals, and keeps those that await a quota decision."""
+    """Decides on arriving requests, and keeps those whose quota decision is pending."""
 
     def __init__(self, routes: RouteTable, suspects: Suspects) -> None:
         self.tenant_keys = TenantKeys(routes)
@@ -84,7 +84,7 @@
         self._awaiting_quota: dict[int, _AwaitingQuota] = {}
 
     def on_arrived(self, now: float, event: RequestArrived) -> Admitted | Refused | None:
-        """Decides on a request; None while a quota decision is awaited."""
+        """Returns the decision on a request; None while its quota decision is pending."""
         if self._routes.configuration is None:
             wait = NO_CONFIGURATION_RETRY_SECONDS
             return Refused(event, NotRun("no configuration yet", Step.ADMIT, "", wait))
@@ -107,9 +107,9 @@
         return self._apply_quota(waiting, decision)
 
     def on_quota_decided(self, now: float, end: QuotaCompletion) -> Admitted | Refused | None:
-        """Takes a quota decision; None if the request doesn't await it any more.
+        """Returns the result of a quota decision; None if the request no longer awaits one.
 
-        The key is checked again: a configuration may have come in between.
+        The key is checked again, as the configuration may have changed in the meantime.
         """
         waiting = self._awaiting_quota.pop(end.token, None)
         if waiting is None:
@@ -130,7 +130,7 @@
         return Refused(arrival, refusal, tenant.name, decision.decided_by)
 
     def withdraw(self, token: int) -> RequestArrived | None:
-        """Forgets a request whose caller left; returns it if it awaited a quota decision."""
+        """Drops a request whose caller disconnected; returns it if a decision was pending."""
         waiting = self._awaiting_quota.pop(token, None)
         if waiting is None:
             return None
--- a/src/troutswitch/decisions/forwarding/attempts.py
+++ b/src/troutswitch/decisions/forwarding/attempts.py
@@ -1,8 +1,8 @@
-"""Starts and ends attempts of requests on engines, and notes what they show of the engines.
+"""Starts and ends attempts of requests on engines, and records what they reveal about the engines.
 
-Owns no state: the running attempt stands in its request. Each attempt is counted in the engine
-registry from its start to its end. Its course is evidence on three things: the engine (load,
-failures, drain), the run times of the service, and crashes of engines under requests.
+Owns no state: the fields of the running attempt are part of its request. Each attempt is counted in
+the engine registry from its start to its end. Its events update the engine (load, failures, drain),
+the run times of the service, and the suspected crashes of engines.
 """
 
 from troutswitch.decisions.crashes.interface import Suspects
@@ -25,11 +25,11 @@
 from troutswitch.outcomes import AttemptOutcome
 
 MIN_FAILURE_STATUS = 300
-"""Least status of a whole answer that doesn't show that an engine ran the request to its end."""
+"""Lowest HTTP status of a complete answer that doesn't prove that the engine served the request."""
 
 
 class EngineAttempts:
-    """Attempts of requests on engines."""
+    """Starts and ends the attempts of requests on engines."""
 
     def __init__(self, engines: EngineRegistry, times: RunTimes, suspects: Suspects) -> None:
         self._engines = engines
@@ -61,10 +61,10 @@
         return RequestSize(prompt.prompt_tokens + prompt.max_output_tokens, prefill)
 
     def on_answer_begun(self, now: float, request: ForwardedRequest, event: AnswerBegun) -> None:
-        """Notes that the engine runs the request, unless the answer is a rejection.
+        """Records that the engine runs the request, unless the answer is a rejection.
 
-        Guards against the next incarnation of an engine that crashed: it rejects at the same
-        address what was meant for the crashed one. Were that taken for a sign of life, the crash
+        A rejection is no sign of life. The next incarnation of a crashed engine has the same
+        address and rejects what was meant for the crashed one. If that rejection counted, the crash
         would be retracted, and the request that causes crashes would be sent again.
         """
         if event.not_run:
@@ -76,7 +76,7 @@
             self._engines.on_load(now, request.engine_id, event.load)
 
     def on_ended(self, now: float, request: ForwardedRequest, event: RequestAttemptEnded) -> None:
-        """Notes the end of the running attempt in its request and for its engine."""
+        """Records the end of the running attempt for its request and its engine."""
         failed = event.kind in (AttemptOutcome.CUT, AttemptOutcome.UNREACHABLE)
         self._end_at_engine(now, request, failed=failed)
         if event.load is not None:
@@ -102,9 +102,9 @@
     def _note_completion(
         self, now: float, request: ForwardedRequest, event: RequestAttemptEnded
     ) -> None:
-        """Learns from a whole answer; run times from streams only.
+        """Records a complete answer; only streams update the run times.
 
-        Answers without events occupy no slot for long.
+        Answers without events occupy a slot too briefly to count.
         """
         if event.status < MIN_FAILURE_STATUS:
             self._suspects.on_served(now, request.arrival.content)
@@ -117,13 +117,13 @@
     def abort(
         self, now: float, request: ForwardedRequest, *, is_silent: bool = False
     ) -> AbortAttempt:
-        """Ends the running attempt, as its answer is no longer wanted."""
+        """Ends the running attempt because its answer is no longer wanted."""
         request.ended_attempts.append(AttemptOutcome.CANCELLED)
         self._end_at_engine(now, request, failed=False)
         return AbortAttempt(request.arrival.token, request.attempt, is_silent)
 
     def abandon(self, now: float, request: ForwardedRequest) -> AbortAttempt:
-        """Ends the running attempt, as its engine is silent."""
+        """Ends the running attempt because its engine is silent."""
         request.ended_attempts.append(AttemptOutcome.CUT)
         content = request.arrival.content
         self._suspects.on_lost(now, content, request.engine_id, is_silent=True)
@@ -155,9 +155,9 @@
 def preempt_if_full(
     now: float, request: ForwardedRequest, assignment: Assignment
 ) -> list[PreemptBatchItem]:
-    """Returns the order to preempt a batch item, if a request just sent has no slot otherwise.
+    """Returns the instruction to preempt a batch item if a request just sent has no slot otherwise.
 
-    A coordinator that assigns the last slot has an item preempted itself.
+    Returns nothing for a request that a coordinator assigned: it preempts items itself.
     """
     engine = assignment.engine
     if assignment.assigned_by is AssignedBy.COORDINATOR:
--- a/src/troutswitch/decisions/forwarding/candidates.py
+++ b/src/troutswitch/decisions/forwarding/candidates.py
@@ -1,7 +1,7 @@
-"""Decides which engines one request may be sent to now; `placement` chooses among them.
+"""Decides which engines a request may be sent to now; `placement` chooses one of them.
 
-Inputs: the engines of its service that this daemon knows and that take new work (`engines`), and
-those that the request was sent to.
+Inputs: the engines of its service that this daemon knows and that accept new work (`engines`), and
+the engines that the request was sent to before.
 
 Rule: engines that the request was not sent to. Of these, engines that rejected some request as full
 less than `FULL_EXCLUSION_SECONDS` ago are excluded, unless no others remain. After a wait, a
@@ -17,9 +17,9 @@
 from troutswitch.decisions.forwarding.request import ForwardedRequest
 
 FULL_EXCLUSION_SECONDS = 0.15
-"""Time for which an engine that rejected a request as full is left out."""
+"""Time for which an engine that rejected a request as full is not a candidate."""
 MAX_LOGGED_ENGINES = 32
-"""Engines that one log line names."""
+"""Maximum number of engines that one log line names."""
 
 
 def candidate_engines(
@@ -34,9 +34,9 @@
 def excluded_engines(
     now: float, request: ForwardedRequest, engines: EngineRegistry
 ) -> dict[str, str]:
-    """Returns why each engine of the request's service may not be sent it, by engine, for logs.
+    """Returns why engines of the request's service are no candidates, by engine id, for logs.
 
-    Entries of the engine list that could not be used stand there too, of whatever service.
+    The result includes the unusable entries of the engine list, of all services.
     """
     excluded = {
         engine.record.engine_id: reason
@@ -48,7 +48,7 @@
 
 
 def _exclusion_reason(now: float, request: ForwardedRequest, engine: Engine) -> str:
-    """Returns why an engine is left out; an empty string if it isn't."""
+    """Returns why an engine is no candidate; an empty string if it is one."""
     if engine.is_draining:
         return "draining"
     if not engine.is_listed:
@@ -61,7 +61,7 @@
 
 
 def reset_tried(now: float, request: ForwardedRequest, engines: EngineRegistry) -> None:
-    """Lets a request that waited go again to engines that it was sent to."""
+    """Allows a request that waited to be sent again to engines that it was sent to before."""
     request.tried -= request.rejected_by
     request.rejected_by.clear()
     if not candidate_engines(now, request, engines):
--- a/src/troutswitch/decisions/forwarding/engine.py
+++ b/src/troutswitch/decisions/forwarding/engine.py
@@ -1,15 +1,15 @@
 """One incarnation of an engine, as this daemon sees it: counts of requests, load and failures.
 
-Question: how many requests are on an engine now? Three sources know a part of it:
+Question: how many requests are on an engine now? Three sources each give a part of the answer:
 
-- this daemon's own requests there, exact;
-- those of other daemons, by the reports of peers and coordinators (`peers_*`, up to a second old);
-- the engine's own load, that comes with its answers, and counts up to `MAX_LOAD_AGE_SECONDS`.
+- this daemon's own requests there, which are exact;
+- other daemons' requests, as reported by peers and coordinators (`peers_*`, up to a second old);
+- the load that the engine reports with its answers, used up to an age of `MAX_LOAD_AGE_SECONDS`.
 
-Rule: the larger of the counts and of the engine's load, as both lag. Of prompt tokens that wait
-to be read, and of slots that online requests take, moving averages are kept too.
+Rule: the larger of the counts and the engine's load is used, as both lag. Moving averages of the
+waiting prompt tokens and of the slots that online requests occupy are kept too.
 
-The averages go on by themselves each `SAMPLE_SECONDS`. Everything else is written by
+The averages are updated each `SAMPLE_SECONDS`. Everything else is written by
 `engines.EngineRegistry` and by the slot ledger of a coordinator.
 
 Measurements: docs/POLICY.md.
@@ -21,20 +21,20 @@
 from troutswitch.decisions.forwarding.types import EngineLoad, EngineRecord
 
 MAX_LOAD_AGE_SECONDS = 0.4
-"""Age up to which a load that an engine reported counts."""
+"""Age up to which a load that an engine reported is used."""
 SAMPLE_SECONDS = 0.1
-"""Interval between samples of the waiting prompt tokens and of the slots taken online."""
+"""Interval between samples of the waiting prompt tokens and of the slots of online requests."""
 PREFILL_AVERAGE_SECONDS = 3.0
-"""Time over which the prompt tokens that wait are averaged."""
+"""Time over which the waiting prompt tokens are averaged."""
 ONLINE_AVERAGE_SECONDS = 8.0
-"""Time over which the slots that online requests take are averaged."""
+"""Time over which the slots that online requests occupy are averaged."""
 PREFILL_WEIGHT = SAMPLE_SECONDS / PREFILL_AVERAGE_SECONDS
 ONLINE_WEIGHT = SAMPLE_SECONDS / ONLINE_AVERAGE_SECONDS
 
 
 @dataclass(frozen=True, slots=True)
 class RequestSize:
-    """What a request takes of an engine: tokens of memory, and prompt tokens to read."""
+    """What a request costs an engine: tokens of memory, and prompt tokens to read."""
 
     tokens: int
     prefill_tokens: int
@@ -49,16 +49,16 @@
 
     record: EngineRecord
     is_listed: bool = True
-    """Whether the newest list of engines has it, or still counts it as there."""
+    """Whether the newest list has the engine, or it stays in use although the list lacks it."""
     is_draining: bool = False
-    """Whether it takes no new work any more; for good."""
+    """Whether the engine accepts no new work; never reset."""
 
     # This daemon's requests on it.
     online_in_flight: int = 0
     batch_in_flight: int = 0
     tokens_in_flight: int = 0
     prefill_tokens: int = 0
-    """Prompt tokens of those whose answer has not begun."""
+    """Prompt tokens of the requests whose answer has not begun."""
 
     # Other daemons' requests on it, as reported.
     peers_online: int = 0
@@ -71,7 +71,7 @@
     sent_since_load: int = 0
     """Requests that this daemon sent since the load was reported."""
     last_seen_at: float = float("-inf")
-    """When bytes of any of its answers came last."""
+    """When bytes of any of its answers were last received."""
 
     # Averages.
     mean_prefill_tokens: float = 0.0
@@ -83,10 +83,10 @@
     """Failures in a row."""
     ejected_until: float = float("-inf")
     full_until: float = float("-inf")
-    """Until when it is left out as it rejected a request as full."""
+    """Until when the engine is no candidate because it rejected a request as full."""
 
     online_sent_at: deque[float] = field(default_factory=deque)
-    """When the online requests on the engine were sent, by the counts here, oldest first."""
+    """When the counted online requests on the engine were sent, oldest first."""
 
     @property
     def is_leaving(self) -> bool:
@@ -95,24 +95,24 @@
 
     @property
     def slots(self) -> int:
-        """Requests that the engine runs at once."""
+        """Requests that the engine runs concurrently, at least 1."""
         return max(1, self.record.slots)
 
     @property
     def waiting_prefill_tokens(self) -> int:
-        """Prompt tokens that the engine has still to read, by the counts of daemons."""
+        """Prompt tokens that the engine has yet to read, according to the daemons' counts."""
         return self.prefill_tokens + self.peers_prefill_tokens
 
     def online_count(self) -> int:
-        """Returns the online requests on the engine, by the counts of daemons."""
+        """Returns the online requests on the engine, according to the daemons' counts."""
         return self.online_in_flight + self.peers_online
 
     def batch_count(self) -> int:
-        """Returns the batch items on the engine, by the counts of daemons."""
+        """Returns the batch items on the engine, according to the daemons' counts."""
         return self.batch_in_flight + self.peers_batch
 
     def in_flight(self, now: float) -> int:
-        """Returns the requests on the engine: the larger of the counts and of its own load."""
+        """Returns the requests on the engine: the larger of the counts and the reported load."""
         own = self.online_in_flight + self.batch_in_flight
         counted = own + self.peers_online + self.peers_batch
         if self.load is None or now - self.load_at > MAX_LOAD_AGE_SECONDS:
@@ -123,30 +123,30 @@
         return max(own, reported)
 
     def online_load(self, now: float) -> int:
-        """Returns the online requests on the engine: the larger of counts and load."""
+        """Returns the online requests on the engine: the larger of the counts and the load."""
         return max(self.online_count(), self.in_flight(now) - self.batch_count())
 
     def change_peers_online(self, now: float, change: int) -> None:
-        """Takes a change of the online requests that peers have on the engine."""
+        """Changes the number of online requests that peers have on the engine."""
         change = max(change, -self.peers_online)
         self.peers_online += change
-        self._note_online(now, change)
+        self._update_send_times(now, change)
 
     def change_own_online(self, now: float, change: int) -> None:
-        """Takes a change of this daemon's online requests on the engine."""
+        """Changes the number of online requests that this daemon has on the engine."""
         change = max(change, -self.online_in_flight)
         self.online_in_flight += change
-        self._note_online(now, change)
+        self._update_send_times(now, change)
 
-    def _note_online(self, now: float, change: int) -> None:
-        """Notes times of sending; which request ended is not known, the oldest most likely."""
+    def _update_send_times(self, now: float, change: int) -> None:
+        """Updates the send times; the request that ended is unknown and taken to be the oldest."""
         for _ in range(change):
             self.online_sent_at.append(now)
         for _ in range(min(-change, len(self.online_sent_at))):
             self.online_sent_at.popleft()
 
     def sample(self) -> None:
-        """Takes the present counts into the averages; called each `SAMPLE_SECONDS`."""
+        """Updates the averages with the current counts; called each `SAMPLE_SECONDS`."""
         change = self.waiting_prefill_tokens - self.mean_prefill_tokens
         self.mean_prefill_tokens += PREFILL_WEIGHT * change
         online_change = min(self.online_count(), self.slots) - self.mean_online
--- a/src/troutswitch/decisions/forwarding/engine_list.py
+++ b/src/troutswitch/decisions/forwarding/engine_list.py
@@ -1,10 +1,10 @@
-"""Reads the whole list of engines from the store, again and again, page by page.
+"""Reads the whole list of engines from the store periodically, page by page.
 
 Owns the reading in progress. Relies on the store's calls (`storage.messages`); the caller passes
 the records of a whole reading on to `engines`. All times are this process's clock, in seconds.
 
-Why the newest records whole, instead of following each write: that costs no more at the list's
-rate of heartbeats, and an entry that expired is missed at the next reading.
+Why the newest records are read whole instead of following each write: at the heartbeat rate of the
+list this costs no more, and an expired entry is noticed at the next reading.
 """
 
 import random
@@ -21,36 +21,37 @@
 
 ENGINES_TOPIC = "servers"
 RETRY_SECONDS = 0.3
-"""Mean time after a failed call before the page is read again."""
+"""Mean time from a failed call until the page is read again."""
 RETRY_JITTER = (0.5, 1.5)
-"""Shares of that time, between which it is drawn."""
+"""Range of the random factor on `RETRY_SECONDS`."""
 INTERVAL_JITTER = (0.8, 1.2)
-"""Shares of the interval, between which the time to the next reading is drawn."""
+"""Range of the random factor on the interval between readings."""
 MAX_READING_SECONDS = 3.0
-"""Age up to which the first pages of a reading count when a later one must be read again. Begun
-anew after each failure, a list of many pages is hardly ever read while one call in two fails."""
+"""Age up to which the first pages of a reading are kept when a later page must be read again. If
+each failure restarted the reading, a list of many pages would hardly ever be read completely while
+one call in two fails."""
 
 
 class EngineListReader:
-    """Reads the list each `interval` seconds, or `min_interval` if that is longer.
+    """Reads the list each `interval` seconds, or each `min_interval` if that is longer.
 
-    A call without an answer is repeated beside it after the same time.
+    A call that has no answer after the same time is repeated in parallel.
     """
 
     def __init__(self, numbers: CallNumbers, rng: random.Random, interval: float) -> None:
         self.interval = interval
         self.min_interval = 0.0
         self.page_count = 1
-        """Pages of the last whole reading."""
+        """Number of pages of the last whole reading."""
         self.attempts = ReadAttempts(numbers, rng, self._pause)
         self._rng = rng
         self._after_key = ""
         self._rows: list[KeyedRecord] = []
         self._pages_read = 0
-        self._began_at = float("-inf")
+        self._started_at = float("-inf")
 
     def _pause(self, failures: int) -> float:
-        """Returns the pause after a failed call, however many failed before."""
+        """Returns the pause after a failed call, whatever the number of failures."""
         return RETRY_SECONDS * self._rng.uniform(*RETRY_JITTER)
 
     def next_due(self) -> float:
@@ -58,15 +59,15 @@
         return self.attempts.next_due()
 
     def owns(self, call: int) -> bool:
-        """Returns whether an answer belongs to this reader."""
+        """Returns whether a call was made by this reader."""
         return self.attempts.owns(call)
 
     def read_again(self, now: float) -> None:
-        """Drops the reading in progress, and begins another at once."""
-        self._forget_pages()
+        """Drops the reading in progress, and starts another immediately."""
+        self._clear_pages()
         self.attempts.abandon(now, doubts_connections=True)
 
-    def _forget_pages(self) -> None:
+    def _clear_pages(self) -> None:
         self._rows = []
         self._pages_read = 0
         self._after_key = ""
@@ -76,9 +77,9 @@
         self.attempts.repeat_after = max(self.interval, self.min_interval)
         if not self.attempts.is_due(now):
             return []
-        self._forget_old_pages(now)
+        self._restart_if_old(now)
         if not self._after_key:
-            self._began_at = now
+            self._started_at = now
         attempt = self.attempts.begin(now)
         return [
             ReadNewest(
@@ -91,7 +92,7 @@
         ]
 
     def on_answer(self, now: float, call: int, outcome: StoreOutcome) -> list[KeyedRecord] | None:
-        """Takes a page or a failure; returns the whole list's records after the last page."""
+        """Handles a page or a failure; returns the whole list's records after the last page."""
         if not isinstance(outcome, NewestPage):
             self.attempts.on_failed(now, call)
             return None
@@ -102,14 +103,14 @@
             self.attempts.on_succeeded(call, now)
             return None
         rows, self.page_count = self._rows, self._pages_read
-        self._forget_pages()
+        self._clear_pages()
         interval = max(self.interval, self.min_interval)
         self.attempts.on_succeeded(call, now + interval * self._rng.uniform(*INTERVAL_JITTER))
         return rows
 
-    def _forget_old_pages(self, now: float) -> None:
-        """Begins the list anew if a page failed and the pages before it are old."""
-        is_old = now - self._began_at > MAX_READING_SECONDS
+    def _restart_if_old(self, now: float) -> None:
+        """Restarts the reading if a page failed and the pages before it are old."""
+        is_old = now - self._started_at > MAX_READING_SECONDS
         if self._after_key and self.attempts.failures and is_old:
-            self._forget_pages()
+            self._clear_pages()
             self.attempts.abandon(now)
--- a/src/troutswitch/decisions/forwarding/engine_silence.py
+++ b/src/troutswitch/decisions/forwarding/engine_silence.py
@@ -1,20 +1,20 @@
 """Decides when an engine has been silent for too long on one request.
 
-Question: the attempt in flight sends nothing. Is it abandoned, so that another engine is tried?
+Question: the attempt in flight receives nothing. Is it abandoned, so that another engine is tried?
 
-Inputs: when the attempt was sent and its answer began; when any bytes of this engine last came
-here, for any request (`Engine.last_seen_at`, reported each 0.2 s at most); the latency
+Inputs: when the attempt was sent and its answer began; when this daemon last received bytes from
+the engine, for any request (`Engine.last_seen_at`, reported each 0.2 s at most); the latency
 objective and the longest pause between events of the route. All times are seconds.
 
 Rule:
 
-1. An attempt is abandoned only where the route allows another one.
-2. Before its answer begins: after one latency objective without any byte of the engine, or after
-   `HUNG_TIMEOUTS` of them although the engine answers other requests.
-3. After the head of the answer, and between events: the thread that reads the answer abandons
-   it, after the times that are sent with the attempt.
+1. An attempt is abandoned only if the route allows another one.
+2. Before its answer begins, an attempt is abandoned after one latency objective without any byte
+   from the engine, or after `HUNG_TIMEOUTS` of them if the engine answers other requests.
+3. After the head of the answer, and between events, the thread that reads the answer abandons it
+   after the timeouts that are sent with the attempt.
 
-Why: a loaded engine answers others meanwhile; leaving it would only add to the load.
+Why: a loaded engine still answers other requests. Abandoning it would only add to the load.
 
 Measurements: docs/POLICY.md.
 """
@@ -23,26 +23,26 @@
 from troutswitch.decisions.forwarding.request import ForwardedRequest
 
 MIN_SILENCE_SECONDS = 0.4
-"""Least time without a first event, and without any byte of the engine, before another engine is
-tried."""
+"""Minimum time without a first event, and without any byte from the engine, before another engine
+is tried."""
 SILENCE_OBJECTIVES = 1.0
-"""The same time in latency objectives of the route."""
+"""The same time, as a multiple of the route's latency objective."""
 HUNG_TIMEOUTS = 5.0
-"""Time for the first event, in silence timeouts, after which a request is taken for hung although
-its engine answers others."""
+"""Time without a first event, as a multiple of the silence timeout, after which a request counts as
+hung even if its engine answers others."""
 MIN_EVENT_GAP_SECONDS = 0.3
-"""Least time between events before a resumable stream goes on elsewhere."""
+"""Minimum pause between events before a resumable stream continues at another engine."""
 EVENT_GAP_LIMITS = 2.0
-"""The same time in pauses that the route allows."""
+"""The same pause, as a multiple of the pause that the route allows."""
 
 
 def silence_timeout(request: ForwardedRequest) -> float:
-    """Returns the seconds for which a request's engine may send nothing at all."""
+    """Returns the seconds for which a request's engine may be completely silent."""
     return max(MIN_SILENCE_SECONDS, SILENCE_OBJECTIVES * request.route.objective)
 
 
 def is_engine_silent(now: float, request: ForwardedRequest, engine: Engine | None) -> bool:
-    """Returns whether the engine seems not to answer a running request any more."""
+    """Returns whether the engine seems to have stopped answering a running request."""
     if request.answer_began_at <= now or not request.may_retry:
         return False
     timeout = silence_timeout(request)
@@ -55,19 +55,19 @@
 def first_event_timeout(now: float, request: ForwardedRequest) -> float:
     """Returns the seconds that the first event may take after the head of an answer.
 
-    Guards against a stream that is silent from its head on, as a head doesn't show that the
-    connection lives on: it would hold its thread and slot until the deadline.
+    Without this timeout, a connection that dies after the head of its answer would occupy its
+    thread and slot until the deadline.
     """
-    left = request.ends_at - now
+    remaining = request.ends_at - now
     if not request.may_retry:
-        return left
-    return min(left, HUNG_TIMEOUTS * silence_timeout(request))
+        return remaining
+    return min(remaining, HUNG_TIMEOUTS * silence_timeout(request))
 
 
 def event_gap_timeout(now: float, request: ForwardedRequest) -> float:
-    """Returns the seconds that each next event may take."""
-    left = request.ends_at - now
+    """Returns the seconds that each following event may take."""
+    remaining = request.ends_at - now
     if not request.may_retry:
-        return left
+        return remaining
     gap = max(MIN_EVENT_GAP_SECONDS, EVENT_GAP_LIMITS * request.route.gap_limit)
-    return min(left, gap)
+    return min(remaining, gap)
--- a/src/troutswitch/decisions/forwarding/engines.py
+++ b/src/troutswitch/decisions/forwarding/engines.py
@@ -1,14 +1,13 @@
-"""All engines that this daemon knows: which there are, and which requests are on them.
+"""All engines that this daemon knows, and the requests on them.
 
 Owns the engines by their id. Each incarnation of an engine has an id of its own. An id that was
-seen draining, or whose address answered as another incarnation, never takes new work again here.
-One that only left the list takes none while it is away: entries also expire while the store is
-down (`expired_entries`). One that started again is gone with the list that has its next
-incarnation.
+seen draining, or whose address answered as another incarnation, never gets new work here again.
+An id that is only missing from the list gets none while it is missing: entries also expire while
+the store is down (`expired_entries`). When an engine restarts, its former incarnation is removed
+with the first list that has the next one.
 
 Relies on the list of engines (`engine_list`, or a peer's copy), on drain notices of peers, and on
-each attempt being reported from its start to its end. All times are this process's clock, in
-seconds.
+reports of the start and end of each attempt. All times are this process's clock, in seconds.
 """
 
 from collections.abc import Iterable
@@ -25,35 +24,38 @@
 from troutswitch.decisions.forwarding.types import EngineLoad, EngineRecord
 
 DRAIN_NOTICE_SECONDS = 1.0
-"""Time for which a list that has an engine doesn't overrule a peer's notice that it left: the
-list may have been read before, as a reading takes some pages and may be shared by a peer."""
+"""Time for which a peer's notice that an engine left outweighs a list that still has it. The list
+may have been read earlier: a reading takes several pages, and may be shared by a peer."""
 MAX_REMEMBERED_DRAINING = 4096
-"""Incarnations that are remembered as draining or replaced."""
+"""Maximum number of incarnations that are remembered as draining or replaced."""
 
 
 @dataclass
 class EngineRegistry:
-    """All engines that the list has, and those that left it with requests still on them."""
+    """All engines in the list, and unlisted engines that still have requests of this daemon."""
 
     engines: dict[str, Engine] = field(default_factory=dict)
     expired: ExpiredEntries = field(default_factory=ExpiredEntries)
     own_changes: int = 0
-    """Changes of this daemon's own requests on engines, to tell whether peers know them all."""
+    """Number of changes of this daemon's own requests on engines.
+
+    Shows whether peers have been sent the newest counts.
+    """
     list_changes: int = 0
-    """Changes of which engines there are, after which groups are made anew."""
+    """Number of changes of the set of engines; groups are rebuilt after each."""
     kept_missing: set[str] = field(default_factory=set)
-    """Engines that the last list lacks and that stay in use all the same."""
+    """Engines that the last list does not have and that stay in use."""
     unusable_entries: dict[str, str] = field(default_factory=dict)
-    """Entries of the last list that name no engine to use, and why."""
+    """Why entries of the last list could not be used, by entry."""
     _sample_at: float = float("-inf")
     _reported_gone_at: dict[str, float] = field(default_factory=dict)
-    """When peers reported that engines left the list, until a list read later decides."""
+    """When peers reported that engines left the list; kept until a later list decides."""
     _draining: dict[str, None] = field(default_factory=dict)
     _by_service: dict[str, list[Engine]] = field(default_factory=dict)
     _by_key: dict[int, Engine] = field(default_factory=dict)
 
     def on_list(self, now: float, records: list[EngineRecord]) -> tuple[list[str], list[str]]:
-        """Takes in the whole list; returns the ids that came and those that began to leave.
+        """Updates the engines from a whole list; returns the ids that were added and removed.
 
         Args:
             now: when the list was read, here or by a peer, in seconds of this process's clock.
@@ -68,10 +70,10 @@
         records = [record for record in records if record.engine_id not in self._reported_gone_at]
         listed = {record.engine_id for record in records}
         for record in records:
-            self._take(record)
+            self._add_or_update(record)
         missing = self.engines.keys() - listed
         restarted = self._restarted(missing, records)
-        self._unlist(self.expired.on_list(now, missing - restarted) | restarted)
+        self._remove_from_list(self.expired.on_list(now, missing - restarted) | restarted)
         after = self._accepting_work()
         self.kept_missing = {name for name in after if name not in listed}
         if before != after:
@@ -80,7 +82,7 @@
         return sorted(after - before), sorted(before - after)
 
     def _restarted(self, missing: set[str], records: list[EngineRecord]) -> set[str]:
-        """Returns the missing incarnations of engines of which the list has another."""
+        """Returns the missing incarnations of engines that have another one in the list."""
         instances = {record.instance for record in records if record.instance}
         return {name for name in missing if self.engines[name].record.instance in instances}
 
@@ -93,10 +95,10 @@
         return self.expired.listed_at
 
     def on_list_failed(self, now: float) -> None:
-        """The list could not be read; what is known of it stays in use."""
+        """Records that the list could not be read; the known engines stay in use."""
         self.expired.on_failed(now)
 
-    def _take(self, record: EngineRecord) -> None:
+    def _add_or_update(self, record: EngineRecord) -> None:
         engine = self.engines.get(record.engine_id)
         if engine is None:
             engine = Engine(record)
@@ -107,8 +109,8 @@
             self._remember_draining(record.engine_id)
         engine.is_draining = record.engine_id in self._draining
 
-    def _unlist(self, gone: set[str]) -> None:
-        for name in gone:
+    def _remove_from_list(self, removed: set[str]) -> None:
+        for name in removed:
             engine = self.engines[name]
             engine.is_listed = False
             if engine.online_in_flight + engine.batch_in_flight == 0:
@@ -126,11 +128,11 @@
             self._by_service.setdefault(engine.record.service, []).append(engine)
 
     def by_key(self, key: int) -> Engine | None:
-        """Returns the engine that a short key names in messages, if it is known here."""
+        """Returns the engine that a short key in messages stands for; None if it is unknown."""
         return self._by_key.get(key)
 
     def all_of_service(self, service: str) -> list[Engine]:
-        """Returns the engines of a service, also those that have begun to leave."""
+        """Returns the engines of a service, including those that have begun to leave."""
         return self._by_service.get(service, [])
 
     def of_service(self, service: str) -> list[Engine]:
@@ -140,12 +142,12 @@
     def usable(self, now: float, service: str) -> list[Engine]:
         """Returns the engines of a service that may be sent work now.
 
-        Engines that failed are left out for a while; see `engine_ejection`.
+        Failing engines are excluded for a while; see `engine_ejection`.
         """
         return engine_ejection.without_ejected(now, self.of_service(service))
 
     def update_peer_counts(self, now: float, counts: Iterable[EngineCounts]) -> None:
-        """Takes a coordinator's counts of all daemons' requests on its engines."""
+        """Updates the peers' requests from a coordinator's counts of all daemons' requests."""
         for counted in counts:
             engine = self.by_key(counted.engine_key)
             if engine is None:
@@ -155,7 +157,7 @@
             engine.peers_batch = max(0, counted.batch - engine.batch_in_flight)
 
     def counts_of(self, engines: Iterable[Engine]) -> tuple[EngineCounts, ...]:
-        """Returns the requests of all daemons on some engines, as they are sent to peers."""
+        """Returns the counts of all daemons' requests on some engines, for messages to peers."""
         return tuple(
             EngineCounts(
                 engine_key(engine.record.engine_id), engine.online_count(), engine.batch_count()
@@ -164,12 +166,12 @@
         )
 
     def total_slots(self) -> int:
-        """Returns the slots of all engines that have not begun to leave."""
+        """Returns the number of slots of all engines that have not begun to leave."""
         return sum(engine.slots for engine in self.engines.values() if not engine.is_leaving)
 
     @staticmethod
     def mean_free_slots(now: float, engines: Iterable[Engine]) -> float:
-        """Returns the mean number of slots, at some engines, that online requests leave."""
+        """Returns the mean number of slots of some engines that online requests leave free."""
         return sum(
             engine.slots - engine.mean_online
             for engine in engines
@@ -177,7 +179,7 @@
         )
 
     def mark_draining(self, engine_id: str) -> bool:
-        """Notes for good that an incarnation takes no new work; returns whether it is news."""
+        """Marks an incarnation as draining forever; returns False if it was marked before."""
         if engine_id in self._draining:
             return False
         self._remember_draining(engine_id)
@@ -188,7 +190,7 @@
         return True
 
     def on_drain_notice(self, now: float, engine_ids: Iterable[str]) -> None:
-        """Peers report that engines left the list: they get no work until a later list has them."""
+        """Stops using engines that a peer reports as unlisted, until a later list has them."""
         for engine_id in engine_ids:
             engine = self.engines.get(engine_id)
             if engine is None or engine.is_leaving:
@@ -198,7 +200,7 @@
             self.list_changes += 1
 
     def on_timer(self, now: float) -> None:
-        """Samples the counts for the averages; a sample that was due late is taken once."""
+        """Updates the averages if a sample is due; missed samples are not made up for."""
         if now < self._sample_at:
             return
         self._sample_at = now + SAMPLE_SECONDS
@@ -206,13 +208,13 @@
             engine.sample()
 
     def on_activity(self, now: float, engine_id: str) -> None:
-        """Bytes came from the engine, a sign of life."""
+        """Records that bytes were received from the engine."""
         engine = self.engines.get(engine_id)
         if engine is not None:
             engine.last_seen_at = now
 
     def on_load(self, now: float, engine_id: str, load: EngineLoad) -> None:
-        """Takes in a load that came with an answer."""
+        """Records a load that the engine reported with an answer."""
         engine = self.engines.get(engine_id)
         if engine is not None:
             engine.load = load
@@ -221,7 +223,7 @@
             engine.sent_since_load = 0
 
     def on_sent(self, now: float, engine_id: str, is_batch: bool, size: RequestSize) -> None:
-        """A request was sent to the engine."""
+        """Counts a request that was sent to the engine."""
         engine = self.engines[engine_id]
         self.own_changes += 1
         engine.prefill_tokens += size.prefill_tokens
@@ -233,17 +235,17 @@
             engine.change_own_online(now, 1)
 
     def on_first_token(self, engine_id: str, size: RequestSize) -> None:
-        """The engine read a request's prompt and made its first token."""
+        """Uncounts a request's prompt tokens, as the engine has produced its first token."""
         engine = self.engines.get(engine_id)
         if engine is not None and size.prefill_tokens:
             self.own_changes += 1
             engine.prefill_tokens = max(0, engine.prefill_tokens - size.prefill_tokens)
 
     def on_preempted(self, now: float, engine_id: str, size: RequestSize, *, begun: bool) -> None:
-        """A batch item was preempted, which says nothing of the engine."""
+        """Uncounts a batch item that was preempted, which is no evidence about the engine."""
         engine = self.engines.get(engine_id)
         if engine is not None:
-            self._free(now, engine, True, size, begun)
+            self._uncount(now, engine, True, size, begun)
 
     def on_ended(
         self,
@@ -255,17 +257,17 @@
         begun: bool,
         failed: bool,
     ) -> None:
-        """An attempt on the engine ended."""
+        """Uncounts an attempt that ended, and updates the engine's consecutive failures."""
         engine = self.engines.get(engine_id)
         if engine is None:
             return
-        self._free(now, engine, is_batch, size, begun)
+        self._uncount(now, engine, is_batch, size, begun)
         if failed:
             engine_ejection.on_failure(now, engine)
         else:
             engine_ejection.on_success(engine)
 
-    def _free(
+    def _uncount(
         self, now: float, engine: Engine, is_batch: bool, size: RequestSize, begun: bool
     ) -> None:
         self.own_changes += 1
--- a/src/troutswitch/decisions/forwarding/learned_times.py
+++ b/src/troutswitch/decisions/forwarding/learned_times.py
@@ -1,25 +1,25 @@
-"""What daemons have learnt of requests, in the form in which it outlives them.
+"""Run times and client timeouts that daemons have measured, in the form in which they are stored.
 
-Each daemon writes its experience into its entry of the peer registry (`peers.peer_registry`); a
-daemon that starts takes from it what it doesn't know yet. The form is a plain list, so that it
-can be stored; the order of its fields is fixed.
+Each daemon writes them into its entry of the peer registry (`peers.peer_registry`). A daemon that
+starts adopts from there what it has not measured yet. The stored form is a plain list with a fixed
+order of fields.
 """
 
 from dataclasses import dataclass, field
 from typing import Any
 
 SIMILARITY_TOLERANCE = 0.2
-"""Change, as a share of the older figure, up to which two experiences are alike."""
+"""Change, as a share of the older value, up to which two values count as similar."""
 MAX_NAMES = 64
-"""Services, and routes, that are kept."""
+"""Maximum number of services, and of routes, that are stored."""
 
 
 @dataclass(frozen=True, slots=True)
 class BatchRunTimes:
-    """How batch items run.
+    """Averages of how batch items run.
 
-    Time that an event takes, events that an item has, and the share of the time, from its first
-    start to its end, for which an item runs.
+    `event_microseconds` is the time per event, `item_events` the events per item, and
+    `duty_percent` the share of the time from an item's first start to its end in which it runs.
     """
 
     event_microseconds: int
@@ -29,11 +29,11 @@
 
 @dataclass(frozen=True, slots=True)
 class LearnedTimes:
-    """What one daemon has learnt. Times are milliseconds.
+    """What one daemon has measured. Times are milliseconds.
 
-    `times` holds, by service, the time to the first event where a slot was free and the time for
-    which a request occupies its slot; `client_timeouts`, by route, the longest time left with
-    which a request came.
+    `times` holds, by service, the time to the first event if a slot was free, and the time for
+    which a request occupies its slot. `client_timeouts` holds, by route, the longest time left of
+    any request on arrival.
     """
 
     times: dict[str, tuple[int, int]] = field(default_factory=dict)
@@ -41,23 +41,24 @@
     batch_run_times: BatchRunTimes | None = None
 
     def is_similar_to(self, other: "LearnedTimes") -> bool:
-        """Returns whether the other one has the same names, with nearly the same figures."""
-        mine, others = self._figures(), other._figures()
-        return mine.keys() == others.keys() and all(
-            abs(mine[name] - others[name]) <= SIMILARITY_TOLERANCE * others[name] for name in mine
+        """Returns whether `other` has the same services and routes with nearly the same values."""
+        own_values, other_values = self._values(), other._values()
+        return own_values.keys() == other_values.keys() and all(
+            abs(own_values[name] - other_values[name]) <= SIMILARITY_TOLERANCE * other_values[name]
+            for name in own_values
         )
 
-    def _figures(self) -> dict[tuple[str, str], int]:
-        figures = {("first event", name): first for name, (first, _) in self.times.items()}
-        figures |= {("slot time", name): slot_time for name, (_, slot_time) in self.times.items()}
+    def _values(self) -> dict[tuple[str, str], int]:
+        values = {("first event", name): first for name, (first, _) in self.times.items()}
+        values |= {("slot time", name): slot_time for name, (_, slot_time) in self.times.items()}
         if self.batch_run_times is not None:
-            figures["event", ""] = self.batch_run_times.event_microseconds
-            figures["events", ""] = self.batch_run_times.item_events
+            values["event", ""] = self.batch_run_times.event_microseconds
+            values["events", ""] = self.batch_run_times.item_events
         timeouts = self.client_timeouts.items()
-        return figures | {("client timeout", name): timeout for name, timeout in timeouts}
+        return values | {("client timeout", name): timeout for name, timeout in timeouts}
 
     def to_fields(self) -> list[Any]:
-        """Returns plain maps and lists, of bounded size."""
+        """Returns the stored form: plain maps and lists of bounded size."""
         times = dict(list(self.times.items())[:MAX_NAMES])
         timeouts = dict(list(self.client_timeouts.items())[:MAX_NAMES])
         batch = self.batch_run_times
@@ -68,14 +69,14 @@
 
     @classmethod
     def from_fields(cls, fields: Any) -> "LearnedTimes":
-        """Reads what `to_fields` returned.
+        """Returns the object that `to_fields` encoded.
 
         Raises:
-            ValueError, TypeError or AttributeError: it is malformed.
+            ValueError, TypeError or AttributeError: the fields are malformed.
         """
         times, timeouts, batch = fields
         return cls(
             {str(name): (int(first), int(slot_time)) for name, (first, slot_time) in times.items()},
             {str(name): int(timeout) for name, timeout in timeouts.items()},
-            BatchRunTimes(*(int(figure) for figure in batch)) if batch is not None else None,
+            BatchRunTimes(*(int(value) for value in batch)) if batch is not None else None,
         )
--- a/src/troutswitch/decisions/forwarding/log_events.py
+++ b/src/troutswitch/decisions/forwarding/log_events.py
@@ -1,13 +1,14 @@
-"""Log lines about forwarded requests: what was decided, from what, and how old that was.
-
-One function an event, so that its fields stand in one place. `troutswitch explain` and
-`troutswitch bound` (`hindsight`) read these lines, `gateway/metrics.py` counts them. Fields that
-end in `_ms` are whole milliseconds. `objective_ms` is the latency objective of the route,
-`client_timeout_ms` the time left with which the request came, `elapsed_ms` the time since then.
-`configuration_version` is the version in force, `configuration_age_ms` the time since the daemon
-knew that no newer one existed, `learnt_by` how it came; `admitted_version` is the version whose
-route the request goes by. `excluded_engines` has each engine of the service that it can't be sent
-to, and why, where a search for an engine found none.
+"""Log lines about forwarded requests: the decision, its inputs, and the age of the inputs.
+
+There is one function per event, so that the fields of an event are defined in one place.
+`troutswitch explain` and `troutswitch bound` (`hindsight`) read these lines, `gateway/metrics.py`
+counts them. Fields that end in `_ms` are whole milliseconds. `objective_ms` is the latency
+objective of the route, `client_timeout_ms` the request's time left on arrival, `elapsed_ms` the
+time since its arrival. `configuration_version` is the version in force, `configuration_age_ms` the
+time since no newer version existed, as far as the daemon knows, and `learnt_by` the source of that
+version. `admitted_version` is the version whose route the request was admitted by.
+`engines_left_out` has the engines of the service that the request can't be sent to, with the
+reasons, if a search for an engine found none.
 """
 
 from troutswitch.decisions.forwarding.admission import Deferral
@@ -25,16 +26,16 @@
 from troutswitch.outcomes import AttemptOutcome, Cut, MayHaveRun, NotRun, Step
 
 MAX_MILLISECONDS = 3_600_000
-"""Stands for a time that never was."""
+"""Upper bound of logged times, so that an infinite time can be logged: one hour."""
 
 
 def milliseconds(seconds: float) -> int:
-    """Returns whole milliseconds, an hour at most."""
+    """Returns a time rounded to milliseconds, at most `MAX_MILLISECONDS`."""
     return round(min(seconds * 1000, MAX_MILLISECONDS))
 
 
 def configuration_fields(known: KnownConfiguration) -> dict[str, object]:
-    """Returns the fields that tell what a daemon knows of the configuration."""
+    """Returns the log fields about the configuration that a daemon knows."""
     return {
         "configuration_version": known.version,
         "configuration_age_ms": milliseconds(known.age),
@@ -43,7 +44,7 @@
 
 
 def refusal_line(refused: Refused, known: KnownConfiguration) -> LogLine:
-    """Returns the line of a request that is refused on its arrival."""
+    """Returns the line for a request that is refused on its arrival."""
     refusal = refused.refusal
     return LogLine(
         "request refused",
@@ -68,7 +69,7 @@
     known: KnownConfiguration,
     listed_at: float,
 ) -> LogLine:
-    """Returns the line of an attempt that begins; the list of engines was read at `listed_at`."""
+    """Returns the line for an attempt that starts; the engine list was read at `listed_at`."""
     engine = assignment.engine
     return LogLine(
         "request sent",
@@ -100,7 +101,7 @@
     times: ServiceTimes,
     known: KnownConfiguration,
 ) -> LogLine:
-    """Returns the line of a request that is refused with a time to retry, and why."""
+    """Returns the line for a request that is deferred, with the wait estimate behind it."""
     estimate = deferral.estimate
     return LogLine(
         "request deferred",
@@ -125,7 +126,7 @@
 def attempt_ended_line(
     now: float, request: ForwardedRequest, event: RequestAttemptEnded
 ) -> LogLine:
-    """Returns the line of an attempt that ended."""
+    """Returns the line for an attempt that ended."""
     return LogLine(
         "attempt ended",
         {
@@ -145,7 +146,7 @@
 
 
 def silence_line(now: float, request: ForwardedRequest) -> LogLine:
-    """Returns the line of an attempt that is abandoned since its engine sends nothing."""
+    """Returns the line for an attempt that is abandoned because its engine is silent."""
     return LogLine(
         "engine fell silent",
         {
@@ -157,7 +158,7 @@
 
 
 def caller_gone_line(now: float, request: ForwardedRequest, event: CallerGone) -> LogLine:
-    """Returns the line of a caller that closed its connection."""
+    """Returns the line for a caller that closed its connection."""
     left_at = min(event.aborted_at, now)
     return LogLine(
         "caller gone",
@@ -175,7 +176,7 @@
 
 
 def unhandled_caller_gone_line(event: CallerGoneBeforeHandling) -> LogLine:
-    """Returns the line of a request whose connection was found closed."""
+    """Returns the line for a request whose caller had disconnected before it was handled."""
     age = milliseconds(event.age)
     fields: dict[str, object] = {"request_id": event.request_id, "state": "not yet handled"}
     return LogLine("caller gone", {**fields, "close_age_ms": age})
@@ -188,10 +189,10 @@
     known: KnownConfiguration,
     excluded: dict[str, str],
 ) -> LogLine:
-    """Returns the line of a request that waits for capacity for the first time.
+    """Returns the line for a request that waits for capacity for the first time.
 
-    It has run somewhere, or was delivered in part, so it can't be refused any more; or it would
-    be late at every engine and leaves the slots to others.
+    The request may have run or was delivered in part, so it can't be refused any more; or it would
+    be late at every engine, and others get the slots first.
     """
     return LogLine(
         "request waits for capacity",
@@ -218,7 +219,10 @@
     excluded: dict[str, str],
     list_age: float,
 ) -> LogLine:
-    """Returns the line of a request that gets its final answer; `list_age` is in seconds."""
+    """Returns the line for a request that ends without a complete answer.
+
+    `list_age` is the age of the engine list, in seconds.
+    """
     rejections = sum(kind is AttemptOutcome.REFUSED for kind in request.ended_attempts)
     return LogLine(
         "request given up",
--- a/src/troutswitch/decisions/forwarding/long_prompts.py
+++ b/src/troutswitch/decisions/forwarding/long_prompts.py
@@ -1,19 +1,20 @@
-"""Decides which engines take long prompts, so that short ones do not wait behind them.
+"""Decides which engines get long prompts, so that short prompts do not wait behind them.
 
-Question: is a prompt long for its service, and to which engine does it go?
+Question: is a prompt long for its service, and which engine is it sent to?
 
-Inputs: the prompt's tokens and the parts that it shares with others of its session; the mean size
-of the service's prompts, as this daemon saw them; the online requests and the waiting prompt
-tokens of each engine (`engine`, up to a second old).
+Inputs: the prompt's tokens and the parts that it shares with other prompts of its session; the mean
+size of the service's prompts on this daemon; the online requests and the waiting prompt tokens of
+each engine (`engine`, up to a second old).
 
-Rule: all daemons rank a service's engines by the same hash. The first third takes the long prompts.
-Among these, each session has its own order, by a hash too: the first two with a free slot and few
-waiting prompt tokens are its homes. If both are busy, the one with fewest waiting tokens takes it,
-up to `MAX_SHARED_PREFILL_TOKENS`; beyond that the prompt goes wherever other requests go.
+Rule: all daemons rank a service's engines by the same hash. The first third gets the long prompts.
+Within that third, each session has its own order, also by a hash. Of the engines with a free slot,
+the first two in that order are the session's homes, and the first home with few waiting prompt
+tokens gets the prompt. If both homes are busy, the engine of the third with the fewest waiting
+tokens gets it, up to `MAX_SHARED_PREFILL_TOKENS`; beyond that the prompt is placed like any other.
 
-Why: while an engine reads a long prompt, whatever comes waits for its first token. Counts arrive
-too late to avoid that engine, so daemons agree beforehand, without messages. And a session's
-shared part was read at its home before.
+Why: while an engine reads a long prompt, all requests that arrive there wait for their first token.
+Counts arrive too late to avoid such an engine, so daemons agree beforehand, without messages.
+Moreover, a session's shared part is probably cached at its home.
 
 Measurements: docs/POLICY.md, "The policies".
 """
@@ -25,47 +26,50 @@
 from troutswitch.decisions.forwarding.types import PromptShape
 
 LONG_PROMPT_MEAN_RATIO = 2.0
-"""Size, in means of the service's prompts, from which a prompt counts as long."""
+"""Minimum size of a long prompt, as a multiple of the mean size of the service's prompts."""
 MIN_LONG_PROMPT_TOKENS = 2048
-"""Least size of a long prompt: shorter ones are read at once, and a daemon that sees few requests
-doesn't know their mean well."""
+"""Minimum size of a long prompt. Shorter prompts are read quickly, and a daemon that sees few
+requests doesn't know their mean size well."""
 LONG_PROMPT_ENGINE_SHARE = 1 / 3
-"""Share of a service's engines that takes the long prompts."""
+"""Share of a service's engines that gets the long prompts."""
 NEW_SAMPLE_WEIGHT = 0.02
-"""Weight of the newest prompt in the moving average of sizes."""
+"""Weight of the newest prompt in the moving average of prompt sizes."""
 HOMES_PER_SESSION = 2
-"""Engines that a session's long prompts prefer."""
+"""Number of engines that are preferred for a session's long prompts."""
 MAX_HOME_PREFILL_TOKENS = 9216
-"""Prompt tokens waiting at a session's home up to which it is preferred."""
+"""Maximum number of prompt tokens waiting at a session's home with which it is preferred."""
 MAX_SHARED_PREFILL_TOKENS = 24_576
-"""Prompt tokens waiting at each engine for long prompts from which others take them too."""
+"""Prompt tokens waiting at each engine for long prompts above which other engines get them too."""
 MAX_ONLINE_SHARE = 0.9
-"""Share of an engine's slots that online requests take, up to which it takes one more. Batch items
-do not count: they are preempted."""
+"""Share of an engine's slots occupied by online requests below which it gets one more long prompt.
+Batch items do not count: they are preempted."""
 
 
 class PromptSizes:
-    """The mean size of each service's prompts, as this daemon sees them, in tokens."""
+    """The mean size of each service's prompts on this daemon, in tokens."""
 
     def __init__(self) -> None:
         self._means: dict[str, float] = {}
 
     def add(self, service: str, tokens: int) -> None:
-        """Takes a prompt into the mean."""
+        """Adds a prompt to the mean."""
         mean = self._means.get(service)
         self._means[service] = (
             tokens if mean is None else mean + NEW_SAMPLE_WEIGHT * (tokens - mean)
         )
 
     def is_long(self, service: str, tokens: int) -> bool:
-        """Returns whether a prompt is long for its service; a large one that is seen first is."""
+        """Returns whether a prompt is long for its service.
+
+        The first prompt of a service is long if it has the minimum size.
+        """
         if tokens < MIN_LONG_PROMPT_TOKENS:
             return False
         return tokens >= LONG_PROMPT_MEAN_RATIO * self._means.get(service, 0.0)
 
 
 def long_prompt_engines(engines: list[Engine]) -> list[Engine]:
-    """Returns the engines of a service that take its long prompts, the same on all daemons."""
+    """Returns the engines of a service that get its long prompts, the same on all daemons."""
     ranked = sorted(
         engines, key=lambda engine: stable_hash("long prompts", engine.record.engine_id)
     )
@@ -73,7 +77,7 @@
 
 
 def homes_of(prompt: PromptShape, engines: list[Engine]) -> list[Engine]:
-    """Returns the engines for long prompts in the order of a session, its homes first."""
+    """Returns the engines for long prompts in the order that a session prefers them."""
     session = prompt.session_part
     return sorted(
         long_prompt_engines(engines),
@@ -83,15 +87,15 @@
 
 
 def choose_home(prompt: PromptShape, engines: list[Engine]) -> Engine | None:
-    """Returns the engine for a long prompt; None if those that take them are busy."""
+    """Returns the engine for a long prompt; None if all engines for long prompts are busy."""
     free = [engine for engine in homes_of(prompt, engines) if _has_free_slots(engine)]
     for home in free[:HOMES_PER_SESSION]:
         if home.waiting_prefill_tokens <= MAX_HOME_PREFILL_TOKENS:
             return home
-    least = min(free, key=lambda engine: engine.waiting_prefill_tokens, default=None)
-    if least is None or least.waiting_prefill_tokens > MAX_SHARED_PREFILL_TOKENS:
+    least_loaded = min(free, key=lambda engine: engine.waiting_prefill_tokens, default=None)
+    if least_loaded is None or least_loaded.waiting_prefill_tokens > MAX_SHARED_PREFILL_TOKENS:
         return None
-    return least
+    return least_loaded
 
 
 def _has_free_slots(engine: Engine) -> bool:
@@ -99,9 +103,9 @@
 
 
 def expected_prefill(prompt: PromptShape, engine: Engine, engines: list[Engine]) -> int:
-    """Returns the prompt tokens that an engine has probably to read for a request.
+    """Returns the prompt tokens that an engine will probably have to read for a request.
 
-    At a session's first home the shared part is taken to be in its cache.
+    The shared part is assumed to be cached at the session's first home.
     """
     if not prompt.session_part or homes_of(prompt, engines)[0] is not engine:
         return prompt.prompt_tokens
--- a/src/troutswitch/decisions/forwarding/messages.py
+++ b/src/troutswitch/decisions/forwarding/messages.py
@@ -1,8 +1,9 @@
-"""Typed events that reach the forwarding decisions, and the instructions they give.
+"""Events that the forwarding decisions handle, and instructions that they return.
 
-The gateway's threads make the events (`gateway.callers`, `gateway.engines`) and carry the
-instructions out (`gateway.instruction_executor`). `token` names a request within this process,
-`attempt` numbers its attempts from 1. Times are this process's clock, durations are seconds.
+The gateway's threads create the events (`gateway.callers`, `gateway.engines`) and execute the
+instructions (`gateway.instruction_executor`). `token` identifies a request within this process,
+`attempt` is the ordinal of an attempt, from 1. Times are this process's clock, durations are
+seconds.
 """
 
 from dataclasses import dataclass
@@ -17,12 +18,13 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestArrived:
-    """A caller's whole request was read.
+    """A request of a caller was read completely.
 
-    `request_id` is the caller's, `time_left` what it will wait. `content` names the request by
-    its content (`crashes.content`), empty where nobody needs it. `read_at` is when it was read;
-    infinite stands for now. `caller_key` is the digest of the key that the caller shows, empty if
-    it shows none. `resume_after` is the id of the last event that the caller has, or empty.
+    `request_id` is the caller's id, `time_left` is how long the caller will wait. `content` is a
+    name derived from the request's content (`crashes.content`), or empty if it is not needed.
+    `read_at` is when the request was read; infinite stands for now. `caller_key` is the digest of
+    the caller's key, or empty if it sent none. `resume_after` is the id of the last event that the
+    caller has received, or empty.
     """
 
     token: int
@@ -39,10 +41,10 @@
 
 @dataclass(frozen=True, slots=True)
 class AnswerBegun:
-    """The head of an answer to an attempt came.
+    """The head of an answer to an attempt was received.
 
-    `not_run` tells that it is a rejection. Whoever has the address now may have sent it: an
-    engine that crashed may have been followed there by another.
+    `not_run` is set if the answer is a rejection. It may come from another engine than the one that
+    the request was sent to: after a crash, another may have the same address.
     """
 
     token: int
@@ -55,11 +57,11 @@
 class RequestAttemptEnded:
     """An attempt ended.
 
-    `position` is the id of the last whole event delivered to the caller, or empty; `delivered`
-    counts the events delivered. `status` is the HTTP status of the answer, 0 without one.
-    `has_answer` tells that the relay has a whole answer of the engine that can be passed on as it
-    is, `wrong_instance` that another incarnation answered at the engine's address. `longest_gap`
-    is the longest pause between events.
+    `position` is the id of the last complete event delivered to the caller, or empty; `delivered`
+    is the number of events delivered. `status` is the HTTP status of the answer, or 0 without one.
+    `has_answer` is set if the relay has a complete answer of the engine that can be relayed
+    unchanged, `wrong_instance` if another incarnation answered at the engine's address.
+    `longest_gap` is the longest pause between events.
     """
 
     token: int
@@ -80,7 +82,7 @@
 class CallerGone:
     """The caller closed its connection.
 
-    `aborted_at` is when its engine's connection was shut down, infinite if there was none.
+    `aborted_at` is when the connection to its engine was shut down; infinite if there was none.
     """
 
     token: int
@@ -90,7 +92,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CallerGoneBeforeHandling:
-    """A request was found with its connection closed by the caller, `age` seconds ago."""
+    """A caller closed its connection `age` seconds ago, before its request was handled."""
 
     request_id: str
     age: float
@@ -98,7 +100,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EngineActivity:
-    """Bytes of an answer came from an engine; reported a few times a second at most."""
+    """Bytes of an answer were received from an engine; reported a few times a second at most."""
 
     engine_id: str
 
@@ -110,11 +112,11 @@
 class SendRequest:
     """Send the request to an engine.
 
-    `gap_wait` bounds how long each next bytes of the answer may take after its first event,
-    `first_event_wait` those after its head; `time_left` bounds the head and is sent to the
-    engine as the deadline. `decided_at` is when these were computed; infinite stands for now.
-    `resume_after` is the id of the last event that the caller has, or empty. `tenant` names the
-    caller's tenant to the engine.
+    `time_left` is the timeout for the head of the answer, and is sent to the engine as the
+    deadline. `first_event_wait` is the timeout for the first event after the head, `gap_wait` the
+    timeout for each following event. `decided_at` is when these were computed; infinite stands for
+    now. `resume_after` is the id of the last event that the caller has received, or empty. `tenant`
+    is the caller's tenant, which is sent to the engine.
     """
 
     token: int
@@ -133,7 +135,7 @@
 class FinishRequest:
     """Give the caller its final answer.
 
-    `relays_answer`: pass on the engine's whole answer, which the relay has.
+    With `relays_answer`, the caller gets the engine's complete answer, which the relay has.
     """
 
     token: int
@@ -145,7 +147,7 @@
 class AbortAttempt:
     """Close the connection of an attempt that is no longer wanted.
 
-    `is_silent`: nothing came on it for too long; otherwise its caller left.
+    `is_silent` is set if the engine was silent or the request timed out.
     """
 
     token: int
@@ -155,7 +157,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PreemptBatchItem:
-    """A request was sent to an engine that has no free slot: preempt a batch item there."""
+    """Preempt a batch item at an engine without a free slot, to which a request was sent."""
 
     engine_id: str
     request_id: str
--- a/src/troutswitch/decisions/forwarding/open_requests.py
+++ b/src/troutswitch/decisions/forwarding/open_requests.py
@@ -1,7 +1,7 @@
-"""The requests in flight on this daemon: how one waits for capacity, and how one ends.
+"""The open requests of this daemon: how they wait for capacity, and how they end.
 
-Owns the requests by their token. Each end gives exactly one `FinishRequest` and forgets the
-request, so that no later event finds it. Relies on `retry` for who may wait.
+Owns the requests by their token. Ending a request gives at most one `FinishRequest` and removes the
+request, so that later events do not find it. `retry` decides which requests may wait.
 """
 
 import random
@@ -37,7 +37,7 @@
 LATE_REASON = "all servers would answer late"
 CRASHES_REASON = "servers ended under this request"
 SILENT_REASON = "server fell silent"
-"""Reasons that callers get; their wording is part of the interface."""
+"""Reasons that are sent to callers; their wording is part of the interface."""
 
 Instructions = list[ForwardingInstruction]
 
@@ -52,23 +52,23 @@
         self._rng = rng
 
     def add(self, request: ForwardedRequest) -> None:
-        """Takes in a request that was admitted."""
+        """Adds a request that was admitted."""
         self.by_token[request.arrival.token] = request
 
     def remove(self, request: ForwardedRequest) -> None:
-        """Forgets a request whose answer is complete or given otherwise."""
+        """Removes a request that has its final answer."""
         del self.by_token[request.arrival.token]
 
     # Waiting.
 
     @staticmethod
     def wait(now: float, request: ForwardedRequest) -> None:
-        """Has a request wait until it asks again for an engine."""
+        """Makes a request wait until its placement is retried."""
         request.state = RequestState.WAITING
         request.retry_at = now + CAPACITY_RETRY_SECONDS
 
     def delay(self, now: float, request: ForwardedRequest) -> Instructions:
-        """Has a late request wait for a slot that is free; only the first wait is logged."""
+        """Makes a late request wait for a free slot; only the first wait is logged."""
         was_delayed, request.was_delayed = request.was_delayed, True
         request.longest_wait = 0.0
         self.wait(now, request)
@@ -77,7 +77,7 @@
     def wait_or_end(
         self, now: float, request: ForwardedRequest, reason: str, step: Step
     ) -> Instructions:
-        """No engine can take the request now: it waits if it can't be refused any more."""
+        """Makes a request that no engine can take wait if it can't be refused; else ends it."""
         if not may_wait_for_capacity(now, request):
             return self.end_unanswered(now, request, reason, step)
         self.wait(now, request)
@@ -91,23 +91,24 @@
     def _excluded_engines(
         self, now: float, request: ForwardedRequest, step: Step
     ) -> dict[str, str]:
-        """Returns why each engine was left out of a search that found none; empty elsewhere.
+        """Returns why engines were excluded, by engine id, if a search for an engine found none.
 
-        Looking at all engines for each request that ends otherwise would cost most under load.
+        The result is empty for other steps: to check all engines for each request that ends would
+        be most expensive under load.
         """
         return excluded_engines(now, request, self._engines) if step is Step.ROUTE else {}
 
     # Ends.
 
     def refuse(self, now: float, refused: Refused) -> Instructions:
-        """Refuses a request on its arrival, or one that is not kept here any more."""
+        """Refuses a request that is not among the open requests."""
         line = refusal_line(refused, self._routes.known(now))
         return [FinishRequest(refused.arrival.token, refused.refusal), line]
 
     def defer(
         self, now: float, request: ForwardedRequest, deferral: Deferral, times: ServiceTimes
     ) -> Instructions:
-        """Refuses a request that was not sent anywhere, with a time to retry."""
+        """Refuses a request that was not sent to any engine, with a time after which to retry."""
         ensure(not request.ended_attempts, "a request that was sent is deferred")
         self.remove(request)
         refusal = NotRun(LATE_REASON, Step.ADMIT, "", deferral.retry_after)
@@ -115,7 +116,7 @@
         return [FinishRequest(request.arrival.token, refusal), line]
 
     def pass_answer_on(self, request: ForwardedRequest, event: RequestAttemptEnded) -> Instructions:
-        """Ends a request with the engine's whole answer, although the attempt failed."""
+        """Ends a request with the engine's complete answer, although the attempt failed."""
         self.remove(request)
         outcome = MayHaveRun(event.reason, Step.RELAY, request.engine_id)
         return [FinishRequest(request.arrival.token, outcome, relays_answer=True)]
@@ -123,7 +124,10 @@
     def end_unanswered(
         self, now: float, request: ForwardedRequest, reason: str, step: Step
     ) -> Instructions:
-        """Ends a request by what is certain of its attempts: not run, may have run, or cut."""
+        """Ends a request without a complete answer.
+
+        The outcome follows from its attempts: not run, may have run, or cut.
+        """
         self.remove(request)
         outcome = failure_outcome(
             request.ended_attempts,
--- a/src/troutswitch/decisions/forwarding/placement.py
+++ b/src/troutswitch/decisions/forwarding/placement.py
@@ -1,21 +1,21 @@
 """Chooses an engine for a request: an interface and its implementations.
 
-Question: several engines may take a request now. Which one gets it?
+Question: a request may be sent to several engines now. Which one gets it?
 
-Inputs: for each engine the online requests, batch items and waiting prompt tokens on it, by the
-counts of this daemon and of its peers (up to a second old) or by the engine's own load, and
-averages of the waiting prompt tokens over three seconds (`engine`); its zone; the request's
-prompt size and session.
+Inputs: the online requests, batch items and waiting prompt tokens on each engine, from the counts
+of this daemon and of its peers (up to a second old) or from the engine's own load; the waiting
+prompt tokens averaged over three seconds (`engine`); its zone; the request's prompt size and
+session.
 
-Rule of `prefix_shortest`, the default: a long prompt goes to the engine that its session keeps to,
-among the few engines that take long prompts (`long_prompts`). Any other request goes to the engine
-with the lowest `queue_cost`, with a small random part. Costs are shares of an engine's slots.
+Rule of `prefix_shortest`, the default: a long prompt goes to a home of its session, one of the few
+engines that get long prompts (`long_prompts`). Any other request goes to the engine with the lowest
+`queue_cost`, with a small random part. Costs are shares of an engine's slots.
 
-`two_choices` also decides, whatever the policy, where no coordinator answers
-(`slots/slot_requests.py`). `prefix_aware` is there to be compared with.
+With any policy, `two_choices` decides if no coordinator answers (`slots/slot_requests.py`).
+`prefix_aware` exists for comparison.
 
-Why: batch items are preempted at once, so they count little; waiting prompt tokens hold up the
-first token of whatever comes next.
+Why: batch items are preempted immediately, so they count little; waiting prompt tokens delay the
+first token of the following requests.
 
 Measurements: docs/POLICY.md, "The policies".
 """
@@ -29,24 +29,25 @@
 from troutswitch.decisions.forwarding.types import PromptShape
 
 FULL_PREFILL_TOKENS = 8192
-"""Prompt tokens waiting at an engine that count as much as all its slots taken."""
+"""Waiting prompt tokens that cost as much as if all slots of the engine were taken."""
 ZONE_PENALTY = 0.1
-"""Load share that an engine of another zone counts as more."""
+"""Cost that is added for an engine of another zone."""
 WEIGHTED_CHOICES = 2
-"""Engines drawn by `Headroom`, of which the better one is taken."""
+"""Engines drawn by `Headroom`, of which the better one is chosen."""
 MIN_HEADROOM = 0.05
-"""Free share by which an engine without any is still drawn now and then."""
+"""Minimum free share used as a weight, so that full engines are still drawn occasionally."""
 BATCH_WEIGHT = 0.2
-"""Part of an online request that a batch item counts as, since it is preempted at once."""
+"""Cost of a batch item relative to an online request; it is low as items are preempted
+immediately."""
 RANDOM_CHOICES = 2
-"""Engines drawn by `TwoChoices`, and the least number of near ones of which it draws."""
+"""Engines drawn by `TwoChoices`, and the minimum number of engines in its own zone to draw from."""
 COST_JITTER = 0.1
-"""Random part of an engine's cost, in shares of its slots: daemons with the same counts don't
-all choose the same engine."""
+"""Random part of an engine's cost, as a share of its slots, so that daemons with the same counts
+don't all choose the same engine."""
 
 
 class PlacementPolicy(Protocol):
-    """Chooses among engines that may take a request."""
+    """Chooses among the engines that a request may be sent to."""
 
     def choose(
         self,
@@ -56,36 +57,36 @@
         zone: str,
         rng: random.Random,
     ) -> Engine:
-        """Returns one of the candidates, of which there is at least one."""
+        """Returns one of the candidates; there is at least one."""
         ...
 
 
 class HomePolicy(Protocol):
-    """Knows the engines to which some requests go whatever the load of others is."""
+    """Chooses the engines for requests that are bound to an engine by their session."""
 
     def home(self, candidates: list[Engine], prompt: PromptShape) -> Engine | None:
-        """Returns the engine for a request, or None if any may take it."""
+        """Returns the engine for a request; None if it may be sent to any."""
         ...
 
 
 def load_share(now: float, engine: Engine) -> float:
-    """Returns the share of the engine's slots that is taken; over 1 if requests are queued."""
+    """Returns the share of the engine's slots that is taken; above 1 if requests are queued."""
     return engine.in_flight(now) / engine.slots
 
 
 def placement_cost(now: float, engine: Engine, zone: str) -> float:
-    """Returns how bad an engine is for the next request: 1 is as bad as no free slot."""
+    """Returns the cost of sending the next request to an engine; 1 corresponds to no free slot."""
     return batch_cost(now, engine, zone) + _prefill_cost(engine)
 
 
 def queue_cost(now: float, engine: Engine, zone: str) -> float:
-    """Returns how bad an engine is for the next request where batch items are preempted."""
+    """Returns the cost of sending the next request to an engine that preempts batch items."""
     taken = engine.online_load(now) + BATCH_WEIGHT * engine.batch_count()
     return taken / engine.slots + _zone_cost(engine, zone) + _prefill_cost(engine)
 
 
 def batch_cost(now: float, engine: Engine, zone: str) -> float:
-    """Returns how bad an engine is for a batch item, whose prompt may wait to be read."""
+    """Returns the cost of sending a batch item to an engine; waiting prompts do not count."""
     return load_share(now, engine) + _zone_cost(engine, zone)
 
 
@@ -96,17 +97,18 @@
 def _prefill_cost(engine: Engine) -> float:
     """Returns the cost of waiting prompt tokens.
 
-    Where there often are some, there probably are again when the request arrives.
+    The average counts as well: an engine that often has some will probably have some again when
+    the request arrives.
     """
     waiting = max(engine.waiting_prefill_tokens, engine.mean_prefill_tokens)
     return waiting / FULL_PREFILL_TOKENS
 
 
 class Headroom:
-    """The better one of two engines, drawn the more often the more free capacity they have.
+    """Chooses the better of two random engines; those with more free capacity are drawn more often.
 
-    Load counts are as old as the last reports. If many daemons took the engine that seems best,
-    it would not stay so; drawn by their free capacity, all fill alike.
+    Load counts are as old as the last reports. If many daemons chose the engine that seems best,
+    they would overload it; a draw weighted by free capacity fills all engines evenly.
     """
 
     def choose(
@@ -117,7 +119,7 @@
         zone: str,
         rng: random.Random,
     ) -> Engine:
-        """Chooses the better of the engines drawn."""
+        """Returns the better of the engines drawn."""
         costs = [placement_cost(now, engine, zone) for engine in candidates]
         weights = [max(MIN_HEADROOM, 1.0 - cost) ** 2 for cost in costs]
         drawn = rng.choices(range(len(candidates)), weights, k=WEIGHTED_CHOICES)
@@ -125,10 +127,10 @@
 
 
 class ShortestQueue:
-    """The engine with fewest online requests for its slots.
+    """Chooses the engine with the lowest `queue_cost`.
 
-    It needs counts that are fresh: with old ones all daemons take the same engine, which the
-    random part of the cost lessens.
+    It relies on fresh counts: with old counts, all daemons choose the same engine. The random part
+    of the cost mitigates this.
     """
 
     def choose(
@@ -139,7 +141,7 @@
         zone: str,
         rng: random.Random,
     ) -> Engine:
-        """Chooses the best engine, any of those that are nearly alike."""
+        """Returns the engine with the lowest cost; any of several with nearly the same cost."""
         return min(
             candidates,
             key=lambda engine: queue_cost(now, engine, zone) + COST_JITTER * rng.random(),
@@ -147,9 +149,9 @@
 
 
 class TwoChoices:
-    """The better one of two engines drawn at random, of the own zone if it has two.
+    """Chooses the better of two random engines, of this daemon's zone if it has two.
 
-    For counts that are old: if all daemons took the best engine, all would take the same.
+    It is meant for old counts, with which all daemons would choose the same best engine.
     """
 
     def choose(
@@ -160,7 +162,7 @@
         zone: str,
         rng: random.Random,
     ) -> Engine:
-        """Chooses the better of the engines drawn."""
+        """Returns the better of the engines drawn."""
         near = [engine for engine in candidates if engine.record.zone == zone]
         pool = near if len(near) >= RANDOM_CHOICES else candidates
         drawn = rng.sample(pool, min(RANDOM_CHOICES, len(pool)))
@@ -168,13 +170,13 @@
 
 
 class LongPromptHomes:
-    """Long prompts go to the engine of their session, among the few that take long prompts."""
+    """Sends long prompts to the homes of their sessions, among the engines for long prompts."""
 
     def __init__(self) -> None:
         self._sizes = PromptSizes()
 
     def home(self, candidates: list[Engine], prompt: PromptShape) -> Engine | None:
-        """Returns a long prompt's engine, and takes the prompt's size into the mean."""
+        """Returns the engine for a long prompt, and adds the prompt's size to the mean."""
         if not candidates:
             return None
         service = candidates[0].record.service
@@ -184,19 +186,19 @@
 
 
 class NoHomes:
-    """Any engine may take any request."""
+    """Binds no request to an engine."""
 
     def home(self, candidates: list[Engine], prompt: PromptShape) -> Engine | None:
-        """Names none."""
+        """Returns None."""
         return None
 
 
 class PrefixAware:
-    """Long prompts to the engine of their session, others as a second policy chooses."""
+    """Sends long prompts to the homes of their sessions; another policy places other requests."""
 
-    def __init__(self, others: PlacementPolicy) -> None:
+    def __init__(self, fallback: PlacementPolicy) -> None:
         self.homes = LongPromptHomes()
-        self.others = others
+        self.fallback = fallback
 
     def choose(
         self,
@@ -206,9 +208,9 @@
         zone: str,
         rng: random.Random,
     ) -> Engine:
-        """Chooses an engine."""
+        """Returns the home of a long prompt, or the other policy's choice."""
         home = self.homes.home(candidates, prompt)
-        return home or self.others.choose(now, candidates, prompt, zone, rng)
+        return home or self.fallback.choose(now, candidates, prompt, zone, rng)
 
 
 POLICIES: dict[str, Callable[[], PlacementPolicy]] = {
@@ -220,6 +222,6 @@
 
 
 def home_policy(name: str) -> HomePolicy:
-    """Returns the homes that a placement policy of some name knows."""
+    """Returns the home policy of the placement policy with a name."""
     policy = POLICIES[name]()
     return policy.homes if isinstance(policy, PrefixAware) else NoHomes()
--- a/src/troutswitch/decisions/forwarding/placer.py
+++ b/src/troutswitch/decisions/forwarding/placer.py
@@ -1,11 +1,12 @@
 """Assigns requests to engines: an interface, and the implementation by local slot counts.
 
-Question: to which engine does a request go, or is no slot free in time anywhere?
+Question: which engine is a request sent to, or is no slot free in time at any engine?
 
-`LocalPlacer` decides at once, by this daemon's own counts of requests and by those that peers
+`LocalPlacer` decides immediately, by this daemon's own counts of requests and by those that peers
 reported (`engines`; up to a second old). It estimates the shortest wait for a slot. If that is
-longer than the request takes, there is no slot in time. Otherwise the placement policy chooses.
-`slots.slot_requests` is the other implementation: it requests slots of coordinators.
+longer than the request's longest wait, no slot is free in time; otherwise the placement policy
+chooses an engine. The other implementation, `slots.slot_requests`, requests slots from
+coordinators.
 
 Measurements: docs/POLICY.md, "Rounds with coordinators of slots".
 """
@@ -24,9 +25,9 @@
 
 @dataclass(frozen=True, slots=True)
 class PlacementRequest:
-    """A request for which an engine is sought.
+    """A request to be placed.
 
-    `token` names the request within this process. `longest_wait` is the wait for a slot, in
+    `token` identifies the request within this process. `longest_wait` is the wait for a slot, in
     seconds, with which it is sent; infinite if it is sent whatever the wait.
     """
 
@@ -37,7 +38,7 @@
 
 
 class AssignedBy(Enum):
-    """What an assignment was decided by; the values stand in logs."""
+    """What decided an assignment; the values are logged."""
 
     OWN_COUNTS = "own counts"
     COORDINATOR = "coordinator"
@@ -47,7 +48,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Assignment:
-    """An engine for a request; `is_queued` tells that all its slots seem taken."""
+    """An engine for a request; `is_queued` is set if all slots of the engine seem taken."""
 
     engine: Engine
     assigned_by: AssignedBy
@@ -63,7 +64,7 @@
 
 @dataclass(frozen=True, slots=True)
 class NoEngine:
-    """There is no engine left that may take the request."""
+    """The request may not be sent to any engine."""
 
 
 Placement = Assignment | NoSlotInTime | NoEngine
@@ -75,22 +76,22 @@
     def place(
         self, now: float, request: PlacementRequest, candidates: list[Engine], /
     ) -> Placement | None:
-        """Returns the decision on a request; None if it follows later.
+        """Returns the placement of a request; None if it is decided later.
 
         Args:
             now: this process's clock, in seconds.
-            request: the request for which an engine is sought.
-            candidates: engines that may take it, of which there is at least one.
+            request: the request to be placed.
+            candidates: the engines that it may be sent to; at least one.
         """
         ...
 
     def withdraw(self, now: float, token: int) -> None:
-        """Forgets a request for which no engine is sought any more."""
+        """Drops a request that no longer needs a placement."""
         ...
 
 
 class LocalPlacer:
-    """Assigns at once, by the local slot counts: the baseline."""
+    """Assigns requests immediately, by the local slot counts: the baseline."""
 
     def __init__(
         self, zone: str, policy: PlacementPolicy, times: RunTimes, rng: random.Random
@@ -103,7 +104,7 @@
     def place(
         self, now: float, request: PlacementRequest, candidates: list[Engine]
     ) -> Placement | None:
-        """Chooses by the policy, unless the wait is too long everywhere."""
+        """Returns the policy's choice, unless the wait is too long at every engine."""
         if request.longest_wait < float("inf"):
             best = shortest_wait(now, candidates, self._times.of(request.service))
             if best is not None and best.wait > request.longest_wait:
@@ -113,4 +114,4 @@
         return Assignment(engine, AssignedBy.OWN_COUNTS, is_queued)
 
     def withdraw(self, now: float, token: int) -> None:
-        """Has nothing to forget."""
+        """Does nothing, as no placement is pending."""
--- a/src/troutswitch/decisions/forwarding/placing.py
+++ b/src/troutswitch/decisions/forwarding/placing.py
@@ -1,7 +1,7 @@
-"""Moves a request from PLACING on: to an engine, to a wait, or to its end.
+"""Handles requests in the state PLACING: sends them to an engine, makes them wait, or ends them.
 
-Owns the placer in use; `requests` shows the states. Relies on
-`candidates`, `placer` and `admission` for the decisions, and on `attempts` to start one.
+Owns the placer in use; `requests` documents the states. Relies on `candidates`, `placer` and
+`admission` for the decisions, and on `attempts` to start an attempt.
 """
 
 from dataclasses import replace
@@ -35,7 +35,7 @@
 
 
 class RequestPlacing:
-    """Seeks engines for requests, and starts their attempts."""
+    """Places requests at engines, and starts their attempts."""
 
     def __init__(
         self,
@@ -56,13 +56,13 @@
         self._attempts = attempts
 
     def begin(self, now: float, request: ForwardedRequest) -> Instructions:
-        """Places a request that was admitted just now."""
+        """Places a request that has just been admitted."""
         request.longest_wait = self._admission.longest_wait(request)
         self._open.add(request)
         return self.place(now, request, NO_ENGINE_REASON)
 
     def place(self, now: float, request: ForwardedRequest, reason: str) -> Instructions:
-        """Seeks an engine; `reason` tells the caller why there may be none."""
+        """Places a request; `reason` is given to the caller if there is no engine for it."""
         if not has_time_to_send(now, request):
             return self._open.end_unanswered(now, request, "time ran out", Step.DISPATCH)
         candidates = candidate_engines(now, request, self._engines)
@@ -80,7 +80,7 @@
     def on_placement(
         self, now: float, request: ForwardedRequest, placement: Placement
     ) -> Instructions:
-        """Takes the end of the search for an engine."""
+        """Applies the decision on a request's placement."""
         ensure(request.state is RequestState.PLACING, "a waiting request is assigned to an engine")
         match placement:
             case NoSlotInTime():
@@ -95,7 +95,7 @@
     def _on_late(
         self, now: float, request: ForwardedRequest, placement: NoSlotInTime
     ) -> Instructions:
-        """No slot is free in time for a request that was not sent yet."""
+        """Applies the admission policy to a new request for which no slot is free in time."""
         times = self._admission.times_of(request)
         estimate = replace(placement.estimate, slot_time=times.slot_time)
         action = self._admission.on_late(now, request, estimate)
@@ -127,10 +127,10 @@
         return [send, line, *preempt_if_full(now, request, assignment)]
 
     def _identify_again(self, request: ForwardedRequest) -> NotRun | None:
-        """Checks the caller's key once more before its request is first sent.
+        """Checks the caller's key again before its request is first sent; returns any refusal.
 
-        Guards against a key that was revoked, or given to another tenant, while the request
-        waited. One that was sent already goes on: its caller had the right to it.
+        The key may have been revoked, or given to another tenant, while the request waited. A
+        request that was sent before continues, as its caller was authorized then.
         """
         if request.ended_attempts:
             return None
--- a/src/troutswitch/decisions/forwarding/requests.py
+++ b/src/troutswitch/decisions/forwarding/requests.py
@@ -1,25 +1,25 @@
 """Forwarded requests: their states, from arrival to the final answer.
 
-A request's states and the moves between them:
+The states of a request and the transitions between them:
 
     (arrived) -> PLACING    it was admitted, and an engine is being chosen
     PLACING   -> RUNNING    it was assigned to an engine, and an attempt started
     RUNNING   -> PLACING    the attempt failed and may be repeated
-    PLACING   -> WAITING    no engine can take it now, and it can't be refused any more, or
-                            it would be late anyway and leaves the slots to others
+    PLACING   -> WAITING    no engine can take it now, and it can't be refused any more; or it would
+                            be late anyway, and others get the slots first
     RUNNING   -> WAITING    the same after a failed attempt
     WAITING   -> PLACING    after `CAPACITY_RETRY_SECONDS`
-    any       -> finished   at most one `FinishRequest` is given, the request forgotten
+    any       -> finished   at most one `FinishRequest` is given, and the request is removed
 
-An attempt that the engine says it did not run may be followed by another one on any route. One
-that may have run is followed only where the route allows repetition, and on a resumable stream
-the next one goes on after the last whole event delivered.
+If an engine reports that it did not run an attempt, another attempt may follow on any route. If an
+attempt may have run, another follows only if the route allows repetition; on a resumable stream it
+continues after the last complete event delivered.
 
-This module takes the events and sets off the moves; `placing` moves a request on from PLACING,
-`open_requests` has it wait or ends it, `attempts` keeps the counts at the engines. The rules stand
-beside: `arrivals` (who may send), `admission` (sent, delayed or refused), `candidates`,
-`placement` and `placer` (which engine), `retry` (after a failure), `engine_silence` (when an
-attempt is abandoned).
+This module handles the events and starts the transitions. `placing` handles requests in PLACING,
+`open_requests` makes requests wait or ends them, `attempts` updates the counts at the engines. The
+rules are in other modules: `arrivals` (which callers may send), `admission` (sent, delayed or
+refused), `candidates`, `placement` and `placer` (which engine), `retry` (after a failure),
+`engine_silence` (when an attempt is abandoned).
 """
 
 import random
@@ -64,7 +64,7 @@
 from troutswitch.outcomes import NOT_EXECUTED_OUTCOMES, AttemptOutcome, NotRun, Step
 
 SILENCE_CHECK_SECONDS = 0.1
-"""Interval between checks for engines that fell silent."""
+"""Interval between checks for silent engines."""
 
 
 class ForwardedRequests:
@@ -107,7 +107,7 @@
 
     @property
     def placer(self) -> Placer:
-        """The placer in use: at first the one by local counts."""
+        """The placer in use; initially a `LocalPlacer`."""
         return self._placing.placer
 
     @placer.setter
@@ -117,12 +117,12 @@
     # Arrival.
 
     def on_arrived(self, now: float, event: RequestArrived) -> Instructions:
-        """Starts a request or answers it at once; does neither while its quota is requested."""
+        """Starts or refuses a request, unless its quota decision is pending."""
         ensure(event.token not in self.requests, "a request token is used twice")
         return self._on_arrival_decided(now, self.arrivals.on_arrived(now, event))
 
     def on_quota_decided(self, now: float, end: QuotaCompletion) -> Instructions:
-        """Starts or refuses a request by the decision on its tenant's quota."""
+        """Starts or refuses a request according to the decision on its tenant's quota."""
         return self._on_arrival_decided(now, self.arrivals.on_quota_decided(now, end))
 
     def _on_arrival_decided(self, now: float, decided: Admitted | Refused | None) -> Instructions:
@@ -153,12 +153,12 @@
     # Placement.
 
     def candidates(self, now: float, token: int) -> list[Engine]:
-        """Returns the engines that may take a request for which an engine is sought."""
+        """Returns the engines that a request may be sent to; none if the request has ended."""
         request = self.requests.get(token)
         return candidate_engines(now, request, self._engines) if request is not None else []
 
     def on_placed(self, now: float, token: int, placement: Placement) -> Instructions:
-        """Takes the end of a placement that was not decided at once."""
+        """Applies a placement that was decided later."""
         request = self.requests.get(token)
         if request is None or request.is_running:
             return []
@@ -180,14 +180,17 @@
         return request
 
     def on_answer_begun(self, now: float, event: AnswerBegun) -> Instructions:
-        """The engine's first bytes came."""
+        """Handles the head of an answer."""
         request = self._find_attempt(event.token, event.attempt)
         if request is not None:
             self._attempts.on_answer_begun(now, request, event)
         return []
 
     def on_attempt_ended(self, now: float, event: RequestAttemptEnded) -> Instructions:
-        """Forgets the request, or tries another engine where that is allowed."""
+        """Handles the end of an attempt.
+
+        Removes the request if the attempt completed; otherwise retries or ends it (see `retry`).
+        """
         request = self._find_attempt(event.token, event.attempt)
         if request is None:
             return []
@@ -206,8 +209,8 @@
         request.needs_retry_budget |= may_have_run
         content = request.arrival.content
         awaits_report = may_have_run and self._suspects.awaits_crash_report(content)
-        following = action_after_failure(request, event, awaits_crash_report=awaits_report)
-        match following:
+        action = action_after_failure(request, event, awaits_crash_report=awaits_report)
+        match action:
             case FailureAction.PASS_ANSWER_ON:
                 return self._open.pass_answer_on(request, event)
             case FailureAction.END:
@@ -219,12 +222,16 @@
             case FailureAction.TRY_ANOTHER_ENGINE:
                 return self._try_another_engine(now, request, event.reason)
             case _:
-                assert_never(following)
+                assert_never(action)
 
     def _try_another_engine(
         self, now: float, request: ForwardedRequest, reason: str
     ) -> Instructions:
-        """Places a request again, if the retry budget allows one whose attempt may have run."""
+        """Places a request again.
+
+        If its last attempt may have run, this takes from the retry budget. If the budget is spent,
+        the request waits or ends.
+        """
         if request.needs_retry_budget and not self._budget.take(request.service):
             reason = f"{reason}; retry budget spent"
             return self._open.wait_or_end(now, request, reason, Step.DISPATCH)
@@ -237,58 +244,58 @@
         request.needs_retry_budget = True
         return [abort, line, *self._try_another_engine(now, request, SILENT_REASON)]
 
-    def _stop(
+    def _cancel(
         self, now: float, request: ForwardedRequest, *, is_silent: bool = False
     ) -> Instructions:
-        """Ends the attempt in flight, or the search for an engine."""
+        """Aborts the attempt in flight, or withdraws the pending placement."""
         if request.is_running:
             return [self._attempts.abort(now, request, is_silent=is_silent)]
         self.placer.withdraw(now, request.arrival.token)
         return []
 
     def on_caller_gone(self, now: float, event: CallerGone) -> Instructions:
-        """Ends a request whose caller closed its connection, and its work at the engine."""
+        """Ends a request whose caller closed its connection, and aborts its attempt."""
         request = self.requests.get(event.token)
         if request is None:
             return self._withdraw_arrival(now, event)
         line = caller_gone_line(now, request, event)
-        stopped = self._stop(now, request)
+        cancelled = self._cancel(now, request)
         return [
             line,
-            *stopped,
+            *cancelled,
             *self._open.end_unanswered(now, request, "caller went away", Step.RELAY),
         ]
 
     def _withdraw_arrival(self, now: float, event: CallerGone) -> Instructions:
-        """The caller closed its connection while its tenant's quota was requested."""
+        """Ends a request whose caller disconnected while its quota decision was pending."""
         arrival = self.arrivals.withdraw(event.token)
         if arrival is None:
             return []
         return self._open.refuse(now, Refused(arrival, NotRun("caller went away", Step.ADMIT)))
 
     def end_refused_for_crashes(self, now: float) -> Instructions:
-        """Ends the requests that are refused for crashes from now on, wherever they are.
+        """Ends open requests, in any state, whose content is now refused for crashes.
 
-        Guards against one that waits, is on its way or queued at an engine when the third crash
-        becomes known: it would crash one more.
+        When the third crash becomes known, such a request may be waiting, in transit, or queued at
+        an engine. If it continued, it would crash another engine.
         """
         refused = self._suspects.refused
         instructions: Instructions = []
         for request in [r for r in self.requests.values() if r.arrival.content in refused]:
-            instructions += self._stop(now, request)
+            instructions += self._cancel(now, request)
             instructions += self._open.end_unanswered(now, request, CRASHES_REASON, Step.DISPATCH)
         return instructions
 
     # Timers.
 
     def next_due(self) -> float:
-        """Returns when `on_timer` has something to do, by this process's clock."""
+        """Returns when `on_timer` must be called next, on this process's clock."""
         if not self.requests:
             return float("inf")
         return min(self._check_silence_at, min(r.due_at for r in self.requests.values()))
 
     def on_timer(self, now: float) -> Instructions:
-        """Ends requests that ran out of time, asks again for engines, abandons silent ones."""
+        """Ends expired requests, retries placements, and abandons attempts at silent engines."""
         instructions: Instructions = []
         for request in [r for r in self.requests.values() if r.ends_at <= now]:
             instructions += self._time_out(now, request)
@@ -303,26 +310,26 @@
     def _time_out(self, now: float, request: ForwardedRequest) -> Instructions:
         at_limit = request.time_limit_at <= request.deadline
         reason = "route's time limit reached" if at_limit else "deadline reached"
-        stopped = self._stop(now, request, is_silent=True)
-        return stopped + self._open.end_unanswered(now, request, reason, Step.RELAY)
+        cancelled = self._cancel(now, request, is_silent=True)
+        return cancelled + self._open.end_unanswered(now, request, reason, Step.RELAY)
 
     def _is_silent(self, now: float, request: ForwardedRequest) -> bool:
         engine = self._engines.engines.get(request.engine_id)
         return request.is_running and is_engine_silent(now, request, engine)
 
-    # What outlives the process.
+    # Learned times, which outlive the process.
 
     def learned_times(self) -> LearnedTimes:
-        """Returns what was learnt here and may be of use to a daemon that starts."""
+        """Returns the run times and client timeouts of this daemon, for daemons that start."""
         return LearnedTimes(self.times.snapshot(), self._admission.client_timeouts())
 
     def merge(self, learned_times: LearnedTimes) -> None:
-        """Takes what another daemon learnt and this one doesn't know."""
+        """Merges run times and client timeouts of another daemon into those of this one."""
         self.times.merge(learned_times.times)
         self._admission.merge(learned_times.client_timeouts)
 
     def validate(self) -> None:
-        """Asserts what must hold between events."""
+        """Checks the invariants that hold between events."""
         for token, request in self.requests.items():
             ensure(token == request.arrival.token, "a request is kept under another token")
             attempts = len(request.ended_attempts) + request.is_running
--- a/src/troutswitch/decisions/forwarding/retry.py
+++ b/src/troutswitch/decisions/forwarding/retry.py
@@ -1,23 +1,24 @@
-"""Decides what follows an attempt that failed, and when a request ends without an answer.
+"""Decides what follows a failed attempt, and when a request ends without an answer.
 
-Question: an engine failed on a request. Does the request go to another engine, wait, or end?
+Question: an attempt failed. Is the request sent to another engine, does it wait, or does it end?
 
 Inputs: how its attempts ended, and what was delivered to the client; the attempts that its route
-allows; whether engines crashed under it (`crashes`, as of now); the retry budget of its service,
-a share of the recent successes on this daemon.
+allows; whether engines are currently known to have crashed while they ran it (`crashes`); the retry
+budget of its service, a share of the recent successes on this daemon.
 
 Rule, in this order:
 
-1. A whole answer of the engine that can be passed on ends the request, unless the route allows
+1. A complete answer of the engine that can be relayed ends the request, unless the route allows
    another attempt.
-2. If an attempt may have run, another follows only where the route allows to repeat it, up to
-   the route's `max_attempts`; and not in the middle of a stream that can't be resumed.
-3. If its last two engines were lost under it, it waits until a check shows whether they crashed.
+2. If an attempt may have run, another follows only if the route allows repetition, up to the
+   route's `max_attempts`, and not in the middle of a stream that can't be resumed.
+3. If its last two engines were lost while they ran it, the request waits until a check shows
+   whether they crashed.
 4. After `MAX_REJECTIONS` rejections beyond the route's attempts, no other engine is tried now.
-5. Otherwise another engine is tried. If an attempt may have run, that takes from the retry budget:
-   the budget bounds work done twice.
-6. Where no engine can be tried now, a request that may have run waits for one while it has time:
-   it can't be refused any more. One that has run nowhere is refused, with a time to retry.
+5. Otherwise another engine is tried. If an attempt may have run, this takes from the retry budget,
+   which bounds the work that is done twice.
+6. If no engine can be tried now, a request that may have run waits while it has time, as it can't
+   be refused any more. A request that has not run is refused, with a time after which to retry.
 
 Measurements: docs/POLICY.md.
 """
@@ -29,20 +30,20 @@
 from troutswitch.decisions.forwarding.request import ForwardedRequest
 
 MAX_REJECTIONS = 3
-"""Engines that may reject a request unrun, beyond its route's attempts, before it ends or waits."""
+"""Rejections beyond the route's attempts after which a request ends or waits."""
 MIN_TIME_LEFT_SECONDS = 0.05
-"""Time left below which a request is not sent any more."""
+"""Minimum time left with which a request is still sent."""
 CAPACITY_RETRY_SECONDS = 0.1
-"""Time after which a waiting request asks again for an engine. Full engines free a slot about so
-soon."""
+"""Time after which the placement of a waiting request is retried. A full engine frees a slot in
+about this time."""
 MIN_RETRY_AFTER_SECONDS = 0.1
-"""Least `Retry-After` of a request that ends unrun."""
+"""Minimum `Retry-After` of a request that ends without having run."""
 RETRY_AFTER_JITTER_SECONDS = 0.2
-"""Random part of that time, so that clients don't retry all at once."""
+"""Maximum random addition to that time, so that clients don't all retry simultaneously."""
 
 
 class FailureAction(Enum):
-    """What follows an attempt that failed."""
+    """What is done with a request after a failed attempt."""
 
     PASS_ANSWER_ON = "pass answer on"
     END = "end"
@@ -54,13 +55,13 @@
 def action_after_failure(
     request: ForwardedRequest, event: RequestAttemptEnded, *, awaits_crash_report: bool
 ) -> FailureAction:
-    """Returns what follows a failed attempt, which is the last of the request's ended ones."""
+    """Returns the action after a failed attempt, the last of `request.ended_attempts`."""
     route = request.route
     may_run_again = route.is_repeatable and request.possible_runs < route.max_attempts
     if event.has_answer and not may_run_again:
         return FailureAction.PASS_ANSWER_ON
-    can_go_on = route.is_resumable or not request.delivered
-    if request.possible_runs and not (route.is_repeatable and can_go_on):
+    can_resume = route.is_resumable or not request.delivered
+    if request.possible_runs and not (route.is_repeatable and can_resume):
         return FailureAction.END
     if request.possible_runs >= route.max_attempts:
         return FailureAction.END
@@ -72,15 +73,15 @@
 
 
 def has_time_to_send(now: float, request: ForwardedRequest) -> bool:
-    """Returns whether enough time is left to send a request."""
+    """Returns whether a request has enough time left to be sent."""
     return request.ends_at - now >= MIN_TIME_LEFT_SECONDS
 
 
 def may_wait_for_capacity(now: float, request: ForwardedRequest) -> bool:
-    """Returns whether a request that no engine can take now waits; otherwise it ends."""
+    """Returns whether a request that no engine can take now waits instead of ending."""
     return request.possible_runs > 0 and has_time_to_send(now, request)
 
 
 def retry_after(rng: random.Random) -> float:
-    """Returns the seconds after which a client is to retry a request that ended unrun."""
+    """Returns the seconds after which a client should retry a request that has not run."""
     return MIN_RETRY_AFTER_SECONDS + rng.random() * RETRY_AFTER_JITTER_SECONDS
--- a/src/troutswitch/decisions/forwarding/run_times.py
+++ b/src/troutswitch/decisions/forwarding/run_times.py
@@ -1,8 +1,8 @@
-"""Learns how long requests take to their first event, and how long they occupy a slot.
+"""Estimates how long requests take to their first event, and how long they occupy a slot.
 
-Owns moving averages by service, of this daemon's own answers, in seconds. They outlive the
-process as part of its `LearnedTimes`. `admission`, `wait_estimate` and the coordinators of slots
-rely on them.
+Owns moving averages of this daemon's own answers by service, in seconds. They outlive the process
+as part of its `LearnedTimes`. `admission`, `wait_estimate` and the coordinators of slots rely on
+them.
 """
 
 from dataclasses import dataclass
@@ -15,8 +15,8 @@
 class ServiceTimes:
     """Moving averages of one service's online requests, in seconds; 0 before the first one.
 
-    `first_event` is the time from sending to the first event where a slot was free, `slot_time`
-    the time for which a request occupies its slot.
+    `first_event` is the time from sending to the first event if a slot was free, `slot_time` the
+    time for which a request occupies its slot.
     """
 
     first_event: float = 0.0
@@ -24,17 +24,17 @@
 
 
 class RunTimes:
-    """The times of all services, as this daemon sees them."""
+    """The run times of all services, as measured by this daemon."""
 
     def __init__(self) -> None:
         self._by_service: dict[str, ServiceTimes] = {}
 
     def of(self, service: str) -> ServiceTimes:
-        """Returns the times of a service."""
+        """Returns the run times of a service, which may still be 0."""
         return self._by_service.setdefault(service, ServiceTimes())
 
     def snapshot(self) -> dict[str, tuple[int, int]]:
-        """Returns first-event and slot times by service, in milliseconds."""
+        """Returns the first-event and slot times by service, in whole milliseconds."""
         return {
             name: (round(times.first_event * 1000), round(times.slot_time * 1000))
             for name, times in self._by_service.items()
@@ -42,7 +42,7 @@
         }
 
     def merge(self, snapshot: dict[str, tuple[int, int]]) -> None:
-        """Takes what another daemon learnt of services that have no times here."""
+        """Adopts another daemon's snapshot for services that have no run times here."""
         for name, (first_event, slot_time) in snapshot.items():
             times = self.of(name)
             if times.slot_time == 0.0 and slot_time > 0:
@@ -52,14 +52,14 @@
     def on_completed(
         self, service: str, first_event: float, total: float, *, was_queued: bool
     ) -> None:
-        """Takes a request that was answered whole.
+        """Updates the averages with a request that was answered completely.
 
         Args:
             service: the service that answered.
             first_event: seconds from sending to the first event.
             total: seconds from sending to the end.
-            was_queued: whether all slots seemed taken when it was sent: then the time to its
-                first event contains a wait, which is not part of its slot time.
+            was_queued: whether all slots seemed taken when the request was sent. If so, its time to
+                the first event includes a wait, which is not part of its slot time.
         """
         times = self.of(service)
         if not was_queued:
@@ -69,8 +69,8 @@
 
 
 def moving_average(average: float, value: float, weight: float) -> float:
-    """Returns a moving average after one more value; an average of 0 stands for no value yet.
+    """Returns a moving average updated with a value; an average of 0 stands for no value yet.
 
-    `weight` is the share of the new value in it, from 0 to 1.
+    `weight` is the weight of the new value, from 0 to 1.
     """
     return value if average == 0.0 else average + weight * (value - average)
--- a/src/troutswitch/decisions/forwarding/types.py
+++ b/src/troutswitch/decisions/forwarding/types.py
@@ -1,6 +1,6 @@
-"""Types of the fleet's configuration and of its engines, in the project's own terms.
+"""Types of the fleet's configuration and engines, independent of the platform's formats.
 
-`platform/` decodes the users' forms into them; nothing else knows those forms. Times are seconds.
+Only `platform/` knows those formats and decodes them into these types. Times are seconds.
 """
 
 from dataclasses import dataclass
@@ -11,7 +11,7 @@
 
 
 class RouteKind(Enum):
-    """What a route's requests are, which decides whether they may be repeated."""
+    """Kind of a route's requests, which determines whether they may be repeated."""
 
     REPEATABLE = "repeatable"
     AT_MOST_ONCE = "at_most_once"
@@ -29,13 +29,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Route:
-    """Where the requests of a host and path prefix go, and how they are served.
-
-    `time_limit` bounds a request from its arrival on, `gap_limit` the pause between two events of
-    a stream. `objective` is the latency objective: the time to the first event, 0 for none.
-    `max_attempts` bounds the attempts that may have run. `max_queued_tokens`,
-    `completion_target` and `retention` hold for routes of batch jobs: tokens that may wait, the
-    time in which an item is to be done, and the time for which results are kept.
+    """Services for the requests of a host and path prefix, and how the requests are served.
+
+    `time_limit` is the maximum time from a request's arrival to its end, `gap_limit` the maximum
+    pause between two events of a stream. `objective` is the latency objective: the time to the
+    first event, or 0 for none. `max_attempts` bounds the attempts that may have run. Three fields
+    apply only to routes for batch jobs: `max_queued_tokens` bounds the waiting tokens,
+    `completion_target` is the time in which an item should complete, and `retention` is the time
+    for which results are kept.
     """
 
     name: str
@@ -69,7 +70,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Service:
-    """A service's limits: connections from all callers, slots and cache tokens an engine."""
+    """A service's limits: connections of all callers; slots and cache tokens per engine."""
 
     name: str
     max_connections: int
@@ -79,7 +80,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestLimits:
-    """Limits on what a caller sends. Times are seconds."""
+    """Limits on a caller's requests and connection."""
 
     header_bytes: int = 16384
     body_bytes: int = 4 * 1024 * 1024
@@ -88,9 +89,9 @@
 
 @dataclass(frozen=True, slots=True)
 class FleetConfiguration:
-    """One whole version of the configuration.
+    """One complete version of the configuration.
 
-    With `tenants`, callers show a key; None stands for a configuration that knows none.
+    If `tenants` is not None, callers must send a key.
     """
 
     version: int
@@ -104,8 +105,8 @@
 class EngineRecord:
     """An entry of the engine list.
 
-    `engine_id` names one incarnation of an engine, `instance` the engine, which may start again:
-    the list has its newest incarnation alone. An empty `instance` stands for `engine_id`.
+    `engine_id` identifies one incarnation of an engine, `instance` the engine across restarts; the
+    list has only its newest incarnation. An empty `instance` stands for `engine_id`.
     """
 
     engine_id: str
@@ -119,7 +120,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EngineLoad:
-    """Load that an engine reported with an answer, in requests."""
+    """Load that an engine reported with an answer, as numbers of requests."""
 
     running: int
     waiting: int
@@ -128,7 +129,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PromptPart:
-    """A part of a prompt that other requests may share."""
+    """A part of a prompt, which other requests may share."""
 
     part_id: str
     tokens: int
@@ -136,7 +137,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PromptShape:
-    """What is known of a request's size, in tokens, before it runs."""
+    """The size of a request in tokens, as far as known before it runs."""
 
     prompt_tokens: int = 0
     max_output_tokens: int = 0
@@ -144,10 +145,10 @@
 
     @property
     def shared_tokens(self) -> int:
-        """Tokens of the parts before the last, which is the request's own."""
+        """Tokens of all parts but the last, which belongs to the request alone."""
         return sum(part.tokens for part in self.parts[:-1])
 
     @property
     def session_part(self) -> str:
-        """Id of the last shared part, or an empty string."""
+        """Id of the last shared part, or an empty string if no part is shared."""
         return self.parts[-2].part_id if len(self.parts) > 1 else ""
--- a/src/troutswitch/decisions/forwarding/wait_estimate.py
+++ b/src/troutswitch/decisions/forwarding/wait_estimate.py
@@ -1,8 +1,8 @@
 """Estimates how long a request would wait for a slot at an engine.
 
-Relies on the online requests on the engine, with their times of sending, as the local counts have
-them (`engines`), and on the time for which a request occupies its slot (`run_times`). Engines
-serve in the order of arrival. Batch items do not count: they are preempted at once.
+Relies on the local counts of the online requests on the engine and their send times (`engines`),
+and on the time for which a request occupies its slot (`run_times`). Engines serve requests in the
+order of arrival. Batch items do not count: they are preempted immediately.
 """
 
 import heapq
@@ -15,10 +15,10 @@
 
 @dataclass(frozen=True, slots=True)
 class WaitEstimate:
-    """The wait for a slot at an engine, and what it was estimated from.
+    """The estimated wait for a slot at an engine, and the values that it is based on.
 
-    `wait` and `slot_time` are seconds; `queued` counts the requests that would be queued there,
-    the new one among them.
+    `wait` and `slot_time` are seconds. `queued` is the number of requests that would be queued
+    there, including the new one.
     """
 
     wait: float
@@ -31,10 +31,11 @@
 
 
 def slot_wait(now: float, engine: Engine, times: ServiceTimes) -> WaitEstimate:
-    """Returns how long one more request waits at an engine.
+    """Returns the estimated wait of one more request at an engine.
 
-    The larger of two estimates: by the times of sending, as slots that were taken together are
-    free together; and by the number of queued requests, as it is not known which request ended.
+    The result is the larger of two estimates. The one by send times is needed because slots that
+    were taken together become free together. The one by the number of queued requests is needed
+    because it is not known which request ended.
     """
     queued = max(0, engine.online_count() + 1 - engine.slots)
     if queued == 0:
@@ -45,7 +46,7 @@
 
 
 def _next_slot_at(now: float, engine: Engine, slot_time: float) -> float:
-    """Returns when the first slot is free, with the online requests run in the order of sending."""
+    """Returns when the next slot is free if requests run in the order in which they were sent."""
     free_at = [now] * (engine.slots - min(engine.slots, len(engine.online_sent_at)))
     for sent_at in engine.online_sent_at:
         starts_at = sent_at if len(free_at) < engine.slots else heapq.heappop(free_at)
@@ -57,6 +58,6 @@
 def shortest_wait(
     now: float, engines: Iterable[Engine], times: ServiceTimes
 ) -> WaitEstimate | None:
-    """Returns the shortest of the waits at some engines; None if there is no engine."""
+    """Returns the shortest wait at any of some engines; None if there is no engine."""
     waits = (slot_wait(now, engine, times) for engine in engines)
     return min(waits, key=lambda estimate: estimate.wait, default=None)
