--- a/tests/decisions/forwarding/harness.py
+++ b/tests/decisions/forwarding/harness.py
@@ -1,4 +1,4 @@
-"""Small worlds for tests of forwarding decisions."""
+"""Builders of routes, engines and requests, and a harness for tests of forwarding decisions."""
 
 import random
 from collections.abc import Sequence
@@ -67,7 +67,7 @@
 
 
 class ForwardingHarness:
-    """Routes, engines and requests of one daemon."""
+    """The routes, engines and requests of one daemon, with helpers to feed events."""
 
     def __init__(self, *routes: Route, engines: int = 3) -> None:
         self.routes = RouteTable()
--- a/tests/decisions/forwarding/test_admission.py
+++ b/tests/decisions/forwarding/test_admission.py
@@ -1,4 +1,4 @@
-"""Requests that would be late are asked to come back, once."""
+"""Admission policies: requests that would be late are deferred once, and their retry is sent."""
 
 import itertools
 import random
@@ -38,7 +38,7 @@
 
 
 def engines_with_online(*online: int) -> list[Engine]:
-    """Returns engines of eight slots with some online requests each, sent just now."""
+    """Returns engines with eight slots, each with a number of online requests sent just now."""
     engines = [Engine(engine(f"s{n}")) for n in range(len(online))]
     for loaded_engine, count in zip(engines, online, strict=True):
         loaded_engine.change_peers_online(0.0, count)
@@ -137,21 +137,21 @@
     assert abs(times.of("s").slot_time - 0.7) < 1e-9
 
 
-# In the forwarding decisions.
+# Admission as part of the forwarding decisions.
 
 
 def fill(harness: ForwardingHarness, requests: int) -> list[SendRequest]:
-    """Sends requests until all slots and some more are taken; the first ones teach times."""
+    """Sends some requests, after three that complete and set the run times."""
     for token in range(3):
         sent = harness.arrive(0.0, arrival(token, time_left=TIME_LEFT_SECONDS))
         assert isinstance(sent, SendRequest)
         harness.requests.on_answer_begun(0.06, AnswerBegun(token, sent.attempt, None))
         harness.end(0.64, sent, AttemptOutcome.COMPLETED, delivered=31)
-    instruction = [
+    instructions = [
         harness.arrive(1.0, arrival(token, time_left=TIME_LEFT_SECONDS))
         for token in range(10, 10 + requests)
     ]
-    return [instructions for instructions in instruction if isinstance(instructions, SendRequest)]
+    return [i for i in instructions if isinstance(i, SendRequest)]
 
 
 def test_deferred_request_gets_not_run_with_retry_after() -> None:
@@ -217,4 +217,4 @@
     for sent in running:
         harness.end(now + 0.1, sent, AttemptOutcome.COMPLETED, delivered=31)
     assert not harness.requests.requests
-    assert all(s.online_in_flight == 0 for s in harness.engines.engines.values())
+    assert all(e.online_in_flight == 0 for e in harness.engines.engines.values())
--- a/tests/decisions/forwarding/test_arrivals.py
+++ b/tests/decisions/forwarding/test_arrivals.py
@@ -1,4 +1,4 @@
-"""Who may send a request: keys, routes that need none, and changes while a request waits."""
+"""Checks on arrival: keys, anonymous routes, quotas, and changes while a decision is pending."""
 
 from collections.abc import Sequence
 from dataclasses import replace
@@ -88,7 +88,7 @@
 
 
 def test_unknown_key_gets_503_while_the_configuration_may_be_outdated() -> None:
-    """A 401 is final for a caller, and the key may have been added a second ago."""
+    """A 401 is final for a caller, but the key may have been added a second ago."""
     harness = harness_with_tenants()
     harness.routes.may_be_outdated = True
     finish = harness.arrive(0.0, replace(arrival(1), caller_key=OTHER))
@@ -100,7 +100,7 @@
 
 
 class PendingQuota(NoQuota):
-    """A quota whose word comes when the test gives it."""
+    """A quota whose decision is pending until the test passes it in."""
 
     def __init__(self) -> None:
         self.withdrawn: list[int] = []
@@ -148,7 +148,7 @@
 
 
 class PendingPlacer:
-    """A placer whose places come when the test gives them."""
+    """A placer whose decision is pending until the test passes it in."""
 
     def __init__(self) -> None:
         self.engine: Engine | None = None
@@ -160,11 +160,11 @@
         return None
 
     def withdraw(self, now: float, token: int) -> None:
-        """Has nothing to forget."""
+        """Does nothing."""
 
 
 def test_key_revoked_while_its_placement_is_pending_gets_401() -> None:
-    """Nothing was sent, so the refusal is true, and no engine sees the old tenant."""
+    """Nothing was sent, so the refusal is correct, and no engine receives the former tenant."""
     harness = harness_with_tenants()
     placer = PendingPlacer()
     harness.requests.placer = placer
@@ -183,7 +183,7 @@
 
 
 def test_unknown_route_gets_503_while_the_configuration_may_be_outdated() -> None:
-    """Guards against a final 404 on a route that was added while the store could not be read."""
+    """A 404 is final, but the route may have been added while the store could not be read."""
     harness = harness_with_tenants()
     unknown = replace(arrival(1, path="/new/x"), caller_key=KEY)
     assert refusal_status(harness.arrive(0.0, unknown)) == 404
--- a/tests/decisions/forwarding/test_engine_list.py
+++ b/tests/decisions/forwarding/test_engine_list.py
@@ -1,4 +1,4 @@
-"""Readings of the list of engines, by one daemon and by all of a large fleet."""
+"""Reading the list of engines: by one daemon, and by all daemons of a large fleet."""
 
 import heapq
 import random
@@ -78,9 +78,9 @@
 
 
 def simulate_fleet(daemons: int, engines: int, calls_per_second: float, paced: bool) -> list[float]:
-    """Has all daemons read the list at one store that takes so many calls a second.
+    """Simulates daemons that read the list for 20 s from a store with a limited call rate.
 
-    Returns for each daemon when it had its newest whole list, after 20 seconds.
+    Returns the time of the newest whole list of each daemon.
     """
     readers = [reader(seed) for seed in range(daemons)]
     listed_at = [float("-inf")] * daemons
@@ -108,12 +108,13 @@
 
 
 def test_every_daemon_of_a_large_fleet_reads_a_whole_list_within_seconds() -> None:
-    """What users saw: a day at 300 machines and 3,000 engines served 0.41 of its requests.
+    """Guards against daemons that never read the whole list in a large fleet.
 
-    Cause: each of 300 daemons read six pages each 0.6 s, 3,000 calls a second where the store takes
-    2,000, and began anew at each failed page; so few ever knew the engines. The least interval was
-    worked out for one page. Evidence: this model, in which at most one daemon in ten is without a
-    list of the last 8 s now, and more than that were when readers were not paced by pages.
+    A simulated day with 300 machines and 3,000 engines served 0.41 of its requests. Each of 300
+    daemons read six pages each 0.6 s, 3,000 calls a second at a store that takes 2,000, and started
+    again at each failed page, so few daemons ever knew the engines. The minimum interval was
+    computed for one page. In this model, more than one daemon in ten had no list of the last 8 s
+    before readers were paced by the number of pages; now every daemon must have one.
     """
     paced = simulate_fleet(300, 3000, 2000.0, paced=True)
     assert all(at > 12.0 for at in paced)
--- a/tests/decisions/forwarding/test_engines.py
+++ b/tests/decisions/forwarding/test_engines.py
@@ -1,3 +1,5 @@
+"""The engine registry: lists, draining, ejection and counts."""
+
 from tests.decisions.forwarding.harness import engine
 from troutswitch.decisions.forwarding.engine import NO_SIZE, RequestSize
 from troutswitch.decisions.forwarding.engines import EngineRegistry
@@ -51,7 +53,7 @@
     for _ in range(2):
         registry.on_sent(0.0, "a", False, NO_SIZE)
         registry.on_ended(1.0, "a", False, NO_SIZE, begun=False, failed=True)
-    assert [s.record.engine_id for s in registry.usable(1.1, "s")] == ["b"]
+    assert [e.record.engine_id for e in registry.usable(1.1, "s")] == ["b"]
     assert len(registry.usable(5.0, "s")) == 2
 
 
--- a/tests/decisions/forwarding/test_expired_entries.py
+++ b/tests/decisions/forwarding/test_expired_entries.py
@@ -1,12 +1,9 @@
-"""What counts as an outage of the store, in which entries lapse, and for how long they stay.
-
-What users would see: requests at an engine later than the bound after it left, or too few
-engines just after an outage.
-Order of events: an engine leaves, and one reading of the list is not answered; or all readings
-are lost for seconds, and entries lapse.
-Cause: the time that one unanswered reading takes was not reckoned with; a reading that ended
-without any outcome did not count as failed.
-Evidence: below; with the reader's own timing the engine was in use for up to 3.99 s.
+"""Which periods without a list count as an outage of the store, and how long entries are kept.
+
+Guards against two failures. An engine that left got requests after the bound, for up to 3.99 s,
+because the time that one unanswered reading takes was taken for an outage. And too few engines were
+in use just after an outage, because a reading that ended without any outcome did not count as
+failed, so that engines whose entries had expired in the outage were dropped.
 """
 
 import pytest
@@ -23,7 +20,7 @@
 
 
 class ExtremeJitter:
-    """Source of jitter that always gives one end of a range."""
+    """A random source that always returns the same end of a range."""
 
     def __init__(self, is_high: bool) -> None:
         self._is_high = is_high
@@ -38,7 +35,7 @@
 
 @pytest.mark.parametrize("is_high", [False, True])
 def test_one_unanswered_reading_keeps_no_engine_in_use_beyond_the_bound(is_high: bool) -> None:
-    """The reader's own timing: one reading times out, every other one is answered."""
+    """With the reader's own timing, one reading times out and all others are answered."""
     jitter = ExtremeJitter(is_high)
     reader = EngineListReader(CallNumbers(), jitter, 0.3 * DRAIN_SECONDS)  # type: ignore[arg-type]
     registry = EngineRegistry()
@@ -63,7 +60,7 @@
 
 
 def test_entries_expired_in_an_outage_stay_in_use_with_short_read_intervals() -> None:
-    """A bound for draining of 1 s has the list read each 0.3 s."""
+    """With a drain bound of 1 s, the list is read each 0.3 s."""
     registry = EngineRegistry()
     registry.on_list(0.0, [engine("a"), engine("b")])
     registry.on_list_failed(9.9)
@@ -73,7 +70,7 @@
 
 
 def test_readings_without_any_outcome_count_as_an_outage() -> None:
-    """All calls are lost for 8 s; an entry lapsed meanwhile and is not back at once."""
+    """All calls are lost for 8 s; an entry expires meanwhile and is not renewed immediately."""
     world = GatewayWorld(1)
     world.run(3.0)
     call_store = world._call_store
--- a/tests/decisions/forwarding/test_gone_engines.py
+++ b/tests/decisions/forwarding/test_gone_engines.py
@@ -1,13 +1,11 @@
-"""An engine that has left the list takes no new work, whoever cannot read the list.
+"""An engine that is no longer listed gets no new work, even at a daemon whose readings fail.
 
-What users saw: one daemon sent requests to an engine twelve seconds after it had left. All other
-daemons had stopped within a second.
-Order of events: an engine leaves without saying that it drains, so that its entry just
-goes. One daemon's readings of the list fail, now and then or always, while the store serves
-everybody else; what it does read, or hears from peers, lacks the entry.
-Cause: each failed reading kept missing entries in use for two more seconds, as entries also
-lapse while the store is away for all. A daemon's own failed call was taken for that.
-Evidence: below, both worlds kept the engine in use for as long as the readings went on failing.
+Guards against a daemon that sent requests to an engine twelve seconds after it had left, while all
+other daemons had stopped within a second. The engine left without a drain notice, so its entry just
+disappeared. The daemon's own readings of the list failed, sometimes or always, while the store
+served all others. Each failed reading kept missing entries in use for two more seconds, as if the
+store were down for all and entries had expired for that reason. The engine stayed in use for as
+long as readings failed.
 """
 
 from tests.decisions.forwarding.harness import engine
@@ -17,7 +15,7 @@
 
 DRAIN_SECONDS = 2.0
 READ_SECONDS = 0.5
-"""Interval of whole lists in these tests: a little less than a daemon's own."""
+"""Interval of whole lists in these tests, slightly shorter than a daemon's own interval."""
 
 
 def in_use(registry: EngineRegistry, service: str = "s") -> set[str]:
--- a/tests/decisions/forwarding/test_hold_late.py
+++ b/tests/decisions/forwarding/test_hold_late.py
@@ -1,4 +1,4 @@
-"""A request that would be late waits for a free slot."""
+"""Policy `hold_late`: a request that would be late waits for a free slot."""
 
 import random
 
@@ -22,11 +22,11 @@
 from troutswitch.outcomes import AttemptOutcome, NotRun
 
 SLOT_SECONDS = 0.64
-"""Time for which the requests that `fill` sends have their slots."""
+"""Time for which the requests that `fill` sends occupy their slots."""
 
 
 def saturated_harness() -> tuple[ForwardingHarness, list[SendRequest]]:
-    """Returns a world of one engine whose queue is too long for a new request."""
+    """Returns a harness with one engine, whose queue is too long for a new request."""
     harness = ForwardingHarness(engines=1)
     harness.requests = ForwardedRequests(
         "z", harness.routes, harness.engines, random.Random(1), "prefix_aware", "hold_late"
@@ -34,10 +34,8 @@
     running = fill(harness, 0)
     for token in range(10, 60):
         instructions = harness.requests.on_arrived(1.0, arrival(token, time_left=TIME_LEFT_SECONDS))
-        running += [
-            instruction for instruction in instructions if isinstance(instruction, SendRequest)
-        ]
-        if not any(isinstance(instruction, SendRequest) for instruction in instructions):
+        running += [i for i in instructions if isinstance(i, SendRequest)]
+        if not any(isinstance(i, SendRequest) for i in instructions):
             break
     for sent in running:
         harness.requests.on_answer_begun(1.05, AnswerBegun(sent.token, sent.attempt, None))
@@ -45,7 +43,7 @@
 
 
 def waiting_tokens(harness: ForwardingHarness) -> list[int]:
-    return [token for token, r in harness.requests.requests.items() if r.retry_at < 1e9]
+    return [token for token, request in harness.requests.requests.items() if request.retry_at < 1e9]
 
 
 def test_late_request_waits_and_gets_the_first_free_slot() -> None:
@@ -55,7 +53,7 @@
     assert harness.requests.on_timer(1.0 + CAPACITY_RETRY_SECONDS) == []
     for sent in running:
         harness.end(1.2, sent, AttemptOutcome.COMPLETED, delivered=31)
-    (sent,) = [m for m in harness.requests.on_timer(1.3) if isinstance(m, SendRequest)]
+    (sent,) = [i for i in harness.requests.on_timer(1.3) if isinstance(i, SendRequest)]
     assert sent.token == late_token
 
 
@@ -66,26 +64,26 @@
     new = harness.arrive(1.25, arrival(900, time_left=TIME_LEFT_SECONDS))
     assert isinstance(new, SendRequest)
     instructions = harness.requests.on_timer(1.3)
-    assert not any(isinstance(instruction, SendRequest) for instruction in instructions)
+    assert not any(isinstance(i, SendRequest) for i in instructions)
 
 
 def test_wait_of_a_late_retry_is_logged_once() -> None:
     harness, _ = saturated_harness()
     instructions = harness.requests.on_arrived(1.0, arrival(900, time_left=TIME_LEFT_SECONDS - 1.0))
-    assert [
-        instruction.event for instruction in instructions if isinstance(instruction, LogLine)
-    ] == ["request waits for capacity"]
+    assert [i.event for i in instructions if isinstance(i, LogLine)] == [
+        "request waits for capacity"
+    ]
     again = harness.requests.on_timer(1.0 + CAPACITY_RETRY_SECONDS)
-    assert not [instruction for instruction in again if isinstance(instruction, LogLine)]
+    assert not [i for i in again if isinstance(i, LogLine)]
 
 
 def sent_at(harness: ForwardingHarness, token: int) -> float:
-    """Returns when a held request is sent although no slot gets free."""
+    """Returns when a waiting request is sent although no slot becomes free."""
     now = 1.0
     while now < 1.0 + TIME_LEFT_SECONDS:
         now += 0.05
         instructions = harness.requests.on_timer(now)
-        if any(isinstance(m, SendRequest) and m.token == token for m in instructions):
+        if any(isinstance(i, SendRequest) and i.token == token for i in instructions):
             return now
     return now
 
--- a/tests/decisions/forwarding/test_kept_missing.py
+++ b/tests/decisions/forwarding/test_kept_missing.py
@@ -1,4 +1,4 @@
-"""An engine that stays in use although the list lacks it can be seen from outside."""
+"""Metrics and log lines show which missing engines stay in use, and how requests end."""
 
 from tests.decisions.forwarding.harness import ForwardingHarness, arrival, engine
 from tests.worlds.gateway_world import GatewayWorld
--- a/tests/decisions/forwarding/test_placement.py
+++ b/tests/decisions/forwarding/test_placement.py
@@ -1,3 +1,5 @@
+"""Placement policies, long prompts and the costs of engines."""
+
 import random
 
 import pytest
@@ -131,7 +133,7 @@
     chosen = {e.record.engine_id for e in long_prompt_engines(fleet)}
     assert len(chosen) == 3
     assert chosen == {e.record.engine_id for e in long_prompt_engines(fleet[::-1])}
-    # Of the others, at most one takes over when an engine goes.
+    # When one of them leaves, the others keep getting long prompts.
     remaining = [e for e in fleet if e.record.engine_id != min(chosen)]
     assert len(chosen - {e.record.engine_id for e in long_prompt_engines(remaining)}) == 1
 
--- a/tests/decisions/forwarding/test_policy_properties.py
+++ b/tests/decisions/forwarding/test_policy_properties.py
@@ -1,4 +1,4 @@
-"""What holds under every placement and admission policy."""
+"""Properties that hold under every combination of placement and admission policy."""
 
 import random
 
@@ -27,7 +27,7 @@
 
 
 class PolicyDriver:
-    """Plays steps on one daemon's forwarding and checks each instruction."""
+    """Applies steps to one daemon's forwarding decisions and checks each instruction."""
 
     def __init__(self, placement: str, admission: str) -> None:
         self.harness = ForwardingHarness(engines=ENGINES)
@@ -52,13 +52,13 @@
                 self.finished += 1
 
     def fire_timers(self) -> None:
-        """Offers requests again that wait for room."""
+        """Runs the timers, which retry the placement of waiting requests."""
         for instruction in self.harness.requests.on_timer(self.now):
             if isinstance(instruction, SendRequest | FinishRequest):
                 self.on_instruction(instruction)
 
     def end_all(self) -> None:
-        """Lets engines end what runs there, and offers what waits until nothing is left."""
+        """Ends all running attempts and runs timers until no request is open."""
         while self.harness.requests.requests:
             if not self.running:
                 self.now = max(self.now + 0.001, self.harness.requests.next_due())
@@ -108,4 +108,4 @@
     assert driver.finished == driver.arrived
     assert not driver.harness.requests.requests
     engines = driver.harness.engines.engines.values()
-    assert all(s.online_in_flight == 0 and not s.online_sent_at for s in engines)
+    assert all(e.online_in_flight == 0 and not e.online_sent_at for e in engines)
--- a/tests/decisions/forwarding/test_rejections.py
+++ b/tests/decisions/forwarding/test_rejections.py
@@ -1,11 +1,9 @@
-"""Rejections neither use up a request's attempts nor send it back to an engine that failed it.
+"""Rejections don't use up a request's attempts, nor return it to an engine that failed on it.
 
-What users would see: a stream that stands still until its deadline, and is then cut.
-Order of events: its engine falls silent or breaks off; the next ones reject it as full; it waits
-and is offered again.
-Cause: attempts were counted with rejections, so that the next silent engine was never left; and
-after the wait all engines counted as untried, the silent one first, as the others were full.
-Evidence: below, the request stayed at a silent engine for the rest of its time.
+Guards against a stream that stalls until its deadline and is then cut. Its engine falls silent or
+cuts it, the next engines reject it as full, and it waits for capacity. Rejections once counted as
+attempts, so that the next silent engine was never abandoned. And after the wait all engines counted
+as untried; as the others were full, the silent one was chosen first.
 """
 
 from tests.decisions.forwarding.harness import ForwardingHarness, arrival, route
@@ -28,7 +26,7 @@
 
 
 def abandon_for_silence(harness: ForwardingHarness) -> tuple[SendRequest, SendRequest, float]:
-    """Returns the attempt that was left as its engine fell silent, the next one, and when."""
+    """Returns an attempt abandoned for silence, the attempt after it, and the time."""
     first = harness.arrive(0.0, arrival(1))
     assert isinstance(first, SendRequest)
     second, now = next_instruction(harness, 0.0, 3.0)
--- a/tests/decisions/forwarding/test_requests.py
+++ b/tests/decisions/forwarding/test_requests.py
@@ -1,3 +1,5 @@
+"""Forwarded requests from arrival to the final answer: retries, silence, deadlines, crashes."""
+
 import random
 from dataclasses import replace
 
@@ -131,7 +133,7 @@
 
 
 def test_reason_given_to_the_caller_after_a_silent_engine_is_stable() -> None:
-    """A renaming of engines once changed this text, which callers and their logs act on."""
+    """Callers act on this text; a renaming in the code once changed it."""
     harness = ForwardingHarness(engines=1)
     harness.arrive(0.0, arrival(1, time_left=0.42))
     while harness.requests._budget.take("s"):
@@ -143,7 +145,10 @@
 
 
 def test_engine_that_answers_other_requests_is_not_abandoned() -> None:
-    """A trial lost half of a day's requests: each loaded engine was left for the next."""
+    """Guards against abandoning one loaded engine for the next.
+
+    A trial lost half of a day's requests in this way.
+    """
     harness = ForwardingHarness()
     first = sent(harness.arrive(0.0, arrival(1)))
     harness.engines.on_activity(0.45, EngineActivity(first.engine_id).engine_id)
@@ -204,7 +209,10 @@
 
 
 def test_time_since_the_request_was_read_counts_against_its_deadline() -> None:
-    """A machine that was suspended in between gave the engine time that its caller had lost."""
+    """Guards against a machine that is suspended between reading a request and handling it.
+
+    The engine then got time that the caller had already spent waiting.
+    """
     harness = ForwardingHarness(route())
     sent = harness.arrive(103.0, replace(arrival(1, time_left=4.0), read_at=100.0))
     assert isinstance(sent, SendRequest)
@@ -212,7 +220,7 @@
 
 
 class FakeSuspects(NoSuspects):
-    """Suspects that refuse what a test names."""
+    """Suspects that refuse the contents that a test sets."""
 
     def __init__(self) -> None:
         self.refused = frozenset()
@@ -251,7 +259,7 @@
 
 
 def test_request_in_flight_ends_when_it_is_refused_for_crashes() -> None:
-    """It is at an engine, queued there perhaps, and would end this one too."""
+    """The request is at an engine, possibly queued, and would crash that one too."""
     harness, suspects = harness_with_suspects()
     harness.arrive(0.0, replace(arrival(1), content="x"))
     harness.arrive(0.0, replace(arrival(2), content="y"))
--- a/tests/decisions/forwarding/test_routes.py
+++ b/tests/decisions/forwarding/test_routes.py
@@ -1,3 +1,5 @@
+"""Route lookup, and replacement of the configuration in force."""
+
 from tests.decisions.forwarding.harness import HOST, configuration, route
 from troutswitch.decisions.forwarding.routes import RouteTable
 
--- a/tests/decisions/forwarding/test_wait_estimate.py
+++ b/tests/decisions/forwarding/test_wait_estimate.py
@@ -1,4 +1,4 @@
-"""The wait for a slot at an engine."""
+"""Estimates of the wait for a slot at an engine."""
 
 from hypothesis import given, settings
 from hypothesis import strategies as st
@@ -25,9 +25,9 @@
 
 def test_wait_is_the_larger_of_the_estimates_by_time_and_by_count() -> None:
     sent_together = slot_wait(1.0, engine_with_requests([0.9, 0.9]), TIMES)
-    assert abs(sent_together.wait - 0.9) < 1e-9  # both slots are taken until 1.9
+    assert abs(sent_together.wait - 0.9) < 1e-9  # both slots are occupied until 1.9
     sent_apart = slot_wait(1.0, engine_with_requests([0.2, 0.9]), TIMES)
-    assert abs(sent_apart.wait - 0.5) < 1e-9  # one request before, two slots
+    assert abs(sent_apart.wait - 0.5) < 1e-9  # one queued request, two slots
 
 
 def test_queued_requests_are_served_first() -> None:
--- a/tests/decisions/forwarding/test_wait_for_capacity.py
+++ b/tests/decisions/forwarding/test_wait_for_capacity.py
@@ -1,13 +1,12 @@
-"""A request that can no longer be refused waits for room while it has time.
-
-What users saw: a stream was closed in the middle, 0.7 s after it had come, with 4.3 s left.
-Order of events: its engine broke off after the first events; the next two engines rejected it
-unrun, as full; 31 ms after the second rejection the daemon closed the connection.
-Cause: a request was ended at the first moment at which no engine was left to try. For one that
-has not run that is right, as it is refused with a time to come back; one that was delivered in
-part could only be cut, although engines that are full have room a tenth of a second later.
-Evidence: below, each of the ways to that end (no untried engine, rejections, a spent retry
-budget) cut the stream at once.
+"""A request that can no longer be refused waits for capacity while it has time.
+
+Guards against a stream that is cut although it has time left. In one case it was closed 0.7 s after
+its arrival, with 4.3 s left: its engine failed after the first events, the next two engines
+rejected it as full, and 31 ms after the second rejection the daemon closed the connection. A
+request was ended as soon as no engine was left to try. That is right for a request that has not
+run, as it is refused with a time after which to retry. A stream that was delivered in part could
+only be cut, although full engines have a free slot a tenth of a second later. The tests cover each
+cause: no untried engine, rejections, and a spent retry budget.
 """
 
 import pytest
@@ -22,13 +21,13 @@
 from troutswitch.outcomes import AttemptOutcome, Cut, MayHaveRun, NotRun
 
 MAX_RETRY_DELAY_SECONDS = 0.5
-"""Time within which a stream must be offered again; several rests of a full engine."""
+"""Maximum time until a waiting stream is sent again: several retry intervals."""
 
 
 def cut_after_events(
     harness: ForwardingHarness, rejections: int
 ) -> tuple[ForwardingHarness, float]:
-    """Has a stream cut after three events, and then rejected as full; returns the time."""
+    """Cuts a stream after three events, then rejects it as full; returns the time."""
     sent = harness.arrive(0.0, arrival(1))
     assert isinstance(sent, SendRequest)
     now = 0.1
@@ -42,7 +41,7 @@
 
 
 def next_attempt(harness: ForwardingHarness, since: float) -> SendRequest | None:
-    """Lets time pass until the request is sent somewhere."""
+    """Runs timers until the request is sent; returns None if it is not sent in time."""
     now = since
     while now < since + MAX_RETRY_DELAY_SECONDS:
         now = max(now + 0.001, harness.requests.next_due())
@@ -118,7 +117,7 @@
 
 
 def test_waiting_request_is_not_sent_after_its_caller_disconnects() -> None:
-    """A stream that could not be refused waited for room, and its caller left meanwhile."""
+    """The caller of a stream that can't be refused disconnects while it waits for capacity."""
     harness = ForwardingHarness(route(attempts=3), engines=3)
     harness.requests._budget._credit["s"] = 0.0
     harness, now = cut_after_events(harness, 0)
