--- a/src/troutswitch/decisions/forwarding/arrivals.py
+++ b/src/troutswitch/decisions/forwarding/arrivals.py
@@ -18,7 +18,8 @@
     (arrived)      -> AWAITING_QUOTA   the peer that counts the tenant's requests must decide
     AWAITING_QUOTA -> admitted or refused, by that peer's decision
 
-Owns the requests that await a quota decision. Measurements: docs/POLICY.md, docs/design/tenants.md.
+Owns the requests whose quota decision is pending. Measurements: docs/POLICY.md,
+docs/design/tenants.md.
 """
 
 from dataclasses import dataclass, replace
--- a/src/troutswitch/decisions/forwarding/attempts.py
+++ b/src/troutswitch/decisions/forwarding/attempts.py
@@ -40,7 +40,7 @@
         """Starts the next attempt of a request, on the engine that it was assigned to."""
         ensure(
             not request.possible_runs or request.route.is_repeatable,
-            "a request not to be repeated is sent again",
+            "a request that must not be repeated is sent again",
         )
         engine = assignment.engine
         request.state = RequestState.RUNNING
@@ -84,22 +84,22 @@
         if event.wrong_instance:
             self._engines.mark_draining(request.engine_id)
         if event.kind is AttemptOutcome.REFUSED:
-            self._note_rejection(now, request)
+            self._record_rejection(now, request)
         if event.kind is AttemptOutcome.CUT and not event.has_answer:
             self._suspects.on_lost(now, request.arrival.content, request.engine_id)
         request.ended_attempts.append(event.kind)
         request.position = event.position or request.position
         request.delivered = event.delivered
         if event.kind is AttemptOutcome.COMPLETED:
-            self._note_completion(now, request, event)
+            self._record_completion(now, request, event)
 
-    def _note_rejection(self, now: float, request: ForwardedRequest) -> None:
+    def _record_rejection(self, now: float, request: ForwardedRequest) -> None:
         engine = self._engines.engines.get(request.engine_id)
         if engine is not None:
             engine.full_until = now + FULL_EXCLUSION_SECONDS
         request.rejected_by.add(request.engine_id)
 
-    def _note_completion(
+    def _record_completion(
         self, now: float, request: ForwardedRequest, event: RequestAttemptEnded
     ) -> None:
         """Records a complete answer; only streams update the run times.
--- a/src/troutswitch/decisions/forwarding/engine.py
+++ b/src/troutswitch/decisions/forwarding/engine.py
@@ -49,9 +49,9 @@
 
     record: EngineRecord
     is_listed: bool = True
-    """Whether the newest list has the engine, or it stays in use although the list lacks it."""
+    """Whether the engine is in the newest list, or stays in use although it is missing there."""
     is_draining: bool = False
-    """Whether the engine accepts no new work; never reset."""
+    """Whether the engine drains or was replaced, so that it gets no new work."""
 
     # This daemon's requests on it.
     online_in_flight: int = 0
@@ -80,7 +80,7 @@
 
     # Failures.
     failures: int = 0
-    """Failures in a row."""
+    """Consecutive failures."""
     ejected_until: float = float("-inf")
     full_until: float = float("-inf")
     """Until when the engine is no candidate because it rejected a request as full."""
--- a/src/troutswitch/decisions/forwarding/engine_list.py
+++ b/src/troutswitch/decisions/forwarding/engine_list.py
@@ -55,7 +55,7 @@
         return RETRY_SECONDS * self._rng.uniform(*RETRY_JITTER)
 
     def next_due(self) -> float:
-        """Returns when `on_timer` has something to do."""
+        """Returns when `on_timer` must be called next."""
         return self.attempts.next_due()
 
     def owns(self, call: int) -> bool:
--- a/src/troutswitch/decisions/forwarding/engines.py
+++ b/src/troutswitch/decisions/forwarding/engines.py
@@ -63,8 +63,8 @@
         """
         before = self._accepting_work()
         self._reported_gone_at = {
-            name: at
-            for name, at in self._reported_gone_at.items()
+            engine_id: at
+            for engine_id, at in self._reported_gone_at.items()
             if now < at + DRAIN_NOTICE_SECONDS
         }
         records = [record for record in records if record.engine_id not in self._reported_gone_at]
@@ -75,7 +75,7 @@
         restarted = self._restarted(missing, records)
         self._remove_from_list(self.expired.on_list(now, missing - restarted) | restarted)
         after = self._accepting_work()
-        self.kept_missing = {name for name in after if name not in listed}
+        self.kept_missing = {engine_id for engine_id in after if engine_id not in listed}
         if before != after:
             self.list_changes += 1
         self._index()
@@ -84,10 +84,14 @@
     def _restarted(self, missing: set[str], records: list[EngineRecord]) -> set[str]:
         """Returns the missing incarnations of engines that have another one in the list."""
         instances = {record.instance for record in records if record.instance}
-        return {name for name in missing if self.engines[name].record.instance in instances}
+        return {
+            engine_id
+            for engine_id in missing
+            if self.engines[engine_id].record.instance in instances
+        }
 
     def _accepting_work(self) -> set[str]:
-        return {name for name, engine in self.engines.items() if not engine.is_leaving}
+        return {engine_id for engine_id, engine in self.engines.items() if not engine.is_leaving}
 
     @property
     def listed_at(self) -> float:
@@ -110,11 +114,11 @@
         engine.is_draining = record.engine_id in self._draining
 
     def _remove_from_list(self, removed: set[str]) -> None:
-        for name in removed:
-            engine = self.engines[name]
+        for engine_id in removed:
+            engine = self.engines[engine_id]
             engine.is_listed = False
             if engine.online_in_flight + engine.batch_in_flight == 0:
-                del self.engines[name]
+                del self.engines[engine_id]
 
     def _remember_draining(self, engine_id: str) -> None:
         self._draining[engine_id] = None
@@ -123,7 +127,7 @@
 
     def _index(self) -> None:
         self._by_service = {}
-        self._by_key = {engine_key(name): engine for name, engine in self.engines.items()}
+        self._by_key = {engine_key(engine_id): engine for engine_id, engine in self.engines.items()}
         for engine in self.engines.values():
             self._by_service.setdefault(engine.record.service, []).append(engine)
 
@@ -171,7 +175,10 @@
 
     @staticmethod
     def mean_free_slots(now: float, engines: Iterable[Engine]) -> float:
-        """Returns the mean number of slots of some engines that online requests leave free."""
+        """Returns the sum of the engines' mean numbers of slots that online requests leave free.
+
+        Engines that have begun to leave or are ejected do not count.
+        """
         return sum(
             engine.slots - engine.mean_online
             for engine in engines
--- a/src/troutswitch/decisions/forwarding/messages.py
+++ b/src/troutswitch/decisions/forwarding/messages.py
@@ -147,7 +147,8 @@
 class AbortAttempt:
     """Close the connection of an attempt that is no longer wanted.
 
-    `is_silent` is set if the engine was silent or the request timed out.
+    `is_silent` is set if the attempt was abandoned for silence or timed out, but not if its caller
+    disconnected or it is refused for crashes.
     """
 
     token: int
--- a/src/troutswitch/decisions/forwarding/open_requests.py
+++ b/src/troutswitch/decisions/forwarding/open_requests.py
@@ -93,8 +93,8 @@
     ) -> dict[str, str]:
         """Returns why engines were excluded, by engine id, if a search for an engine found none.
 
-        The result is empty for other steps: to check all engines for each request that ends would
-        be most expensive under load.
+        The result is empty for other steps. Checking all engines for every request that ends would
+        cost most when the load is highest.
         """
         return excluded_engines(now, request, self._engines) if step is Step.ROUTE else {}
 
@@ -115,7 +115,7 @@
         line = deferral_line(now, request, deferral, times, self._routes.known(now))
         return [FinishRequest(request.arrival.token, refusal), line]
 
-    def pass_answer_on(self, request: ForwardedRequest, event: RequestAttemptEnded) -> Instructions:
+    def relay_answer(self, request: ForwardedRequest, event: RequestAttemptEnded) -> Instructions:
         """Ends a request with the engine's complete answer, although the attempt failed."""
         self.remove(request)
         outcome = MayHaveRun(event.reason, Step.RELAY, request.engine_id)
--- a/src/troutswitch/decisions/forwarding/request.py
+++ b/src/troutswitch/decisions/forwarding/request.py
@@ -55,7 +55,7 @@
     delivered: int = 0
     """Number of events delivered to the client."""
     needs_retry_budget: bool = False
-    """Whether the next attempt must be paid for from the retry budget."""
+    """Whether the next attempt takes from the retry budget."""
 
     # The newest attempt.
     attempt: int = 0
--- a/src/troutswitch/decisions/forwarding/requests.py
+++ b/src/troutswitch/decisions/forwarding/requests.py
@@ -168,7 +168,7 @@
         request.state = RequestState.PLACING
         request.retry_at = float("inf")
         reset_tried(now, request, self._engines)
-        return self._try_another_engine(now, request, "no room came in time")
+        return self._try_another_engine(now, request, "no capacity became free in time")
 
     # Attempts.
 
@@ -211,8 +211,8 @@
         awaits_report = may_have_run and self._suspects.awaits_crash_report(content)
         action = action_after_failure(request, event, awaits_crash_report=awaits_report)
         match action:
-            case FailureAction.PASS_ANSWER_ON:
-                return self._open.pass_answer_on(request, event)
+            case FailureAction.RELAY_ANSWER:
+                return self._open.relay_answer(request, event)
             case FailureAction.END:
                 return self._open.end_unanswered(now, request, event.reason, Step.RELAY)
             case FailureAction.AWAIT_CRASH_REPORT:
@@ -335,5 +335,5 @@
             attempts = len(request.ended_attempts) + request.is_running
             ensure(request.attempt == attempts, "an attempt of a request is not accounted for")
             is_waiting = request.state is RequestState.WAITING
-            asks_again = request.retry_at < float("inf")
-            ensure(is_waiting == asks_again, "a request waits without end, or asks without need")
+            has_retry_time = request.retry_at < float("inf")
+            ensure(is_waiting == has_retry_time, "a request's state does not match its retry time")
--- a/src/troutswitch/decisions/forwarding/retry.py
+++ b/src/troutswitch/decisions/forwarding/retry.py
@@ -45,7 +45,7 @@
 class FailureAction(Enum):
     """What is done with a request after a failed attempt."""
 
-    PASS_ANSWER_ON = "pass answer on"
+    RELAY_ANSWER = "pass answer on"
     END = "end"
     AWAIT_CRASH_REPORT = "await crash report"
     AWAIT_CAPACITY = "await capacity"
@@ -59,7 +59,7 @@
     route = request.route
     may_run_again = route.is_repeatable and request.possible_runs < route.max_attempts
     if event.has_answer and not may_run_again:
-        return FailureAction.PASS_ANSWER_ON
+        return FailureAction.RELAY_ANSWER
     can_resume = route.is_resumable or not request.delivered
     if request.possible_runs and not (route.is_repeatable and can_resume):
         return FailureAction.END
--- a/src/troutswitch/decisions/forwarding/types.py
+++ b/src/troutswitch/decisions/forwarding/types.py
@@ -91,7 +91,7 @@
 class FleetConfiguration:
     """One complete version of the configuration.
 
-    If `tenants` is not None, callers must send a key.
+    `tenants` is None if the configuration has no list of tenants; callers then need no key.
     """
 
     version: int
--- a/src/troutswitch/decisions/slot_instructions.py
+++ b/src/troutswitch/decisions/slot_instructions.py
@@ -1,6 +1,7 @@
 """Resolves instructions between parts of the core into runs and stops of batch items.
 
-    StartItems   a coordinator granted or retracted slots: items are started or stopped
+    StartItems         a coordinator granted or retracted slots: items are started or
+                       stopped
     PreemptBatchItem   a request was sent to a full engine: one item of this daemon on it is stopped
 
 Relies on `JobOwner` to choose the items. All other instructions are returned unchanged.
