--- a/src/troutswitch/decisions/forwarding/admission.py
+++ b/src/troutswitch/decisions/forwarding/admission.py
@@ -189,9 +189,10 @@
 class HoldLate(DeferLate):
     """Makes a request that will miss its objective wait here for a slot that no other needs.
 
-    A request counts as late only if the wait for a slot alone is longer than the rest of its
-    objective. The expected time to the first event is not counted: the estimate may be wrong, while
-    a request that waits here is certain to be late.
+    A request counts as late if it would miss its objective even without a wait for a slot, or if
+    that wait alone is longer than the rest of its objective. The expected time to the first event
+    is not added to the wait: the estimate may be wrong, while a request that waits here is certain
+    to be late.
     """
 
     def __init__(self) -> None:
