--- a/src/troutswitch/decisions/active_configuration.py
+++ b/src/troutswitch/decisions/active_configuration.py
@@ -156,9 +156,7 @@
 
     def _apply_record(self, record: KeyedRecord) -> None:
         is_first = self._routes.configuration is None
-        self._activate(
-            record, ConfigurationSource.START if is_first else ConfigurationSource.STORE
-        )
+        self._activate(record, ConfigurationSource.START if is_first else ConfigurationSource.STORE)
 
     def _activate(
         self, record: KeyedRecord, learnt_by: ConfigurationSource, peer: str = ""
--- a/src/troutswitch/decisions/forwarding/requests.py
+++ b/src/troutswitch/decisions/forwarding/requests.py
@@ -168,7 +168,7 @@
         request.state = RequestState.PLACING
         request.retry_at = float("inf")
         reset_tried(now, request, self._engines)
-        return self._try_another_engine(now, request, "no capacity became free in time")
+        return self._try_another_engine(now, request, "no room came in time")
 
     # Attempts.
 
--- a/src/troutswitch/gateway/callers/relay.py
+++ b/src/troutswitch/gateway/callers/relay.py
@@ -122,7 +122,9 @@
         directive = replace(decided, time_left=time_left)
         if time_left <= 0:
             self._end(
-                directive, AttemptOutcome.UNREACHABLE, "time limit passed before the request was sent"
+                directive,
+                AttemptOutcome.UNREACHABLE,
+                "time ran out before it was sent",
             )
             return
         exchange = Exchange(
@@ -203,7 +205,7 @@
     ) -> None:
         """Handles a complete response; keeps a failure in case no later attempt succeeds."""
         if head.not_run:
-            reason = f"engine did not run the request, status {head.status}"
+            reason = f"server said not run, status {head.status}"
             self._end(directive, AttemptOutcome.REFUSED, reason, head)
             return
         if self._delivered:
@@ -212,7 +214,7 @@
             return
         self.complete_answer = CompleteAnswer(head, body)
         if head.status >= 500:
-            reason = f"engine failed, status {head.status}"
+            reason = f"server failed, status {head.status}"
             self._end(directive, AttemptOutcome.CUT, reason, head, has_answer=True)
             return
         self._is_completed = True
--- a/src/troutswitch/gateway/engines/event_stream.py
+++ b/src/troutswitch/gateway/engines/event_stream.py
@@ -80,7 +80,7 @@
             raise EventStreamError("an event has no id")
         is_numbered = event_id.isdigit() and self.last_id.isdigit()
         if is_numbered and int(event_id) != int(self.last_id) + 1:
-            raise EventStreamError(f"event {event_id} does not follow event {self.last_id}")
+            raise EventStreamError(f"event {event_id} follows {self.last_id}")
         self.last_id = event_id
 
 
--- a/src/troutswitch/gateway/engines/exchange.py
+++ b/src/troutswitch/gateway/engines/exchange.py
@@ -81,7 +81,7 @@
         self._connect(connection)
         if self.is_aborted:
             self.close()
-            raise NotConnected("aborted before the request was sent")
+            raise NotConnected("aborted before it was sent")
         try:
             connection.sock.settimeout(max(MIN_TIMEOUT_SECONDS, first_wait))
             self.last_seen_at = steady_seconds()
@@ -138,7 +138,7 @@
             if response.will_close or connection.sock is None:
                 break
             response = connection.next_response(self.request.method)
-        raise http.client.HTTPException("the response belongs to another request")
+        raise http.client.HTTPException("the answer is of another request")
 
     def set_wait(self, seconds: float) -> None:
         """Sets the timeout of the next reads, in seconds."""
@@ -161,7 +161,7 @@
             raise self._lost(error) from error
         if self.is_aborted or (self.response.length or 0) > 0:
             self.close()
-            raise AnswerLost("the response ended early")
+            raise AnswerLost("the answer broke off")
         self._finish()
 
     def body(self) -> bytes:
--- a/src/troutswitch/platform/jobs.py
+++ b/src/troutswitch/platform/jobs.py
@@ -125,7 +125,7 @@
     if not items or len(items) > MAX_JOB_ITEMS:
         raise JobFormatError(f"expected 1 to {MAX_JOB_ITEMS} items, got {len(items)}")
     if len({item.item_id for item in items}) != len(items):
-        raise JobFormatError("duplicate item id")
+        raise JobFormatError("an item's id stands twice")
     digest = hashlib.blake2b(body, digest_size=12).hexdigest()
     return JobSubmitted(
         token,
--- a/tests/decisions/forwarding/test_requests.py
+++ b/tests/decisions/forwarding/test_requests.py
@@ -97,7 +97,9 @@
 def test_cut_stream_that_cannot_resume_ends_as_cut() -> None:
     harness = ForwardingHarness(route(resumable=False))
     first = sent(harness.arrive(0.0, arrival(1)))
-    outcome = finished(harness.end(0.1, first, AttemptOutcome.CUT, position="3", delivered=3)).outcome
+    outcome = finished(
+        harness.end(0.1, first, AttemptOutcome.CUT, position="3", delivered=3)
+    ).outcome
     assert isinstance(outcome, Cut)
 
 
@@ -204,7 +206,9 @@
 def test_partly_delivered_answer_that_cannot_resume_is_not_repeated() -> None:
     harness = ForwardingHarness(route(kind=RouteKind.REPEATABLE, resumable=False))
     first = sent(harness.arrive(0.0, arrival(1)))
-    outcome = finished(harness.end(0.1, first, AttemptOutcome.CUT, position="3", delivered=3)).outcome
+    outcome = finished(
+        harness.end(0.1, first, AttemptOutcome.CUT, position="3", delivered=3)
+    ).outcome
     assert isinstance(outcome, Cut)
 
 
--- a/tests/decisions/forwarding/test_wait_for_capacity.py
+++ b/tests/decisions/forwarding/test_wait_for_capacity.py
@@ -35,7 +35,9 @@
     for _ in range(rejections):
         assert isinstance(instruction, SendRequest), instruction
         now += 0.02
-        instruction = harness.end(now, instruction, AttemptOutcome.REFUSED, position="3", delivered=3)
+        instruction = harness.end(
+            now, instruction, AttemptOutcome.REFUSED, position="3", delivered=3
+        )
     assert not isinstance(instruction, FinishRequest), "cut with time left"
     return harness, now
 
