--- a/src/troutswitch/decisions/jobs/batch_capacity.py
+++ b/src/troutswitch/decisions/jobs/batch_capacity.py
@@ -29,7 +29,7 @@
 class BatchCapacityPolicy(Protocol):
     """Says how many items may start at an engine, and how many must stop."""
 
-    def free(self, now: float, engine: Engine, age_share: float) -> int:
+    def free_slots(self, now: float, engine: Engine, age_share: float) -> int:
         """Returns how many more items the engine may take from all daemons together.
 
         Args:
@@ -59,7 +59,7 @@
     pressing_age: float = 0.35
     yield_share: float = 0.95
 
-    def free(self, now: float, engine: Engine, age_share: float) -> int:
+    def free_slots(self, now: float, engine: Engine, age_share: float) -> int:
         """Returns how many more items fit the share of a job of that age."""
         is_pressing = self.pressing_age <= age_share <= 1.0
         share = self.pressing if is_pressing else self.relaxed
@@ -76,7 +76,7 @@
 
     reserve: int = 0
 
-    def free(self, now: float, engine: Engine, age_share: float) -> int:
+    def free_slots(self, now: float, engine: Engine, age_share: float) -> int:
         """Returns the slots that are free beyond the reserve."""
         most = max(1, engine.slots - self.reserve)
         return max(0, most - engine.in_flight(now))
@@ -99,7 +99,7 @@
 """Capacity policies by name."""
 
 
-def has_memory(engine: Engine, tokens: int, cache_tokens: int) -> bool:
+def has_cache_space(engine: Engine, tokens: int, cache_tokens: int) -> bool:
     """Returns whether an item fits into an engine's cache, by what this daemon has there.
 
     Args:
@@ -112,7 +112,7 @@
     return engine.tokens_in_flight + tokens <= cache_tokens * MEMORY_SHARE
 
 
-def own_part(count: int, part: float, rng: random.Random) -> int:
+def own_share_of(count: int, part: float, rng: random.Random) -> int:
     """Returns this daemon's part of a count, rounded at random so that the parts add up.
 
     Guards against oscillation: daemons learn of each other's starts late. If each took all free
--- a/src/troutswitch/decisions/jobs/coordinator.py
+++ b/src/troutswitch/decisions/jobs/coordinator.py
@@ -63,7 +63,7 @@
         )
         self.reads = JobReads(self.replicas, numbers, self._answer, log)
         self.ownership = ShardOwnership(
-            settings.member, settings.member_ttl_least, self.replicas, numbers, rng, log
+            settings.member, settings.min_member_ttl, self.replicas, numbers, rng, log
         )
         self.owner = JobOwner(dependencies, settings, self.replicas, self.ownership, token_limits)
         self.retention = JobRetention(
@@ -136,7 +136,7 @@
         self._emit_all(self.ownership.on_timer(now))
         self._emit_all(self.owner.on_timer(now))
         self._emit_all(self.retention.on_timer(now))
-        self._go_on_draining(now)
+        self._continue_drain(now)
         self._emit_all(self.intake.on_timer(now))
         self._emit_all(self.reads.on_timer(now))
         # Last, as the others may have wanted something read.
@@ -147,11 +147,11 @@
         self.owner.is_draining = True
         self._drain_until = now + DRAIN_SECONDS
 
-    def _go_on_draining(self, now: float) -> None:
+    def _continue_drain(self, now: float) -> None:
         if not self.owner.is_draining or self.ownership.is_leaving:
             return
-        if self.owner.is_saved() or now >= self._drain_until:
-            self._log("shards released", saved=self.owner.is_saved())
+        if self.owner.is_drained() or now >= self._drain_until:
+            self._log("shards released", saved=self.owner.is_drained())
             self._emit_all(self.ownership.leave())
 
     def _emit_all(self, instructions: Iterable[JobInstruction]) -> None:
--- a/src/troutswitch/decisions/jobs/dependencies.py
+++ b/src/troutswitch/decisions/jobs/dependencies.py
@@ -43,14 +43,14 @@
 class JobSettings:
     """Settings of the batch jobs on one daemon.
 
-    `member` names this daemon in the group of shard owners. `member_ttl_least` is the least time,
+    `member` names this daemon in the group of shard owners. `min_member_ttl` is the least time,
     in seconds, that its membership lasts without a join. `job_kept` is how long, in seconds, a
     client may read a job after handing it in.
     """
 
     member: str
     zone: str
-    member_ttl_least: float
+    min_member_ttl: float
     job_kept: float
     limits: StoreLimits
     policies: BatchPolicies
--- a/src/troutswitch/decisions/jobs/dispatcher.py
+++ b/src/troutswitch/decisions/jobs/dispatcher.py
@@ -15,7 +15,7 @@
 
 from troutswitch.decisions.forwarding.engine import Engine
 from troutswitch.decisions.jobs.dependencies import JobDependencies
-from troutswitch.decisions.jobs.engine_choice import EngineChoice, takes_items
+from troutswitch.decisions.jobs.engine_choice import EngineChoice, accepts_items
 from troutswitch.decisions.jobs.item_parts import ItemParts
 from troutswitch.decisions.jobs.items import ItemProgress
 from troutswitch.decisions.jobs.messages import RunItem
@@ -23,9 +23,9 @@
 from troutswitch.decisions.jobs.starvation_guard import StarvationGuard
 from troutswitch.decisions.slots.messages import FleetShare, StartItems, WaitingItems
 
-RUNS_MOST = 64
+MAX_RUNS = 64
 """Items that run at once from this daemon."""
-STARTS_A_ROUND = 8
+MAX_STARTS_PER_ROUND = 8
 """Items that start in one round without a grant, so that peers learn of them before many follow."""
 
 
@@ -54,7 +54,7 @@
         candidates = [
             progress
             for progress in self._items.startable(now, self._engines.listed_at)
-            if self._retries.check(now, progress) is not None
+            if self._retries.prepare_start(now, progress) is not None
         ]
         if not candidates and not self._runs.by_number:
             return []
@@ -63,7 +63,7 @@
         ordered = self._ranking.most_urgent_first(candidates)
         late = [progress for progress in ordered if self._ranking.is_late(progress)]
         in_time = ordered[: len(ordered) - len(late)]
-        left = max(0, RUNS_MOST - len(self._runs.by_number))
+        left = max(0, MAX_RUNS - len(self._runs.by_number))
         self.waiting = WaitingItems(min(left, len(in_time)), min(left, len(late)))
         if all(self._slots.is_coordinated(now, name) for name in self._engines.engines):
             return []  # coordinators grant all slots
@@ -94,7 +94,7 @@
         """Starts items at engines whose slots no coordinator grants."""
         started: list[RunItem] = []
         for progress in ordered:
-            if len(self._runs.by_number) >= RUNS_MOST or len(started) >= STARTS_A_ROUND:
+            if len(self._runs.by_number) >= MAX_RUNS or len(started) >= MAX_STARTS_PER_ROUND:
                 break
             run = self._start_anywhere(now, progress)
             if run is None:
@@ -106,7 +106,7 @@
 
     def _start_anywhere(self, now: float, progress: ItemProgress) -> RunItem | None:
         """Starts an item at an engine that `EngineChoice` finds; None if there is none."""
-        item = self._retries.check(now, progress)
+        item = self._retries.prepare_start(now, progress)
         if item is None:
             return None
         engine = self._engine_choice.choose(now, item, self._is_uncoordinated)
@@ -136,19 +136,19 @@
         A slot for which there is no item is reported as unused by the next holdings report.
         """
         engine = self._engines.engines.get(grant.engine_id)
-        if engine is None or engine.is_leaving or not takes_items(now, engine):
+        if engine is None or engine.is_leaving or not accepts_items(now, engine):
             return []
         started: list[RunItem] = []
-        for progress in self._in_starting_order(now):
-            if len(self._runs.by_number) >= RUNS_MOST or len(started) >= grant.count:
+        for progress in self._startable_in_order(now):
+            if len(self._runs.by_number) >= MAX_RUNS or len(started) >= grant.count:
                 break
             run = self._start_at(now, progress, engine)
             if run is not None:
                 started.append(run)
-        self._take_off_waiting(len(started))
+        self._subtract_started(len(started))
         return started
 
-    def _in_starting_order(self, now: float) -> list[ItemProgress]:
+    def _startable_in_order(self, now: float) -> list[ItemProgress]:
         """Returns the items that may start, most urgent first but for a late one's turn."""
         startable = self._items.startable(now, self._engines.listed_at)
         ordered = self._ranking.most_urgent_first(startable)
@@ -160,14 +160,14 @@
 
     def _start_at(self, now: float, progress: ItemProgress, engine: Engine) -> RunItem | None:
         """Starts an item at an engine, if its route and the engine's memory allow."""
-        item = self._retries.check(now, progress)
+        item = self._retries.prepare_start(now, progress)
         if item is None or not self._engine_choice.may_run_at(item, engine):
             return None
         self._count_start(now, progress)
         self._refusals.on_started(now, progress)
         return self._runs.start(now, progress, item.entry.manifest, engine)
 
-    def _take_off_waiting(self, started: int) -> None:
+    def _subtract_started(self, started: int) -> None:
         """Takes items that started off those that wait, until the next round counts them."""
         in_time = max(0, self.waiting.in_time - started)
         late = max(0, self.waiting.late - max(0, started - self.waiting.in_time))
--- a/src/troutswitch/decisions/jobs/due_times.py
+++ b/src/troutswitch/decisions/jobs/due_times.py
@@ -13,4 +13,4 @@
 
 def due_at(routes: RouteTable, entry: JobEntry) -> float:
     """Returns when a job is due, on this process's clock."""
-    return entry.seen_at - entry.age_when_seen + completion_target(routes, entry.manifest)
+    return entry.first_read_at - entry.age_at_first_read + completion_target(routes, entry.manifest)
--- a/src/troutswitch/decisions/jobs/engine_choice.py
+++ b/src/troutswitch/decisions/jobs/engine_choice.py
@@ -20,7 +20,11 @@
 from troutswitch.decisions.forwarding.engines import EngineRegistry
 from troutswitch.decisions.forwarding.placement import batch_cost
 from troutswitch.decisions.forwarding.routes import RouteTable, choose_service
-from troutswitch.decisions.jobs.batch_capacity import BatchCapacityPolicy, has_memory, own_part
+from troutswitch.decisions.jobs.batch_capacity import (
+    BatchCapacityPolicy,
+    has_cache_space,
+    own_share_of,
+)
 from troutswitch.decisions.jobs.due_times import completion_target
 from troutswitch.decisions.jobs.item_retries import StartableItem
 
@@ -28,7 +32,7 @@
 """Most that is added to an engine's cost at random; a cost of 1 means that no slot is free."""
 
 
-def takes_items(now: float, engine: Engine) -> bool:
+def accepts_items(now: float, engine: Engine) -> bool:
     """Returns whether an engine has not lately rejected items as full, or failed."""
     return now >= max(engine.full_until, engine.ejected_until)
 
@@ -69,7 +73,7 @@
         service = engine.record.service
         if all(backend.service != service for backend in item.route.backends):
             return False
-        return has_memory(engine, item.progress.item.tokens, self._cache_tokens(service))
+        return has_cache_space(engine, item.progress.item.tokens, self._cache_tokens(service))
 
     def choose(
         self, now: float, item: StartableItem, is_open: Callable[[float, Engine], bool]
@@ -90,8 +94,8 @@
             engine
             for engine in self._engines.usable(now, service)
             if is_open(now, engine)
-            and takes_items(now, engine)
-            and has_memory(engine, tokens, cache_tokens)
+            and accepts_items(now, engine)
+            and has_cache_space(engine, tokens, cache_tokens)
             and self._has_own_slot(now, engine, age_share)
         ]
         return min(candidates, key=lambda engine: self._cost(now, engine), default=None)
@@ -108,10 +112,10 @@
         """Returns whether one more of an engine's free slots is this daemon's in this round."""
         engine_id = engine.record.engine_id
         started = self._started.get(engine_id, 0)
-        free = self._capacity.free(now, engine, age_share)
+        free = self._capacity.free_slots(now, engine, age_share)
         key = (engine_id, free + started)
         if key not in self._allowed:
-            self._allowed[key] = own_part(free + started, self._own_share, self._rng)
+            self._allowed[key] = own_share_of(free + started, self._own_share, self._rng)
         return free > 0 and started < self._allowed[key]
 
     def on_started(self, engine_id: str) -> None:
--- a/src/troutswitch/decisions/jobs/index.py
+++ b/src/troutswitch/decisions/jobs/index.py
@@ -18,7 +18,7 @@
 )
 from troutswitch.decisions.storage.messages import KeyedRecord
 
-AGE_MOST_SECONDS = 86_400.0
+MAX_JOB_AGE_SECONDS = 86_400.0
 """Longest age of a job that is believed, as clocks may be wrong."""
 
 
@@ -26,24 +26,24 @@
 class JobEntry:
     """One job. Times are seconds.
 
-    `seen_at` is when this daemon first read its manifest, on this process's clock, and
-    `age_when_seen` the job's age by then, by the time of day.
+    `first_read_at` is when this daemon first read its manifest, on this process's clock, and
+    `age_at_first_read` the job's age by then, by the time of day.
     """
 
     manifest: Manifest
-    tokens_left: int
-    seen_at: float
+    remaining_tokens: int
+    first_read_at: float
     is_ended: bool = False
-    age_when_seen: float = 0.0
+    age_at_first_read: float = 0.0
 
     def age(self, now: float) -> float:
         """Returns the time since the job was submitted, by the clocks of two daemons."""
-        return now - self.seen_at + self.age_when_seen
+        return now - self.first_read_at + self.age_at_first_read
 
     @property
     def is_open(self) -> bool:
         """Whether items of the job may still run."""
-        return not self.is_ended and self.tokens_left > 0
+        return not self.is_ended and self.remaining_tokens > 0
 
 
 @dataclass
@@ -55,7 +55,7 @@
     _early_ends: set[str] = field(default_factory=set)
     _early_progress: dict[str, int] = field(default_factory=dict)
 
-    def take(self, now: float, record: KeyedRecord, time_of_day: float = 0.0) -> None:
+    def apply(self, now: float, record: KeyedRecord, time_of_day: float = 0.0) -> None:
         """Folds a record in; one that this version cannot read is counted.
 
         `time_of_day` is given where the record may be old, in seconds since the epoch.
@@ -65,48 +65,48 @@
             self._remove(kind, job_id)
             return
         try:
-            self._take_value(now, kind, job_id, record.value, time_of_day)
+            self._apply_value(now, kind, job_id, record.value, time_of_day)
         except RecordError:
             self.malformed += 1
 
-    def _take_value(
+    def _apply_value(
         self, now: float, kind: str, job_id: str, value: bytes, time_of_day: float
     ) -> None:
         if kind == MANIFEST:
-            self._take_manifest(now, read_manifest(job_id, value), time_of_day)
+            self._apply_manifest(now, read_manifest(job_id, value), time_of_day)
         elif kind == END_MARK:
-            self._take_end(job_id)
+            self._apply_end(job_id)
         elif kind == PROGRESS:
-            self._take_progress(job_id, read_progress(value))
+            self._apply_progress(job_id, read_progress(value))
 
-    def _take_manifest(self, now: float, manifest: Manifest, time_of_day: float) -> None:
+    def _apply_manifest(self, now: float, manifest: Manifest, time_of_day: float) -> None:
         """Takes a manifest; a read of newest records comes by key, so marks may come before it."""
         if manifest.job_id in self.jobs:
             return  # the first manifest of a job is the one that was accepted
         entry = JobEntry(manifest, manifest.tokens, now)
         if time_of_day and manifest.submitted_at:
             age = time_of_day - manifest.submitted_at
-            entry.age_when_seen = min(max(0.0, age), AGE_MOST_SECONDS)
+            entry.age_at_first_read = min(max(0.0, age), MAX_JOB_AGE_SECONDS)
         self.jobs[manifest.job_id] = entry
         entry.is_ended = manifest.job_id in self._early_ends
         left = self._early_progress.pop(manifest.job_id, manifest.tokens)
-        entry.tokens_left = min(left, manifest.tokens)
+        entry.remaining_tokens = min(left, manifest.tokens)
         self._early_ends.discard(manifest.job_id)
 
-    def _take_end(self, job_id: str) -> None:
+    def _apply_end(self, job_id: str) -> None:
         entry = self.jobs.get(job_id)
         if entry is None:
             self._early_ends.add(job_id)
         else:
             entry.is_ended = True
 
-    def _take_progress(self, job_id: str, tokens_left: int) -> None:
+    def _apply_progress(self, job_id: str, remaining_tokens: int) -> None:
         entry = self.jobs.get(job_id)
         if entry is None:
-            self._early_progress[job_id] = tokens_left
+            self._early_progress[job_id] = remaining_tokens
         else:
             # What is listed stays listed, so a late report of a former owner changes nothing.
-            entry.tokens_left = min(entry.tokens_left, tokens_left)
+            entry.remaining_tokens = min(entry.remaining_tokens, remaining_tokens)
 
     def _remove(self, kind: str, job_id: str) -> None:
         if kind == MANIFEST:
@@ -114,10 +114,10 @@
         self._early_ends.discard(job_id)
         self._early_progress.pop(job_id, None)
 
-    def waiting_tokens(self, route: str, tenant: str) -> int:
+    def queued_tokens(self, route: str, tenant: str) -> int:
         """Returns the tokens of a tenant's accepted items on a route that are not listed yet."""
         return sum(
-            entry.tokens_left
+            entry.remaining_tokens
             for entry in self.jobs.values()
             if entry.manifest.route == route
             and entry.manifest.tenant == tenant
--- a/src/troutswitch/decisions/jobs/intake.py
+++ b/src/troutswitch/decisions/jobs/intake.py
@@ -56,7 +56,7 @@
     StoreOutcome,
 )
 
-RESERVE_SECONDS = 0.3
+ANSWER_RESERVE_SECONDS = 0.3
 """Part of a client's timeout that is left for its answer."""
 RETRY_PAUSE_SECONDS = 0.15
 """Pause after a store call that failed."""
@@ -82,16 +82,16 @@
 class Submission:
     """One submission of a job. Times are seconds on this process's clock.
 
-    `batches` holds the records of content that are not stored yet, a call each. `call` is the
-    store call in flight, or 0. `may_be_accepted` says that an append of the manifest was not
-    answered, and may have acted.
+    `pending_batches` holds the content records that are not stored yet, one batch for each store
+    call. `call` is the store call in flight, or 0. `may_be_accepted` is set once an append of the
+    manifest got no answer and may have taken effect.
     """
 
     event: JobSubmitted
     route: Route
     manifest: Manifest
-    batches: list[tuple[KeyedRecord, ...]]
-    begun_at: float
+    pending_batches: list[tuple[KeyedRecord, ...]]
+    started_at: float
     expires_at: float
     state: IntakeState = IntakeState.STORING
     call: int = 0
@@ -131,17 +131,17 @@
         """Begins a submission, or answers it at once."""
         if self._routes.configuration is None:
             refusal = JobRefused(503, "no configuration yet", RETRY_AFTER_SECONDS)
-            return self._answer_at_once(now, event, refusal)
+            return self._answer_immediately(now, event, refusal)
         route = self._routes.match(event.host, event.path)
         if route is None and self._routes.may_be_outdated:
             reason = "no such route, and the configuration may be old"
             refusal = JobRefused(503, reason, OUTDATED_RETRY_SECONDS)
-            return self._answer_at_once(now, event, refusal)
+            return self._answer_immediately(now, event, refusal)
         if route is None or route.kind is not RouteKind.JOBS:
-            return self._answer_at_once(now, event, JobRefused(404, "no such route"))
+            return self._answer_immediately(now, event, JobRefused(404, "no such route"))
         if not self._replicas.index_follower.is_current:
             refusal = JobRefused(503, "the index is not read yet", RETRY_AFTER_SECONDS)
-            return self._answer_at_once(now, event, refusal)
+            return self._answer_immediately(now, event, refusal)
         return self._begin(now, event, route)
 
     def _begin(self, now: float, event: JobSubmitted, route: Route) -> list[StoreCall]:
@@ -149,12 +149,12 @@
         try:
             records = chunk_records(event.job_id, event.items, self._limits.record_bytes)
         except RecordError as error:
-            return self._answer_at_once(now, event, JobRefused(413, str(error)))
-        known = self._known(manifest)
+            return self._answer_immediately(now, event, JobRefused(413, str(error)))
+        known = self._existing_answer(manifest)
         if known is not None:
-            return self._answer_at_once(now, event, known)
-        batches = _batches(records, self._limits.call_bytes)
-        expires_at = now + max(0.0, event.time_left - RESERVE_SECONDS)
+            return self._answer_immediately(now, event, known)
+        batches = _split_into_batches(records, self._limits.call_bytes)
+        expires_at = now + max(0.0, event.time_left - ANSWER_RESERVE_SECONDS)
         submission = Submission(event, route, manifest, batches, now, expires_at)
         self._submissions[event.token] = submission
         if not self._token_limits.fits(route, manifest):
@@ -176,7 +176,7 @@
             event.tenant,
         )
 
-    def _known(self, manifest: Manifest) -> JobAnswer | None:
+    def _existing_answer(self, manifest: Manifest) -> JobAnswer | None:
         """Returns the answer to a job whose id is in the index; None if it is not."""
         entry = self._replicas.index.jobs.get(manifest.job_id)
         if entry is None:
@@ -186,7 +186,7 @@
             return JobAccepted()
         return JobRefused(409, "the job's id was used for other content")
 
-    def _answer_at_once(
+    def _answer_immediately(
         self, now: float, event: JobSubmitted, answer: JobAnswer
     ) -> list[StoreCall]:
         self._log(
@@ -203,11 +203,11 @@
 
     def _store_next(self, now: float, submission: Submission) -> list[StoreCall]:
         """Appends the next records of content, then the manifest; content may be stored twice."""
-        if not submission.batches:
+        if not submission.pending_batches:
             return self._append_manifest(now, submission)
         submission.state = IntakeState.STORING
         partition = shard_partition(submission.manifest.shard)
-        call = AppendRecords(self._numbers.next(), partition, submission.batches[0])
+        call = AppendRecords(self._numbers.next(), partition, submission.pending_batches[0])
         return self._begin_call(now, submission, call)
 
     def _append_manifest(self, now: float, submission: Submission) -> list[StoreCall]:
@@ -239,7 +239,7 @@
         if not succeeded:
             submission.retry_at = now + RETRY_PAUSE_SECONDS
             return
-        known = self._known(submission.manifest)
+        known = self._existing_answer(submission.manifest)
         if known is not None:
             self._finish(now, submission, known)
         elif not self._token_limits.fits(submission.route, submission.manifest):
@@ -266,7 +266,7 @@
         self, now: float, submission: Submission, outcome: StoreOutcome
     ) -> list[StoreCall]:
         if isinstance(outcome, Appended):
-            del submission.batches[0]
+            del submission.pending_batches[0]
             return self._store_next(now, submission)
         submission.retry_at = now + RETRY_PAUSE_SECONDS
         return []
@@ -276,7 +276,7 @@
     ) -> None:
         match outcome:
             case Appended():
-                self._replicas.index.take(now, manifest_record(submission.manifest))
+                self._replicas.index.apply(now, manifest_record(submission.manifest))
                 self._replicas.index_follower.skip_own_records(outcome.offset, outcome.end)
                 self._finish(now, submission, JobAccepted())
             case EndMoved():
@@ -312,12 +312,12 @@
             case IntakeState.APPENDING:
                 return self._append_manifest(now, submission)
             case IntakeState.READING:
-                return self._go_on_after_read(now, submission)
+                return self._resume_after_read(now, submission)
             case _:
                 assert_never(submission.state)
 
-    def _go_on_after_read(self, now: float, submission: Submission) -> list[StoreCall]:
-        known = self._known(submission.manifest)
+    def _resume_after_read(self, now: float, submission: Submission) -> list[StoreCall]:
+        known = self._existing_answer(submission.manifest)
         if known is not None:
             self._finish(now, submission, known)
             return []
@@ -335,7 +335,7 @@
             "job does not fit",
             job_id=submission.event.job_id,
             tokens=submission.manifest.tokens,
-            waiting=self._token_limits.waiting(submission.manifest),
+            waiting=self._token_limits.queued_tokens(submission.manifest),
             most=submission.route.max_queued_tokens,
         )
         status = 504 if submission.may_be_accepted else 429
@@ -360,14 +360,16 @@
             answer=type(answer).__name__,
             reason=getattr(answer, "reason", ""),
             status=getattr(answer, "status", 202),
-            took_ms=round((now - submission.begun_at) * 1000),
+            took_ms=round((now - submission.started_at) * 1000),
             due_ms=round(completion_target(self._routes, manifest) * 1000),
             **configuration_fields(self._routes.known(now)),
         )
         self._answer(submission.event.token, answer)
 
 
-def _batches(records: tuple[KeyedRecord, ...], call_bytes: int) -> list[tuple[KeyedRecord, ...]]:
+def _split_into_batches(
+    records: tuple[KeyedRecord, ...], call_bytes: int
+) -> list[tuple[KeyedRecord, ...]]:
     """Splits records into calls that the store takes."""
     batches: list[list[KeyedRecord]] = [[]]
     used = 0
--- a/src/troutswitch/decisions/jobs/item_contents.py
+++ b/src/troutswitch/decisions/jobs/item_contents.py
@@ -15,11 +15,11 @@
 
 SHARED_METHOD = "ITEMS"
 """In place of the method in the common key, so that no request has the same key."""
-REMEMBERED_MOST = 1024
+MAX_CACHE_ENTRIES = 1024
 """Jobs, and paths of done items, that are cached; others are found out again."""
 
 
-class ItemContents:
+class ItemContentKeys:
     """The content keys of the items that this daemon owns."""
 
     def __init__(self, replicas: JobReplicas) -> None:
@@ -29,36 +29,36 @@
         self._paths: dict[str, Counter[str]] = {}
         """How many items of a job have a path; cached once all items of the job were read."""
 
-    def of(self, progress: ItemProgress) -> str:
+    def run_key(self, progress: ItemProgress) -> str:
         """Returns the key under which a run of an item counts; empty if its job is not known."""
-        return self._shared(progress) or self._own(progress)
+        return self._shared_key(progress) or self._own_key(progress)
 
-    def both(self, progress: ItemProgress) -> tuple[str, ...]:
+    def refusal_keys(self, progress: ItemProgress) -> tuple[str, ...]:
         """Returns the keys under which an item may be refused."""
-        shared = self._shared(progress)
-        return (self._own(progress), shared) if shared else (self._own(progress),)
+        shared = self._shared_key(progress)
+        return (self._own_key(progress), shared) if shared else (self._own_key(progress),)
 
     def on_done(self, progress: ItemProgress) -> None:
         """An item was done: from now on those that share its path have keys of their own."""
-        if self._siblings(progress) > 1:
-            self._note_done(progress)
+        if self._path_count(progress) > 1:
+            self._record_done(progress)
 
-    def _own(self, progress: ItemProgress) -> str:
+    def _own_key(self, progress: ItemProgress) -> str:
         entry = self._replicas.index.jobs.get(progress.job_id)
         if not progress.content and entry is not None:
             item = progress.item
             progress.content = content_key(entry.manifest.host, "POST", item.path, item.body)
         return progress.content
 
-    def _shared(self, progress: ItemProgress) -> str:
+    def _shared_key(self, progress: ItemProgress) -> str:
         """Returns the common key of items with this one's path; empty if there is none."""
         entry = self._replicas.index.jobs.get(progress.job_id)
-        if entry is None or self._siblings(progress) < 2 or self._was_done(progress):
+        if entry is None or self._path_count(progress) < 2 or self._path_was_done(progress):
             return ""
         path = progress.item.path
         return content_key(entry.manifest.host, SHARED_METHOD, path, progress.job_id.encode())
 
-    def _siblings(self, progress: ItemProgress) -> int:
+    def _path_count(self, progress: ItemProgress) -> int:
         """Returns how many items of the job have this item's path, itself among them."""
         paths = self._paths.get(progress.job_id)
         if paths is None:
@@ -71,11 +71,11 @@
         entry = self._replicas.index.jobs.get(progress.job_id)
         if entry is not None and len(items) == entry.manifest.item_count:
             self._paths[progress.job_id] = paths
-            if len(self._paths) > REMEMBERED_MOST:
+            if len(self._paths) > MAX_CACHE_ENTRIES:
                 del self._paths[next(iter(self._paths))]
         return paths
 
-    def _was_done(self, progress: ItemProgress) -> bool:
+    def _path_was_done(self, progress: ItemProgress) -> bool:
         """Returns whether an item with this path was done, here or by an earlier owner."""
         path = progress.item.path
         if (progress.job_id, path) in self._done:
@@ -84,12 +84,12 @@
         done = {result.item_id for result in content.results.values() if result.state == DONE}
         if not any(item.item_id in done and item.path == path for item in content.items()):
             return False
-        self._note_done(progress)
+        self._record_done(progress)
         return True
 
-    def _note_done(self, progress: ItemProgress) -> None:
+    def _record_done(self, progress: ItemProgress) -> None:
         self._done[progress.job_id, progress.item.path] = None
-        if len(self._done) > REMEMBERED_MOST:
+        if len(self._done) > MAX_CACHE_ENTRIES:
             del self._done[next(iter(self._done))]
 
     def _content(self, progress: ItemProgress) -> JobContent:
--- a/src/troutswitch/decisions/jobs/item_refusals.py
+++ b/src/troutswitch/decisions/jobs/item_refusals.py
@@ -17,14 +17,14 @@
 """
 
 from troutswitch.decisions.crashes.interface import Suspects
-from troutswitch.decisions.jobs.item_contents import ItemContents
+from troutswitch.decisions.jobs.item_contents import ItemContentKeys
 from troutswitch.decisions.jobs.items import ItemProgress
 from troutswitch.decisions.jobs.replicas import JobReplicas
 
 TRIAL_SECONDS = 16.0
 """Time without a crash after which a refused item is tried once more. An item counts as abandoned
 when no engine has had it for 20 s, and some seconds pass until it has a slot."""
-TRIALS_MOST = 2
+MAX_TRIALS = 2
 """Engines that trials of an item may crash. Three crashes are allowed after the first three, and
 one more run may be in flight when the third becomes known."""
 
@@ -34,7 +34,7 @@
 
     def __init__(self, suspects: Suspects, replicas: JobReplicas) -> None:
         self._suspects = suspects
-        self._contents = ItemContents(replicas)
+        self._content_keys = ItemContentKeys(replicas)
         self._tried_at: dict[str, float] = {}
         """When a trial of a content was last started here."""
 
@@ -57,29 +57,31 @@
         """This daemon stopped a run: if it was a trial, it has shown nothing."""
         if progress.is_on_trial:
             progress.is_on_trial = False
-            for content in self._contents.both(progress):
+            for content in self._content_keys.refusal_keys(progress):
                 self._tried_at.pop(content, None)
 
     def on_lost(self, now: float, progress: ItemProgress, engine_id: str) -> None:
         """The connection of a run broke off before its end."""
         progress.is_on_trial = False
-        self._suspects.on_lost(now, self._contents.of(progress), engine_id)
+        self._suspects.on_lost(now, self._content_keys.run_key(progress), engine_id)
 
     def on_done(self, now: float, progress: ItemProgress) -> None:
         """An engine ran an item to its end."""
         progress.is_on_trial = False
-        for content in self._contents.both(progress):
+        for content in self._content_keys.refusal_keys(progress):
             self._suspects.on_served(now, content)
             self._tried_at.pop(content, None)
-        self._contents.on_done(progress)
+        self._content_keys.on_done(progress)
 
     def _refused(self, progress: ItemProgress) -> list[str]:
         refused = self._suspects.refused
         if not refused:
             return []
-        return [content for content in self._contents.both(progress) if content in refused]
+        return [
+            content for content in self._content_keys.refusal_keys(progress) if content in refused
+        ]
 
     def _may_try(self, now: float, content: str) -> bool:
         if now < self._tried_at.get(content, float("-inf")) + TRIAL_SECONDS:
             return False
-        return self._suspects.may_retry(now, content, TRIAL_SECONDS, TRIALS_MOST)
+        return self._suspects.may_retry(now, content, TRIAL_SECONDS, MAX_TRIALS)
--- a/src/troutswitch/decisions/jobs/item_retries.py
+++ b/src/troutswitch/decisions/jobs/item_retries.py
@@ -43,9 +43,9 @@
 ROUTE_GONE_SECONDS = 6.0
 """Time without a route after which an item is dead-lettered: a change of the configuration may
 take a route away for a moment."""
-FAILED_STATUS = 500
+RUN_FAILED_STATUS = 500
 """Status with which an engine says that an item's run failed."""
-NEVER_STATUS = 422
+UNPROCESSABLE_STATUS = 422
 """Status with which an engine says that an item can never be done."""
 
 
@@ -75,7 +75,7 @@
         self._endings = endings
         self._rng = rng
 
-    def check(self, now: float, progress: ItemProgress) -> StartableItem | None:
+    def prepare_start(self, now: float, progress: ItemProgress) -> StartableItem | None:
         """Returns an item with its job and route if it may start now.
 
         Returns None if it must wait, for which its retry time is set, or is dead-lettered now.
@@ -86,7 +86,7 @@
             self._on_no_route(now, progress)
             return None
         progress.no_route_since = float("inf")
-        if route.retention and now - entry.seen_at > route.retention:
+        if route.retention and now - entry.first_read_at > route.retention:
             self._endings.dead_letter(progress, "its retention is over")
             return None
         if progress.failures >= route.max_attempts:
@@ -111,11 +111,11 @@
 
     def on_ended_early(self, now: float, progress: ItemProgress, event: ItemRunEnded) -> None:
         """Takes the end of a run that did not bring the item's whole output."""
-        if event.status == NEVER_STATUS:
+        if event.status == UNPROCESSABLE_STATUS:
             self._endings.dead_letter(progress, f"status {event.status}")
             return
         progress.retry_at = now + RETRY_SECONDS * self._rng.uniform(0.5, 1.5)
-        if event.status == FAILED_STATUS and event.kind is not AttemptOutcome.REFUSED:
+        if event.status == RUN_FAILED_STATUS and event.kind is not AttemptOutcome.REFUSED:
             self._on_failed(now, progress)
 
     def _on_failed(self, now: float, progress: ItemProgress) -> None:
--- a/src/troutswitch/decisions/jobs/items.py
+++ b/src/troutswitch/decisions/jobs/items.py
@@ -26,14 +26,14 @@
         saved_position: id of the last event that is.
         parts: number of records that hold the saved output.
         failures: runs that failed, here and at earlier owners.
-        failures_saved: as many as the store knows of.
+        saved_failures: as many as the store knows of.
         runs: runs started here.
         retry_at: when the next run may start.
         no_route_since: since when it has had no route.
         run: number of the run in flight, or 0.
         is_finished: whether it has ended, and its result need only be listed.
         started_at: its first start here.
-        ran_seconds: the time in runs here.
+        run_seconds: the time in runs here.
         content: its content key, once it was needed (`item_contents`).
         is_on_trial: whether it runs although engines crashed under it (`item_refusals`).
     """
@@ -48,14 +48,14 @@
     saved_position: str = ""
     parts: int = 0
     failures: int = 0
-    failures_saved: int = 0
+    saved_failures: int = 0
     runs: int = 0
     retry_at: float = float("-inf")
     no_route_since: float = float("inf")
     run: int = 0
     is_finished: bool = False
     started_at: float = float("inf")
-    ran_seconds: float = 0.0
+    run_seconds: float = 0.0
     content: str = ""
     is_on_trial: bool = False
 
@@ -86,7 +86,7 @@
         self.position = events[-1].position
 
     @property
-    def events_done(self) -> int:
+    def event_count(self) -> int:
         """Number of events made so far, by the last event's id; 0 where ids are no numbers."""
         return int(self.position) if self.position.isdigit() else 0
 
@@ -95,14 +95,14 @@
         """The output so far."""
         return "\n".join(self.texts)
 
-    def next_part(self, bytes_most: int) -> OutputPart:
+    def next_part(self, max_bytes: int) -> OutputPart:
         """Returns a part that is not saved yet, of as many events as fit but at least one."""
         texts: list[str] = []
         position = self.saved_position
         size = 0
         for event in self.unsaved:
             size += len(event.text.encode("utf-8", "surrogateescape")) + 1
-            if texts and size > bytes_most:
+            if texts and size > max_bytes:
                 break
             texts.append(event.text)
             position = event.position
@@ -125,7 +125,7 @@
                 return "\n".join(texts)
         return None
 
-    def agrees_with(self, parts: list[OutputPart]) -> bool:
+    def reconcile(self, parts: list[OutputPart]) -> bool:
         """Returns whether the saved parts are those of this output; further ones count as saved.
 
         After a write whose outcome is unknown, the store may have one part more. If it has one
--- a/src/troutswitch/decisions/jobs/messages.py
+++ b/src/troutswitch/decisions/jobs/messages.py
@@ -116,8 +116,8 @@
 class RunItem:
     """Run an item at an engine, from the event after `resume_after`.
 
-    `first_wait` is the longest wait for the first bytes of the response, `gap_wait` that for each
-    further event.
+    `response_timeout` bounds the wait for the first bytes of the response, `event_timeout` the
+    wait for each further event.
     """
 
     run: int
@@ -126,8 +126,8 @@
     host: str
     item: JobItem
     resume_after: str
-    first_wait: float
-    gap_wait: float
+    response_timeout: float
+    event_timeout: float
     tenant: str = NO_TENANT
 
 
--- a/src/troutswitch/decisions/jobs/open_items.py
+++ b/src/troutswitch/decisions/jobs/open_items.py
@@ -44,7 +44,7 @@
         """Returns the items that have no result yet."""
         return [progress for progress in self._items.values() if not progress.is_finished]
 
-    def of_shard(self, shard: int) -> list[ItemProgress]:
+    def in_shard(self, shard: int) -> list[ItemProgress]:
         """Returns the items of a shard."""
         return [progress for progress in self._items.values() if progress.shard == shard]
 
@@ -53,9 +53,9 @@
 
         Args:
             now: this process's clock, in seconds.
-            store_served_at: see `ShardOwnership.workable`.
+            store_served_at: see `ShardOwnership.startable`.
         """
-        leases = self._ownership.workable(store_served_at)
+        leases = self._ownership.startable(store_served_at)
         entries = [e for lease in leases for e in self._replicas.index.open_in_shard(lease.shard)]
         return [item for entry in entries for item in self._of_job(entry) if item.may_start(now)]
 
@@ -74,7 +74,7 @@
             if progress is None:
                 progress = ItemProgress(manifest.shard, manifest.job_id, item, number)
                 progress.restore(content.saved_output(number))
-                progress.failures = progress.failures_saved = content.failures.get(number, 0)
+                progress.failures = progress.saved_failures = content.failures.get(number, 0)
                 self._items[progress.key] = progress
             unlisted.append(progress)
         return unlisted
@@ -88,13 +88,13 @@
             lambda now, succeeded: self._shards_refreshing.discard(shard)
         )
 
-    def compare_saved(self, shard: int) -> None:
+    def reconcile_saved(self, shard: int) -> None:
         """Compares items with the saved output that was read anew.
 
         An item whose saved output is not from here begins anew, from that output.
         """
         fold = self._replicas.shard(shard).fold
-        for progress in self.of_shard(shard):
+        for progress in self.in_shard(shard):
             saved = fold.content(progress.job_id).saved_output(progress.number)
-            if not progress.is_finished and not progress.agrees_with(saved):
+            if not progress.is_finished and not progress.reconcile(saved):
                 self.drop(progress)
--- a/src/troutswitch/decisions/jobs/order.py
+++ b/src/troutswitch/decisions/jobs/order.py
@@ -22,15 +22,15 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ItemProspect:
+class ItemForecast:
     """An item that is not listed: when it is due, on this process's clock, and what it has to run.
 
     Both times are in seconds.
     """
 
     key: ItemKey
-    due: float
-    seconds_left: float
+    due_at: float
+    remaining_seconds: float
 
 
 @dataclass(frozen=True, slots=True, order=True)
@@ -58,7 +58,7 @@
     """Ranks all items that a daemon has to finish; the lowest rank goes first."""
 
     def rank(
-        self, now: float, items: Iterable[ItemProspect], capacity: BatchCapacity
+        self, now: float, items: Iterable[ItemForecast], capacity: BatchCapacity
     ) -> dict[ItemKey, ItemRank]:
         """Returns the rank of each item."""
         ...
@@ -71,53 +71,53 @@
     """
 
     def rank(
-        self, now: float, items: Iterable[ItemProspect], capacity: BatchCapacity
+        self, now: float, items: Iterable[ItemForecast], capacity: BatchCapacity
     ) -> dict[ItemKey, ItemRank]:
         """Ranks by slack."""
-        slacks = {item.key: item.due - now - item.seconds_left for item in items}
+        slacks = {item.key: item.due_at - now - item.remaining_seconds for item in items}
         return {key: ItemRank(slack < 0, slack) for key, slack in slacks.items()}
 
 
 class MostInTime:
-    """As many items as possible meet their targets with the given capacity.
+    """Maximizes the number of items that meet their targets with the given capacity.
 
-    This is the Moore-Hodgson algorithm: items are taken in the order of their due times, and
-    whenever one would be late, the longest of those taken so far is left out. Items that are half
-    done are short, so work that was begun is finished before new work is begun.
+    This is the Moore-Hodgson algorithm: items are scheduled in the order of their due times, and
+    whenever one would be late, the longest item scheduled so far is removed. Partly finished items
+    have little time remaining, so they are finished before new items start.
     """
 
     def rank(
-        self, now: float, items: Iterable[ItemProspect], capacity: BatchCapacity
+        self, now: float, items: Iterable[ItemForecast], capacity: BatchCapacity
     ) -> dict[ItemKey, ItemRank]:
         """Ranks by due time, then by the time left; late items by the time left."""
-        ordered = sorted(items, key=lambda item: (item.due, item.seconds_left, item.key))
-        late = _left_out(now, ordered, capacity)
+        ordered = sorted(items, key=lambda item: (item.due_at, item.remaining_seconds, item.key))
+        late = _late_items(now, ordered, capacity)
         return {item.key: _rank(item, item.key in late) for item in ordered}
 
 
-def _left_out(now: float, ordered: list[ItemProspect], capacity: BatchCapacity) -> set[ItemKey]:
+def _late_items(now: float, ordered: list[ItemForecast], capacity: BatchCapacity) -> set[ItemKey]:
     """Returns the items that the capacity does not allow to meet their targets."""
-    taken: list[tuple[float, ItemKey]] = []  # longest first
-    left_out: set[ItemKey] = set()
+    scheduled: list[tuple[float, ItemKey]] = []  # longest first
+    late: set[ItemKey] = set()
     work = 0.0
     for item in ordered:
-        time_left = item.due - now
-        if item.seconds_left > time_left * capacity.duty:
-            left_out.add(item.key)
+        time_left = item.due_at - now
+        if item.remaining_seconds > time_left * capacity.duty:
+            late.add(item.key)
             continue
-        heapq.heappush(taken, (-item.seconds_left, item.key))
-        work += item.seconds_left
-        while taken and work > time_left * capacity.slots:
-            negative_longest, key = heapq.heappop(taken)
+        heapq.heappush(scheduled, (-item.remaining_seconds, item.key))
+        work += item.remaining_seconds
+        while scheduled and work > time_left * capacity.slots:
+            negative_longest, key = heapq.heappop(scheduled)
             work += negative_longest
-            left_out.add(key)
-    return left_out
+            late.add(key)
+    return late
 
 
-def _rank(item: ItemProspect, is_late: bool) -> ItemRank:
+def _rank(item: ItemForecast, is_late: bool) -> ItemRank:
     if is_late:
-        return ItemRank(True, item.seconds_left)
-    return ItemRank(False, item.due, item.seconds_left)
+        return ItemRank(True, item.remaining_seconds)
+    return ItemRank(False, item.due_at, item.remaining_seconds)
 
 
 ITEM_ORDERS: dict[str, Callable[[], ItemOrder]] = {
--- a/src/troutswitch/decisions/jobs/owner.py
+++ b/src/troutswitch/decisions/jobs/owner.py
@@ -44,7 +44,7 @@
 from troutswitch.decisions.slots.messages import StartItems, WaitingItems
 from troutswitch.decisions.storage.messages import StoreCall, StoreOutcome
 
-ROUND_SECONDS = 0.05
+ROUND_INTERVAL_SECONDS = 0.05
 """Interval between rounds of dispatching and writing."""
 SETTLE_SECONDS = 0.5
 """Time after its first round for which a daemon neither starts items nor reports that any wait: it
@@ -115,7 +115,7 @@
         """Number of items that this daemon has to finish."""
         return len(self._items.unfinished())
 
-    def is_saved(self) -> bool:
+    def is_drained(self) -> bool:
         """Whether no run is left, and all that came of them was written."""
         unsaved = any(progress.unsaved for progress in self._items.unfinished())
         return not self.runs and not unsaved and self._writer.is_idle()
@@ -132,15 +132,15 @@
         """Does a round if it is due: stops what must not run, starts items, writes results."""
         if now < self._round_at:
             return []
-        self._round_at = now + ROUND_SECONDS
+        self._round_at = now + ROUND_INTERVAL_SECONDS
         owned = self._ownership.owned()
         instructions: list[OwnerInstruction] = []
         instructions += self._run_stops.stop_unwanted(now, is_draining=self.is_draining)
-        self._writer.forget_shards()
+        self._writer.forget_lost_shards()
         instructions += self._run_stops.yield_slots(now)
         for lease in owned:
             if self._writer.begin_epoch(lease):
-                self._items.compare_saved(lease.shard)
+                self._items.reconcile_saved(lease.shard)
         instructions += self._start_items(now)
         instructions += self._write(now, owned)
         return instructions
@@ -157,7 +157,7 @@
     def _write(self, now: float, owned: list[ShardLease]) -> list[StoreCall]:
         calls: list[StoreCall] = []
         for lease in owned:
-            items = self._items.of_shard(lease.shard)
+            items = self._items.in_shard(lease.shard)
             calls += self._writer.write(now, lease, items, is_draining=self.is_draining)
         return calls
 
@@ -171,7 +171,7 @@
             return []
         return self._dispatcher.start_granted(now, grant)
 
-    def give_slot(self, now: float, engine_id: str) -> StopItem | None:
+    def yield_slot(self, now: float, engine_id: str) -> StopItem | None:
         """Stops the least urgent item at an engine; None if this daemon has none there."""
         stopped = self._run_stops.stop_least_urgent(now, engine_id, 1)
         return stopped[0] if stopped else None
@@ -188,7 +188,7 @@
 
     def on_run_ended(self, now: float, event: ItemRunEnded) -> None:
         """Takes the end of a run; the next round follows at once."""
-        if self._run_ends.take(now, event):
+        if self._run_ends.on_run_ended(now, event):
             self._round_at = now
 
     # Writes.
--- a/src/troutswitch/decisions/jobs/ownership.py
+++ b/src/troutswitch/decisions/jobs/ownership.py
@@ -48,7 +48,7 @@
 JOIN_TIMEOUT_FIRST_SECONDS = 1.0
 """Timeout of a join after one that succeeded: short enough for a retry on a new connection to
 arrive before the membership expires."""
-JOIN_TIMEOUT_MOST_SECONDS = 2.0
+MAX_JOIN_TIMEOUT_SECONDS = 2.0
 """Timeout of a join after one that failed, as a store may be slow for long."""
 RETRY_SECONDS = 0.2
 """Mean pause after a join or an append that failed."""
@@ -93,7 +93,7 @@
     def __init__(
         self,
         member: str,
-        ttl_least: float,
+        min_ttl: float,
         replicas: JobReplicas,
         numbers: CallNumbers,
         rng: random.Random,
@@ -103,7 +103,7 @@
         self.generation = 0
         self.is_leaving = False
         self._member = member
-        self._ttl = max(ttl_least, JOIN_SECONDS * TTL_JOINS)
+        self._ttl = max(min_ttl, JOIN_SECONDS * TTL_JOINS)
         self._replicas = replicas
         self._numbers = numbers
         self._rng = rng
@@ -117,7 +117,7 @@
         """Returns the shards that are fenced and read."""
         return [lease for lease in self.leases.values() if lease.state is ShardState.OWNED]
 
-    def workable(self, store_served_at: float) -> list[ShardLease]:
+    def startable(self, store_served_at: float) -> list[ShardLease]:
         """Returns the shards whose items may start.
 
         Those that are fenced again after a write without an answer are among them: while the
@@ -153,7 +153,7 @@
         if not self._join_call and now >= self._join_at:
             calls.append(self._join(now))
         for lease in self.leases.values():
-            calls += self._go_on(now, lease)
+            calls += self._advance(now, lease)
         return calls
 
     def _join(self, now: float) -> StoreCall:
@@ -166,7 +166,7 @@
             (SHARD_TOPIC,),
             self._ttl,
             self.generation,
-            JOIN_TIMEOUT_MOST_SECONDS if self._failures else JOIN_TIMEOUT_FIRST_SECONDS,
+            MAX_JOIN_TIMEOUT_SECONDS if self._failures else JOIN_TIMEOUT_FIRST_SECONDS,
         )
 
     def leave(self) -> list[StoreCall]:
@@ -213,9 +213,9 @@
             self.generation = joined.generation
             self._join_at = now
         assigned = {part.number for part in joined.partitions if part.topic == SHARD_TOPIC}
-        self._take_assignment(now, assigned)
+        self._apply_assignment(now, assigned)
 
-    def _take_assignment(self, now: float, assigned: set[int]) -> None:
+    def _apply_assignment(self, now: float, assigned: set[int]) -> None:
         for shard in sorted(assigned - set(self.leases)):
             epoch = self._new_epoch(self.generation + 1)
             self.leases[shard] = ShardLease(shard, epoch, retry_at=now)
@@ -229,7 +229,7 @@
     def _new_epoch(self, least_round: int) -> int:
         return (least_round << EPOCH_BITS) | self._rng.getrandbits(EPOCH_BITS)
 
-    def _go_on(self, now: float, lease: ShardLease) -> list[StoreCall]:
+    def _advance(self, now: float, lease: ShardLease) -> list[StoreCall]:
         """Fences a shard, or notes that it was read whole."""
         match lease.state:
             case ShardState.FENCING:
--- a/src/troutswitch/decisions/jobs/progress_reports.py
+++ b/src/troutswitch/decisions/jobs/progress_reports.py
@@ -24,12 +24,12 @@
 )
 from troutswitch.decisions.storage.read_attempts import CallNumbers
 
-REPORT_SECONDS = 0.4
+MIN_REPORT_INTERVAL_SECONDS = 0.4
 """Least interval between reports of a shard."""
-REPORT_LATENCIES = 20.0
+REPORT_INTERVAL_LATENCIES = 20.0
 """Least interval in latencies of the last report, so that reports never crowd a slow store: all
 shards share the index, and new jobs are accepted there."""
-REPORT_MOST_SECONDS = 2.0
+MAX_LATENCY_INTERVAL_SECONDS = 2.0
 """Longest interval that the latency may call for."""
 
 
@@ -81,16 +81,16 @@
         """Returns the records of the jobs to be reported, and folds them in here."""
         records: list[KeyedRecord] = []
         for job_id in sorted(reports.changed_jobs):
-            left = self._tokens_left(shard, job_id)
+            left = self._remaining_tokens(shard, job_id)
             if left is None or (left and not self._token_limits.is_crowded(job_id)):
                 continue
             record = progress_record(job_id, left)
-            self._replicas.index.take(now, record)
+            self._replicas.index.apply(now, record)
             records.append(record)
             reports.jobs_in_flight.add(job_id)
         return records
 
-    def _tokens_left(self, shard: int, job_id: str) -> int | None:
+    def _remaining_tokens(self, shard: int, job_id: str) -> int | None:
         """Returns the tokens of a job's items that are not listed; None if not all are read.
 
         A job that is reported as done is closed for good, so items that this replica has not read
@@ -118,5 +118,7 @@
 
 
 def _next_report_at(reports: _ShardReports) -> float:
-    latency_interval = min(REPORT_LATENCIES * reports.latency, REPORT_MOST_SECONDS)
-    return reports.sent_at + max(REPORT_SECONDS, latency_interval)
+    latency_interval = min(
+        REPORT_INTERVAL_LATENCIES * reports.latency, MAX_LATENCY_INTERVAL_SECONDS
+    )
+    return reports.sent_at + max(MIN_REPORT_INTERVAL_SECONDS, latency_interval)
--- a/src/troutswitch/decisions/jobs/ranking.py
+++ b/src/troutswitch/decisions/jobs/ranking.py
@@ -12,9 +12,9 @@
 from troutswitch.decisions.jobs.items import ItemProgress
 from troutswitch.decisions.jobs.order import (
     BatchCapacity,
+    ItemForecast,
     ItemKey,
     ItemOrder,
-    ItemProspect,
     ItemRank,
 )
 from troutswitch.decisions.jobs.run_time_estimate import RunTimeEstimate
@@ -35,12 +35,12 @@
 
     def rank(self, now: float, items: Iterable[ItemProgress], capacity: BatchCapacity) -> None:
         """Ranks all items anew."""
-        self._ranks = self._order.rank(now, [self._prospect(item) for item in items], capacity)
+        self._ranks = self._order.rank(now, [self._forecast(item) for item in items], capacity)
 
-    def _prospect(self, progress: ItemProgress) -> ItemProspect:
+    def _forecast(self, progress: ItemProgress) -> ItemForecast:
         entry = self._index.jobs.get(progress.job_id)
         due = due_at(self._routes, entry) if entry is not None else float("inf")
-        return ItemProspect(progress.key, due, self.run_times.seconds_left(progress))
+        return ItemForecast(progress.key, due, self.run_times.remaining_seconds(progress))
 
     def _rank(self, progress: ItemProgress) -> ItemRank:
         return self._ranks.get(progress.key, UNRANKED)
--- a/src/troutswitch/decisions/jobs/reads.py
+++ b/src/troutswitch/decisions/jobs/reads.py
@@ -32,15 +32,15 @@
 )
 from troutswitch.decisions.storage.read_attempts import CallNumbers
 
-RESULT_BYTES_MOST = 900_000
+MAX_RESULT_BYTES = 900_000
 """Bytes of texts in one answer, below the platform's limit of 1 MB."""
 RETRY_AFTER_SECONDS = 0.3
 """Retry-After where the store could not be read."""
 END_RETRY_SECONDS = 0.15
 """Pause after an append of a job's end that failed."""
-RESERVE_SECONDS = 0.2
+ANSWER_RESERVE_SECONDS = 0.2
 """Part of a client's timeout that is left for its answer."""
-CALL_SECONDS_MOST = 2.0
+MAX_CALL_SECONDS = 2.0
 """Longest time for which a call waits for the store."""
 
 JobCall = ResultsRequested | BodyRequested | JobEndRequested
@@ -51,12 +51,12 @@
 class PendingCall:
     """A call that waits for the store. Times are seconds on this process's clock.
 
-    `append` is the store call in flight that ends a job, or 0.
+    `append_call` is the store call in flight that ends a job, or 0.
     """
 
     event: JobCall
     expires_at: float
-    append: int = 0
+    append_call: int = 0
     retry_at: float = float("inf")
 
 
@@ -78,10 +78,10 @@
 
     def on_call(self, now: float, event: JobCall) -> list[StoreCall]:
         """Begins a call about a job."""
-        left = min(max(0.0, event.time_left - RESERVE_SECONDS), CALL_SECONDS_MOST)
+        left = min(max(0.0, event.time_left - ANSWER_RESERVE_SECONDS), MAX_CALL_SECONDS)
         self._pending[event.token] = PendingCall(event, now + left)
         if event.job_id in self._replicas.index.jobs:
-            return self._with_job(event.token)
+            return self._serve(event.token)
         self._replicas.index_refresher.refresh(
             lambda at, succeeded: self._on_index_read(at, event.token, succeeded)
         )
@@ -103,7 +103,7 @@
         else:
             self._fail(token, "the index could not be read")
 
-    def _with_job(self, token: int) -> list[StoreCall]:
+    def _serve(self, token: int) -> list[StoreCall]:
         call = self._pending[token]
         call.retry_at = float("inf")
         entry = self._entry_of(call.event)
@@ -116,7 +116,7 @@
             case BodyRequested():
                 self._read_body(call.event, entry)
             case JobEndRequested():
-                return self._end(call, entry)
+                return self._end_job(call, entry)
             case _:
                 assert_never(call.event)
         return []
@@ -140,7 +140,7 @@
 
     def _answer_results(self, event: ResultsRequested, entry: JobEntry) -> None:
         content = self._replicas.shard(entry.manifest.shard).fold.content(event.job_id)
-        rows = content.results_from(event.position, RESULT_BYTES_MOST)
+        rows = content.results_from(event.position, MAX_RESULT_BYTES)
         total = entry.manifest.item_count
         self._finish(event.token, JobResults(total, event.position, tuple(rows)))
 
@@ -168,26 +168,26 @@
 
     # Ends.
 
-    def _end(self, call: PendingCall, entry: JobEntry) -> list[StoreCall]:
+    def _end_job(self, call: PendingCall, entry: JobEntry) -> list[StoreCall]:
         if entry.is_ended:
             self._finish(call.event.token, JobEnded())
             return []
-        call.append = self._numbers.next()
-        return [AppendRecords(call.append, INDEX, (end_record(call.event.job_id),))]
+        call.append_call = self._numbers.next()
+        return [AppendRecords(call.append_call, INDEX, (end_record(call.event.job_id),))]
 
     def owns(self, number: int) -> bool:
         """Returns whether a store call is of the end of a job."""
-        return any(call.append == number for call in self._pending.values())
+        return any(call.append_call == number for call in self._pending.values())
 
     def on_answer(self, now: float, number: int, outcome: StoreOutcome) -> list[StoreCall]:
         """Takes the outcome of an end's append, which is repeated until it is acknowledged."""
-        call = next(call for call in self._pending.values() if call.append == number)
-        call.append = 0
+        call = next(call for call in self._pending.values() if call.append_call == number)
+        call.append_call = 0
         if not isinstance(outcome, Appended):
             call.retry_at = now + END_RETRY_SECONDS
             return []
         job_id = call.event.job_id
-        self._replicas.index.take(now, end_record(job_id))
+        self._replicas.index.apply(now, end_record(job_id))
         self._replicas.index_follower.skip_own_records(outcome.offset, outcome.end)
         self._log("job end stored", job_id=job_id, offset=outcome.offset)
         self._finish(call.event.token, JobEnded())
@@ -209,7 +209,7 @@
             if now >= call.expires_at:
                 self._fail(token, "the store did not answer in time")
             elif call.retry_at <= now:
-                calls += self._with_job(token)
+                calls += self._serve(token)
         return calls
 
     def _fail(self, token: int, reason: str) -> None:
--- a/src/troutswitch/decisions/jobs/records.py
+++ b/src/troutswitch/decisions/jobs/records.py
@@ -41,7 +41,7 @@
 RESULT = "r"
 CHECKPOINT = "c"
 FAILURES = "f"
-REST = "x"
+CONTINUATION = "x"
 RECORD_OVERHEAD_BYTES = 512
 """Bytes kept free in a record for its key and the arrays around the items."""
 
@@ -166,9 +166,9 @@
     return KeyedRecord(f"{END_MARK}:{job_id}", cbor2.dumps([SCHEMA_VERSION]))
 
 
-def progress_record(job_id: str, tokens_left: int) -> KeyedRecord:
+def progress_record(job_id: str, remaining_tokens: int) -> KeyedRecord:
     """Encodes the tokens of a job's items that are not listed yet."""
-    return KeyedRecord(f"{PROGRESS}:{job_id}", cbor2.dumps([SCHEMA_VERSION, tokens_left]))
+    return KeyedRecord(f"{PROGRESS}:{job_id}", cbor2.dumps([SCHEMA_VERSION, remaining_tokens]))
 
 
 def read_progress(value: bytes) -> int:
@@ -177,8 +177,8 @@
     Raises:
         RecordError: the record is malformed or of another version.
     """
-    (tokens_left,) = _fields(value, 1)
-    return int(tokens_left)
+    (remaining_tokens,) = _fields(value, 1)
+    return int(remaining_tokens)
 
 
 def chunk_records(
@@ -228,13 +228,13 @@
     item_id: str
     state: str
     piece: bytes
-    rests: int
+    continuation_count: int
 
-    def whole(self, rests: dict[int, bytes]) -> ItemResult | None:
+    def assemble(self, continuations: dict[int, bytes]) -> ItemResult | None:
         """Returns the result with its whole text; None while a piece is missing."""
-        if any(part not in rests for part in range(self.rests)):
+        if any(part not in continuations for part in range(self.continuation_count)):
             return None
-        text = self.piece + b"".join(rests[part] for part in range(self.rests))
+        text = self.piece + b"".join(continuations[part] for part in range(self.continuation_count))
         return ItemResult(self.item_id, self.state, text.decode("utf-8", "surrogateescape"))
 
 
@@ -246,13 +246,14 @@
     text = result.text.encode("utf-8", errors="surrogateescape")
     pieces = [text[start : start + most] for start in range(0, len(text), most)] or [b""]
     head = [SCHEMA_VERSION, result.item_id, result.state, pieces[0], len(pieces) - 1]
-    rests = [
+    continuations = [
         KeyedRecord(
-            f"{REST}:{job_id}:{position:05d}:{part:05d}", cbor2.dumps([SCHEMA_VERSION, piece])
+            f"{CONTINUATION}:{job_id}:{position:05d}:{part:05d}",
+            cbor2.dumps([SCHEMA_VERSION, piece]),
         )
         for part, piece in enumerate(pieces[1:])
     ]
-    return (*rests, KeyedRecord(f"{RESULT}:{job_id}:{position:05d}", cbor2.dumps(head)))
+    return (*continuations, KeyedRecord(f"{RESULT}:{job_id}:{position:05d}", cbor2.dumps(head)))
 
 
 def read_result_head(value: bytes) -> ResultHead:
@@ -261,11 +262,11 @@
     Raises:
         RecordError: the record is malformed or of another version.
     """
-    item_id, state, piece, rests = _fields(value, 4)
-    return ResultHead(item_id, state, bytes(piece), int(rests))
+    item_id, state, piece, continuation_count = _fields(value, 4)
+    return ResultHead(item_id, state, bytes(piece), int(continuation_count))
 
 
-def read_rest(value: bytes) -> bytes:
+def read_continuation(value: bytes) -> bytes:
     """Decodes a further piece of a result's text.
 
     Raises:
--- a/src/troutswitch/decisions/jobs/replicas.py
+++ b/src/troutswitch/decisions/jobs/replicas.py
@@ -16,10 +16,10 @@
 from troutswitch.decisions.storage.read_attempts import CallNumbers
 from troutswitch.decisions.storage.refresh import Refresher
 
-INDEX_WAIT_SECONDS = 1.0
+INDEX_LONG_POLL_SECONDS = 1.0
 """Time for which a read of the index waits at the store. The index shows the ends of jobs, so a
 lost answer must be noticed well before a job has to have stopped."""
-INDEX_PAUSE_SECONDS = 0.25
+MIN_INDEX_READ_INTERVAL_SECONDS = 0.25
 """Least interval between reads of the index, which bounds the calls under many jobs."""
 
 
@@ -47,16 +47,16 @@
             INDEX,
             numbers,
             rng,
-            self._take_index_record,
-            INDEX_WAIT_SECONDS,
-            INDEX_PAUSE_SECONDS,
+            self._apply_index_record,
+            INDEX_LONG_POLL_SECONDS,
+            MIN_INDEX_READ_INTERVAL_SECONDS,
         )
         self.index_refresher = Refresher(self.index_follower, numbers)
 
-    def _take_index_record(self, record: KeyedRecord) -> None:
+    def _apply_index_record(self, record: KeyedRecord) -> None:
         """Takes a record; those of the first reading may be old, those after it are new."""
         is_old = not self.index_follower.is_current
-        self.index.take(self._now, record, self.time_of_day(self._now) if is_old else 0.0)
+        self.index.apply(self._now, record, self.time_of_day(self._now) if is_old else 0.0)
 
     def time_of_day(self, now: float) -> float:
         """Returns the seconds since the epoch, or 0 if the offset is not known yet."""
@@ -75,7 +75,7 @@
             shard_partition(number),
             self._numbers,
             self._rng,
-            fold.take,
+            fold.apply,
             wait=0.0,
             pause=0.0,
             is_tailing=False,
--- a/src/troutswitch/decisions/jobs/retention.py
+++ b/src/troutswitch/decisions/jobs/retention.py
@@ -2,15 +2,15 @@
 
 Inputs: the age of a job since this daemon first read of it, and how long the index has not known a
 job of which a shard has content; both in seconds. Nothing is removed unless the index was read to
-its end in the last `INDEX_FRESH_SECONDS`.
+its end in the last `MAX_INDEX_AGE_SECONDS`.
 
-The rule: a job that is done or ended loses its records in the index `MARGIN_SECONDS` after its
-client may read it for the last time; from then on it is unknown. What a shard has of a job that
-the index has not known for `ORPHAN_SECONDS` goes next. That also removes what a refused submission
-left, and what a removal left that broke off.
+The rule: the index records of a job that is done or ended are removed `RETENTION_MARGIN_SECONDS`
+after its client may last read it; from then on the job is unknown. Its content in the shard is
+removed once the index has not known the job for `MIN_ORPHAN_AGE_SECONDS`. That also removes the
+content of refused submissions and the remainder of an interrupted removal.
 
-Why: otherwise the store fills up. Removals carry no fence, and do no harm if repeated: a job is
-removed only long after its client may read it.
+Why: otherwise the store fills up. Removals are not fenced. Repeating one is harmless, since a job
+is removed only long after its client may last read it.
 
 It owns the removal in flight, and since when each job has been unknown.
 """
@@ -22,12 +22,12 @@
 from troutswitch.decisions.jobs.records import (
     CHECKPOINT,
     CHUNK,
+    CONTINUATION,
     END_MARK,
     FAILURES,
     INDEX,
     MANIFEST,
     PROGRESS,
-    REST,
     RESULT,
     shard_partition,
 )
@@ -43,16 +43,16 @@
 )
 from troutswitch.decisions.storage.read_attempts import CallNumbers
 
-CHECK_SECONDS = 5.0
+CHECK_INTERVAL_SECONDS = 5.0
 """Interval between checks for what is to be removed."""
-MARGIN_SECONDS = 30.0
+RETENTION_MARGIN_SECONDS = 30.0
 """Time for which a job is kept after its client may read it for the last time."""
-ORPHAN_SECONDS = 60.0
+MIN_ORPHAN_AGE_SECONDS = 60.0
 """Time for which the index must not know a job before its content is removed; well above the time
 that a submission, or an append without an answer, may take."""
-INDEX_FRESH_SECONDS = 3.0
+MAX_INDEX_AGE_SECONDS = 3.0
 """Age up to which the index counts as read to its end."""
-RECORDS_A_CALL = 200
+MAX_RECORDS_PER_CALL = 200
 """Most records that are removed in one store call."""
 INDEX_KINDS = (MANIFEST, END_MARK, PROGRESS)
 """Kinds of the records that a job may have in the index."""
@@ -87,9 +87,9 @@
         """Removes what has expired, a call at a time."""
         if now < self._check_at:
             return []
-        self._check_at = now + CHECK_SECONDS
+        self._check_at = now + CHECK_INTERVAL_SECONDS
         self._call = 0
-        if now - self._replicas.index_follower.current_at > INDEX_FRESH_SECONDS:
+        if now - self._replicas.index_follower.current_at > MAX_INDEX_AGE_SECONDS:
             self._orphan_since.clear()
             return []
         shards = {lease.shard for lease in self._ownership.owned()}
@@ -103,13 +103,16 @@
         ]
         keys = [
             f"{kind}:{job_id}"
-            for job_id in expired[: RECORDS_A_CALL // len(INDEX_KINDS)]
+            for job_id in expired[: MAX_RECORDS_PER_CALL // len(INDEX_KINDS)]
             for kind in INDEX_KINDS
         ]
         return self._remove(INDEX, keys)
 
     def _is_expired(self, now: float, entry: JobEntry) -> bool:
-        return not entry.is_open and now - entry.seen_at > self.job_kept + MARGIN_SECONDS
+        return (
+            not entry.is_open
+            and now - entry.first_read_at > self.job_kept + RETENTION_MARGIN_SECONDS
+        )
 
     def _remove_orphans(self, now: float, shards: set[int]) -> list[StoreCall]:
         known = self._replicas.index.jobs
@@ -121,7 +124,7 @@
         }
         self._orphan_since = {job_id: self._orphan_since.get(job_id, now) for job_id in orphans}
         for job_id, shard in orphans.items():
-            if now - self._orphan_since[job_id] > ORPHAN_SECONDS:
+            if now - self._orphan_since[job_id] > MIN_ORPHAN_AGE_SECONDS:
                 content = self._replicas.shard(shard).fold.content(job_id)
                 return self._remove(shard_partition(shard), content_keys(job_id, content))
         return []
@@ -129,7 +132,7 @@
     def _remove(self, partition: Partition, keys: list[str]) -> list[StoreCall]:
         if not keys:
             return []
-        records = tuple(KeyedRecord(key, b"") for key in keys[:RECORDS_A_CALL])
+        records = tuple(KeyedRecord(key, b"") for key in keys[:MAX_RECORDS_PER_CALL])
         self._call = self._numbers.next()
         self._removing = (partition, records)
         return [AppendRecords(self._call, partition, records)]
@@ -146,9 +149,9 @@
         partition, records = self._removing
         for record in records:
             if partition == INDEX:
-                self._replicas.index.take(now, record)
+                self._replicas.index.apply(now, record)
             else:
-                self._replicas.shard(partition.number).fold.take(record)
+                self._replicas.shard(partition.number).fold.apply(record)
         self._log("job records removed", topic=partition.topic, records=len(records))
         self._check_at = now
 
@@ -157,8 +160,8 @@
     """Returns the keys of all records of a job's content, its items last."""
     keys = [f"{RESULT}:{job_id}:{position:05d}" for position in content.heads]
     keys += [
-        f"{REST}:{job_id}:{position:05d}:{part:05d}"
-        for position, parts in content.rests.items()
+        f"{CONTINUATION}:{job_id}:{position:05d}:{part:05d}"
+        for position, parts in content.continuations.items()
         for part in parts
     ]
     keys += [f"{FAILURES}:{job_id}:{item:05d}" for item in content.failures]
--- a/src/troutswitch/decisions/jobs/run_ends.py
+++ b/src/troutswitch/decisions/jobs/run_ends.py
@@ -8,7 +8,7 @@
 from troutswitch.decisions.jobs.runs import ItemRun
 from troutswitch.outcomes import AttemptOutcome
 
-BROKEN_OFF_STATUSES = (0, 200)
+CONNECTION_LOST_STATUSES = (0, 200)
 """Statuses of a run whose connection broke off: before the response, or within its stream."""
 
 
@@ -22,14 +22,14 @@
         self._endings = parts.endings
         self._ranking = parts.ranking
 
-    def take(self, now: float, event: ItemRunEnded) -> bool:
+    def on_run_ended(self, now: float, event: ItemRunEnded) -> bool:
         """Takes the end of a run; returns False if the run is unknown."""
         run = self._runs.end(now, event)
         if run is None:
             return False
         if run.is_stopped:
             self._refusals.on_stopped(run.progress)
-        elif event.kind is AttemptOutcome.CUT and event.status in BROKEN_OFF_STATUSES:
+        elif event.kind is AttemptOutcome.CUT and event.status in CONNECTION_LOST_STATUSES:
             self._refusals.on_lost(now, run.progress, run.engine_id)
         if event.kind is AttemptOutcome.COMPLETED:
             self._on_completed(now, run)
@@ -40,9 +40,9 @@
     def _on_completed(self, now: float, run: ItemRun) -> None:
         progress = run.progress
         self._refusals.on_done(now, progress)
-        events = progress.events_done - run.events_before
+        events = progress.event_count - run.events_before
         run_times = self._ranking.run_times
-        run_times.on_completed(now - run.started_at, events, progress.events_done)
+        run_times.on_completed(now - run.started_at, events, progress.event_count)
         if not self._ranking.is_overdue(now, progress):
-            run_times.on_item_done(progress.ran_seconds, now - progress.started_at)
+            run_times.on_item_done(progress.run_seconds, now - progress.started_at)
         self._endings.complete(progress)
--- a/src/troutswitch/decisions/jobs/run_time_estimate.py
+++ b/src/troutswitch/decisions/jobs/run_time_estimate.py
@@ -18,7 +18,7 @@
 
 WEIGHT_OF_NEW = 0.2
 """Weight of the newest run in the moving averages."""
-DUTY_LEAST = 0.5
+MIN_DUTY = 0.5
 """Least value of `duty`, whatever the runs show."""
 
 
@@ -50,7 +50,7 @@
     def on_item_done(self, ran: float, since_start: float) -> None:
         """Takes an item that met its target: the seconds it ran, of those since its first start."""
         if since_start > 0:
-            part = min(1.0, max(DUTY_LEAST, ran / since_start))
+            part = min(1.0, max(MIN_DUTY, ran / since_start))
             self.duty = moving_average(self.duty, part, WEIGHT_OF_NEW)
 
     def learnt(self) -> BatchRunTimes | None:
@@ -66,9 +66,9 @@
         if self.event_seconds == 0.0:
             self.event_seconds = learnt.event_microseconds / 1e6
             self.item_events = float(learnt.item_events)
-            self.duty = min(1.0, max(DUTY_LEAST, learnt.duty_percent / 100))
+            self.duty = min(1.0, max(MIN_DUTY, learnt.duty_percent / 100))
 
-    def seconds_left(self, progress: ItemProgress) -> float:
+    def remaining_seconds(self, progress: ItemProgress) -> float:
         """Returns how many seconds an item will probably still run."""
-        events_left = max(0.0, self.item_events - progress.events_done)
+        events_left = max(0.0, self.item_events - progress.event_count)
         return events_left * self.event_seconds
--- a/src/troutswitch/decisions/jobs/runs.py
+++ b/src/troutswitch/decisions/jobs/runs.py
@@ -74,7 +74,7 @@
         self.started += 1
         size = RequestSize(progress.item.tokens, progress.item.tokens // 2)
         engine_id = engine.record.engine_id
-        self.by_number[number] = ItemRun(progress, engine_id, now, size, progress.events_done)
+        self.by_number[number] = ItemRun(progress, engine_id, now, size, progress.event_count)
         self._engines.on_sent(now, engine_id, True, size)
         self._log_start(now, progress, engine)
         return RunItem(
@@ -128,7 +128,7 @@
         if run is None:
             return None
         run.progress.run = 0
-        run.progress.ran_seconds += now - run.started_at
+        run.progress.run_seconds += now - run.started_at
         self._account(now, run, event)
         run.progress.add(event.events)
         self._log(
--- a/src/troutswitch/decisions/jobs/shard.py
+++ b/src/troutswitch/decisions/jobs/shard.py
@@ -10,8 +10,8 @@
 from troutswitch.decisions.jobs.records import (
     CHECKPOINT,
     CHUNK,
+    CONTINUATION,
     FAILURES,
-    REST,
     RESULT,
     ItemResult,
     JobItem,
@@ -20,8 +20,8 @@
     ResultHead,
     read_checkpoint,
     read_chunk,
+    read_continuation,
     read_failures,
-    read_rest,
     read_result_head,
     split_key,
     split_part_key,
@@ -37,7 +37,7 @@
         chunks: items, by the number of their record.
         results: results whose whole text was read, by position.
         heads: the results' own records, by position.
-        rests: further pieces of results' texts, by position and part.
+        continuations: further pieces of results' texts, by position and part.
         listed: ids of the items that have a result.
         parts: saved output, by the item's number and part.
         failures: failed runs, by the item's number.
@@ -46,7 +46,7 @@
     chunks: dict[int, tuple[JobItem, ...]] = field(default_factory=dict)
     results: dict[int, ItemResult] = field(default_factory=dict)
     heads: dict[int, ResultHead] = field(default_factory=dict)
-    rests: dict[int, dict[int, bytes]] = field(default_factory=dict)
+    continuations: dict[int, dict[int, bytes]] = field(default_factory=dict)
     listed: set[str] = field(default_factory=set)
     parts: dict[int, dict[int, OutputPart]] = field(default_factory=dict)
     failures: dict[int, int] = field(default_factory=dict)
@@ -78,20 +78,20 @@
         """Position of the next result."""
         return len(self.heads)
 
-    def take_head(self, position: int, head: ResultHead) -> None:
+    def add_head(self, position: int, head: ResultHead) -> None:
         """Takes a result's own record."""
         self.heads[position] = head
         self.listed.add(head.item_id)
         self._complete(position)
 
-    def take_rest(self, position: int, part: int, piece: bytes) -> None:
+    def add_continuation(self, position: int, part: int, piece: bytes) -> None:
         """Takes a further piece of a result's text."""
-        self.rests.setdefault(position, {})[part] = piece
+        self.continuations.setdefault(position, {})[part] = piece
         self._complete(position)
 
     def _complete(self, position: int) -> None:
         head = self.heads.get(position)
-        result = head.whole(self.rests.get(position, {})) if head is not None else None
+        result = head.assemble(self.continuations.get(position, {})) if head is not None else None
         if result is not None:
             self.results[position] = result
 
@@ -103,15 +103,15 @@
     @property
     def is_empty(self) -> bool:
         """Whether no record of the job is left."""
-        return not (self.chunks or self.heads or self.parts or self.rests or self.failures)
+        return not (self.chunks or self.heads or self.parts or self.continuations or self.failures)
 
-    def results_from(self, position: int, bytes_most: int) -> list[ItemResult]:
+    def results_from(self, position: int, max_bytes: int) -> list[ItemResult]:
         """Returns results at a position and after, as many as fit but at least one."""
         rows: list[ItemResult] = []
         size = 0
         while (result := self.results.get(position + len(rows))) is not None:
             size += len(result.text) + len(result.item_id)
-            if rows and size > bytes_most:
+            if rows and size > max_bytes:
                 break
             rows.append(result)
         return rows
@@ -124,10 +124,10 @@
     jobs: dict[str, JobContent] = field(default_factory=dict)
     malformed: int = 0
 
-    def take(self, record: KeyedRecord) -> None:
+    def apply(self, record: KeyedRecord) -> None:
         """Folds a record in; one that this version cannot read is counted."""
-        if record.key.startswith((f"{CHECKPOINT}:", f"{REST}:")):
-            self._take_part(record)
+        if record.key.startswith((f"{CHECKPOINT}:", f"{CONTINUATION}:")):
+            self._apply_part(record)
             return
         kind, job_id, number = split_key(record.key)
         if not record.value:
@@ -138,7 +138,7 @@
             if kind == CHUNK:
                 content.chunks[number] = read_chunk(record.value)
             elif kind == RESULT:
-                content.take_head(number, read_result_head(record.value))
+                content.add_head(number, read_result_head(record.value))
             elif kind == FAILURES:
                 content.failures[number] = read_failures(record.value)
         except RecordError:
@@ -158,15 +158,15 @@
         if content.is_empty:
             del self.jobs[job_id]
 
-    def _take_part(self, record: KeyedRecord) -> None:
+    def _apply_part(self, record: KeyedRecord) -> None:
         """Takes a saved part of an output, or a further piece of a result."""
         try:
             job_id, number, part = split_part_key(record.key)
             if not record.value:
                 self._remove_part(record.key, job_id, number, part)
-            elif record.key.startswith(f"{REST}:"):
-                piece = read_rest(record.value)
-                self.jobs.setdefault(job_id, JobContent()).take_rest(number, part, piece)
+            elif record.key.startswith(f"{CONTINUATION}:"):
+                piece = read_continuation(record.value)
+                self.jobs.setdefault(job_id, JobContent()).add_continuation(number, part, piece)
             else:
                 output = read_checkpoint(record.value)
                 content = self.jobs.setdefault(job_id, JobContent())
@@ -179,7 +179,7 @@
         if content is None:
             return
         parts: dict[int, dict[int, bytes]] | dict[int, dict[int, OutputPart]]
-        parts = content.rests if key.startswith(f"{REST}:") else content.parts
+        parts = content.continuations if key.startswith(f"{CONTINUATION}:") else content.parts
         parts.get(number, {}).pop(part, None)
         if not parts.get(number, True):
             del parts[number]
--- a/src/troutswitch/decisions/jobs/token_limits.py
+++ b/src/troutswitch/decisions/jobs/token_limits.py
@@ -30,14 +30,14 @@
         self._routes = routes
         self._index = index
 
-    def waiting(self, manifest: Manifest) -> int:
+    def queued_tokens(self, manifest: Manifest) -> int:
         """Returns the tokens that wait on a job's route for its tenant."""
-        return self._index.waiting_tokens(manifest.route, manifest.tenant)
+        return self._index.queued_tokens(manifest.route, manifest.tenant)
 
     def fits(self, route: Route, manifest: Manifest) -> bool:
         """Returns whether a job that is not accepted yet is within its route's limit."""
         most = route.max_queued_tokens
-        return most <= 0 or self.waiting(manifest) + manifest.tokens <= most
+        return most <= 0 or self.queued_tokens(manifest) + manifest.tokens <= most
 
     def is_crowded(self, job_id: str) -> bool:
         """Returns whether the tokens that wait on an accepted job's route are near its limit."""
@@ -45,4 +45,4 @@
         route = self._routes.named(entry.manifest.route) if entry is not None else None
         if entry is None or route is None or route.max_queued_tokens <= 0:
             return False
-        return self.waiting(entry.manifest) > CROWDED_SHARE * route.max_queued_tokens
+        return self.queued_tokens(entry.manifest) > CROWDED_SHARE * route.max_queued_tokens
--- a/src/troutswitch/decisions/jobs/writer.py
+++ b/src/troutswitch/decisions/jobs/writer.py
@@ -64,7 +64,7 @@
     """What is to be written to one shard, and the batch in flight."""
 
     epoch: int = 0
-    waiting: deque[tuple[ItemProgress, ItemResult]] = field(default_factory=deque)
+    pending_results: deque[tuple[ItemProgress, ItemResult]] = field(default_factory=deque)
     batch: list[WriteRow] = field(default_factory=list)
     call: int = 0
     call_at: float = 0.0
@@ -96,12 +96,12 @@
 
     def finish(self, progress: ItemProgress, result: ItemResult) -> None:
         """Has a result listed."""
-        self._shard(progress.shard).waiting.append((progress, result))
+        self._shard(progress.shard).pending_results.append((progress, result))
 
     def _shard(self, shard: int) -> _ShardWrites:
         return self._shards.setdefault(shard, _ShardWrites())
 
-    def forget_shards(self) -> None:
+    def forget_lost_shards(self) -> None:
         """Forgets the shards that have another owner."""
         for shard in set(self._shards) - set(self._ownership.leases):
             del self._shards[shard]
@@ -109,7 +109,7 @@
 
     def is_idle(self) -> bool:
         """Whether nothing waits to be written."""
-        return not any(s.waiting or s.batch or s.call for s in self._shards.values())
+        return not any(s.pending_results or s.batch or s.call for s in self._shards.values())
 
     def begin_epoch(self, lease: ShardLease) -> bool:
         """Begins anew under an epoch; returns False if it was begun before.
@@ -123,7 +123,7 @@
             return False
         for row in reversed(writes.batch):
             if row.result is not None:
-                writes.waiting.appendleft((row.progress, row.result))
+                writes.pending_results.appendleft((row.progress, row.result))
         writes.batch = []
         writes.call = 0
         writes.epoch = lease.epoch
@@ -145,7 +145,7 @@
         calls: list[StoreCall] = []
         if not writes.call and now >= writes.retry_at:
             if not writes.batch:
-                self._form_batch(now, lease, writes, items, is_draining)
+                self._build_batch(now, lease, writes, items, is_draining)
             if writes.batch:
                 calls.append(self._append(now, lease, writes))
         return calls + self._reports.report(now, lease)
@@ -159,7 +159,7 @@
 
     # What a batch holds.
 
-    def _form_batch(
+    def _build_batch(
         self,
         now: float,
         lease: ShardLease,
@@ -170,7 +170,7 @@
         used = self._add_results(lease, writes) + _add_failures(writes, items)
         if is_draining or now >= writes.checkpoint_at:
             writes.checkpoint_at = now + CHECKPOINT_SECONDS
-            self._add_output(writes, items, used)
+            self._add_checkpoints(writes, items, used)
 
     def _add_results(self, lease: ShardLease, writes: _ShardWrites) -> int:
         """Gives positions to the results that wait; those listed since are dropped.
@@ -180,13 +180,13 @@
         fold = self._replicas.shard(lease.shard).fold
         positions: dict[str, int] = {}
         used = 0
-        while writes.waiting:
-            progress, result = writes.waiting[0]
+        while writes.pending_results:
+            progress, result = writes.pending_results[0]
             content = fold.content(progress.job_id)
             size = len(result.text.encode()) + ROW_OVERHEAD_BYTES
             if writes.batch and used + size > self._limits.call_bytes:
                 break
-            writes.waiting.popleft()
+            writes.pending_results.popleft()
             if result.item_id in content.listed:
                 self._items.drop(progress)
                 continue
@@ -197,7 +197,7 @@
             used += size
         return used
 
-    def _add_output(self, writes: _ShardWrites, items: list[ItemProgress], used: int) -> None:
+    def _add_checkpoints(self, writes: _ShardWrites, items: list[ItemProgress], used: int) -> None:
         """Adds the next part of each item's output, as far as the call has bytes left."""
         for progress in items:
             if not progress.unsaved or progress.is_finished:
@@ -242,12 +242,12 @@
         replica = self._replicas.shard(lease.shard)
         for row in writes.batch:
             for record in row.records:
-                replica.fold.take(record)
+                replica.fold.apply(record)
             if row.result is not None:
                 self._on_listed(lease, row, row.result)
             if row.part is not None:
                 row.progress.on_saved(row.part)
-            row.progress.failures_saved = max(row.progress.failures_saved, row.failures)
+            row.progress.saved_failures = max(row.progress.saved_failures, row.failures)
         replica.follower.skip_own_records(outcome.offset, outcome.end)
         lease.next_sequence += 1
         writes.batch = []
@@ -274,7 +274,7 @@
     """
     used = 0
     for progress in items:
-        if progress.failures > progress.failures_saved and not progress.is_finished:
+        if progress.failures > progress.saved_failures and not progress.is_finished:
             count = progress.failures
             record = failures_record(progress.job_id, progress.number, count)
             writes.batch.append(WriteRow(progress, (record,), failures=count))
--- a/src/troutswitch/decisions/slot_instructions.py
+++ b/src/troutswitch/decisions/slot_instructions.py
@@ -44,7 +44,7 @@
     now: float, wanted: PreemptBatchItem, job_owner: JobOwner
 ) -> list[GatewayInstruction]:
     """Stops an item to free a slot for a request placed without the engine's coordinator."""
-    stop = job_owner.give_slot(now, wanted.engine_id)
+    stop = job_owner.yield_slot(now, wanted.engine_id)
     fields: dict[str, object] = {
         "request_id": wanted.request_id,
         "engine": wanted.engine_id,
--- a/src/troutswitch/decisions/slots/batch_slots.py
+++ b/src/troutswitch/decisions/slots/batch_slots.py
@@ -121,7 +121,7 @@
     def _assign_group(self, now: float, engines: list[Engine]) -> list[BatchAssignment]:
         assignments: list[BatchAssignment] = []
         for engine in sorted(engines, key=lambda e: e.in_flight(now) / e.slots):
-            counts = self._assign_engine(engine, self._capacity.free(now, engine, 0.0))
+            counts = self._assign_engine(engine, self._capacity.free_slots(now, engine, 0.0))
             self._own_granted += counts.get(SELF, 0)
             assignments += [BatchAssignment(name, engine, n) for name, n in counts.items()]
         return assignments
--- a/src/troutswitch/gateway/engines/item_runs.py
+++ b/src/troutswitch/gateway/engines/item_runs.py
@@ -133,7 +133,7 @@
     def execute(self, exchange: Exchange) -> ItemRunEnded:
         """Performs the exchange and returns the event that reports its end."""
         try:
-            head = read_head(exchange.open(self.instruction.first_wait))
+            head = read_head(exchange.open(self.instruction.response_timeout))
         except NotConnected as error:
             return self.end_event(AttemptOutcome.UNREACHABLE, str(error))
         except AnswerLost as error:
@@ -157,7 +157,7 @@
             self.engine_activity.record(self.instruction.engine_id)
             events = splitter.feed(data)
             if events:
-                exchange.set_wait(self.instruction.gap_wait)
+                exchange.set_wait(self.instruction.event_timeout)
             self.events.extend(OutputEvent(event.event_id, event.data) for event in events)
             if self.events and steady_seconds() - reported_at >= PROGRESS_INTERVAL_SECONDS:
                 reported_at = steady_seconds()
--- a/tests/decisions/jobs/worlds.py
+++ b/tests/decisions/jobs/fixtures.py
@@ -45,5 +45,5 @@
     """Returns an index of jobs that were seen at some times."""
     index = JobIndex()
     for job_id, at in seen.items():
-        index.take(at, manifest_record(Manifest(job_id, "route", "host", 2, 200, "d", 0)))
+        index.apply(at, manifest_record(Manifest(job_id, "route", "host", 2, 200, "d", 0)))
     return index
--- a/tests/decisions/jobs/test_engine_choice.py
+++ b/tests/decisions/jobs/test_engine_choice.py
@@ -1,7 +1,7 @@
 import random
 
 from tests.decisions.forwarding.harness import engine
-from tests.decisions.jobs.worlds import ROUTE, item, job_index, route_table
+from tests.decisions.jobs.fixtures import ROUTE, item, job_index, route_table
 from troutswitch.decisions.forwarding.engine import NO_SIZE, Engine
 from troutswitch.decisions.forwarding.engines import EngineRegistry
 from troutswitch.decisions.jobs.batch_capacity import ShareCapacity
--- a/tests/decisions/jobs/test_failures.py
+++ b/tests/decisions/jobs/test_failures.py
@@ -71,7 +71,7 @@
         self.step_later(daemon, ended, 0.1)
 
 
-RUNS_MOST = 3 * ATTEMPTS_MOST
+MAX_RUNS = 3 * ATTEMPTS_MOST
 """Runs of an item that fails each time which users allow, over all daemons."""
 
 
@@ -101,5 +101,5 @@
     states = {row[0]: row[1] for row in truth.results.values()}
     assert states.pop(world.failing) == DEAD
     assert set(states.values()) == {DONE}
-    assert world.runs <= RUNS_MOST
+    assert world.runs <= MAX_RUNS
     assert world.violations == []
--- a/tests/decisions/jobs/test_index.py
+++ b/tests/decisions/jobs/test_index.py
@@ -8,18 +8,18 @@
 def test_a_job_that_was_there_before_this_daemon_is_as_old_as_its_manifest_tells() -> None:
     index = JobIndex()
     record = manifest_record(Manifest("job", "r", "h", 2, 14, "d", 0, submitted_at=1000.0))
-    index.take(5.0, record, time_of_day=1012.0)
+    index.apply(5.0, record, time_of_day=1012.0)
     assert index.jobs["job"].age(6.0) == 13.0
-    assert index.jobs["job"].seen_at == 5.0
+    assert index.jobs["job"].first_read_at == 5.0
 
 
 def test_a_clock_that_is_behind_makes_no_job_younger_than_new() -> None:
     index = JobIndex()
     record = manifest_record(Manifest("job", "r", "h", 2, 14, "d", 0, submitted_at=1000.0))
-    index.take(5.0, record, time_of_day=900.0)
+    index.apply(5.0, record, time_of_day=900.0)
     assert index.jobs["job"].age(6.0) == 1.0
     unknown = manifest_record(Manifest("other", "r", "h", 2, 14, "d", 0))
-    index.take(5.0, unknown, time_of_day=900.0)
+    index.apply(5.0, unknown, time_of_day=900.0)
     assert index.jobs["other"].age(6.0) == 1.0
 
 
--- a/tests/decisions/jobs/test_item_retries.py
+++ b/tests/decisions/jobs/test_item_retries.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from tests.decisions.jobs.worlds import item, job_index, route_table
+from tests.decisions.jobs.fixtures import item, job_index, route_table
 from troutswitch.decisions.jobs.item_retries import ROUTE_GONE_SECONDS, ItemRetries
 
 
@@ -24,5 +24,5 @@
     progress = item("job")
     routes.may_be_outdated = may_be_outdated
     for second in range(int(ROUTE_GONE_SECONDS) + 2):
-        assert retries.check(float(second), progress) is None
+        assert retries.prepare_start(float(second), progress) is None
     assert endings.dead_letter.called is not may_be_outdated
--- a/tests/decisions/jobs/test_order.py
+++ b/tests/decisions/jobs/test_order.py
@@ -9,9 +9,9 @@
 from troutswitch.decisions.jobs.order import (
     ITEM_ORDERS,
     BatchCapacity,
+    ItemForecast,
     ItemKey,
     ItemOrder,
-    ItemProspect,
     LeastSlack,
     MostInTime,
 )
@@ -22,20 +22,20 @@
 every_order = pytest.mark.parametrize("order", [make() for make in ITEM_ORDERS.values()])
 
 
-def prospects(rows: list[tuple[int, int]]) -> list[ItemProspect]:
-    return [ItemProspect(("job", str(n)), due, left) for n, (due, left) in enumerate(rows)]
+def forecasts(rows: list[tuple[int, int]]) -> list[ItemForecast]:
+    return [ItemForecast(("job", str(n)), due, left) for n, (due, left) in enumerate(rows)]
 
 
-def in_time(items: list[ItemProspect], sequence: tuple[ItemProspect, ...]) -> int:
+def in_time(items: list[ItemForecast], sequence: tuple[ItemForecast, ...]) -> int:
     """Counts the items that one slot finishes in time if they run in a sequence."""
     clock, count = 0.0, 0
     for item in sequence:
-        clock += item.seconds_left
-        count += clock <= item.due
+        clock += item.remaining_seconds
+        count += clock <= item.due_at
     return count
 
 
-def sequence_of(order: ItemOrder, items: list[ItemProspect]) -> list[ItemProspect]:
+def sequence_of(order: ItemOrder, items: list[ItemForecast]) -> list[ItemForecast]:
     ranks = order.rank(0.0, items, ONE_SLOT)
     return sorted(items, key=lambda item: ranks[item.key])
 
@@ -43,7 +43,7 @@
 @DETERMINISTIC
 @given(ITEMS)
 def test_on_one_slot_no_order_has_more_items_in_time(rows: list[tuple[int, int]]) -> None:
-    items = prospects(rows)
+    items = forecasts(rows)
     best = max(in_time(items, sequence) for sequence in itertools.permutations(items))
     assert in_time(items, tuple(sequence_of(MostInTime(), items))) == best
 
@@ -51,7 +51,7 @@
 def test_work_that_was_begun_is_finished_before_new_work_is_begun() -> None:
     fresh = [(10, 5)] * 4
     begun = [(10, 2)] * 2
-    ranks = MostInTime().rank(0.0, prospects([*fresh, *begun]), ONE_SLOT)
+    ranks = MostInTime().rank(0.0, forecasts([*fresh, *begun]), ONE_SLOT)
     late = {key for key, rank in ranks.items() if rank.is_late}
     assert ("job", "4") not in late
     assert ("job", "5") not in late
@@ -59,13 +59,13 @@
 
 
 def test_least_slack_spreads_over_what_cannot_all_be_in_time() -> None:
-    items = prospects([(10, 4)] * 5)
+    items = forecasts([(10, 4)] * 5)
     assert not any(rank.is_late for rank in LeastSlack().rank(0.0, items, ONE_SLOT).values())
     assert sum(r.is_late for r in MostInTime().rank(0.0, items, ONE_SLOT).values()) == 3
 
 
 def test_an_item_that_is_often_stopped_needs_more_time() -> None:
-    items = prospects([(10, 6)])
+    items = forecasts([(10, 6)])
     half = BatchCapacity(slots=4.0, duty=0.5)
     assert MostInTime().rank(0.0, items, half)[("job", "0")].is_late
     assert not MostInTime().rank(0.0, items, BatchCapacity(4.0, 1.0))[("job", "0")].is_late
@@ -77,7 +77,7 @@
 def test_every_item_has_a_place_and_late_ones_stand_behind(
     order: ItemOrder, rows: list[tuple[int, int]], slots: float, now: float
 ) -> None:
-    items = prospects(rows)
+    items = forecasts(rows)
     ranks = order.rank(now, items, BatchCapacity(slots, 1.0))
     assert ranks.keys() == {item.key for item in items}
     ordered: list[ItemKey] = sorted(ranks, key=lambda key: ranks[key])
--- a/tests/decisions/jobs/test_ownership.py
+++ b/tests/decisions/jobs/test_ownership.py
@@ -32,7 +32,7 @@
 
 
 def test_without_it_they_wait_for_the_store(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(ShardOwnership, "workable", lambda self, served_at: self.owned())
+    monkeypatch.setattr(ShardOwnership, "startable", lambda self, served_at: self.owned())
     assert starts_while_the_store_is_away() == 0
 
 
@@ -41,4 +41,4 @@
     world.faults.is_down = True
     world.run(5.0)
     daemon = next(iter(world.daemons.values()))
-    assert daemon.core.jobs.ownership.workable(float("-inf")) == []
+    assert daemon.core.jobs.ownership.startable(float("-inf")) == []
--- a/tests/decisions/jobs/test_parts.py
+++ b/tests/decisions/jobs/test_parts.py
@@ -41,7 +41,7 @@
     for made in (events(1, 2), events(3)):
         first.add(made)
         part = first.next_part(RECORD_BYTES)
-        fold.take(checkpoint_record("job", 0, first.parts, part))
+        fold.apply(checkpoint_record("job", 0, first.parts, part))
         first.on_saved(part)
     successor = progress()
     successor.restore(fold.content("job").saved_output(0))
@@ -53,8 +53,8 @@
 
 def test_a_gap_in_the_saved_output_ends_it() -> None:
     fold = ShardFold()
-    fold.take(checkpoint_record("job", 0, 0, OutputPart("", "2", "x")))
-    fold.take(checkpoint_record("job", 0, 1, OutputPart("5", "6", "y")))
+    fold.apply(checkpoint_record("job", 0, 0, OutputPart("", "2", "x")))
+    fold.apply(checkpoint_record("job", 0, 1, OutputPart("5", "6", "y")))
     assert [part.position for part in fold.content("job").saved_output(0)] == ["2"]
 
 
@@ -63,7 +63,7 @@
     held.add(events(1, 2))
     part = held.next_part(RECORD_BYTES)
     held.add(events(3))
-    assert held.agrees_with([part])
+    assert held.reconcile([part])
     assert (held.parts, held.saved_position) == (1, "2")
     assert held.next_part(RECORD_BYTES) == OutputPart("2", "3", "t3")
 
@@ -71,7 +71,7 @@
 def test_another_s_output_is_not_joined_to_ours() -> None:
     held = progress()
     held.add(events(1, 2))
-    assert not held.agrees_with([OutputPart("", "7", "other")])
+    assert not held.reconcile([OutputPart("", "7", "other")])
     with pytest.raises(InvariantViolated):
         held.restore([OutputPart("", "7", "other")])
 
@@ -80,7 +80,7 @@
     """Two owners in turn run an item: positions are alike, but the runs are not."""
     held = progress()
     held.add(events(1, 2, 3))
-    assert not held.agrees_with([OutputPart("", "2", "of another run")])
+    assert not held.reconcile([OutputPart("", "2", "of another run")])
 
 
 # Index and records.
@@ -92,23 +92,23 @@
     records = [manifest_record(MANIFEST), end_record("job"), progress_record("job", 50)]
     index = JobIndex()
     for number in order:
-        index.take(0.0, records[number])
+        index.apply(0.0, records[number])
     assert index.jobs["job"].is_ended
-    assert index.jobs["job"].tokens_left == 50
-    assert index.waiting_tokens("route", "") == 0
+    assert index.jobs["job"].remaining_tokens == 50
+    assert index.queued_tokens("route", "") == 0
 
 
 def test_tokens_that_are_left_never_rise() -> None:
     index = JobIndex()
-    index.take(0.0, manifest_record(MANIFEST))
-    index.take(0.0, progress_record("job", 50))
-    index.take(0.0, progress_record("job", 150))  # late, of a former owner
-    assert index.waiting_tokens("route", "") == 50
+    index.apply(0.0, manifest_record(MANIFEST))
+    index.apply(0.0, progress_record("job", 50))
+    index.apply(0.0, progress_record("job", 150))  # late, of a former owner
+    assert index.queued_tokens("route", "") == 50
 
 
 def test_a_record_of_another_version_is_counted_and_left_out() -> None:
     index = JobIndex()
-    index.take(0.0, KeyedRecord("j:job", b"\x81\x18\x63"))
+    index.apply(0.0, KeyedRecord("j:job", b"\x81\x18\x63"))
     assert (index.jobs, index.malformed) == ({}, 1)
 
 
--- a/tests/decisions/jobs/test_progress_reports.py
+++ b/tests/decisions/jobs/test_progress_reports.py
@@ -123,20 +123,20 @@
     lease = ShardLease(0, 5, ShardState.OWNED)
     ownership.leases[0] = lease
     items = (JobItem("a", "/p", (), b"", 7), JobItem("b", "/p", (), b"", 7))
-    replicas.index.take(0.0, manifest_record(Manifest("job", "r", "h", 2, 14, "d", 0)))
+    replicas.index.apply(0.0, manifest_record(Manifest("job", "r", "h", 2, 14, "d", 0)))
     assert writer.begin_epoch(lease)
     assert writer.write(1.0, lease, [], is_draining=False) == []
     for record in chunk_records("job", items[:1], 262_144):
-        replicas.shard(0).fold.take(record)
+        replicas.shard(0).fold.apply(record)
     assert writer.write(2.0, lease, [], is_draining=False) == []
     for record in chunk_records("job", items, 262_144):
-        replicas.shard(0).fold.take(record)
+        replicas.shard(0).fold.apply(record)
     assert writer.write(3.0, lease, [], is_draining=False) == []
     assert replicas.index.jobs["job"].is_open
     for position, item in enumerate(items):
         result = ItemResult(item.item_id, DONE, "text")
         for record in result_records("job", position, result, 262_144):
-            replicas.shard(0).fold.take(record)
+            replicas.shard(0).fold.apply(record)
     (report,) = writer.write(4.0, lease, [], is_draining=False)
     assert isinstance(report, AppendRecords)
     assert not replicas.index.jobs["job"].is_open
--- a/tests/decisions/jobs/test_ranking.py
+++ b/tests/decisions/jobs/test_ranking.py
@@ -1,4 +1,4 @@
-from tests.decisions.jobs.worlds import item, job_index, route_table
+from tests.decisions.jobs.fixtures import item, job_index, route_table
 from troutswitch.decisions.jobs.items import ItemProgress
 from troutswitch.decisions.jobs.order import BatchCapacity, LeastSlack
 from troutswitch.decisions.jobs.ranking import ItemRanking
--- a/tests/decisions/jobs/test_results.py
+++ b/tests/decisions/jobs/test_results.py
@@ -31,7 +31,7 @@
     fold = ShardFold()
     for record in records:
         assert fold.content("job").results.get(3) is None
-        fold.take(record)
+        fold.apply(record)
     assert fold.content("job").results[3] == result
     assert fold.malformed == 0
 
@@ -40,7 +40,7 @@
     records = result_records("job", 0, ItemResult("item", DONE, "x" * 200), RECORD_BYTES)
     fold = ShardFold()
     for record in records[1:]:
-        fold.take(record)
+        fold.apply(record)
     content = fold.content("job")
     assert content.results_from(0, 1000) == []
     assert content.listed == {"item"}
@@ -50,9 +50,9 @@
 def test_all_records_of_a_result_are_removed() -> None:
     fold = ShardFold()
     for record in result_records("job", 0, ItemResult("item", DONE, "x" * 200), RECORD_BYTES):
-        fold.take(record)
+        fold.apply(record)
     for key in content_keys("job", fold.content("job")):
-        fold.take(KeyedRecord(key, b""))
+        fold.apply(KeyedRecord(key, b""))
     assert fold.jobs == {}
 
 
--- a/tests/decisions/jobs/test_run_time_estimate.py
+++ b/tests/decisions/jobs/test_run_time_estimate.py
@@ -1,14 +1,14 @@
-from tests.decisions.jobs.worlds import item
-from troutswitch.decisions.jobs.run_time_estimate import DUTY_LEAST, RunTimeEstimate
+from tests.decisions.jobs.fixtures import item
+from troutswitch.decisions.jobs.run_time_estimate import MIN_DUTY, RunTimeEstimate
 
 
 def test_run_times_are_learned_from_whole_runs() -> None:
     estimate = RunTimeEstimate()
-    assert estimate.seconds_left(item("job")) == 0.0
+    assert estimate.remaining_seconds(item("job")) == 0.0
     estimate.on_completed(4.0, 40, 40)
-    assert estimate.seconds_left(item("job")) == 4.0
-    assert estimate.seconds_left(item("job", events=30)) == 1.0
-    assert estimate.seconds_left(item("job", events=99)) == 0.0
+    assert estimate.remaining_seconds(item("job")) == 4.0
+    assert estimate.remaining_seconds(item("job", events=30)) == 1.0
+    assert estimate.remaining_seconds(item("job", events=99)) == 0.0
 
 
 def test_a_run_that_resumed_an_item_counts_only_its_own_events() -> None:
@@ -27,7 +27,7 @@
     learnt = known.learnt()
     assert learnt is not None
     fresh.begin_with(learnt)
-    assert fresh.seconds_left(item("job", events=30)) == 1.0
+    assert fresh.remaining_seconds(item("job", events=30)) == 1.0
     assert fresh.duty == known.duty
     fresh.on_completed(8.0, 40, 40)
     held = fresh.event_seconds
@@ -39,7 +39,7 @@
     estimate = RunTimeEstimate()
     for _ in range(200):
         estimate.on_item_done(0.1, 50.0)
-    assert abs(estimate.duty - DUTY_LEAST) < 0.01
+    assert abs(estimate.duty - MIN_DUTY) < 0.01
     for _ in range(200):
         estimate.on_item_done(9.0, 5.0)
     assert 0.99 < estimate.duty <= 1.0
--- a/tests/forms/samples.py
+++ b/tests/forms/samples.py
@@ -374,8 +374,8 @@
 def _end_again(held: KeyedRecord) -> Iterator[KeyedRecord]:
     """The mark is taken by the index, in which its job then counts as ended."""
     index = JobIndex()
-    index.take(0.0, records.manifest_record(_MANIFEST))
-    index.take(0.0, held)
+    index.apply(0.0, records.manifest_record(_MANIFEST))
+    index.apply(0.0, held)
     assert index.malformed == 0
     ((job_id, entry),) = index.jobs.items()
     if entry.is_ended:
@@ -402,8 +402,10 @@
 
 def _result_again(data: bytes) -> bytes:
     *rests, head = decode_records(data, 0)
-    pieces = {records.split_part_key(rest.key)[2]: records.read_rest(rest.value) for rest in rests}
-    whole = records.read_result_head(head.value).whole(pieces)
+    pieces = {
+        records.split_part_key(rest.key)[2]: records.read_continuation(rest.value) for rest in rests
+    }
+    whole = records.read_result_head(head.value).assemble(pieces)
     assert whole is not None
     _, job_id, position = records.split_key(head.key)
     return encode_records(records.result_records(job_id, position, whole, RECORD_BYTES))
@@ -501,7 +503,7 @@
     """Returns the removal of a job's content, which has something of each kind."""
     content = JobContent()
     content.heads[2] = records.ResultHead("item-1", records.DONE, b"", 0)
-    content.rests[2] = {0: b"a", 1: b"b"}
+    content.continuations[2] = {0: b"a", 1: b"b"}
     content.failures[3] = 1
     content.parts[4] = {0: _OUTPUT, 5: _OUTPUT}
     content.chunks[6] = ()
--- a/tests/proofs/test_crashes.py
+++ b/tests/proofs/test_crashes.py
@@ -25,7 +25,7 @@
 from tests.worlds.plain_formats import HOST, PREFIX
 from troutswitch.decisions.crashes.content import content_key
 from troutswitch.decisions.crashes.record import CrashRecord
-from troutswitch.decisions.jobs.item_refusals import TRIAL_SECONDS, TRIALS_MOST
+from troutswitch.decisions.jobs.item_refusals import MAX_TRIALS, TRIAL_SECONDS
 
 START_SECONDS = 3.0
 LEFT_LYING_SECONDS = 20.0
@@ -291,7 +291,7 @@
     world.run(60.0)
     content = content_key(HOST, "POST", marked.path, marked.body)
     ended = world.ended[content]
-    assert len(ended) == 3 + TRIALS_MOST
+    assert len(ended) == 3 + MAX_TRIALS
     assert all(
         TRIAL_SECONDS <= later - earlier <= LEFT_LYING_SECONDS
         for earlier, later in itertools.pairwise(ended[2:])
