--- a/src/troutswitch/decisions/jobs/__init__.py
+++ b/src/troutswitch/decisions/jobs/__init__.py
@@ -1,1 +1,1 @@
-"""Pure decisions about batch jobs that are kept in the platform's store."""
+"""Pure decisions about the batch jobs that the platform's store holds."""
--- a/src/troutswitch/decisions/jobs/coordinator.py
+++ b/src/troutswitch/decisions/jobs/coordinator.py
@@ -1,8 +1,8 @@
-"""The batch jobs of one daemon as its other decisions see them.
+"""Interface of the batch jobs of one daemon to its other decisions.
 
 It builds the parts (intake, reads, ownership, owner, retention), passes each event and store
-outcome to the part that it concerns, and emits what they want done. It owns the drain: how long
-the daemon keeps its shards to save what running items made.
+outcome to the part that handles it, and emits the instructions of all parts. It owns the drain:
+how long the daemon keeps its shards to save the output of running items.
 """
 
 from collections.abc import Iterable
@@ -33,7 +33,7 @@
 from troutswitch.outcomes import NotRun
 
 DRAIN_SECONDS = 1.5
-"""Longest time for which a daemon that drains keeps its shards to save running items."""
+"""Maximum time for which a draining daemon keeps its shards to save running items."""
 
 JobEvent = (
     JobSubmitted
@@ -44,7 +44,7 @@
     | ItemBegun
     | ItemProgressed
 )
-"""Events of clients and of runs."""
+"""Calls of clients and events of runs."""
 
 
 class JobCoordinator:
@@ -55,7 +55,7 @@
         self._tenant_keys = dependencies.tenant_keys
         self._emit = dependencies.emit
         self._log = log
-        self._drain_until = float("inf")
+        self._drain_deadline = float("inf")
         self.replicas = JobReplicas(numbers, rng)
         token_limits = TokenLimits(dependencies.routes, self.replicas.index)
         self.intake = JobIntake(
@@ -76,7 +76,7 @@
     # Events.
 
     def on_event(self, now: float, event: JobEvent) -> None:
-        """Takes an event of a client or of a run."""
+        """Handles a call of a client or an event of a run."""
         match event:
             case JobSubmitted() | ResultsRequested() | BodyRequested() | JobEndRequested():
                 self._on_call(now, event)
@@ -90,7 +90,7 @@
                 assert_never(event)
 
     def _on_call(self, now: float, event: JobCall | JobSubmitted) -> None:
-        """Takes a client's call; one whose key is not known is refused."""
+        """Handles a client's call; refuses it if its API key is unknown."""
         tenant = self._tenant_keys.identify_for_jobs(event.caller_key)
         if isinstance(tenant, NotRun):
             refusal = JobRefused(tenant.status, tenant.reason, tenant.retry_after)
@@ -104,7 +104,7 @@
             self._emit_all(self.reads.on_call(now, call))
 
     def on_store(self, now: float, call: int, outcome: StoreOutcome) -> None:
-        """Takes the outcome of a store call."""
+        """Handles the outcome of a store call."""
         if self.intake.owns(call):
             self._emit_all(self.intake.on_answer(now, call, outcome))
         elif self.reads.owns(call):
@@ -139,18 +139,18 @@
         self._continue_drain(now)
         self._emit_all(self.intake.on_timer(now))
         self._emit_all(self.reads.on_timer(now))
-        # Last, as the others may have wanted something read.
+        # Last: the other parts may have requested reads.
         self._emit_all(self.replicas.on_timer(now))
 
     def drain(self, now: float) -> None:
-        """Stops running items, saves what they made, then releases the shards."""
+        """Stops running items, saves their output, then releases the shards."""
         self.owner.is_draining = True
-        self._drain_until = now + DRAIN_SECONDS
+        self._drain_deadline = now + DRAIN_SECONDS
 
     def _continue_drain(self, now: float) -> None:
         if not self.owner.is_draining or self.ownership.is_leaving:
             return
-        if self.owner.is_drained() or now >= self._drain_until:
+        if self.owner.is_drained() or now >= self._drain_deadline:
             self._log("shards released", saved=self.owner.is_drained())
             self._emit_all(self.ownership.leave())
 
--- a/src/troutswitch/decisions/jobs/dependencies.py
+++ b/src/troutswitch/decisions/jobs/dependencies.py
@@ -1,6 +1,6 @@
-"""What the batch jobs of a daemon are given by the rest of it: settings, and the parts they use.
+"""Settings of the batch jobs of a daemon, and the other parts of the daemon that they use.
 
-This module owns no state. `JobCoordinator` hands both on to its parts.
+This module owns no state. `JobCoordinator` passes both on to its parts.
 """
 
 import random
@@ -21,20 +21,20 @@
 from troutswitch.decisions.tenants.tenant_keys import TenantKeys
 
 JobInstruction = StoreCall | RunItem | StopItem | AnswerJobCall | LogLine
-"""What the batch jobs have the daemon do."""
+"""Instructions of the batch jobs to the daemon."""
 
 
 class BatchSlots(Protocol):
-    """The slots of all engines, as far as batch items are concerned."""
+    """Slots of all engines as batch items use them."""
 
     def share(self, now: float) -> FleetShare:
-        """Returns what the items of all daemons can count on together."""
+        """Returns the free slots and open items of the whole fleet."""
         ...
 
     def is_coordinated(self, now: float, engine_id: str) -> bool:
         """Returns whether a coordinator grants the slots of an engine.
 
-        Items may then start there only with a granted slot.
+        If so, items may start there only in granted slots.
         """
         ...
 
@@ -43,9 +43,9 @@
 class JobSettings:
     """Settings of the batch jobs on one daemon.
 
-    `member` names this daemon in the group of shard owners. `min_member_ttl` is the least time,
-    in seconds, that its membership lasts without a join. `job_kept` is how long, in seconds, a
-    client may read a job after handing it in.
+    `member` names this daemon in the group of shard owners. `min_member_ttl` is the shortest time
+    to live, in seconds, that the store accepts for a member. `job_kept` is how long, in seconds, a
+    client may read a job after submitting it.
     """
 
     member: str
@@ -58,7 +58,7 @@
 
 @dataclass(frozen=True, slots=True)
 class JobDependencies:
-    """Parts of the daemon that batch jobs read or use."""
+    """Parts of the daemon that batch jobs use."""
 
     routes: RouteTable
     engines: EngineRegistry
@@ -70,5 +70,5 @@
     emit: Callable[[JobInstruction], None]
 
     def log(self, event: str, **fields: object) -> None:
-        """Has an event logged."""
+        """Emits a log line."""
         self.emit(LogLine(event, fields))
--- a/src/troutswitch/decisions/jobs/dispatcher.py
+++ b/src/troutswitch/decisions/jobs/dispatcher.py
@@ -3,14 +3,14 @@
 Inputs: the items that may start; the free slots of the fleet and the open items of other daemons,
 from digests of coordinators that are at most 2 s old; the slots that a coordinator grants.
 
-The rule: a coordinator grants the slots of an engine to daemons whose items wait, and this daemon
+The rule: a coordinator grants the slots of an engine to daemons with waiting items, and this daemon
 starts its most urgent items in them. Where no coordinator answers, it starts items by its own
-view of the engines, a few in each round, and only in its own part of the free slots. Items that can
-meet their targets go before those that will be late, except on a late item's turn.
+view of the engines, a few in each round, and only in its own share of the free slots. Items that
+can meet their targets start before late ones, except on a late item's turn.
 
-Why: without a grant several daemons would fill the same slot. So that batch work goes on when a
-coordinator is lost, each daemon then takes a part of the slots that is in proportion to its open
-items. Measured in docs/POLICY.md, "Rounds" (7) and "Rounds with coordinators of slots" (14).
+Why: without grants several daemons would fill the same slot. If a coordinator is lost, batch work
+continues: each daemon then uses a share of the slots in proportion to its open items. Measured in
+docs/POLICY.md, "Rounds" (7) and "Rounds with coordinators of slots" (14).
 """
 
 from troutswitch.decisions.forwarding.engine import Engine
@@ -24,19 +24,20 @@
 from troutswitch.decisions.slots.messages import FleetShare, StartItems, WaitingItems
 
 MAX_RUNS = 64
-"""Items that run at once from this daemon."""
+"""Maximum number of this daemon's runs in flight."""
 MAX_STARTS_PER_ROUND = 8
-"""Items that start in one round without a grant, so that peers learn of them before many follow."""
+"""Maximum number of items that start in one round without a grant, so that peers learn of these
+starts before more follow."""
 
 
 class ItemDispatcher:
-    """Starts items, with granted slots or without."""
+    """Starts items in granted slots, or in free slots where no coordinator grants them."""
 
     def __init__(
         self, parts: ItemParts, engine_choice: EngineChoice, dependencies: JobDependencies
     ) -> None:
         self.waiting = WaitingItems()
-        """Items that could start now, as far as this daemon may run them."""
+        """Items that could start now, up to this daemon's limit of runs."""
         self.starvation_guard = StarvationGuard()
         self._items = parts.items
         self._runs = parts.runs
@@ -50,7 +51,7 @@
     # A round of dispatching.
 
     def start_round(self, now: float) -> list[RunItem]:
-        """Ranks the items, counts those that wait, and starts some where no slots are granted."""
+        """Ranks the items, counts the waiting ones, and starts items where no slots are granted."""
         candidates = [
             progress
             for progress in self._items.startable(now, self._engines.listed_at)
@@ -63,8 +64,8 @@
         ordered = self._ranking.most_urgent_first(candidates)
         late = [progress for progress in ordered if self._ranking.is_late(progress)]
         in_time = ordered[: len(ordered) - len(late)]
-        left = max(0, MAX_RUNS - len(self._runs.by_number))
-        self.waiting = WaitingItems(min(left, len(in_time)), min(left, len(late)))
+        available = max(0, MAX_RUNS - len(self._runs.by_number))
+        self.waiting = WaitingItems(min(available, len(in_time)), min(available, len(late)))
         if all(self._slots.is_coordinated(now, name) for name in self._engines.engines):
             return []  # coordinators grant all slots
         self._engine_choice.set_own_share(self._own_share(share))
@@ -80,18 +81,18 @@
         self._ranking.rank(now, self._items.unfinished(), capacity)
 
     def _own_share(self, share: FleetShare) -> float:
-        """Returns the part of all open items that this daemon has to finish, from 0 to 1."""
-        mine = len(self._items.unfinished())
-        return mine / max(1, mine + share.open_items)
+        """Returns this daemon's share of all open items of the fleet, from 0 to 1."""
+        own = len(self._items.unfinished())
+        return own / max(1, own + share.open_items)
 
     def _may_start_late(self, now: float, in_time: list[ItemProgress]) -> bool:
-        """Late items take slots that no item needs which can meet its target, and their turn."""
+        """Returns whether late items may start: on their turn, or if no other items wait."""
         if self.starvation_guard.is_late_turn(now):
             return True
         return not any(not progress.run for progress in in_time)
 
     def _start_without_grant(self, now: float, ordered: list[ItemProgress]) -> list[RunItem]:
-        """Starts items at engines whose slots no coordinator grants."""
+        """Starts items at engines whose slots no coordinator grants, in the given order."""
         started: list[RunItem] = []
         for progress in ordered:
             if len(self._runs.by_number) >= MAX_RUNS or len(started) >= MAX_STARTS_PER_ROUND:
@@ -105,7 +106,7 @@
         return started
 
     def _start_anywhere(self, now: float, progress: ItemProgress) -> RunItem | None:
-        """Starts an item at an engine that `EngineChoice` finds; None if there is none."""
+        """Starts an item at the engine that `EngineChoice` chooses; None if there is none."""
         item = self._retries.prepare_start(now, progress)
         if item is None:
             return None
@@ -120,7 +121,7 @@
         return not self._slots.is_coordinated(now, engine.record.engine_id)
 
     def _count_start(self, now: float, progress: ItemProgress) -> bool:
-        """Counts a start; returns whether it was a late item's turn, of which one has it."""
+        """Counts a start; returns whether it used up the turn of late items."""
         if not self._ranking.is_late(progress):
             self.starvation_guard.on_started_in_time()
             return False
@@ -133,7 +134,7 @@
     def start_granted(self, now: float, grant: StartItems) -> list[RunItem]:
         """Starts items in the slots of a grant.
 
-        A slot for which there is no item is reported as unused by the next holdings report.
+        The next holdings report lists slots without an item as unused.
         """
         engine = self._engines.engines.get(grant.engine_id)
         if engine is None or engine.is_leaving or not accepts_items(now, engine):
@@ -149,7 +150,7 @@
         return started
 
     def _startable_in_order(self, now: float) -> list[ItemProgress]:
-        """Returns the items that may start, most urgent first but for a late one's turn."""
+        """Returns the startable items, most urgent first; on its turn, a late item comes first."""
         startable = self._items.startable(now, self._engines.listed_at)
         ordered = self._ranking.most_urgent_first(startable)
         if self.starvation_guard.is_late_turn(now):
@@ -159,7 +160,7 @@
         return ordered
 
     def _start_at(self, now: float, progress: ItemProgress, engine: Engine) -> RunItem | None:
-        """Starts an item at an engine, if its route and the engine's memory allow."""
+        """Starts an item at an engine if its route and the engine's cache allow it."""
         item = self._retries.prepare_start(now, progress)
         if item is None or not self._engine_choice.may_run_at(item, engine):
             return None
@@ -168,7 +169,7 @@
         return self._runs.start(now, progress, item.entry.manifest, engine)
 
     def _subtract_started(self, started: int) -> None:
-        """Takes items that started off those that wait, until the next round counts them."""
+        """Subtracts started items from the waiting ones until the next round counts them again."""
         in_time = max(0, self.waiting.in_time - started)
         late = max(0, self.waiting.late - max(0, started - self.waiting.in_time))
         self.waiting = WaitingItems(in_time, late)
--- a/src/troutswitch/decisions/jobs/due_times.py
+++ b/src/troutswitch/decisions/jobs/due_times.py
@@ -1,4 +1,4 @@
-"""When jobs are due: at the age that their route names as its completion target."""
+"""Due times of jobs: a job is due when its age reaches its route's completion target."""
 
 from troutswitch.decisions.forwarding.routes import RouteTable
 from troutswitch.decisions.jobs.index import JobEntry
@@ -6,7 +6,7 @@
 
 
 def completion_target(routes: RouteTable, manifest: Manifest) -> float:
-    """Returns the seconds in which a job should be done; 0 if its route is unknown."""
+    """Returns the completion target of a job's route in seconds; 0 if the route is unknown."""
     route = routes.named(manifest.route)
     return route.completion_target if route is not None else 0.0
 
--- a/src/troutswitch/decisions/jobs/engine_choice.py
+++ b/src/troutswitch/decisions/jobs/engine_choice.py
@@ -1,16 +1,17 @@
 """Rule: at which engine does an item start where no coordinator grants slots?
 
-Inputs: the engines that are listed and usable, with this daemon's counts of what they have and the
-counts that peers reported; the item's tokens and the age of its job; this daemon's part of all
-open items, from 0 to 1.
-
-The rule: of the engines of the item's service that have a free slot by the capacity policy, memory
-for the item, and no recent rejection or failure, the one with the least load, engines of this zone
-first. In one round a daemon takes only its own part of the free slots.
-
-Why: without a coordinator all daemons see the same free slots at once. The parts keep them from
-filling each slot several times, and the noise in the cost keeps them from choosing the same
-engine. docs/POLICY.md, "What bound (untouched code)", has what happened without them.
+Inputs: the engines that are listed and usable, with the requests and items in flight there by this
+daemon's own counts and the counts that peers reported; the item's tokens and the age of its job;
+this daemon's share of all open items, from 0 to 1.
+
+The rule: candidates are the engines of the item's service that have a free slot by the capacity
+policy, cache space for the item, and no recent rejection or failure. The engine with the lowest
+cost is chosen, by load and zone (`batch_cost`). In one round a daemon uses only its own share of
+the free slots.
+
+Why: without a coordinator all daemons see the same free slots at the same time. The shares keep
+them from filling each slot several times, and the noise in the cost keeps them from choosing the
+same engine. docs/POLICY.md, "What bound (untouched code)", describes what happened without them.
 """
 
 import random
@@ -29,16 +30,16 @@
 from troutswitch.decisions.jobs.item_retries import StartableItem
 
 CHOICE_NOISE = 0.1
-"""Most that is added to an engine's cost at random; a cost of 1 means that no slot is free."""
+"""Upper bound of the random addition to an engine's cost; at a cost of 1 no slot is free."""
 
 
 def accepts_items(now: float, engine: Engine) -> bool:
-    """Returns whether an engine has not lately rejected items as full, or failed."""
+    """Returns whether an engine has neither rejected an item as full nor failed recently."""
     return now >= max(engine.full_until, engine.ejected_until)
 
 
 class EngineChoice:
-    """Chooses engines by their free slots, and counts what this round has started there."""
+    """Chooses engines by their free slots, and counts the starts of the current round."""
 
     def __init__(
         self,
@@ -54,36 +55,36 @@
         self._zone = zone
         self._rng = rng
         self._own_share = 1.0
-        self._allowed: dict[tuple[str, int], int] = {}
-        """Starts allowed to this daemon in a round, by engine and free slots; drawn once."""
+        self._max_starts: dict[tuple[str, int], int] = {}
+        """Most starts of this daemon in a round, by engine and free slots; each drawn once."""
         self._started: dict[str, int] = {}
 
     def begin_round(self) -> None:
-        """Begins a new round: nothing was started in it."""
+        """Resets the counts of starts for a new round."""
         self._started = {}
-        self._allowed = {}
+        self._max_starts = {}
 
     def set_own_share(self, own_share: float) -> None:
-        """Sets this daemon's part, from 0 to 1, of the free slots of this round."""
+        """Sets this daemon's share of the free slots, from 0 to 1, for this round."""
         self._own_share = own_share
-        self._allowed = {}
+        self._max_starts = {}
 
     def may_run_at(self, item: StartableItem, engine: Engine) -> bool:
-        """Returns whether an engine is of the item's route, and has memory for it."""
+        """Returns whether an engine belongs to an item's route and has cache space for it."""
         service = engine.record.service
         if all(backend.service != service for backend in item.route.backends):
             return False
         return has_cache_space(engine, item.progress.item.tokens, self._cache_tokens(service))
 
     def choose(
-        self, now: float, item: StartableItem, is_open: Callable[[float, Engine], bool]
+        self, now: float, item: StartableItem, may_start_at: Callable[[float, Engine], bool]
     ) -> Engine | None:
         """Chooses an engine with a free slot; None if there is none.
 
         Args:
             now: this process's clock, in seconds.
-            item: what is to start.
-            is_open: returns whether items may start at an engine without a granted slot.
+            item: the item to start.
+            may_start_at: returns whether items may start at an engine without a granted slot.
         """
         service = choose_service(item.route, self._rng)
         target = completion_target(self._routes, item.entry.manifest)
@@ -93,7 +94,7 @@
         candidates = [
             engine
             for engine in self._engines.usable(now, service)
-            if is_open(now, engine)
+            if may_start_at(now, engine)
             and accepts_items(now, engine)
             and has_cache_space(engine, tokens, cache_tokens)
             and self._has_own_slot(now, engine, age_share)
@@ -109,15 +110,15 @@
         return known.cache_tokens if known is not None else 0
 
     def _has_own_slot(self, now: float, engine: Engine, age_share: float) -> bool:
-        """Returns whether one more of an engine's free slots is this daemon's in this round."""
+        """Returns whether this daemon's share of an engine's free slots allows one more start."""
         engine_id = engine.record.engine_id
         started = self._started.get(engine_id, 0)
         free = self._capacity.free_slots(now, engine, age_share)
         key = (engine_id, free + started)
-        if key not in self._allowed:
-            self._allowed[key] = own_share_of(free + started, self._own_share, self._rng)
-        return free > 0 and started < self._allowed[key]
+        if key not in self._max_starts:
+            self._max_starts[key] = own_share_of(free + started, self._own_share, self._rng)
+        return free > 0 and started < self._max_starts[key]
 
     def on_started(self, engine_id: str) -> None:
-        """An item started at an engine in this round."""
+        """Counts a start at an engine in this round."""
         self._started[engine_id] = self._started.get(engine_id, 0) + 1
--- a/src/troutswitch/decisions/jobs/index.py
+++ b/src/troutswitch/decisions/jobs/index.py
@@ -1,7 +1,7 @@
-"""The index of all jobs: a fold over the index partition, the same on every daemon.
+"""Index of all jobs: a fold over the index partition, identical on every daemon.
 
-It owns the entry of each job: its manifest, whether it was ended, and the tokens of its items that
-are not listed yet.
+It owns the entry of each job: its manifest, whether its client ended it, and the tokens of its
+items that are not listed yet.
 """
 
 from dataclasses import dataclass, field
@@ -19,15 +19,15 @@
 from troutswitch.decisions.storage.messages import KeyedRecord
 
 MAX_JOB_AGE_SECONDS = 86_400.0
-"""Longest age of a job that is believed, as clocks may be wrong."""
+"""Upper bound of a job's computed age, since clocks may be wrong."""
 
 
 @dataclass(slots=True)
 class JobEntry:
     """One job. Times are seconds.
 
-    `first_read_at` is when this daemon first read its manifest, on this process's clock, and
-    `age_at_first_read` the job's age by then, by the time of day.
+    `first_read_at` is when this daemon first read the manifest, on this process's clock.
+    `age_at_first_read` is the job's age at that moment, computed from the time of day.
     """
 
     manifest: Manifest
@@ -37,7 +37,10 @@
     age_at_first_read: float = 0.0
 
     def age(self, now: float) -> float:
-        """Returns the time since the job was submitted, by the clocks of two daemons."""
+        """Returns the time since the job was submitted.
+
+        The time before the first read depends on the clocks of two daemons.
+        """
         return now - self.first_read_at + self.age_at_first_read
 
     @property
@@ -48,7 +51,7 @@
 
 @dataclass
 class JobIndex:
-    """All jobs by id. Records may be taken any number of times, in the order of the log."""
+    """All jobs by id. Records may be applied repeatedly, in the order of the log."""
 
     jobs: dict[str, JobEntry] = field(default_factory=dict)
     malformed: int = 0
@@ -56,9 +59,9 @@
     _early_progress: dict[str, int] = field(default_factory=dict)
 
     def apply(self, now: float, record: KeyedRecord, time_of_day: float = 0.0) -> None:
-        """Folds a record in; one that this version cannot read is counted.
+        """Applies a record; counts it as malformed if this version cannot decode it.
 
-        `time_of_day` is given where the record may be old, in seconds since the epoch.
+        `time_of_day`, in seconds since the epoch, is passed if the record may be old; otherwise 0.
         """
         kind, job_id, _ = split_key(record.key)
         if not record.value:
@@ -80,17 +83,17 @@
             self._apply_progress(job_id, read_progress(value))
 
     def _apply_manifest(self, now: float, manifest: Manifest, time_of_day: float) -> None:
-        """Takes a manifest; a read of newest records comes by key, so marks may come before it."""
+        """Adds a job. Newest records are read in key order, so its other records may come first."""
         if manifest.job_id in self.jobs:
-            return  # the first manifest of a job is the one that was accepted
+            return  # the first manifest is the accepted one
         entry = JobEntry(manifest, manifest.tokens, now)
         if time_of_day and manifest.submitted_at:
             age = time_of_day - manifest.submitted_at
             entry.age_at_first_read = min(max(0.0, age), MAX_JOB_AGE_SECONDS)
         self.jobs[manifest.job_id] = entry
         entry.is_ended = manifest.job_id in self._early_ends
-        left = self._early_progress.pop(manifest.job_id, manifest.tokens)
-        entry.remaining_tokens = min(left, manifest.tokens)
+        remaining = self._early_progress.pop(manifest.job_id, manifest.tokens)
+        entry.remaining_tokens = min(remaining, manifest.tokens)
         self._early_ends.discard(manifest.job_id)
 
     def _apply_end(self, job_id: str) -> None:
@@ -105,7 +108,7 @@
         if entry is None:
             self._early_progress[job_id] = remaining_tokens
         else:
-            # What is listed stays listed, so a late report of a former owner changes nothing.
+            # Listed items stay listed, so a late report of a former owner must not raise the count.
             entry.remaining_tokens = min(entry.remaining_tokens, remaining_tokens)
 
     def _remove(self, kind: str, job_id: str) -> None:
@@ -115,7 +118,7 @@
         self._early_progress.pop(job_id, None)
 
     def queued_tokens(self, route: str, tenant: str) -> int:
-        """Returns the tokens of a tenant's accepted items on a route that are not listed yet."""
+        """Returns the tokens of a tenant's items on a route that are accepted but not listed."""
         return sum(
             entry.remaining_tokens
             for entry in self.jobs.values()
--- a/src/troutswitch/decisions/jobs/intake.py
+++ b/src/troutswitch/decisions/jobs/intake.py
@@ -1,19 +1,19 @@
-"""Accepts jobs: content first, then the manifest at the expected end of the index.
+"""Accepts jobs: stores the content first, then the manifest at the expected end of the index.
 
-    STORING    -> APPENDING  the items' records were acknowledged
-    APPENDING  -> accepted   the manifest was appended at the end that was read
+    STORING    -> APPENDING  the store acknowledged the items' records
+    APPENDING  -> accepted   the manifest was appended at the expected end
     APPENDING  -> READING    the index ends elsewhere, or the answer was lost
-    READING    -> STORING    the index was read to its end, and the job still fits; content that
-                             was stored before is not stored again
+    READING    -> STORING    the index was read to its end, and the job still fits; stored content
+                             is not stored again
     READING    -> accepted   the index has the job's manifest, of this or another submission
-    any        -> refused    it does not fit, or time ran out
+    any        -> refused    the job does not fit, or the client's timeout expires
 
-The append of the manifest is the one moment at which a job begins to exist. Its condition makes
-every daemon count all jobs before it, so the tokens that wait are bounded across all daemons
-without one that counts for them (`token_limits`).
+A job exists from the append of its manifest on. The append is conditional on the end of the index,
+so a daemon accepts a job only after it has counted all earlier jobs. This bounds the queued tokens
+over all daemons without a central counter (`token_limits`).
 
-A refusal by 429 or 503 promises that the job never runs. It is only given while no append of the
-manifest is without an answer; otherwise the status is 504.
+A refusal with status 429 or 503 promises that the job never runs. It is given only if every append
+of the manifest was answered; otherwise the status is 504.
 
 It owns the submissions in progress on this daemon.
 """
@@ -57,17 +57,17 @@
 )
 
 ANSWER_RESERVE_SECONDS = 0.3
-"""Part of a client's timeout that is left for its answer."""
+"""Part of a client's timeout that is reserved for sending the answer."""
 RETRY_PAUSE_SECONDS = 0.15
 """Pause after a store call that failed."""
 CALL_LOST_SECONDS = 4.0
-"""Time after which a store call without an answer wakes this module up."""
+"""Time after which a store call without an answer makes `on_timer` due."""
 RETRY_AFTER_SECONDS = 0.5
-"""Retry-After where the store or the configuration could not be read."""
+"""Retry-After if the store did not answer, or the configuration or the index is not read yet."""
 LIMIT_RETRY_AFTER_SECONDS = 1.0
-"""Retry-After where too many tokens wait."""
+"""Retry-After if a job exceeds its route's limit of queued tokens."""
 ROW_OVERHEAD_BYTES = 8
-"""Bytes that are reckoned for a record in a call beside its key and value."""
+"""Estimated bytes of a record in a call beside its key and value."""
 
 
 class IntakeState(Enum):
@@ -100,7 +100,7 @@
     may_be_accepted: bool = False
 
     def next_due(self) -> float:
-        """Returns when the submission expires, is tried again, or lacks an answer for long."""
+        """Returns when the submission expires, is retried, or its store call counts as lost."""
         lost_at = self.call_at + CALL_LOST_SECONDS if self.call else float("inf")
         return min(self.expires_at, self.retry_at, lost_at)
 
@@ -128,7 +128,7 @@
     # Arrival.
 
     def on_submitted(self, now: float, event: JobSubmitted) -> list[StoreCall]:
-        """Begins a submission, or answers it at once."""
+        """Starts a submission, or answers it immediately."""
         if self._routes.configuration is None:
             refusal = JobRefused(503, "no configuration yet", RETRY_AFTER_SECONDS)
             return self._answer_immediately(now, event, refusal)
@@ -142,9 +142,9 @@
         if not self._replicas.index_follower.is_current:
             refusal = JobRefused(503, "the index is not read yet", RETRY_AFTER_SECONDS)
             return self._answer_immediately(now, event, refusal)
-        return self._begin(now, event, route)
+        return self._start(now, event, route)
 
-    def _begin(self, now: float, event: JobSubmitted, route: Route) -> list[StoreCall]:
+    def _start(self, now: float, event: JobSubmitted, route: Route) -> list[StoreCall]:
         manifest = self._manifest(now, event, route)
         try:
             records = chunk_records(event.job_id, event.items, self._limits.record_bytes)
@@ -158,7 +158,7 @@
         submission = Submission(event, route, manifest, batches, now, expires_at)
         self._submissions[event.token] = submission
         if not self._token_limits.fits(route, manifest):
-            # The count of this replica may lag; the index is read before a refusal.
+            # This replica may lag, so the index is read before the job is refused.
             self._read_index(submission)
             return []
         return self._store_next(now, submission)
@@ -177,7 +177,7 @@
         )
 
     def _existing_answer(self, manifest: Manifest) -> JobAnswer | None:
-        """Returns the answer to a job whose id is in the index; None if it is not."""
+        """Returns the answer if the job's id is in the index, otherwise None."""
         entry = self._replicas.index.jobs.get(manifest.job_id)
         if entry is None:
             return None
@@ -202,23 +202,26 @@
     # Steps.
 
     def _store_next(self, now: float, submission: Submission) -> list[StoreCall]:
-        """Appends the next records of content, then the manifest; content may be stored twice."""
+        """Appends the next batch of content, or the manifest after the last batch.
+
+        A batch may be stored twice, under the same keys.
+        """
         if not submission.pending_batches:
             return self._append_manifest(now, submission)
         submission.state = IntakeState.STORING
         partition = shard_partition(submission.manifest.shard)
         call = AppendRecords(self._numbers.next(), partition, submission.pending_batches[0])
-        return self._begin_call(now, submission, call)
+        return self._start_call(now, submission, call)
 
     def _append_manifest(self, now: float, submission: Submission) -> list[StoreCall]:
         submission.state = IntakeState.APPENDING
         end = self._replicas.index_follower.next_offset
         record = manifest_record(submission.manifest)
         call = AppendRecords(self._numbers.next(), INDEX, (record,), end)
-        return self._begin_call(now, submission, call)
+        return self._start_call(now, submission, call)
 
     @staticmethod
-    def _begin_call(now: float, submission: Submission, call: AppendRecords) -> list[StoreCall]:
+    def _start_call(now: float, submission: Submission, call: AppendRecords) -> list[StoreCall]:
         submission.call = call.call
         submission.call_at = now
         submission.retry_at = float("inf")
@@ -250,11 +253,11 @@
     # Outcomes.
 
     def owns(self, call: int) -> bool:
-        """Returns whether a store call is of a submission."""
+        """Returns whether a store call belongs to a submission."""
         return any(submission.call == call for submission in self._submissions.values())
 
     def on_answer(self, now: float, call: int, outcome: StoreOutcome) -> list[StoreCall]:
-        """Takes the outcome of a submission's call."""
+        """Handles the outcome of a submission's store call."""
         submission = next(s for s in self._submissions.values() if s.call == call)
         submission.call = 0
         if submission.state is IntakeState.STORING:
@@ -295,7 +298,7 @@
         return min(dues, default=float("inf"))
 
     def on_timer(self, now: float) -> list[StoreCall]:
-        """Tries again what failed, and ends what has run out of time."""
+        """Retries failed steps, and ends expired submissions."""
         calls: list[StoreCall] = []
         for submission in list(self._submissions.values()):
             if now >= submission.expires_at:
@@ -330,7 +333,7 @@
     # Ends.
 
     def _refuse_for_limit(self, now: float, submission: Submission) -> None:
-        """Refuses a job that does not fit; by 504 if an append of its manifest may still act."""
+        """Refuses a job that does not fit: with 504 if an append of its manifest may have acted."""
         self._log(
             "job does not fit",
             job_id=submission.event.job_id,
@@ -370,7 +373,7 @@
 def _split_into_batches(
     records: tuple[KeyedRecord, ...], call_bytes: int
 ) -> list[tuple[KeyedRecord, ...]]:
-    """Splits records into calls that the store takes."""
+    """Splits records into batches, each within the store's limit for a call."""
     batches: list[list[KeyedRecord]] = [[]]
     used = 0
     for record in records:
--- a/src/troutswitch/decisions/jobs/item_contents.py
+++ b/src/troutswitch/decisions/jobs/item_contents.py
@@ -1,8 +1,8 @@
-"""Content keys of items, by which the crashes under them are counted over all owners.
+"""Content keys of items, under which engine crashes are counted over all owners.
 
 Items of one job that share a path have a common key until one of them is done. Guards against a
-job whose items all crash engines: what they have in common is then the likely cause, and if they
-were counted apart, each of them could crash as many engines as a single item may.
+job whose items all crash engines: the likely cause is then what they have in common, and if each
+item were counted separately, each could crash as many engines as a single item may.
 """
 
 from collections import Counter
@@ -14,32 +14,32 @@
 from troutswitch.decisions.jobs.shard import JobContent
 
 SHARED_METHOD = "ITEMS"
-"""In place of the method in the common key, so that no request has the same key."""
+"""Stands for the method in a common key, so that no request has the same key."""
 MAX_CACHE_ENTRIES = 1024
-"""Jobs, and paths of done items, that are cached; others are found out again."""
+"""Maximum number of entries in each cache; missing ones are computed again."""
 
 
 class ItemContentKeys:
-    """The content keys of the items that this daemon owns."""
+    """Content keys of the items that this daemon owns."""
 
     def __init__(self, replicas: JobReplicas) -> None:
         self._replicas = replicas
         self._done: dict[tuple[str, str], None] = {}
-        """Jobs and paths of which an item was done here."""
+        """Jobs and paths with an item that is known to be done; drops the oldest first."""
         self._paths: dict[str, Counter[str]] = {}
-        """How many items of a job have a path; cached once all items of the job were read."""
+        """Items counted by job and path; cached once all items of the job are read."""
 
     def run_key(self, progress: ItemProgress) -> str:
-        """Returns the key under which a run of an item counts; empty if its job is not known."""
+        """Returns the key under which a run of an item counts; empty if its job is unknown."""
         return self._shared_key(progress) or self._own_key(progress)
 
     def refusal_keys(self, progress: ItemProgress) -> tuple[str, ...]:
-        """Returns the keys under which an item may be refused."""
+        """Returns the keys under which an item may be refused: its own and any common key."""
         shared = self._shared_key(progress)
         return (self._own_key(progress), shared) if shared else (self._own_key(progress),)
 
     def on_done(self, progress: ItemProgress) -> None:
-        """An item was done: from now on those that share its path have keys of their own."""
+        """Records that an item is done, after which items with its path have no common key."""
         if self._path_count(progress) > 1:
             self._record_done(progress)
 
@@ -51,7 +51,7 @@
         return progress.content
 
     def _shared_key(self, progress: ItemProgress) -> str:
-        """Returns the common key of items with this one's path; empty if there is none."""
+        """Returns the common key of the job's items with this path; empty if there is none."""
         entry = self._replicas.index.jobs.get(progress.job_id)
         if entry is None or self._path_count(progress) < 2 or self._path_was_done(progress):
             return ""
@@ -59,7 +59,7 @@
         return content_key(entry.manifest.host, SHARED_METHOD, path, progress.job_id.encode())
 
     def _path_count(self, progress: ItemProgress) -> int:
-        """Returns how many items of the job have this item's path, itself among them."""
+        """Returns how many items of the job have this item's path, including itself."""
         paths = self._paths.get(progress.job_id)
         if paths is None:
             paths = self._count_paths(progress)
@@ -76,7 +76,7 @@
         return paths
 
     def _path_was_done(self, progress: ItemProgress) -> bool:
-        """Returns whether an item with this path was done, here or by an earlier owner."""
+        """Returns whether an item of the job with this path is done, at any owner."""
         path = progress.item.path
         if (progress.job_id, path) in self._done:
             return True
--- a/src/troutswitch/decisions/jobs/item_endings.py
+++ b/src/troutswitch/decisions/jobs/item_endings.py
@@ -1,6 +1,6 @@
-"""Ends items: with their whole output, or dead-lettered.
+"""Ends items: with their complete output, or dead-lettered.
 
-An item ends once. Its result goes to the shard's writer if the item is still to be run here.
+An item ends once. Its result is passed to the shard's writer if this daemon still has to run it.
 """
 
 from collections.abc import Callable
@@ -13,7 +13,7 @@
 
 
 class ItemEndings:
-    """The results of this daemon's items."""
+    """Ends this daemon's items with a result."""
 
     def __init__(self, items: OpenItems, writer: ShardWriter, log: Callable[..., None]) -> None:
         self._items = items
@@ -21,11 +21,11 @@
         self._log = log
 
     def complete(self, progress: ItemProgress) -> None:
-        """Ends an item whose output is whole."""
+        """Ends an item whose output is complete."""
         self._end(progress, ItemResult(progress.item.item_id, DONE, progress.output))
 
     def dead_letter(self, progress: ItemProgress, reason: str) -> None:
-        """Ends an item that will never be done."""
+        """Ends an item without an output."""
         item_id = progress.item.item_id
         self._log("item dead-lettered", job_id=progress.job_id, item_id=item_id, reason=reason)
         self._end(progress, ItemResult(item_id, DEAD, ""))
--- a/src/troutswitch/decisions/jobs/item_parts.py
+++ b/src/troutswitch/decisions/jobs/item_parts.py
@@ -1,6 +1,6 @@
-"""The parts that work on the items of one daemon together: on their progress, order and runs.
+"""Bundle of the parts that manage the items of one daemon: progress, order and runs.
 
-It owns no state. `JobOwner` builds the parts; dispatching, stops and ends of runs use them.
+It owns no state. `JobOwner` builds the parts; `ItemDispatcher`, `RunStops` and `RunEnds` use them.
 """
 
 from dataclasses import dataclass
--- a/src/troutswitch/decisions/jobs/item_refusals.py
+++ b/src/troutswitch/decisions/jobs/item_refusals.py
@@ -1,19 +1,19 @@
-"""Rule: which items may not run because engines crashed under them, and when is one tried again?
+"""Rule: which items may not run because engines crashed under them, and when is one retried?
 
 Inputs: the contents that the crash record refuses, and the time of their last crash, from this
 daemon and from peers' reports (seconds old at most); when a trial was last started here.
 
 The rule:
 
-    FREE     -> REFUSED   three engines crashed under the item, or under those named with it
+    FREE     -> REFUSED   three engines crashed under the item, or under items with the same key
     REFUSED  -> ON_TRIAL  no engine has crashed under it for `TRIAL_SECONDS`
-    ON_TRIAL -> REFUSED   one more engine crashed: the next trial comes as long after that
+    ON_TRIAL -> REFUSED   another engine crashed: the next trial is `TRIAL_SECONDS` later
     ON_TRIAL -> FREE      an engine ran it to its end
 
-Why: an item must not crash one engine after the other, yet it may not be dead-lettered for it:
-only an engine's answer or the end of its retention allows that. So it waits, and is tried again
-in case something else caused the crashes. tests/proofs/test_crashes.py holds the bounds;
-docs/POLICY.md, "Rules", has the constants.
+Why: an item must not crash one engine after another, yet crashes may not dead-letter it: only an
+engine's answer, the end of its retention or the loss of its route may. So it waits, and is retried
+in case something else caused the crashes. tests/proofs/test_crashes.py tests the bounds;
+docs/POLICY.md, "Rules", lists the constants.
 """
 
 from troutswitch.decisions.crashes.interface import Suspects
@@ -22,15 +22,15 @@
 from troutswitch.decisions.jobs.replicas import JobReplicas
 
 TRIAL_SECONDS = 16.0
-"""Time without a crash after which a refused item is tried once more. An item counts as abandoned
-when no engine has had it for 20 s, and some seconds pass until it has a slot."""
+"""Time without a crash after which a refused item is retried once. An item counts as abandoned when
+no engine has run it for 20 s, and it may wait some seconds for a slot."""
 MAX_TRIALS = 2
-"""Engines that trials of an item may crash. Three crashes are allowed after the first three, and
-one more run may be in flight when the third becomes known."""
+"""Maximum number of engines that trials of an item may crash. Three crashes are allowed after the
+first three, and one more run may be in flight when the third crash becomes known."""
 
 
 class ItemRefusals:
-    """What crashes mean for the items that this daemon owns."""
+    """Refusals and trials of the items that this daemon owns."""
 
     def __init__(self, suspects: Suspects, replicas: JobReplicas) -> None:
         self._suspects = suspects
@@ -47,26 +47,26 @@
         return not progress.is_on_trial and bool(self._refused(progress))
 
     def on_started(self, now: float, progress: ItemProgress) -> None:
-        """A run of an item was started; one of a refused item is its trial."""
+        """Records the start of a run, which is a trial if the item is refused."""
         refused = self._refused(progress)
         progress.is_on_trial = bool(refused)
         for content in refused:
             self._tried_at[content] = now
 
     def on_stopped(self, progress: ItemProgress) -> None:
-        """This daemon stopped a run: if it was a trial, it has shown nothing."""
+        """Records that this daemon stopped a run; a stopped trial does not delay the next one."""
         if progress.is_on_trial:
             progress.is_on_trial = False
             for content in self._content_keys.refusal_keys(progress):
                 self._tried_at.pop(content, None)
 
     def on_lost(self, now: float, progress: ItemProgress, engine_id: str) -> None:
-        """The connection of a run broke off before its end."""
+        """Records that the connection of a run was lost before its end."""
         progress.is_on_trial = False
         self._suspects.on_lost(now, self._content_keys.run_key(progress), engine_id)
 
     def on_done(self, now: float, progress: ItemProgress) -> None:
-        """An engine ran an item to its end."""
+        """Records that an engine ran an item to its end."""
         progress.is_on_trial = False
         for content in self._content_keys.refusal_keys(progress):
             self._suspects.on_served(now, content)
--- a/src/troutswitch/decisions/jobs/item_retries.py
+++ b/src/troutswitch/decisions/jobs/item_retries.py
@@ -1,25 +1,25 @@
-"""Rule: when is an item tried again, and when is it dead-lettered?
+"""Rule: when is an item retried, and when is it dead-lettered?
 
 Inputs: the routes in force; the age of the job since this daemon first read of it, in seconds; the
 failed runs of the item, here and at earlier owners; the statuses with which its runs ended; the
-contents that crashes have refused.
+contents that are refused because of crashes.
 
 The rule, for an item that could start:
 
-- without a route for `ROUTE_GONE_SECONDS`, in a configuration that is known to be the newest, past
-  the route's retention, or with as many failed runs as the route allows, it is dead-lettered;
-- while crashes forbid its start, it waits for `REFUSED_RETRY_SECONDS`.
+- it is dead-lettered if the newest configuration has had no route for it for `ROUTE_GONE_SECONDS`,
+  if the route's retention is over, or if it has as many failed runs as the route allows;
+- it waits for `REFUSED_RETRY_SECONDS` while crashes forbid its start.
 
-And for one whose run ended early:
+For an item whose run ended early:
 
-- status 422 dead-letters it, as the engine says that it can never be done;
-- status 500 counts as a failed run; the last that the route allows dead-letters it;
-- anything else (a stop, a crash, a lost connection, a full engine) says nothing of the item, and
-  it is tried again, without a bound on the number of runs.
+- status 422 dead-letters it: the engine reports that the item can never be done;
+- status 500 counts as a failed run; the last failed run that the route allows dead-letters it;
+- any other end (a stop, a crash, a lost connection, a full engine) is not attributed to the item,
+  which is retried without a bound on the number of runs.
 
 Why: an accepted item must complete, so only an engine's answer about it, its retention or the loss
-of its route may end it. tests/decisions/jobs/test_failures.py holds the bound on failed runs over
-all owners; docs/POLICY.md, "Rules", has the constants.
+of its route may end it. tests/decisions/jobs/test_failures.py tests the bound on failed runs over
+all owners; docs/POLICY.md, "Rules", lists the constants.
 """
 
 import random
@@ -37,21 +37,21 @@
 RETRY_SECONDS = 0.2
 """Mean pause after a run that ended early, or while an item has no route."""
 FAILED_RETRY_SECONDS = 0.4
-"""Pause after a run that the engine says has failed."""
+"""Pause after a run that the engine reported as failed."""
 REFUSED_RETRY_SECONDS = 1.0
-"""Pause after which an item is checked again that crashes forbid to start."""
+"""Pause until the next check of an item that crashes forbid to start."""
 ROUTE_GONE_SECONDS = 6.0
 """Time without a route after which an item is dead-lettered: a change of the configuration may
-take a route away for a moment."""
+remove a route briefly."""
 RUN_FAILED_STATUS = 500
-"""Status with which an engine says that an item's run failed."""
+"""HTTP status with which an engine reports that an item's run failed."""
 UNPROCESSABLE_STATUS = 422
-"""Status with which an engine says that an item can never be done."""
+"""HTTP status with which an engine reports that an item can never be done."""
 
 
 @dataclass(frozen=True, slots=True)
 class StartableItem:
-    """An item that may start, its job, and the route by which it finds engines."""
+    """An item that may start, its job, and the route that selects its engines."""
 
     progress: ItemProgress
     entry: JobEntry
@@ -59,7 +59,7 @@
 
 
 class ItemRetries:
-    """Decides what becomes of items that have not ended."""
+    """Decides when unfinished items may start, and when they are dead-lettered."""
 
     def __init__(
         self,
@@ -76,9 +76,9 @@
         self._rng = rng
 
     def prepare_start(self, now: float, progress: ItemProgress) -> StartableItem | None:
-        """Returns an item with its job and route if it may start now.
+        """Returns an item with its job and route if it may start now, otherwise None.
 
-        Returns None if it must wait, for which its retry time is set, or is dead-lettered now.
+        Sets the retry time of an item that must wait, and dead-letters an item that must end.
         """
         entry = self._index.jobs[progress.job_id]
         route = self._routes.match(entry.manifest.host, progress.item.path)
@@ -110,7 +110,7 @@
             progress.retry_at = now + RETRY_SECONDS
 
     def on_ended_early(self, now: float, progress: ItemProgress, event: ItemRunEnded) -> None:
-        """Takes the end of a run that did not bring the item's whole output."""
+        """Handles the end of a run that did not complete the item's output."""
         if event.status == UNPROCESSABLE_STATUS:
             self._endings.dead_letter(progress, f"status {event.status}")
             return
--- a/src/troutswitch/decisions/jobs/items.py
+++ b/src/troutswitch/decisions/jobs/items.py
@@ -1,7 +1,7 @@
-"""Progress of one item that is not listed: its output so far, and its runs.
+"""Progress of one unlisted item: its output so far, and its runs.
 
-The output is made of whole events. It owns which of them are saved in the store, and checks that
-what is saved is what was made here.
+The output consists of whole events. This module tracks which of them are saved in the store, and
+checks that the saved output is the output of this item's runs.
 """
 
 from dataclasses import dataclass, field
@@ -17,25 +17,25 @@
 
     Attributes:
         shard: the shard of its job.
-        job_id: its job.
-        item: what is sent to the engine.
+        job_id: id of its job.
+        item: the request that is sent to the engine.
         number: its index in its job.
         position: id of the last event of its output.
         texts: its output so far.
         unsaved: the last events of the output, which are not in the store yet.
-        saved_position: id of the last event that is.
+        saved_position: id of the last event in the store.
         parts: number of records that hold the saved output.
-        failures: runs that failed, here and at earlier owners.
-        saved_failures: as many as the store knows of.
-        runs: runs started here.
+        failures: failed runs, here and at earlier owners.
+        saved_failures: the number of failed runs in the store.
+        runs: number of runs started here.
         retry_at: when the next run may start.
-        no_route_since: since when it has had no route.
+        no_route_since: when it lost its route; infinite while it has one.
         run: number of the run in flight, or 0.
-        is_finished: whether it has ended, and its result need only be listed.
-        started_at: its first start here.
-        run_seconds: the time in runs here.
-        content: its content key, once it was needed (`item_contents`).
-        is_on_trial: whether it runs although engines crashed under it (`item_refusals`).
+        is_finished: whether it has ended and only its result remains to be listed.
+        started_at: when its first run here started.
+        run_seconds: total duration of its runs here.
+        content: its content key, computed on first use (`item_contents`).
+        is_on_trial: whether its last run is a trial after crashes (`item_refusals`).
     """
 
     shard: int
@@ -61,24 +61,24 @@
 
     @property
     def key(self) -> tuple[str, str]:
-        """Ids of its job and of itself."""
+        """Job id and item id."""
         return self.job_id, self.item.item_id
 
     def may_start(self, now: float) -> bool:
-        """Returns whether it has not ended, no run is in flight, and its retry time has come."""
+        """Returns whether it is unfinished, has no run in flight, and its retry time has passed."""
         return not self.run and not self.is_finished and now >= self.retry_at
 
     def restore(self, parts: list[OutputPart]) -> None:
-        """Takes over the output that an earlier owner saved."""
-        ensure(not self.texts, "an item with output takes over another's")
+        """Restores the output that an earlier owner saved."""
+        ensure(not self.texts, "saved output is restored into an item that has output")
         if not parts:
             return
         self.texts = [part.text for part in parts]
         self.position = self.saved_position = parts[-1].position
         self.parts = len(parts)
 
-    def add(self, events: tuple[OutputEvent, ...]) -> None:
-        """Takes the next events of the output."""
+    def add_events(self, events: tuple[OutputEvent, ...]) -> None:
+        """Appends the next events of the output."""
         if not events:
             return
         self.texts.extend(event.text for event in events)
@@ -87,7 +87,7 @@
 
     @property
     def event_count(self) -> int:
-        """Number of events made so far, by the last event's id; 0 where ids are no numbers."""
+        """Number of events so far, from the last event's id; 0 if ids are not numbers."""
         return int(self.position) if self.position.isdigit() else 0
 
     @property
@@ -96,7 +96,7 @@
         return "\n".join(self.texts)
 
     def next_part(self, max_bytes: int) -> OutputPart:
-        """Returns a part that is not saved yet, of as many events as fit but at least one."""
+        """Returns the next unsaved part: as many events as fit `max_bytes`, but at least one."""
         texts: list[str] = []
         position = self.saved_position
         size = 0
@@ -109,15 +109,17 @@
         return OutputPart(self.saved_position, position, "\n".join(texts))
 
     def on_saved(self, part: OutputPart) -> None:
-        """A part was saved in the store."""
+        """Records that a part was saved in the store."""
         ensure(part.after == self.saved_position, "parts are saved out of order")
         while self.unsaved and self.saved_position != part.position:
             self.saved_position = self.unsaved.pop(0).position
-        ensure(self.saved_position == part.position, "a part was saved that is not known")
+        ensure(
+            self.saved_position == part.position, "a saved part does not match the unsaved events"
+        )
         self.parts += 1
 
     def _text_up_to(self, position: str) -> str | None:
-        """Returns the output that is not saved yet up to a position, if it is reached."""
+        """Returns the unsaved output up to a position; None if no unsaved event is there."""
         texts: list[str] = []
         for event in self.unsaved:
             texts.append(event.text)
@@ -126,10 +128,11 @@
         return None
 
     def reconcile(self, parts: list[OutputPart]) -> bool:
-        """Returns whether the saved parts are those of this output; further ones count as saved.
+        """Compares the parts in the store with this output; returns whether they match.
 
-        After a write whose outcome is unknown, the store may have one part more. If it has one
-        that is not from here, this item must begin anew.
+        After a write whose outcome is unknown, the store may have one part more than was
+        acknowledged; a further part that matches is recorded as saved. If a part is from another
+        owner's run, this item must restart from the saved output.
         """
         if len(parts) < self.parts:
             return False
--- a/src/troutswitch/decisions/jobs/messages.py
+++ b/src/troutswitch/decisions/jobs/messages.py
@@ -1,6 +1,6 @@
 """Typed events and instructions of batch jobs.
 
-Times are seconds. A `token` names a client's call on this daemon, a `run` one run of an item.
+Times are in seconds. `token` identifies a client's call on this daemon, `run` a run of an item.
 """
 
 from dataclasses import dataclass
@@ -18,8 +18,8 @@
 class JobSubmitted:
     """A client submits a job.
 
-    In all calls about jobs, `time_left` is how long the client will wait, `caller_key` the digest
-    of its API key, and `tenant` the name that this daemon finds for the key.
+    In all calls about jobs, `time_left` is how long the client will still wait, `caller_key` the
+    digest of its API key, and `tenant` the tenant's name, which this daemon looks up by the key.
     """
 
     token: int
@@ -35,7 +35,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ResultsRequested:
-    """A client reads a job's results from a position on."""
+    """A client requests a job's results from a position on."""
 
     token: int
     job_id: str
@@ -47,7 +47,7 @@
 
 @dataclass(frozen=True, slots=True)
 class BodyRequested:
-    """A client reads the body of an item."""
+    """A client requests the body of an item."""
 
     token: int
     job_id: str
@@ -59,7 +59,7 @@
 
 @dataclass(frozen=True, slots=True)
 class JobEndRequested:
-    """A client ends a job."""
+    """A client requests the end of a job."""
 
     token: int
     job_id: str
@@ -78,14 +78,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ItemBegun:
-    """An engine made the first token of a run."""
+    """An engine began its response to a run, so it has read the prompt."""
 
     run: int
 
 
 @dataclass(frozen=True, slots=True)
 class ItemProgressed:
-    """Events of a run's output came; they are gathered, and sent a few times a second."""
+    """Events of a run's output arrived. They are reported in batches, a few times a second."""
 
     run: int
     events: tuple[OutputEvent, ...]
@@ -95,9 +95,9 @@
 class ItemRunEnded:
     """A run of an item ended.
 
-    `events` are those that no `ItemProgressed` brought. `status` is the HTTP status of the
-    response, 0 if there was none. `load` is the engine's report on itself, if the response carried
-    one. `wrong_instance` is set if another engine answers at the address.
+    `events` are those not reported by an `ItemProgressed`. `status` is the HTTP status of the
+    response, 0 if there was none. `load` is the load that the engine reported in the response, if
+    any. `wrong_instance` is set if another engine instance answered at the address.
     """
 
     run: int
@@ -116,8 +116,8 @@
 class RunItem:
     """Run an item at an engine, from the event after `resume_after`.
 
-    `response_timeout` bounds the wait for the first bytes of the response, `event_timeout` the
-    wait for each further event.
+    `response_timeout` bounds each wait for data up to the first event, `event_timeout` each wait
+    after it.
     """
 
     run: int
@@ -140,15 +140,15 @@
 
 @dataclass(frozen=True, slots=True)
 class JobAccepted:
-    """Answer: the job is kept."""
+    """Answer: the job is accepted and stored."""
 
 
 @dataclass(frozen=True, slots=True)
 class JobRefused:
     """Answer: the call was not carried out.
 
-    `status` is that of HTTP; of a submission, 429 and 503 promise that none of the job will ever
-    run. `retry_after` is in seconds; None if the response has no such header.
+    `status` is the HTTP status. For a submission, 429 and 503 promise that no part of the job will
+    ever run. `retry_after` is in seconds; None if the response has no such header.
     """
 
     status: int
@@ -174,7 +174,7 @@
 
 @dataclass(frozen=True, slots=True)
 class JobEnded:
-    """Answer: the job is ended."""
+    """Answer: the end of the job is stored."""
 
 
 JobAnswer = JobAccepted | JobRefused | JobResults | ItemBody | JobEnded
--- a/src/troutswitch/decisions/jobs/open_items.py
+++ b/src/troutswitch/decisions/jobs/open_items.py
@@ -1,7 +1,8 @@
-"""The items of this daemon's shards that are not listed, with the progress of each.
+"""Unlisted items of this daemon's shards, with the progress of each.
 
-It owns `ItemProgress` by job and item. Progress begins with what earlier owners saved in the
-shard, and ends when the item's result is listed, its job is ended or its shard has another owner.
+It owns `ItemProgress` by job and item. Progress starts from the output that earlier owners saved in
+the shard. It is dropped when the item's result is listed, its job is ended or its shard has another
+owner.
 """
 
 from collections.abc import Iterator
@@ -26,9 +27,10 @@
         return iter(list(self._items.values()))
 
     def is_wanted(self, progress: ItemProgress) -> bool:
-        """Returns whether an item is still to be run here, with this progress.
+        """Returns whether this daemon must still run an item, from this progress.
 
-        It is not once its job was ended, its shard has another owner, or it began anew.
+        False if the job was ended, its shard has another owner, or the item was restarted with new
+        progress.
         """
         if self._items.get(progress.key) is not progress:
             return False
@@ -37,7 +39,7 @@
         return is_open and progress.shard in self._ownership.leases
 
     def drop(self, progress: ItemProgress) -> None:
-        """Forgets an item."""
+        """Drops an item's progress."""
         self._items.pop(progress.key, None)
 
     def unfinished(self) -> list[ItemProgress]:
@@ -49,7 +51,7 @@
         return [progress for progress in self._items.values() if progress.shard == shard]
 
     def startable(self, now: float, store_served_at: float) -> list[ItemProgress]:
-        """Returns the items that no run is in flight for and whose retry time has come.
+        """Returns the items of startable shards that have no run in flight and may be retried now.
 
         Args:
             now: this process's clock, in seconds.
@@ -60,7 +62,7 @@
         return [item for entry in entries for item in self._of_job(entry) if item.may_start(now)]
 
     def _of_job(self, entry: JobEntry) -> list[ItemProgress]:
-        """Returns a job's items that are not listed; those not known yet become known."""
+        """Returns a job's unlisted items, and creates the progress of new ones."""
         manifest = entry.manifest
         content = self._replicas.shard(manifest.shard).fold.content(manifest.job_id)
         items = content.items()
@@ -80,7 +82,7 @@
         return unlisted
 
     def _refresh_shard(self, shard: int) -> None:
-        """Has the shard read on: a job's items are stored before its manifest is."""
+        """Requests a read of the shard, which has all items of an accepted job."""
         if shard in self._shards_refreshing:
             return
         self._shards_refreshing.add(shard)
@@ -89,9 +91,9 @@
         )
 
     def reconcile_saved(self, shard: int) -> None:
-        """Compares items with the saved output that was read anew.
+        """Compares the items of a shard with their saved output after the shard was read again.
 
-        An item whose saved output is not from here begins anew, from that output.
+        Drops items whose saved output is not from their own runs; they restart from that output.
         """
         fold = self._replicas.shard(shard).fold
         for progress in self.in_shard(shard):
--- a/src/troutswitch/decisions/jobs/order.py
+++ b/src/troutswitch/decisions/jobs/order.py
@@ -1,14 +1,14 @@
 """Rule: in which order do a daemon's batch items start, and which of them will be late?
 
-Inputs, for each item that is not listed: the time at which its job is due and the seconds that it
-still has to run (an estimate from finished runs, see `run_time_estimate`); the slots that this
-daemon's items can count on, from digests of coordinators that are at most 2 s old.
+Inputs, for each unlisted item: the time at which its job is due and its remaining run time (an
+estimate from finished runs, see `run_time_estimate`); the slots available to this daemon's items,
+from digests of coordinators that are at most 2 s old.
 
 The rule is a policy, `items` of TROUTSWITCH_POLICIES. `most_in_time`, the default, chooses the
-largest set of items that can all meet their targets, and puts the others behind them.
+largest set of items that can all meet their targets, and orders the others behind them.
 `least_slack` is the baseline that operators compare it with.
 
-Why: spreading slots over more items than can be finished makes all of them late. Measured in
+Why: spreading slots over more items than can finish in time makes all of them late. Measured in
 docs/POLICY.md, "Rounds" (4 and 7) and "Ablation".
 """
 
@@ -23,9 +23,9 @@
 
 @dataclass(frozen=True, slots=True)
 class ItemForecast:
-    """An item that is not listed: when it is due, on this process's clock, and what it has to run.
+    """When an unlisted item is due, on this process's clock, and its estimated remaining run time.
 
-    Both times are in seconds.
+    Both are in seconds.
     """
 
     key: ItemKey
@@ -35,7 +35,7 @@
 
 @dataclass(frozen=True, slots=True, order=True)
 class ItemRank:
-    """Sort key of an item: late items last, then by figures that the policy chooses."""
+    """Sort key of an item: late items last, then by two keys that the policy chooses."""
 
     is_late: bool
     first: float
@@ -44,10 +44,10 @@
 
 @dataclass(frozen=True, slots=True)
 class BatchCapacity:
-    """What this daemon's items can count on.
+    """Capacity available to this daemon's items.
 
-    `slots` is the mean number of slots that its items have together; `duty` is the part of the
-    time for which an item that was started runs, from 0 to 1.
+    `slots` is the mean number of slots for all of its items. `duty` is the share of the time since
+    its first start in which an item runs, from 0 to 1.
     """
 
     slots: float
@@ -55,7 +55,7 @@
 
 
 class ItemOrder(Protocol):
-    """Ranks all items that a daemon has to finish; the lowest rank goes first."""
+    """Ranks all items that a daemon has to finish; the lowest rank starts first."""
 
     def rank(
         self, now: float, items: Iterable[ItemForecast], capacity: BatchCapacity
@@ -65,9 +65,9 @@
 
 
 class LeastSlack:
-    """Least slack first: the time until an item is due, less the time that it still has to run.
+    """Least slack first: the time until an item is due, minus its remaining run time.
 
-    An item that cannot meet its target waits for slots that no other item needs.
+    Items that cannot meet their targets come after all others.
     """
 
     def rank(
@@ -89,14 +89,14 @@
     def rank(
         self, now: float, items: Iterable[ItemForecast], capacity: BatchCapacity
     ) -> dict[ItemKey, ItemRank]:
-        """Ranks by due time, then by the time left; late items by the time left."""
+        """Ranks by due time, then by remaining run time; late items by remaining run time only."""
         ordered = sorted(items, key=lambda item: (item.due_at, item.remaining_seconds, item.key))
         late = _late_items(now, ordered, capacity)
         return {item.key: _rank(item, item.key in late) for item in ordered}
 
 
 def _late_items(now: float, ordered: list[ItemForecast], capacity: BatchCapacity) -> set[ItemKey]:
-    """Returns the items that the capacity does not allow to meet their targets."""
+    """Returns the items that cannot meet their targets with the given capacity."""
     scheduled: list[tuple[float, ItemKey]] = []  # longest first
     late: set[ItemKey] = set()
     work = 0.0
@@ -124,4 +124,4 @@
     "least_slack": LeastSlack,
     "most_in_time": MostInTime,
 }
-"""Orders by name."""
+"""Order policies by name."""
--- a/src/troutswitch/decisions/jobs/owner.py
+++ b/src/troutswitch/decisions/jobs/owner.py
@@ -1,18 +1,17 @@
-"""Runs the items of the shards that this daemon owns, and has their results listed.
+"""Runs the items of the shards that this daemon owns, and lists their results.
 
 An item's states:
 
-    PENDING  -> RUNNING   a slot of an engine is free or granted, and its run started
-    RUNNING  -> PENDING   the run ended early; the next resumes after its last whole event
-    RUNNING  -> FINISHED  the output is whole, or the item is dead-lettered
-    FINISHED -> listed    its result was appended at a position under the shard's epoch
+    PENDING  -> RUNNING   an engine has a free or granted slot, and a run started there
+    RUNNING  -> PENDING   the run ended early; the next one resumes after its last whole event
+    RUNNING  -> FINISHED  the output is complete, or the item is dead-lettered
+    FINISHED -> listed    the result was appended at a position under the shard's epoch
 
 Items may run more than once. A result is listed once, since only the fenced owner of a shard
 appends results, and it appends none for an item that is listed.
 
-It owns the items, their runs and what is written of them, and does the work in rounds. Which items
-start stands in `dispatcher`, which runs stop in `run_stops`, what follows a run in `run_ends` and
-`item_retries`.
+It owns the items, their runs and the writes of both, and works in rounds. `dispatcher` decides
+which items start, `run_stops` which runs stop, `run_ends` and `item_retries` what follows a run.
 """
 
 from troutswitch.decisions.jobs.batch_capacity import BATCH_CAPACITY_POLICIES
@@ -47,8 +46,9 @@
 ROUND_INTERVAL_SECONDS = 0.05
 """Interval between rounds of dispatching and writing."""
 SETTLE_SECONDS = 0.5
-"""Time after its first round for which a daemon neither starts items nor reports that any wait: it
-does not know yet what others run, and after a loss of all daemons all would fill the same slots."""
+"""Time after its first round for which a daemon neither starts items nor reports any as waiting. It
+does not know the runs of other daemons yet, and after a restart of all daemons each would fill the
+same slots."""
 
 OwnerInstruction = StoreCall | RunItem | StopItem
 
@@ -92,7 +92,7 @@
 
     @property
     def run_times(self) -> RunTimeEstimate:
-        """What was learnt of how long items run."""
+        """Estimate of run times, from finished runs."""
         return self._ranking.run_times
 
     @property
@@ -102,12 +102,12 @@
 
     @property
     def runs_started(self) -> int:
-        """Runs started since this daemon began."""
+        """Number of runs started since this process started."""
         return self._runs.started
 
     @property
     def waiting(self) -> WaitingItems:
-        """Items that could start now if they had slots."""
+        """Numbers of items that could start now if slots were free."""
         return self._dispatcher.waiting
 
     @property
@@ -116,7 +116,7 @@
         return len(self._items.unfinished())
 
     def is_drained(self) -> bool:
-        """Whether no run is left, and all that came of them was written."""
+        """Returns whether no run is in flight and all output and results are written."""
         unsaved = any(progress.unsaved for progress in self._items.unfinished())
         return not self.runs and not unsaved and self._writer.is_idle()
 
@@ -129,7 +129,7 @@
         return self._round_at
 
     def on_timer(self, now: float) -> list[OwnerInstruction]:
-        """Does a round if it is due: stops what must not run, starts items, writes results."""
+        """Runs a round if it is due: stops unwanted runs, starts items, writes results."""
         if now < self._round_at:
             return []
         self._round_at = now + ROUND_INTERVAL_SECONDS
@@ -164,7 +164,7 @@
     # Slots.
 
     def on_slots_granted(self, now: float, grant: StartItems) -> list[RunItem] | list[StopItem]:
-        """Starts items in slots that were granted at an engine, or stops items there."""
+        """Starts items in granted slots; a negative count stops items at the engine instead."""
         if grant.count < 0:
             return self._run_stops.stop_least_urgent(now, grant.engine_id, -grant.count)
         if self.is_draining:
@@ -179,15 +179,15 @@
     # Runs.
 
     def on_begun(self, event: ItemBegun) -> None:
-        """The engine has read a run's prompt."""
+        """Records that an engine has read a run's prompt."""
         self._runs.on_begun(event)
 
     def on_progressed(self, event: ItemProgressed) -> None:
-        """Takes the next events of a run's output."""
+        """Adds the next events of a run's output."""
         self._runs.on_progressed(event)
 
     def on_run_ended(self, now: float, event: ItemRunEnded) -> None:
-        """Takes the end of a run; the next round follows at once."""
+        """Handles the end of a run; the next round is due immediately."""
         if self._run_ends.on_run_ended(now, event):
             self._round_at = now
 
@@ -198,7 +198,7 @@
         return self._writer.owns(call)
 
     def on_answer(self, now: float, call: int, outcome: StoreOutcome) -> None:
-        """Takes the outcome of a write; the next round follows at once."""
+        """Handles the outcome of a write; the next round is due immediately."""
         self._writer.on_answer(now, call, outcome)
         self._round_at = now
 
--- a/src/troutswitch/decisions/jobs/ownership.py
+++ b/src/troutswitch/decisions/jobs/ownership.py
@@ -1,16 +1,16 @@
-"""Which shards this daemon owns: the group assigns shards, and the writer's epoch fences them.
+"""Shards that this daemon owns: the group assigns shards, and the writer's epoch fences them.
 
 A lease of a shard goes through these states:
 
     (none)   -> FENCING  the group assigned the shard to this daemon
-    FENCING  -> READING  the store took the new epoch: no earlier owner can write now
-    READING  -> OWNED    the shard was read whole after that
+    FENCING  -> READING  the store accepted the new epoch: no earlier owner can write now
+    READING  -> OWNED    the shard was then read to its end
     OWNED    -> FENCING  a write was refused, but the shard is still assigned to this daemon
     any      -> (none)   the group assigned the shard to another daemon
 
-The assignment alone protects nothing, since two daemons may act on different ones; the epoch does.
-Epochs are `round << 24 | random`, so that two leases never carry the same one: the store takes an
-equal epoch, and would take the second owner's writes for repeats.
+The assignment alone protects nothing, since two daemons may act on different assignments; the
+epoch does. Epochs are `round << 24 | random`, so that two leases do not have the same epoch: the
+store accepts an equal epoch, and would treat the second owner's writes as repeats.
 
 It owns this daemon's membership in the group and its leases.
 """
@@ -40,18 +40,18 @@
 EPOCH_BITS = 24
 """Random low bits of an epoch."""
 JOIN_SECONDS = 0.5
-"""Interval between joins, which renew the membership."""
+"""Mean interval between joins, which renew the membership."""
 CALL_LOST_SECONDS = 4.0
-"""Time after which a join or an append without an answer is made again."""
+"""Time after which a join or an append without an answer is repeated."""
 TTL_JOINS = 5.0
 """Time without a join after which the membership expires, in intervals between joins."""
 JOIN_TIMEOUT_FIRST_SECONDS = 1.0
-"""Timeout of a join after one that succeeded: short enough for a retry on a new connection to
-arrive before the membership expires."""
+"""Timeout of a join after a successful one, short enough that a retry on a new connection arrives
+before the membership expires."""
 MAX_JOIN_TIMEOUT_SECONDS = 2.0
-"""Timeout of a join after one that failed, as a store may be slow for long."""
+"""Timeout of a join after a failed one, since the store may be slow for long."""
 RETRY_SECONDS = 0.2
-"""Mean pause after a join or an append that failed."""
+"""Mean pause after a failed join or append."""
 
 
 class ShardState(Enum):
@@ -66,7 +66,7 @@
 class ShardLease:
     """A shard assigned to this daemon.
 
-    `call`, `call_at` and `retry_at` are of the append that fences earlier owners.
+    `call`, `call_at` and `retry_at` belong to the append that fences earlier owners.
     `next_sequence` numbers the writes under the epoch. `was_owned` stays true while the shard is
     fenced again.
     """
@@ -81,7 +81,7 @@
     was_owned: bool = False
 
     def next_due(self) -> float:
-        """Returns when the append that fences is due, or counts as lost."""
+        """Returns when the fencing append is due, or counts as lost."""
         if self.state is not ShardState.FENCING:
             return float("inf")
         return self.call_at + CALL_LOST_SECONDS if self.call else self.retry_at
@@ -111,20 +111,20 @@
         self._join_call = 0
         self._join_at = float("-inf")
         self._joined_at = float("-inf")
-        self._failures = 0
+        self._join_failures = 0
 
     def owned(self) -> list[ShardLease]:
-        """Returns the shards that are fenced and read."""
+        """Returns the leases of shards that are fenced and read."""
         return [lease for lease in self.leases.values() if lease.state is ShardState.OWNED]
 
     def startable(self, store_served_at: float) -> list[ShardLease]:
-        """Returns the shards whose items may start.
+        """Returns the leases of shards whose items may start.
 
-        Those that are fenced again after a write without an answer are among them: while the
-        store is away nobody else can own them either, and a result is still listed once. But
-        that this daemon's joins fail does not show that the store is away. If it has served any
-        daemon for longer than the membership lasts, others own the shards, and jobs may have
-        been ended that are still open here; then nothing may start.
+        These include shards that are being fenced again after a failed write: during an outage of
+        the store no other daemon can own them, and a result is still listed only once. Failed
+        joins of this daemon alone do not prove an outage. If the store has answered another daemon
+        after this daemon's membership expired, others own the shards, and jobs that are open here
+        may have been ended; then no item may start.
 
         Args:
             store_served_at: when the store last answered any daemon, as far as this one knows, in
@@ -144,7 +144,7 @@
         return min([join_due, *(lease.next_due() for lease in self.leases.values())])
 
     def on_timer(self, now: float) -> list[StoreCall]:
-        """Joins again and goes on with leases."""
+        """Joins the group when due, and advances the leases."""
         if self.is_leaving:
             return []
         calls: list[StoreCall] = []
@@ -166,22 +166,22 @@
             (SHARD_TOPIC,),
             self._ttl,
             self.generation,
-            MAX_JOIN_TIMEOUT_SECONDS if self._failures else JOIN_TIMEOUT_FIRST_SECONDS,
+            MAX_JOIN_TIMEOUT_SECONDS if self._join_failures else JOIN_TIMEOUT_FIRST_SECONDS,
         )
 
     def leave(self) -> list[StoreCall]:
-        """Leaves the group, so that successors begin at once."""
+        """Leaves the group, so that successors take over immediately."""
         self.is_leaving = True
         self.leases.clear()
         return [LeaveGroup(self._numbers.next(), GROUP, self._member)]
 
     def owns(self, call: int) -> bool:
-        """Returns whether a store call is of the group or a lease."""
+        """Returns whether a store call is a join or fences a lease."""
         is_join = call == self._join_call != 0
         return is_join or any(lease.call == call for lease in self.leases.values())
 
     def on_answer(self, now: float, call: int, outcome: StoreOutcome) -> None:
-        """Takes the outcome of a join or of an append that fences."""
+        """Handles the outcome of a join or of a fencing append."""
         if call == self._join_call:
             self._join_call = 0
             self._on_join_answered(now, outcome)
@@ -194,22 +194,22 @@
         if isinstance(outcome, GroupJoined):
             self._on_joined(now, outcome)
             return
-        self._failures += 1
-        if self._failures == 1:
+        self._join_failures += 1
+        if self._join_failures == 1:
             self._log("group lost", outcome=str(outcome)[:120])
         self._join_at = now + RETRY_SECONDS * self._rng.uniform(0.5, 1.5)
 
     def _on_joined(self, now: float, joined: GroupJoined) -> None:
-        if self._failures:
-            self._log("group regained", failures=self._failures)
-        self._failures = 0
+        if self._join_failures:
+            self._log("group regained", failures=self._join_failures)
+        self._join_failures = 0
         self._join_at = now + JOIN_SECONDS * self._rng.uniform(0.8, 1.2)
         self._joined_at = now
         if self.is_leaving:
             return
         if joined.generation != self.generation:
-            # The next join confirms the new assignment. Only then does the group assign to others
-            # what this member has lost, so it is made at once.
+            # The next join confirms the new assignment. Only then does the group assign the shards
+            # that this member has lost to others, so it is made immediately.
             self.generation = joined.generation
             self._join_at = now
         assigned = {part.number for part in joined.partitions if part.topic == SHARD_TOPIC}
@@ -226,11 +226,11 @@
 
     # Leases.
 
-    def _new_epoch(self, least_round: int) -> int:
-        return (least_round << EPOCH_BITS) | self._rng.getrandbits(EPOCH_BITS)
+    def _new_epoch(self, epoch_round: int) -> int:
+        return (epoch_round << EPOCH_BITS) | self._rng.getrandbits(EPOCH_BITS)
 
     def _advance(self, now: float, lease: ShardLease) -> list[StoreCall]:
-        """Fences a shard, or notes that it was read whole."""
+        """Fences a shard, or checks whether it was read to its end."""
         match lease.state:
             case ShardState.FENCING:
                 return self._fence(now, lease)
@@ -241,7 +241,7 @@
         return []
 
     def _fence(self, now: float, lease: ShardLease) -> list[StoreCall]:
-        """Appends nothing under the new epoch, after which the store refuses lower ones."""
+        """Appends no records under the new epoch, after which the store refuses lower epochs."""
         if lease.call and now >= lease.call_at + CALL_LOST_SECONDS:
             lease.call = 0
         if lease.call or now < lease.retry_at:
@@ -270,7 +270,7 @@
                 lease.retry_at = now + RETRY_SECONDS
 
     def fence_again(self, now: float, shard: int) -> None:
-        """Takes a new epoch and reads the shard again, after a write that was refused."""
+        """Fences a shard under a new epoch and reads it again, after a refused write."""
         lease = self.leases.get(shard)
         if lease is None:
             return
--- a/src/troutswitch/decisions/jobs/progress_reports.py
+++ b/src/troutswitch/decisions/jobs/progress_reports.py
@@ -1,11 +1,11 @@
-"""Reports in the index how far the jobs of this daemon's shards are.
+"""Reports the progress of this daemon's jobs in the index.
 
-The index counts the tokens that wait, by which new jobs are accepted or refused; a job with none
-left is done. That a job is done is always reported. How far one is matters only where its route is
-crowded (`token_limits`).
+New jobs are accepted or refused by the queued tokens in the index; a job without any is done. The
+end of a job is always reported, its progress before that only if its route is crowded
+(`token_limits`).
 
-It owns the reports that are due or in flight, by shard. Reports carry no fence: the index keeps the
-lowest count, so a late report of a former owner changes nothing.
+It owns the reports that are due or in flight, by shard. Reports are not fenced: the index keeps the
+lowest count, so a late report of a former owner has no effect.
 """
 
 from collections.abc import Iterable
@@ -25,17 +25,17 @@
 from troutswitch.decisions.storage.read_attempts import CallNumbers
 
 MIN_REPORT_INTERVAL_SECONDS = 0.4
-"""Least interval between reports of a shard."""
+"""Minimum interval between reports of a shard."""
 REPORT_INTERVAL_LATENCIES = 20.0
-"""Least interval in latencies of the last report, so that reports never crowd a slow store: all
-shards share the index, and new jobs are accepted there."""
+"""Minimum interval as a multiple of the last report's latency, so that reports do not load a slow
+store: all shards share the index, and new jobs are accepted there."""
 MAX_LATENCY_INTERVAL_SECONDS = 2.0
-"""Longest interval that the latency may call for."""
+"""Upper bound of the interval that follows from the latency."""
 
 
 @dataclass(slots=True)
 class _ShardReports:
-    """Reports of one shard: of the jobs that changed, and those of the call in flight."""
+    """Jobs of one shard that changed since their last report, and those in the call in flight."""
 
     changed_jobs: set[str] = field(default_factory=set)
     jobs_in_flight: set[str] = field(default_factory=set)
@@ -56,15 +56,15 @@
         self._token_limits = token_limits
 
     def on_changed(self, shard: int, job_ids: Iterable[str]) -> None:
-        """Takes note of jobs of which results were listed, or may have been."""
+        """Records jobs of which results were, or may have been, listed."""
         self._shards.setdefault(shard, _ShardReports()).changed_jobs |= set(job_ids)
 
     def forget(self, shard: int) -> None:
-        """Forgets a shard that has another owner."""
+        """Drops the state of a shard that has another owner."""
         self._shards.pop(shard, None)
 
     def report(self, now: float, lease: ShardLease) -> list[StoreCall]:
-        """Reports a shard's jobs that changed, if a report is due."""
+        """Reports the changed jobs of a shard if a report is due."""
         reports = self._shards.setdefault(lease.shard, _ShardReports())
         if not reports.changed_jobs or reports.call or now < _next_report_at(reports):
             return []
@@ -78,23 +78,23 @@
         return [AppendRecords(reports.call, INDEX, tuple(records))]
 
     def _records(self, now: float, shard: int, reports: _ShardReports) -> list[KeyedRecord]:
-        """Returns the records of the jobs to be reported, and folds them in here."""
+        """Returns the records of the jobs to report, and applies them to this daemon's index."""
         records: list[KeyedRecord] = []
         for job_id in sorted(reports.changed_jobs):
-            left = self._remaining_tokens(shard, job_id)
-            if left is None or (left and not self._token_limits.is_crowded(job_id)):
+            remaining = self._remaining_tokens(shard, job_id)
+            if remaining is None or (remaining and not self._token_limits.is_crowded(job_id)):
                 continue
-            record = progress_record(job_id, left)
+            record = progress_record(job_id, remaining)
             self._replicas.index.apply(now, record)
             records.append(record)
             reports.jobs_in_flight.add(job_id)
         return records
 
     def _remaining_tokens(self, shard: int, job_id: str) -> int | None:
-        """Returns the tokens of a job's items that are not listed; None if not all are read.
+        """Returns the tokens of a job's unlisted items; None if not all its items are read.
 
-        A job that is reported as done is closed for good, so items that this replica has not read
-        yet must never count as done.
+        A report that a job is done is final, so items that this replica has not read yet must not
+        count as done.
         """
         manifest = self._replicas.index.jobs[job_id].manifest
         content = self._replicas.shard(shard).fold.content(job_id)
@@ -108,8 +108,8 @@
         return any(call == reports.call for reports in self._shards.values())
 
     def on_answer(self, now: float, call: int, outcome: StoreOutcome) -> None:
-        """Takes the outcome of a report; one that failed is made again."""
-        reports = next(sent for sent in self._shards.values() if sent.call == call)
+        """Handles the outcome of a report; a failed one is repeated."""
+        reports = next(r for r in self._shards.values() if r.call == call)
         reports.call = 0
         reports.latency = now - reports.sent_at
         if not isinstance(outcome, Appended):
--- a/src/troutswitch/decisions/jobs/ranking.py
+++ b/src/troutswitch/decisions/jobs/ranking.py
@@ -1,7 +1,6 @@
 """Ranks the items that a daemon has to finish: which start first, and which stop first.
 
-It owns the ranks of the last round and the run time estimate. The order itself is a policy, see
-`order`.
+It owns the ranks of the last round and the run time estimate. The order is a policy, see `order`.
 """
 
 from collections.abc import Iterable
@@ -20,11 +19,11 @@
 from troutswitch.decisions.jobs.run_time_estimate import RunTimeEstimate
 
 UNRANKED = ItemRank(True, float("inf"))
-"""Rank of an item that became known after the last round."""
+"""Rank of an item that was added after the last round."""
 
 
 class ItemRanking:
-    """Ranks of a daemon's items, worked out anew in each round of dispatching."""
+    """Ranks of a daemon's items, computed in each round of dispatching."""
 
     def __init__(self, routes: RouteTable, index: JobIndex, order: ItemOrder) -> None:
         self.run_times = RunTimeEstimate()
@@ -34,7 +33,7 @@
         self._ranks: dict[ItemKey, ItemRank] = {}
 
     def rank(self, now: float, items: Iterable[ItemProgress], capacity: BatchCapacity) -> None:
-        """Ranks all items anew."""
+        """Computes the ranks of all items."""
         self._ranks = self._order.rank(now, [self._forecast(item) for item in items], capacity)
 
     def _forecast(self, progress: ItemProgress) -> ItemForecast:
@@ -46,19 +45,19 @@
         return self._ranks.get(progress.key, UNRANKED)
 
     def is_late(self, progress: ItemProgress) -> bool:
-        """Returns whether the item will miss its latency target, by the last round."""
+        """Returns whether the item will miss its completion target, as of the last round."""
         return self._rank(progress).is_late
 
     def is_overdue(self, now: float, progress: ItemProgress) -> bool:
-        """Returns whether the item's job was due before now."""
+        """Returns whether the item's job is past its due time."""
         entry = self._index.jobs.get(progress.job_id)
         return entry is not None and now > due_at(self._routes, entry)
 
     def most_urgent_first(self, items: Iterable[ItemProgress]) -> list[ItemProgress]:
-        """Orders items by rank."""
+        """Returns the items in order of rank."""
         return sorted(items, key=self._rank)
 
     def least_urgent(self, items: Iterable[ItemProgress], count: int) -> list[ItemProgress]:
-        """Returns the items that lose least by being stopped, at most `count`."""
+        """Returns the `count` items with the highest ranks, or all if there are fewer."""
         ordered = self.most_urgent_first(items)
         return ordered[len(ordered) - min(count, len(ordered)) :]
--- a/src/troutswitch/decisions/jobs/reads.py
+++ b/src/troutswitch/decisions/jobs/reads.py
@@ -1,8 +1,7 @@
-"""Answers clients' calls about jobs: results, bodies and ends, at any daemon.
+"""Answers clients' calls about jobs, at any daemon: requests for results, bodies and ends of jobs.
 
-A replica may lag. So before a client is told that there is no such job, result or item, the index
-or the shard is read to its end. Where the store cannot be read, the call is refused with a time to
-retry after.
+A replica may lag. So the index or the shard is read to its end before a client is told that a job,
+result or item does not exist. If the store cannot be read, the call is refused with a Retry-After.
 
 It owns the calls in progress on this daemon.
 """
@@ -33,25 +32,25 @@
 from troutswitch.decisions.storage.read_attempts import CallNumbers
 
 MAX_RESULT_BYTES = 900_000
-"""Bytes of texts in one answer, below the platform's limit of 1 MB."""
+"""Maximum bytes of result texts in one answer, below the platform's limit of 1 MB."""
 RETRY_AFTER_SECONDS = 0.3
-"""Retry-After where the store could not be read."""
+"""Retry-After if the store could not be read."""
 END_RETRY_SECONDS = 0.15
-"""Pause after an append of a job's end that failed."""
+"""Pause after a failed append of a job's end."""
 ANSWER_RESERVE_SECONDS = 0.2
-"""Part of a client's timeout that is left for its answer."""
+"""Part of a client's timeout that is reserved for sending the answer."""
 MAX_CALL_SECONDS = 2.0
-"""Longest time for which a call waits for the store."""
+"""Maximum time for which a call waits for the store."""
 
 JobCall = ResultsRequested | BodyRequested | JobEndRequested
-"""A client's call about a job that exists."""
+"""A client's call about a submitted job."""
 
 
 @dataclass(slots=True)
 class PendingCall:
     """A call that waits for the store. Times are seconds on this process's clock.
 
-    `append_call` is the store call in flight that ends a job, or 0.
+    `append_call` is the store call in flight that appends the end of a job, or 0.
     """
 
     event: JobCall
@@ -61,7 +60,7 @@
 
 
 class JobReads:
-    """Calls about jobs in progress on this daemon."""
+    """Clients' calls about jobs that are in progress on this daemon."""
 
     def __init__(
         self,
@@ -77,9 +76,9 @@
         self._log = log
 
     def on_call(self, now: float, event: JobCall) -> list[StoreCall]:
-        """Begins a call about a job."""
-        left = min(max(0.0, event.time_left - ANSWER_RESERVE_SECONDS), MAX_CALL_SECONDS)
-        self._pending[event.token] = PendingCall(event, now + left)
+        """Starts handling a call about a job."""
+        timeout = min(max(0.0, event.time_left - ANSWER_RESERVE_SECONDS), MAX_CALL_SECONDS)
+        self._pending[event.token] = PendingCall(event, now + timeout)
         if event.job_id in self._replicas.index.jobs:
             return self._serve(event.token)
         self._replicas.index_refresher.refresh(
@@ -88,7 +87,7 @@
         return []
 
     def _entry_of(self, event: JobCall) -> JobEntry | None:
-        """Returns the job of a call; None if there is none, or it is another tenant's."""
+        """Returns the job of a call; None if there is none or it belongs to another tenant."""
         entry = self._replicas.index.jobs.get(event.job_id)
         return entry if entry is not None and entry.manifest.tenant == event.tenant else None
 
@@ -97,7 +96,7 @@
         if call is None:
             return
         if self._entry_of(call.event) is not None:
-            call.retry_at = now  # goes on in `on_timer`, which can make store calls
+            call.retry_at = now  # continues in `on_timer`, which can make store calls
         elif succeeded:
             self._finish(token, JobRefused(404, "no such job"))
         else:
@@ -176,11 +175,11 @@
         return [AppendRecords(call.append_call, INDEX, (end_record(call.event.job_id),))]
 
     def owns(self, number: int) -> bool:
-        """Returns whether a store call is of the end of a job."""
+        """Returns whether a store call appends the end of a job."""
         return any(call.append_call == number for call in self._pending.values())
 
     def on_answer(self, now: float, number: int, outcome: StoreOutcome) -> list[StoreCall]:
-        """Takes the outcome of an end's append, which is repeated until it is acknowledged."""
+        """Handles the outcome of the append of a job's end, which is retried until acknowledged."""
         call = next(call for call in self._pending.values() if call.append_call == number)
         call.append_call = 0
         if not isinstance(outcome, Appended):
@@ -203,7 +202,7 @@
         )
 
     def on_timer(self, now: float) -> list[StoreCall]:
-        """Goes on with calls that wait, and ends what has run out of time."""
+        """Continues waiting calls, and refuses expired ones."""
         calls: list[StoreCall] = []
         for token, call in list(self._pending.items()):
             if now >= call.expires_at:
--- a/src/troutswitch/decisions/jobs/records.py
+++ b/src/troutswitch/decisions/jobs/records.py
@@ -1,24 +1,24 @@
 """Records of batch jobs in the store, their keys and their encoding.
 
-The index partition says which jobs there are:
+The index partition lists all jobs:
 
-    j:JOB           manifest, written at the expected end of the partition
-    e:JOB           the job was ended by its client
-    p:JOB           tokens of the job's items that are not listed yet; anybody may write it, and
-                    the lowest count holds
+    j:JOB                manifest, appended at the expected end of the partition
+    e:JOB                mark that the client ended the job
+    p:JOB                tokens of the job's items that are not listed yet; not fenced, the lowest
+                         count applies
 
 A shard partition holds the content of its jobs:
 
-    b:JOB:CHUNK     items of the job, in order
-    r:JOB:POSITION  one result; written only by the shard's fenced owner
-    x:JOB:POSITION:PART  the rest of a result's text that does not fit its record
-    c:JOB:ITEM:PART a part of an item's output that is not whole yet; written likewise,
-                    so that a successor resumes after it instead of running the item anew
-    f:JOB:ITEM      how many runs of an item failed; written likewise, so that all owners
-                    together keep the bound on them
+    b:JOB:CHUNK          items of the job, in order
+    r:JOB:POSITION       one result
+    x:JOB:POSITION:PART  continuation of a result's text that does not fit its record
+    c:JOB:ITEM:PART      part of an item's incomplete output, after which a successor resumes
+                         instead of restarting the item
+    f:JOB:ITEM           number of failed runs of an item, which bounds them over all owners
 
-Values are CBOR arrays that begin with the schema's version; an empty value removes its key. This
-module owns no state.
+Only the fenced owner of a shard writes results, continuations, parts and failed runs. Values are
+CBOR arrays that start with the schema's version; an empty value removes its key. This module owns
+no state.
 """
 
 from dataclasses import dataclass
@@ -46,18 +46,18 @@
 """Bytes kept free in a record for its key and the arrays around the items."""
 
 DONE = "done"
-"""State of a result with the item's whole output."""
+"""State of a result with the item's complete output."""
 DEAD = "dead"
 """State of a result of a dead-lettered item."""
 
 
 class RecordError(ValueError):
-    """A record that is malformed, of another version, or larger than the store takes."""
+    """A record that is malformed, of another version, or larger than the store accepts."""
 
 
 @dataclass(frozen=True, slots=True)
 class StoreLimits:
-    """Limits of the store: bytes a record and a call, and the number of shards."""
+    """Limits of the store: bytes of a record and of a call, and the number of shards."""
 
     record_bytes: int
     call_bytes: int
@@ -66,12 +66,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Manifest:
-    """What a job consists of; it never changes once the job is accepted.
+    """Description of a job; immutable once the job is accepted.
 
-    `host` is the one that the job was sent to, by which its items find their route. `digest` is
-    that of its items. `tenant` names the tenant whose job it is, empty if none is known.
-    `submitted_at` is the time of day, in seconds since the epoch, at the daemon that took the
-    job; 0 if it is not known. Clocks differ: it may order work, never end it.
+    `host` is the host to which the job was sent, and selects the route of its items. `digest` is
+    the digest of its items. `tenant` names the tenant that submitted it, empty if unknown.
+    `submitted_at` is the time of day, in seconds since the epoch, at the daemon that accepted the
+    job; 0 if unknown. Since clocks differ, it may order work but must not end it.
     """
 
     job_id: str
@@ -87,7 +87,7 @@
 
 @dataclass(frozen=True, slots=True)
 class JobItem:
-    """One item of a job, as it is sent to an engine; `tokens` estimates its size."""
+    """One item of a job as it is sent to an engine; `tokens` is its estimated size."""
 
     item_id: str
     path: str
@@ -98,7 +98,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ItemResult:
-    """A listed result. `state` is `DONE` or `DEAD`; `text` is the whole output."""
+    """A listed result. `state` is `DONE` or `DEAD`; `text` is the complete output."""
 
     item_id: str
     state: str
@@ -115,7 +115,7 @@
 
 
 def shard_of(job_id: str, shards: int) -> int:
-    """Returns the shard that keeps a job."""
+    """Returns the shard that stores a job."""
     return stable_hash("job", job_id) % shards
 
 
@@ -125,7 +125,7 @@
 
 
 def split_key(key: str) -> tuple[str, str, int]:
-    """Returns kind, job and number of a key; the number is -1 where there is none."""
+    """Returns kind, job and number of a key; the number is -1 if the key has none."""
     kind, _, rest = key.partition(":")
     if kind not in (CHUNK, RESULT, FAILURES):
         return kind, rest, -1
@@ -162,7 +162,7 @@
 
 
 def end_record(job_id: str) -> KeyedRecord:
-    """Encodes the mark that a job was ended."""
+    """Encodes the mark that a client ended a job."""
     return KeyedRecord(f"{END_MARK}:{job_id}", cbor2.dumps([SCHEMA_VERSION]))
 
 
@@ -184,20 +184,20 @@
 def chunk_records(
     job_id: str, items: tuple[JobItem, ...], record_bytes: int
 ) -> tuple[KeyedRecord, ...]:
-    """Packs items into as few records as fit.
+    """Packs items, in order, into records up to the store's limit.
 
     Raises:
         RecordError: an item is larger than a record.
     """
-    most = record_bytes - RECORD_OVERHEAD_BYTES
+    max_bytes = record_bytes - RECORD_OVERHEAD_BYTES
     chunks: list[list[list[object]]] = [[]]
     used = 0
     for item in items:
         row = [item.item_id, item.path, dict(item.headers), item.body, item.tokens]
         size = len(cbor2.dumps(row))
-        if size > most:
-            raise RecordError(f"item {item.item_id} takes {size} bytes, a record holds {most}")
-        if used + size > most:
+        if size > max_bytes:
+            raise RecordError(f"item {item.item_id} takes {size} bytes, a record holds {max_bytes}")
+        if used + size > max_bytes:
             chunks.append([])
             used = 0
         chunks[-1].append(row)
@@ -223,7 +223,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ResultHead:
-    """A result's own record: the first piece of its text, and how many records have the rest."""
+    """Head record of a result: the first piece of its text, and the number of continuations."""
 
     item_id: str
     state: str
@@ -231,7 +231,7 @@
     continuation_count: int
 
     def assemble(self, continuations: dict[int, bytes]) -> ItemResult | None:
-        """Returns the result with its whole text; None while a piece is missing."""
+        """Returns the result with its complete text; None if a continuation is missing."""
         if any(part not in continuations for part in range(self.continuation_count)):
             return None
         text = self.piece + b"".join(continuations[part] for part in range(self.continuation_count))
@@ -241,10 +241,10 @@
 def result_records(
     job_id: str, position: int, result: ItemResult, record_bytes: int
 ) -> tuple[KeyedRecord, ...]:
-    """Encodes a result at its position; the records with the rest of its text come first."""
-    most = record_bytes - RECORD_OVERHEAD_BYTES
+    """Encodes a result at its position; the continuations come before the head record."""
+    max_bytes = record_bytes - RECORD_OVERHEAD_BYTES
     text = result.text.encode("utf-8", errors="surrogateescape")
-    pieces = [text[start : start + most] for start in range(0, len(text), most)] or [b""]
+    pieces = [text[start : start + max_bytes] for start in range(0, len(text), max_bytes)] or [b""]
     head = [SCHEMA_VERSION, result.item_id, result.state, pieces[0], len(pieces) - 1]
     continuations = [
         KeyedRecord(
@@ -257,7 +257,7 @@
 
 
 def read_result_head(value: bytes) -> ResultHead:
-    """Decodes a result's own record.
+    """Decodes the head record of a result.
 
     Raises:
         RecordError: the record is malformed or of another version.
@@ -267,7 +267,7 @@
 
 
 def read_continuation(value: bytes) -> bytes:
-    """Decodes a further piece of a result's text.
+    """Decodes a continuation of a result's text.
 
     Raises:
         RecordError: the record is malformed or of another version.
@@ -277,18 +277,18 @@
 
 
 def checkpoint_record(job_id: str, item: int, part: int, output: OutputPart) -> KeyedRecord:
-    """Encodes a part of an item's output; `item` is the item's number in its job."""
+    """Encodes a part of an item's output; `item` is the item's index in its job."""
     value = [SCHEMA_VERSION, output.after, output.position, output.text]
     return KeyedRecord(f"{CHECKPOINT}:{job_id}:{item:05d}:{part:05d}", cbor2.dumps(value))
 
 
 def failures_record(job_id: str, item: int, count: int) -> KeyedRecord:
-    """Encodes how many runs of an item failed; `item` is the item's number in its job."""
+    """Encodes the number of failed runs of an item; `item` is the item's index in its job."""
     return KeyedRecord(f"{FAILURES}:{job_id}:{item:05d}", cbor2.dumps([SCHEMA_VERSION, count]))
 
 
 def read_failures(value: bytes) -> int:
-    """Decodes how many runs of an item failed.
+    """Decodes the number of failed runs of an item.
 
     Raises:
         RecordError: the record is malformed or of another version.
@@ -298,10 +298,10 @@
 
 
 def split_part_key(key: str) -> tuple[str, int, int]:
-    """Returns job, number and part of a key: of a checkpoint or of the rest of a result.
+    """Returns job, number and part of the key of a checkpoint or of a result's continuation.
 
     Raises:
-        RecordError: the key has another form.
+        RecordError: the key is malformed.
     """
     fields = key.partition(":")[2].rsplit(":", 2)
     if len(fields) != 3 or not (fields[1].isdigit() and fields[2].isdigit()):
--- a/src/troutswitch/decisions/jobs/replicas.py
+++ b/src/troutswitch/decisions/jobs/replicas.py
@@ -1,7 +1,7 @@
-"""This daemon's replicas of the index and of the shards that it needs.
+"""This daemon's replicas of the index and of the shards that it uses.
 
 It owns the followers and folds of all job records, and the offset between this process's clock
-and the time of day. The index is followed all the time; a shard is read when a part needs it.
+and the time of day. The index is followed continuously; a shard is read on demand.
 """
 
 import random
@@ -17,15 +17,15 @@
 from troutswitch.decisions.storage.refresh import Refresher
 
 INDEX_LONG_POLL_SECONDS = 1.0
-"""Time for which a read of the index waits at the store. The index shows the ends of jobs, so a
-lost answer must be noticed well before a job has to have stopped."""
+"""Time for which a read of the index waits at the store for new records. Jobs are ended through the
+index, so a lost answer must be detected well before the items of an ended job must stop."""
 MIN_INDEX_READ_INTERVAL_SECONDS = 0.25
-"""Least interval between reads of the index, which bounds the calls under many jobs."""
+"""Minimum interval between reads of the index, which bounds the calls when many jobs change."""
 
 
 @dataclass(slots=True)
 class ShardReplica:
-    """One shard as this daemon has read it; it reads on only on demand."""
+    """This daemon's replica of one shard, which is read only on demand."""
 
     fold: ShardFold
     follower: PartitionFollower
@@ -39,7 +39,7 @@
         self.index = JobIndex()
         self.shards: dict[int, ShardReplica] = {}
         self.clock_offset = 0.0
-        """Seconds by which the time of day is ahead of this process's clock; 0 if not known."""
+        """Seconds by which the time of day is ahead of this process's clock; 0 if unknown."""
         self._numbers = numbers
         self._rng = rng
         self._now = float("-inf")
@@ -54,16 +54,16 @@
         self.index_refresher = Refresher(self.index_follower, numbers)
 
     def _apply_index_record(self, record: KeyedRecord) -> None:
-        """Takes a record; those of the first reading may be old, those after it are new."""
+        """Applies a record of the index. Records may be old until the first read is complete."""
         is_old = not self.index_follower.is_current
         self.index.apply(self._now, record, self.time_of_day(self._now) if is_old else 0.0)
 
     def time_of_day(self, now: float) -> float:
-        """Returns the seconds since the epoch, or 0 if the offset is not known yet."""
+        """Returns the time of day in seconds since the epoch, or 0 if the offset is unknown."""
         return now + self.clock_offset if self.clock_offset else 0.0
 
     def shard(self, number: int) -> ShardReplica:
-        """Returns the replica of a shard, which begins to read when it is first needed."""
+        """Returns the replica of a shard; creates it on first use."""
         replica = self.shards.get(number)
         if replica is None:
             replica = self.shards[number] = self._new_shard(number)
@@ -95,7 +95,7 @@
         )
 
     def on_timer(self, now: float) -> list[StoreCall]:
-        """Makes the calls that are due."""
+        """Returns the store calls that are due."""
         self._now = now
         calls: list[StoreCall] = []
         for follower, refresher in list(self._readers()):
@@ -104,7 +104,7 @@
         return calls
 
     def on_answer(self, now: float, call: int, outcome: StoreOutcome) -> list[StoreCall]:
-        """Takes an outcome; that of a call that nobody waits for any more is ignored."""
+        """Handles the outcome of a read; ignores outcomes of unknown calls."""
         self._now = now
         for follower, refresher in list(self._readers()):
             if follower.owns(call):
--- a/src/troutswitch/decisions/jobs/retention.py
+++ b/src/troutswitch/decisions/jobs/retention.py
@@ -1,7 +1,7 @@
 """Rule: when are the records of a job removed from the store?
 
-Inputs: the age of a job since this daemon first read of it, and how long the index has not known a
-job of which a shard has content; both in seconds. Nothing is removed unless the index was read to
+Inputs: the time since this daemon first read a job's manifest, and how long the index has not known
+a job of which a shard has content; both in seconds. Nothing is removed unless the index was read to
 its end in the last `MAX_INDEX_AGE_SECONDS`.
 
 The rule: the index records of a job that is done or ended are removed `RETENTION_MARGIN_SECONDS`
@@ -12,7 +12,7 @@
 Why: otherwise the store fills up. Removals are not fenced. Repeating one is harmless, since a job
 is removed only long after its client may last read it.
 
-It owns the removal in flight, and since when each job has been unknown.
+It owns the removal in flight, and the time since which each orphaned job has been unknown.
 """
 
 from collections.abc import Callable
@@ -44,22 +44,22 @@
 from troutswitch.decisions.storage.read_attempts import CallNumbers
 
 CHECK_INTERVAL_SECONDS = 5.0
-"""Interval between checks for what is to be removed."""
+"""Interval between checks for records to remove."""
 RETENTION_MARGIN_SECONDS = 30.0
-"""Time for which a job is kept after its client may read it for the last time."""
+"""Time for which a job is kept after its client may last read it."""
 MIN_ORPHAN_AGE_SECONDS = 60.0
-"""Time for which the index must not know a job before its content is removed; well above the time
-that a submission, or an append without an answer, may take."""
+"""Time for which a job must be unknown to the index before its content is removed; well above the
+duration of a submission or of an append without an answer."""
 MAX_INDEX_AGE_SECONDS = 3.0
-"""Age up to which the index counts as read to its end."""
+"""Maximum time since the index was last read to its end."""
 MAX_RECORDS_PER_CALL = 200
-"""Most records that are removed in one store call."""
+"""Maximum number of records that one store call removes."""
 INDEX_KINDS = (MANIFEST, END_MARK, PROGRESS)
 """Kinds of the records that a job may have in the index."""
 
 
 class JobRetention:
-    """Removals of one daemon, for the shards that it owns."""
+    """Removes the records of jobs in the shards that this daemon owns."""
 
     def __init__(
         self,
@@ -84,7 +84,7 @@
         return self._check_at if self._ownership.leases else float("inf")
 
     def on_timer(self, now: float) -> list[StoreCall]:
-        """Removes what has expired, a call at a time."""
+        """Removes expired records, with one store call at a time."""
         if now < self._check_at:
             return []
         self._check_at = now + CHECK_INTERVAL_SECONDS
@@ -142,7 +142,7 @@
         return call == self._call != 0
 
     def on_answer(self, now: float, outcome: StoreOutcome) -> None:
-        """Takes the outcome of a removal; one that failed is made again at the next check."""
+        """Handles the outcome of a removal; a failed one is repeated at the next check."""
         self._call = 0
         if not isinstance(outcome, Appended) or self._removing is None:
             return
--- a/src/troutswitch/decisions/jobs/run_ends.py
+++ b/src/troutswitch/decisions/jobs/run_ends.py
@@ -1,6 +1,6 @@
-"""What the end of an item's run means: for the item, the record of crashes and the estimates.
+"""Effects of the end of an item's run on the item, the record of crashes and the estimates.
 
-It owns no state; it passes each end on to the parts that it concerns.
+It owns no state; it passes each end on to the parts that handle it.
 """
 
 from troutswitch.decisions.jobs.item_parts import ItemParts
@@ -9,11 +9,11 @@
 from troutswitch.outcomes import AttemptOutcome
 
 CONNECTION_LOST_STATUSES = (0, 200)
-"""Statuses of a run whose connection broke off: before the response, or within its stream."""
+"""Statuses of a run whose connection was lost: before the response, or during its stream."""
 
 
 class RunEnds:
-    """Takes the ends of runs."""
+    """Handles the ends of runs."""
 
     def __init__(self, parts: ItemParts) -> None:
         self._runs = parts.runs
@@ -23,7 +23,7 @@
         self._ranking = parts.ranking
 
     def on_run_ended(self, now: float, event: ItemRunEnded) -> bool:
-        """Takes the end of a run; returns False if the run is unknown."""
+        """Handles the end of a run; returns False if the run is unknown."""
         run = self._runs.end(now, event)
         if run is None:
             return False
--- a/src/troutswitch/decisions/jobs/run_stops.py
+++ b/src/troutswitch/decisions/jobs/run_stops.py
@@ -4,12 +4,12 @@
 engine, from the counts that `batch_capacity` describes; the ranks of the last round.
 
 The rule: runs stop that are no longer wanted (the job was ended, the shard has another owner, the
-daemon drains) or that crashes forbid. Where items stand in the way of online requests, the least
-urgent ones stop: as many as the engine's coordinator says, or where there is none, as many as the
-capacity policy counts too many. One stops at once when an online request of this daemon needs a
-slot.
+daemon drains) or that crashes forbid. Where items occupy slots that online requests need, the least
+urgent items stop: as many as the engine's coordinator requests or, without a coordinator, as the
+capacity policy counts as surplus. One stops immediately when an online request of this daemon needs
+its slot.
 
-Why: engines know no priorities, so an item gives its slot back only by being stopped. It goes on
+Why: engines have no priorities, so an item releases its slot only if it is stopped. It resumes
 later after its last whole event. Measured in docs/POLICY.md, "Rounds" (1).
 """
 
@@ -34,7 +34,7 @@
         self._slots = dependencies.slots
 
     def stop_unwanted(self, now: float, *, is_draining: bool) -> list[StopItem]:
-        """Stops the runs that are not wanted or refused, and drops items that are not wanted."""
+        """Stops unwanted and refused runs, and drops unwanted items that have no run."""
         stops: list[StopItem] = []
         for number, run in self._runs.by_number.items():
             is_refused = self._refusals.forbids_run(run.progress)
@@ -47,7 +47,7 @@
         return stops
 
     def yield_slots(self, now: float) -> list[StopItem]:
-        """Stops items that stand in the way of online requests, where no coordinator says so."""
+        """Stops items whose slots online requests need, at engines without a coordinator."""
         stops: list[StopItem] = []
         runs = self._runs.by_number.values()
         for engine_id in {run.engine_id for run in runs if not run.is_stopped}:
@@ -58,7 +58,7 @@
         return stops
 
     def stop_least_urgent(self, now: float, engine_id: str, count: int) -> list[StopItem]:
-        """Stops the least urgent items at an engine, at most `count`."""
+        """Stops at most `count` items at an engine, the least urgent first."""
         running = [
             run.progress
             for run in self._runs.by_number.values()
--- a/src/troutswitch/decisions/jobs/run_time_estimate.py
+++ b/src/troutswitch/decisions/jobs/run_time_estimate.py
@@ -1,14 +1,14 @@
-"""Rule: how long will a batch item still run?
+"""Rule: what is the remaining run time of a batch item?
 
-Inputs: the runs that finished on this daemon (seconds, events, and for items that met their target
-the part of the time since their first start in which they ran); before the first one, what another
-daemon had learnt, from the peer registry.
+Inputs: the finished runs on this daemon (seconds, events, and for items that met their target the
+share of the time since their first start in which they ran); before the first finished run, the
+estimates of another daemon, from the peer registry.
 
-The rule: exponential moving averages of the seconds an event takes and of the events an item has;
-what is left is the product of the events not made yet and the seconds of one.
+The rule: exponential moving averages of the seconds per event and of the events per item. The
+remaining time is the expected number of remaining events multiplied by the seconds per event.
 
-Why: the order of items needs to know which can still meet their targets. The clients' own
-estimates of an item's output are too far off to help. Measured in docs/POLICY.md, "Rounds" (10
+Why: the order of items depends on which can still meet their targets. The clients' own estimates of
+an item's output are too inaccurate. Measured in docs/POLICY.md, "Rounds" (10
 and 11).
 """
 
@@ -19,15 +19,15 @@
 WEIGHT_OF_NEW = 0.2
 """Weight of the newest run in the moving averages."""
 MIN_DUTY = 0.5
-"""Least value of `duty`, whatever the runs show."""
+"""Lower bound of `duty`."""
 
 
 class RunTimeEstimate:
-    """Moving averages of what finished runs show.
+    """Moving averages over finished runs.
 
     `event_seconds` is the time between events, `item_events` the number of events of an item, and
-    `duty` the part of the time since its first start in which an item ran, from 0 to 1. Before
-    the first whole run the first two are 0, by which every item can meet its target.
+    `duty` the share of the time since its first start in which an item ran, from 0 to 1. Until the
+    first completed run the first two are 0, so that every item counts as able to meet its target.
     """
 
     def __init__(self) -> None:
@@ -36,25 +36,30 @@
         self.duty = 1.0
 
     def on_completed(self, seconds: float, events: int, item_events: int) -> None:
-        """Takes a run that ended with the item's whole output.
+        """Adds a run that completed its item's output.
 
         Args:
-            seconds: how long the run took.
-            events: the events that this run made.
-            item_events: the events of the whole item, with those of earlier runs.
+            seconds: duration of the run.
+            events: number of events from this run.
+            item_events: number of events of the whole item, including earlier runs.
         """
         if events > 0:
             self.event_seconds = moving_average(self.event_seconds, seconds / events, WEIGHT_OF_NEW)
         self.item_events = moving_average(self.item_events, item_events, WEIGHT_OF_NEW)
 
-    def on_item_done(self, ran: float, since_start: float) -> None:
-        """Takes an item that met its target: the seconds it ran, of those since its first start."""
+    def on_item_done(self, run_seconds: float, since_start: float) -> None:
+        """Adds an item that met its target.
+
+        Args:
+            run_seconds: total duration of its runs.
+            since_start: seconds since its first start.
+        """
         if since_start > 0:
-            part = min(1.0, max(MIN_DUTY, ran / since_start))
-            self.duty = moving_average(self.duty, part, WEIGHT_OF_NEW)
+            duty = min(1.0, max(MIN_DUTY, run_seconds / since_start))
+            self.duty = moving_average(self.duty, duty, WEIGHT_OF_NEW)
 
     def learnt(self) -> BatchRunTimes | None:
-        """Returns what a daemon that starts may begin with; None before the first whole run."""
+        """Returns the estimates for daemons that start; None before the first completed run."""
         if self.event_seconds == 0.0 or self.item_events == 0.0:
             return None
         return BatchRunTimes(
@@ -62,13 +67,13 @@
         )
 
     def begin_with(self, learnt: BatchRunTimes) -> None:
-        """Takes what another daemon learnt, if nothing was learnt here."""
+        """Adopts the estimates of another daemon, if there are none here."""
         if self.event_seconds == 0.0:
             self.event_seconds = learnt.event_microseconds / 1e6
             self.item_events = float(learnt.item_events)
             self.duty = min(1.0, max(MIN_DUTY, learnt.duty_percent / 100))
 
     def remaining_seconds(self, progress: ItemProgress) -> float:
-        """Returns how many seconds an item will probably still run."""
+        """Returns the estimated remaining run time of an item, in seconds."""
         events_left = max(0.0, self.item_events - progress.event_count)
         return events_left * self.event_seconds
--- a/src/troutswitch/decisions/jobs/runs.py
+++ b/src/troutswitch/decisions/jobs/runs.py
@@ -1,7 +1,7 @@
-"""The runs of batch items that this daemon has in flight at engines.
+"""Runs of batch items that this daemon has in flight at engines.
 
-It owns the runs by number, and accounts for them in the engine registry: what each engine has in
-flight, its load reports, and whether it rejects, fails or drains.
+It owns the runs by number, and updates the engine registry from them: the runs in flight at each
+engine, its load reports, and whether it rejects, fails or drains.
 """
 
 import itertools
@@ -25,19 +25,19 @@
 from troutswitch.outcomes import AttemptOutcome
 
 FIRST_EVENT_TIMEOUT_SECONDS = 5.0
-"""Longest wait for the first bytes of an engine's response."""
+"""Longest wait for data of an engine's response up to its first event."""
 EVENT_TIMEOUT_SECONDS = 1.5
-"""Longest wait for each further event."""
+"""Longest wait for data after the first event."""
 FULL_EXCLUSION_SECONDS = 0.2
-"""Time for which an engine that rejected an item as full gets no more items."""
+"""Time for which an engine that rejected an item as full receives no further items."""
 
 
 @dataclass(slots=True)
 class ItemRun:
     """One run of an item at an engine.
 
-    `events_before` counts the events of the item's output that earlier runs made. `is_begun` is
-    set once the engine has read the prompt, `is_stopped` once this daemon has stopped the run.
+    `events_before` is the number of output events from earlier runs. `is_begun` is set once the
+    engine has read the prompt, `is_stopped` once this daemon has stopped the run.
     """
 
     progress: ItemProgress
@@ -65,7 +65,7 @@
     def start(
         self, now: float, progress: ItemProgress, manifest: Manifest, engine: Engine
     ) -> RunItem:
-        """Starts a run of an item that has none."""
+        """Starts a run of an item that has no run in flight."""
         ensure(not progress.run, "an item runs twice at once")
         number = next(self._numbers)
         progress.run = number
@@ -102,20 +102,20 @@
         )
 
     def on_begun(self, event: ItemBegun) -> None:
-        """The engine has read a run's prompt."""
+        """Records that the engine has read a run's prompt."""
         run = self.by_number.get(event.run)
         if run is not None and not run.is_begun and not run.is_stopped:
             run.is_begun = True
             self._engines.on_first_token(run.engine_id, run.size)
 
     def on_progressed(self, event: ItemProgressed) -> None:
-        """Takes the next events of a run's output."""
+        """Adds the next events of a run's output."""
         run = self.by_number.get(event.run)
         if run is not None:
-            run.progress.add(event.events)
+            run.progress.add_events(event.events)
 
     def stop(self, now: float, number: int) -> StopItem:
-        """Stops a run, whose slot counts as free from now on."""
+        """Stops a run; its slot counts as free immediately."""
         run = self.by_number[number]
         ensure(not run.is_stopped, "a run is stopped twice")
         run.is_stopped = True
@@ -123,14 +123,14 @@
         return StopItem(number)
 
     def end(self, now: float, event: ItemRunEnded) -> ItemRun | None:
-        """Takes the end of a run; returns the run, or None if it is unknown."""
+        """Handles the end of a run; returns the run, or None if it is unknown."""
         run = self.by_number.pop(event.run, None)
         if run is None:
             return None
         run.progress.run = 0
         run.progress.run_seconds += now - run.started_at
-        self._account(now, run, event)
-        run.progress.add(event.events)
+        self._update_engine(now, run, event)
+        run.progress.add_events(event.events)
         self._log(
             "item run ended",
             job_id=run.progress.job_id,
@@ -144,8 +144,8 @@
         )
         return run
 
-    def _account(self, now: float, run: ItemRun, event: ItemRunEnded) -> None:
-        """Notes in the engine registry what the end of a run shows of its engine."""
+    def _update_engine(self, now: float, run: ItemRun, event: ItemRunEnded) -> None:
+        """Updates the engine registry from the end of a run."""
         if not run.is_stopped:
             is_broken = event.kind in (AttemptOutcome.CUT, AttemptOutcome.UNREACHABLE)
             failed = is_broken and event.status == 0
--- a/src/troutswitch/decisions/jobs/shard.py
+++ b/src/troutswitch/decisions/jobs/shard.py
@@ -1,7 +1,7 @@
-"""The content of one shard's jobs: a fold over the shard's partition.
+"""Content of one shard's jobs: a fold over the shard's partition.
 
 It owns the items, results, saved output and counts of failed runs of each job, as far as the
-partition was read.
+partition is read.
 """
 
 import itertools
@@ -34,13 +34,13 @@
     """Content of one job.
 
     Attributes:
-        chunks: items, by the number of their record.
-        results: results whose whole text was read, by position.
-        heads: the results' own records, by position.
-        continuations: further pieces of results' texts, by position and part.
+        chunks: items, by the number of their chunk.
+        results: results whose complete text is read, by position.
+        heads: head records of results, by position.
+        continuations: continuations of results' texts, by position and part.
         listed: ids of the items that have a result.
-        parts: saved output, by the item's number and part.
-        failures: failed runs, by the item's number.
+        parts: saved output, by item index and part.
+        failures: number of failed runs, by item index.
     """
 
     chunks: dict[int, tuple[JobItem, ...]] = field(default_factory=dict)
@@ -52,19 +52,19 @@
     failures: dict[int, int] = field(default_factory=dict)
 
     def items(self) -> list[JobItem]:
-        """Returns the items in order, up to the first chunk that was not read yet.
+        """Returns the items in order, up to the first chunk that is not read yet.
 
-        An item's index among them is its number, by which its saved output is found.
+        Their indices in this list are the keys of `parts` and `failures`.
         """
         numbers = itertools.takewhile(lambda number: number in self.chunks, itertools.count())
         return [item for number in numbers for item in self.chunks[number]]
 
     def item(self, item_id: str) -> JobItem | None:
-        """Returns the item of an id."""
+        """Returns the item with an id; None if it is not read yet."""
         return next((item for item in self.items() if item.item_id == item_id), None)
 
     def saved_output(self, item: int) -> list[OutputPart]:
-        """Returns the parts of an item's output that follow one another from the start."""
+        """Returns the parts of an item's saved output, in order, up to the first gap."""
         parts = self.parts.get(item, {})
         chain: list[OutputPart] = []
         position = ""
@@ -75,17 +75,17 @@
 
     @property
     def next_position(self) -> int:
-        """Position of the next result."""
+        """Position at which the next result is listed."""
         return len(self.heads)
 
     def add_head(self, position: int, head: ResultHead) -> None:
-        """Takes a result's own record."""
+        """Adds the head record of a result."""
         self.heads[position] = head
         self.listed.add(head.item_id)
         self._complete(position)
 
     def add_continuation(self, position: int, part: int, piece: bytes) -> None:
-        """Takes a further piece of a result's text."""
+        """Adds a continuation of a result's text."""
         self.continuations.setdefault(position, {})[part] = piece
         self._complete(position)
 
@@ -96,17 +96,17 @@
             self.results[position] = result
 
     def remove_result(self, position: int) -> None:
-        """Forgets a result whose record was removed."""
+        """Drops a result whose head record was removed."""
         self.results.pop(position, None)
         self.heads.pop(position, None)
 
     @property
     def is_empty(self) -> bool:
-        """Whether no record of the job is left."""
+        """Whether the job has no records."""
         return not (self.chunks or self.heads or self.parts or self.continuations or self.failures)
 
     def results_from(self, position: int, max_bytes: int) -> list[ItemResult]:
-        """Returns results at a position and after, as many as fit but at least one."""
+        """Returns the results from a position on: as many as fit `max_bytes`, but at least one."""
         rows: list[ItemResult] = []
         size = 0
         while (result := self.results.get(position + len(rows))) is not None:
@@ -119,13 +119,13 @@
 
 @dataclass
 class ShardFold:
-    """All jobs of a shard. Records may be taken any number of times."""
+    """All jobs of a shard. Records may be applied repeatedly."""
 
     jobs: dict[str, JobContent] = field(default_factory=dict)
     malformed: int = 0
 
     def apply(self, record: KeyedRecord) -> None:
-        """Folds a record in; one that this version cannot read is counted."""
+        """Applies a record; counts it as malformed if this version cannot decode it."""
         if record.key.startswith((f"{CHECKPOINT}:", f"{CONTINUATION}:")):
             self._apply_part(record)
             return
@@ -145,7 +145,7 @@
             self.malformed += 1
 
     def _remove(self, kind: str, job_id: str, number: int) -> None:
-        """Forgets a record; a job is forgotten with the last one."""
+        """Drops a removed record, and the job with its last record."""
         content = self.jobs.get(job_id)
         if content is None:
             return
@@ -159,7 +159,7 @@
             del self.jobs[job_id]
 
     def _apply_part(self, record: KeyedRecord) -> None:
-        """Takes a saved part of an output, or a further piece of a result."""
+        """Applies a part of an item's saved output, or a continuation of a result."""
         try:
             job_id, number, part = split_part_key(record.key)
             if not record.value:
@@ -187,5 +187,5 @@
             del self.jobs[job_id]
 
     def content(self, job_id: str) -> JobContent:
-        """Returns a job's content, empty if nothing of it was read."""
+        """Returns a job's content; empty if no record of it is read."""
         return self.jobs.get(job_id) or JobContent()
--- a/src/troutswitch/decisions/jobs/token_limits.py
+++ b/src/troutswitch/decisions/jobs/token_limits.py
@@ -1,16 +1,16 @@
-"""Rule: may a job be accepted although other jobs wait, and is its route near its limit?
+"""Rule: may another job be accepted, and is its route near its limit of queued tokens?
 
-Inputs: the route's limit on tokens that wait for each tenant (0: none), from the configuration in
-force; the tokens of the tenant's accepted items that are not listed, from this daemon's replica of
-the index. The replica may lag: `JobIntake` reads the index to its end before it refuses, and
-appends the manifest only at the end that it has read.
+Inputs: the route's limit of queued tokens for each tenant (0: no limit), from the configuration in
+force; the tenant's queued tokens, which are those of its accepted items that are not listed, from
+this daemon's replica of the index. The replica may lag: `JobIntake` reads the index to its end
+before it refuses a job, and appends the manifest only at the end that it has read.
 
-The rule: a job fits if its tokens and those that wait are within the limit. A route is crowded
-above `CROWDED_SHARE` of the limit; owners then report in the index how far their jobs are, so
-that new jobs fit as soon as they can.
+The rule: a job fits if its tokens and the queued tokens are within the limit. A route is crowded
+above `CROWDED_SHARE` of the limit; owners then report the progress of their jobs in the index, so
+that new jobs fit as soon as possible.
 
-Why: a job that was accepted must be done, so a tenant's jobs may not pile up without a bound.
-tests/proofs/test_jobs.py holds the limit over all daemons; docs/POLICY.md, "Rules", has the
+Why: an accepted job must be done, so a tenant's jobs must not accumulate without a bound.
+tests/proofs/test_jobs.py tests the limit over all daemons; docs/POLICY.md, "Rules", lists the
 constant.
 """
 
@@ -24,23 +24,23 @@
 
 
 class TokenLimits:
-    """The tokens that wait, against the limits of routes."""
+    """Compares queued tokens with the limits of routes."""
 
     def __init__(self, routes: RouteTable, index: JobIndex) -> None:
         self._routes = routes
         self._index = index
 
     def queued_tokens(self, manifest: Manifest) -> int:
-        """Returns the tokens that wait on a job's route for its tenant."""
+        """Returns the queued tokens of a job's tenant on the job's route."""
         return self._index.queued_tokens(manifest.route, manifest.tenant)
 
     def fits(self, route: Route, manifest: Manifest) -> bool:
-        """Returns whether a job that is not accepted yet is within its route's limit."""
-        most = route.max_queued_tokens
-        return most <= 0 or self.queued_tokens(manifest) + manifest.tokens <= most
+        """Returns whether a job that is not accepted yet fits its route's limit."""
+        limit = route.max_queued_tokens
+        return limit <= 0 or self.queued_tokens(manifest) + manifest.tokens <= limit
 
     def is_crowded(self, job_id: str) -> bool:
-        """Returns whether the tokens that wait on an accepted job's route are near its limit."""
+        """Returns whether an accepted job's route is crowded for the job's tenant."""
         entry = self._index.jobs.get(job_id)
         route = self._routes.named(entry.manifest.route) if entry is not None else None
         if entry is None or route is None or route.max_queued_tokens <= 0:
--- a/src/troutswitch/decisions/jobs/writer.py
+++ b/src/troutswitch/decisions/jobs/writer.py
@@ -1,10 +1,10 @@
-"""Writes what only a shard's owner may write: results, saved output and counts of failed runs.
+"""Writes the records that only a shard's owner may write: results, saved output and failed runs.
 
 One append of a shard is in flight at a time, under the shard's epoch and its next sequence number,
-so the store takes a repeat after a lost answer once. A refusal means that the shard's state here
-may be wrong: the shard is fenced and read again.
+so the store applies a repeat after a lost answer only once. A refusal means that this daemon's
+state of the shard may be wrong: the shard is fenced and read again.
 
-It owns the results that wait and the batch in flight, by shard.
+It owns the pending results and the batch in flight, by shard.
 """
 
 from collections import deque
@@ -38,18 +38,18 @@
 from troutswitch.decisions.storage.read_attempts import CallNumbers
 
 RETRY_SECONDS = 0.2
-"""Pause after a write that failed."""
+"""Pause after a failed write."""
 CALL_LOST_SECONDS = 4.0
-"""Time after which a write without an answer is made again."""
+"""Time after which a write without an answer is repeated."""
 CHECKPOINT_SECONDS = 1.0
 """Interval at which the output of running items is saved."""
 ROW_OVERHEAD_BYTES = 512
-"""Bytes that are reckoned for the key and the fields of a row beside its text."""
+"""Estimated bytes of the key and the fields of a row beside its text."""
 
 
 @dataclass(frozen=True, slots=True)
 class WriteRow:
-    """Records of an append: a result at a position, a part of an output, or failed runs."""
+    """Records that are written together: a result, a part of an output, or failed runs."""
 
     progress: ItemProgress
     records: tuple[KeyedRecord, ...]
@@ -61,7 +61,7 @@
 
 @dataclass(slots=True)
 class _ShardWrites:
-    """What is to be written to one shard, and the batch in flight."""
+    """Pending results of one shard, and the batch in flight."""
 
     epoch: int = 0
     pending_results: deque[tuple[ItemProgress, ItemResult]] = field(default_factory=deque)
@@ -95,27 +95,27 @@
         self._log = log
 
     def finish(self, progress: ItemProgress, result: ItemResult) -> None:
-        """Has a result listed."""
+        """Queues a result to be listed."""
         self._shard(progress.shard).pending_results.append((progress, result))
 
     def _shard(self, shard: int) -> _ShardWrites:
         return self._shards.setdefault(shard, _ShardWrites())
 
     def forget_lost_shards(self) -> None:
-        """Forgets the shards that have another owner."""
+        """Drops the state of shards that have another owner."""
         for shard in set(self._shards) - set(self._ownership.leases):
             del self._shards[shard]
             self._reports.forget(shard)
 
     def is_idle(self) -> bool:
-        """Whether nothing waits to be written."""
+        """Returns whether no result is pending and no write is in flight."""
         return not any(s.pending_results or s.batch or s.call for s in self._shards.values())
 
     def begin_epoch(self, lease: ShardLease) -> bool:
-        """Begins anew under an epoch; returns False if it was begun before.
+        """Restarts the writes under a new epoch; returns False if the epoch has not changed.
 
-        The shard was read since it was fenced, so it shows what became of an earlier batch:
-        results that were listed are left out of the next batch, and the caller compares the
+        The shard was read after it was fenced, so the outcome of an earlier batch is known:
+        results that were listed are omitted from the next batch, and the caller compares the
         saved parts.
         """
         writes = self._shard(lease.shard)
@@ -135,9 +135,9 @@
     def write(
         self, now: float, lease: ShardLease, items: list[ItemProgress], *, is_draining: bool
     ) -> list[StoreCall]:
-        """Appends what waits in a shard, and reports progress.
+        """Appends the pending records of a shard, and reports progress.
 
-        A daemon that drains saves output at once, without waiting for the interval.
+        A draining daemon saves output immediately, without waiting for the interval.
         """
         writes = self._shard(lease.shard)
         if writes.call and now >= writes.call_at + CALL_LOST_SECONDS:
@@ -157,7 +157,7 @@
         stamp = WriterStamp(WRITER, lease.epoch, lease.next_sequence)
         return AppendRecords(writes.call, shard_partition(lease.shard), records, stamp=stamp)
 
-    # What a batch holds.
+    # Batches.
 
     def _build_batch(
         self,
@@ -173,9 +173,9 @@
             self._add_checkpoints(writes, items, used)
 
     def _add_results(self, lease: ShardLease, writes: _ShardWrites) -> int:
-        """Gives positions to the results that wait; those listed since are dropped.
+        """Adds pending results at the next positions, and drops those that are listed already.
 
-        Returns the bytes that the results take.
+        Returns the estimated bytes of the added results.
         """
         fold = self._replicas.shard(lease.shard).fold
         positions: dict[str, int] = {}
@@ -198,7 +198,7 @@
         return used
 
     def _add_checkpoints(self, writes: _ShardWrites, items: list[ItemProgress], used: int) -> None:
-        """Adds the next part of each item's output, as far as the call has bytes left."""
+        """Adds the next part of each item's output, as far as it fits into the store call."""
         for progress in items:
             if not progress.unsaved or progress.is_finished:
                 continue
@@ -219,7 +219,7 @@
         return any(call == writes.call for writes in self._shards.values())
 
     def on_answer(self, now: float, call: int, outcome: StoreOutcome) -> None:
-        """Takes the outcome of a write."""
+        """Handles the outcome of a write."""
         if not self._is_write(call):
             self._reports.on_answer(now, call, outcome)
             return
@@ -232,7 +232,7 @@
             case Appended():
                 self._on_written(lease, writes, outcome)
             case CallFailed():
-                # Made again with the same sequence number, it is taken once.
+                # Repeated with the same sequence number, the write is applied only once.
                 writes.retry_at = now + RETRY_SECONDS
             case _:
                 self._log("shard write refused", shard=shard, outcome=str(outcome))
@@ -267,10 +267,11 @@
 
 
 def _add_failures(writes: _ShardWrites, items: list[ItemProgress]) -> int:
-    """Adds the counts of failed runs that are not saved; returns the bytes that they take.
+    """Adds the counts of failed runs that are not saved; returns their estimated bytes.
 
-    They are saved at once, before the next run begins. Guards against owners that follow one
-    another and each count from nothing, by which an item that always fails would run on.
+    They are saved in the next batch, without waiting for the checkpoint interval, so that the store
+    has them before the next run starts. Guards against an item that always fails: if each
+    successive owner counted from zero, it would be retried without a bound.
     """
     used = 0
     for progress in items:
--- a/tests/decisions/jobs/fixtures.py
+++ b/tests/decisions/jobs/fixtures.py
@@ -31,7 +31,7 @@
     held = JobItem(f"{job_id}-{number}", "/p/", (), b"", 100)
     progress = ItemProgress(0, job_id, held, number)
     if events:
-        progress.add((OutputEvent(str(events), "text"),))
+        progress.add_events((OutputEvent(str(events), "text"),))
     return progress
 
 
--- a/tests/decisions/jobs/test_parts.py
+++ b/tests/decisions/jobs/test_parts.py
@@ -39,14 +39,14 @@
     first = progress()
     fold = ShardFold()
     for made in (events(1, 2), events(3)):
-        first.add(made)
+        first.add_events(made)
         part = first.next_part(RECORD_BYTES)
         fold.apply(checkpoint_record("job", 0, first.parts, part))
         first.on_saved(part)
     successor = progress()
     successor.restore(fold.content("job").saved_output(0))
     assert successor.position == "3"
-    successor.add(events(4))
+    successor.add_events(events(4))
     assert successor.output == "t1\nt2\nt3\nt4"
     assert successor.next_part(RECORD_BYTES) == OutputPart("3", "4", "t4")
 
@@ -60,9 +60,9 @@
 
 def test_a_write_whose_fate_was_unknown_may_have_been_taken() -> None:
     held = progress()
-    held.add(events(1, 2))
+    held.add_events(events(1, 2))
     part = held.next_part(RECORD_BYTES)
-    held.add(events(3))
+    held.add_events(events(3))
     assert held.reconcile([part])
     assert (held.parts, held.saved_position) == (1, "2")
     assert held.next_part(RECORD_BYTES) == OutputPart("2", "3", "t3")
@@ -70,7 +70,7 @@
 
 def test_another_s_output_is_not_joined_to_ours() -> None:
     held = progress()
-    held.add(events(1, 2))
+    held.add_events(events(1, 2))
     assert not held.reconcile([OutputPart("", "7", "other")])
     with pytest.raises(InvariantViolated):
         held.restore([OutputPart("", "7", "other")])
@@ -79,7 +79,7 @@
 def test_another_s_output_up_to_a_known_position_is_not_taken_for_ours() -> None:
     """Two owners in turn run an item: positions are alike, but the runs are not."""
     held = progress()
-    held.add(events(1, 2, 3))
+    held.add_events(events(1, 2, 3))
     assert not held.reconcile([OutputPart("", "2", "of another run")])
 
 
--- a/tests/decisions/jobs/test_results.py
+++ b/tests/decisions/jobs/test_results.py
@@ -59,7 +59,7 @@
 @pytest.mark.parametrize("most", [1, 10, 1000])
 def test_what_is_not_saved_is_saved_in_parts_that_fit(most: int) -> None:
     progress = ItemProgress(0, "job", JobItem("i", "/p", (), b"", 1), 0)
-    progress.add(tuple(OutputEvent(str(number), "data") for number in range(1, 8)))
+    progress.add_events(tuple(OutputEvent(str(number), "data") for number in range(1, 8)))
     texts: list[str] = []
     while progress.unsaved:
         part = progress.next_part(most)
