--- a/tests/decisions/jobs/fixtures.py
+++ b/tests/decisions/jobs/fixtures.py
@@ -1,4 +1,4 @@
-"""Items, jobs and a route for tests of how items are ranked and placed."""
+"""Items, jobs and a route for tests of batch jobs."""
 
 from troutswitch.decisions.forwarding.routes import RouteTable
 from troutswitch.decisions.forwarding.types import (
@@ -28,8 +28,8 @@
 
 
 def item(job_id: str, number: int = 0, events: int = 0) -> ItemProgress:
-    held = JobItem(f"{job_id}-{number}", "/p/", (), b"", 100)
-    progress = ItemProgress(0, job_id, held, number)
+    job_item = JobItem(f"{job_id}-{number}", "/p/", (), b"", 100)
+    progress = ItemProgress(0, job_id, job_item, number)
     if events:
         progress.add_events((OutputEvent(str(events), "text"),))
     return progress
@@ -41,9 +41,9 @@
     return routes
 
 
-def job_index(seen: dict[str, float]) -> JobIndex:
-    """Returns an index of jobs that were seen at some times."""
+def job_index(read_at: dict[str, float]) -> JobIndex:
+    """Returns an index of jobs; `read_at` has the time at which each was first read."""
     index = JobIndex()
-    for job_id, at in seen.items():
-        index.apply(at, manifest_record(Manifest(job_id, "route", "host", 2, 200, "d", 0)))
+    for job_id, time in read_at.items():
+        index.apply(time, manifest_record(Manifest(job_id, "route", "host", 2, 200, "d", 0)))
     return index
--- a/tests/decisions/jobs/test_engine_choice.py
+++ b/tests/decisions/jobs/test_engine_choice.py
@@ -1,3 +1,5 @@
+"""Choice of an engine for an item that starts without a granted slot."""
+
 import random
 
 from tests.decisions.forwarding.harness import engine
@@ -20,35 +22,35 @@
     return StartableItem(item(job_id), job_index({job_id: 0.0}).jobs[job_id], ROUTE)
 
 
-def any_engine(now: float, held: Engine) -> bool:
+def any_engine(now: float, candidate: Engine) -> bool:
     return True
 
 
-def test_an_item_goes_only_to_an_engine_that_is_open() -> None:
-    chosen, _ = engine_choice()
-    chosen.begin_round()
-    assert chosen.choose(1.0, startable("job"), any_engine) is not None
-    assert chosen.choose(1.0, startable("job"), lambda now, held: False) is None
+def test_no_engine_is_chosen_where_items_may_not_start_without_a_grant() -> None:
+    choice, _ = engine_choice()
+    choice.begin_round()
+    assert choice.choose(1.0, startable("job"), any_engine) is not None
+    assert choice.choose(1.0, startable("job"), lambda now, candidate: False) is None
 
 
-def test_a_granted_slot_is_used_only_at_an_engine_of_the_item_s_route() -> None:
-    chosen, _ = engine_choice()
-    assert chosen.may_run_at(startable("job"), Engine(engine("b", service="service")))
-    assert not chosen.may_run_at(startable("job"), Engine(engine("b", service="other")))
+def test_an_item_may_run_only_at_engines_of_its_route() -> None:
+    choice, _ = engine_choice()
+    assert choice.may_run_at(startable("job"), Engine(engine("b", service="service")))
+    assert not choice.may_run_at(startable("job"), Engine(engine("b", service="other")))
 
 
-def test_a_round_starts_only_this_daemon_s_part_of_the_free_slots() -> None:
-    chosen, registry = engine_choice()
+def test_a_round_starts_only_this_daemon_s_share_of_the_free_slots() -> None:
+    choice, registry = engine_choice()
     started = 0
     for _ in range(400):
-        chosen.begin_round()
-        chosen.set_own_share(1 / 4)
-        sent = 0
-        while chosen.choose(1.0, startable("job"), any_engine) is not None:
-            chosen.on_started("a")
+        choice.begin_round()
+        choice.set_own_share(1 / 4)
+        round_starts = 0
+        while choice.choose(1.0, startable("job"), any_engine) is not None:
+            choice.on_started("a")
             registry.on_sent(1.0, "a", True, NO_SIZE)
-            sent += 1
-        for _ in range(sent):
+            round_starts += 1
+        for _ in range(round_starts):
             registry.on_preempted(1.0, "a", NO_SIZE, begun=True)
-        started += sent
+        started += round_starts
     assert 2.3 < started / 400 < 2.7  # 10 free slots, shared by 4 daemons
--- a/tests/decisions/jobs/test_failures.py
+++ b/tests/decisions/jobs/test_failures.py
@@ -9,11 +9,11 @@
 from troutswitch.decisions.jobs.records import DEAD, DONE
 from troutswitch.outcomes import AttemptOutcome
 
-ATTEMPTS_MOST = 3
+MAX_ATTEMPTS = 3
 
 
 class FailingWorld(GatewayWorld):
-    """Engines answer each run with the next of some statuses, then run items as they should."""
+    """Engines answer each run with the next of the given statuses, then run items normally."""
 
     statuses: list[int]
     runs = 0
@@ -28,30 +28,30 @@
         self.step_later(daemon, ended, 0.01)
 
 
-def played(*statuses: int) -> tuple[FailingWorld, str]:
+def run_one_item(*statuses: int) -> tuple[FailingWorld, str]:
     world = FailingWorld(1)
     world.statuses = list(statuses)
     world.run(3.0)
-    truth = world.hand_in("job", 1)
+    job = world.hand_in("job", 1)
     world.run(25.0)
-    return world, truth.results[0][1]
+    return world, job.results[0][1]
 
 
 @pytest.mark.parametrize("status", [502, 503, 504, 0])
-def test_a_status_that_is_no_failure_of_the_item_never_ends_it(status: int) -> None:
-    world, state = played(*[status] * 2 * ATTEMPTS_MOST)
+def test_a_status_that_is_not_attributed_to_the_item_does_not_end_it(status: int) -> None:
+    world, state = run_one_item(*[status] * 2 * MAX_ATTEMPTS)
     assert state != DEAD
     assert world.violations == []
 
 
-def test_an_item_ends_once_as_many_runs_failed_as_its_route_allows() -> None:
-    world, state = played(*[500] * 2 * ATTEMPTS_MOST)
+def test_an_item_is_dead_lettered_after_as_many_failed_runs_as_its_route_allows() -> None:
+    world, state = run_one_item(*[500] * 2 * MAX_ATTEMPTS)
     assert state == DEAD
-    assert world.runs == ATTEMPTS_MOST
+    assert world.runs == MAX_ATTEMPTS
 
 
-def test_an_item_that_can_never_be_done_runs_once() -> None:
-    world, state = played(422, 422)
+def test_status_422_dead_letters_an_item_after_one_run() -> None:
+    world, state = run_one_item(422, 422)
     assert state == DEAD
     assert world.runs == 1
 
@@ -71,8 +71,8 @@
         self.step_later(daemon, ended, 0.1)
 
 
-MAX_RUNS = 3 * ATTEMPTS_MOST
-"""Runs of an item that fails each time which users allow, over all daemons."""
+MAX_RUNS_OVER_ALL_DAEMONS = 3 * MAX_ATTEMPTS
+"""Maximum runs, over all daemons, of an item that always fails."""
 
 
 def kill_all(world: GatewayWorld) -> None:
@@ -83,23 +83,24 @@
 
 @pytest.mark.parametrize("disturb", [GatewayWorld.reassign, kill_all])
 @pytest.mark.parametrize("seed", range(1, 4))
-def test_failures_count_over_all_owners(seed: int, disturb: Callable[[GatewayWorld], None]) -> None:
-    """What users would see: an item that fails at each run goes on running, 27 to 35 times here.
+def test_failed_runs_are_counted_over_all_owners(
+    seed: int, disturb: Callable[[GatewayWorld], None]
+) -> None:
+    """Guards against an item that fails at each run and is retried without a bound.
 
-    Order of events: it fails twice at its owner; another daemon takes the shard over, as all is
-    assigned anew or the owner is lost; there it fails twice again. Cause: the bound holds for the
-    fleet and was kept by each owner, which forgot it with the shard.
+    Its runs fail twice at its owner, then the shard moves to another daemon, where they fail twice
+    again. When each owner counted only its own failed runs, the item ran 27 to 35 times here.
     """
     world = AlwaysFailingWorld(seed, daemons=6)
     world.run(3.0)
-    truth = world.hand_in("job", 4)
-    world.failing = truth.items[0].item_id
+    job = world.hand_in("job", 4)
+    world.failing = job.items[0].item_id
     for _ in range(24):
         world.run(0.5)
         disturb(world)
     world.run(10.0)
-    states = {row[0]: row[1] for row in truth.results.values()}
+    states = {row[0]: row[1] for row in job.results.values()}
     assert states.pop(world.failing) == DEAD
     assert set(states.values()) == {DONE}
-    assert world.runs <= MAX_RUNS
+    assert world.runs <= MAX_RUNS_OVER_ALL_DAEMONS
     assert world.violations == []
--- a/tests/decisions/jobs/test_index.py
+++ b/tests/decisions/jobs/test_index.py
@@ -1,11 +1,11 @@
-"""The age of a job, by the clocks of two daemons."""
+"""Age of a job, computed from the clocks of two daemons."""
 
 from tests.worlds.gateway_world import GatewayWorld
 from troutswitch.decisions.jobs.index import JobIndex
 from troutswitch.decisions.jobs.records import Manifest, manifest_record
 
 
-def test_a_job_that_was_there_before_this_daemon_is_as_old_as_its_manifest_tells() -> None:
+def test_the_age_of_an_older_job_follows_from_its_manifest() -> None:
     index = JobIndex()
     record = manifest_record(Manifest("job", "r", "h", 2, 14, "d", 0, submitted_at=1000.0))
     index.apply(5.0, record, time_of_day=1012.0)
@@ -13,7 +13,7 @@
     assert index.jobs["job"].first_read_at == 5.0
 
 
-def test_a_clock_that_is_behind_makes_no_job_younger_than_new() -> None:
+def test_a_clock_that_is_behind_gives_no_negative_age() -> None:
     index = JobIndex()
     record = manifest_record(Manifest("job", "r", "h", 2, 14, "d", 0, submitted_at=1000.0))
     index.apply(5.0, record, time_of_day=900.0)
@@ -23,7 +23,7 @@
     assert index.jobs["other"].age(6.0) == 1.0
 
 
-def test_after_a_restart_of_all_a_job_keeps_its_age() -> None:
+def test_a_job_keeps_its_age_after_a_restart_of_all_daemons() -> None:
     world = GatewayWorld(3)
     world.run(3.0)
     world.hand_in("job", 4)
--- a/tests/decisions/jobs/test_item_retries.py
+++ b/tests/decisions/jobs/test_item_retries.py
@@ -1,4 +1,4 @@
-"""What becomes of items that can't start."""
+"""Items that cannot start: when they wait, and when they are dead-lettered."""
 
 import random
 from dataclasses import replace
@@ -11,15 +11,15 @@
 
 
 @pytest.mark.parametrize("may_be_outdated", [False, True])
-def test_an_item_without_a_route_ends_only_by_a_configuration_that_is_the_newest(
+def test_an_item_without_a_route_is_dead_lettered_only_by_the_newest_configuration(
     may_be_outdated: bool,
 ) -> None:
-    """Guards against an accepted item given up by an owner that has not read of its route yet."""
+    """Guards against dead-lettering an item whose route the owner has not read yet."""
     routes, endings, refusals = route_table(), MagicMock(), MagicMock()
     index = job_index({"job": 0.0})
-    held = routes.configuration
-    assert held is not None
-    routes.replace(replace(held, version=2, routes=()))
+    configuration = routes.configuration
+    assert configuration is not None
+    routes.replace(replace(configuration, version=2, routes=()))
     retries = ItemRetries(routes, index, refusals, endings, random.Random(1))
     progress = item("job")
     routes.may_be_outdated = may_be_outdated
--- a/tests/decisions/jobs/test_order.py
+++ b/tests/decisions/jobs/test_order.py
@@ -1,4 +1,4 @@
-"""Which batch items go first when not all can be in time."""
+"""Order of batch items when not all can meet their targets."""
 
 import itertools
 
@@ -23,11 +23,11 @@
 
 
 def forecasts(rows: list[tuple[int, int]]) -> list[ItemForecast]:
-    return [ItemForecast(("job", str(n)), due, left) for n, (due, left) in enumerate(rows)]
+    return [ItemForecast(("job", str(n)), due, run_time) for n, (due, run_time) in enumerate(rows)]
 
 
 def in_time(items: list[ItemForecast], sequence: tuple[ItemForecast, ...]) -> int:
-    """Counts the items that one slot finishes in time if they run in a sequence."""
+    """Returns the number of items that one slot finishes in time in the given sequence."""
     clock, count = 0.0, 0
     for item in sequence:
         clock += item.remaining_seconds
@@ -42,13 +42,13 @@
 
 @DETERMINISTIC
 @given(ITEMS)
-def test_on_one_slot_no_order_has_more_items_in_time(rows: list[tuple[int, int]]) -> None:
+def test_on_one_slot_most_in_time_is_as_good_as_the_best_order(rows: list[tuple[int, int]]) -> None:
     items = forecasts(rows)
     best = max(in_time(items, sequence) for sequence in itertools.permutations(items))
     assert in_time(items, tuple(sequence_of(MostInTime(), items))) == best
 
 
-def test_work_that_was_begun_is_finished_before_new_work_is_begun() -> None:
+def test_partly_finished_items_are_finished_before_new_ones_start() -> None:
     fresh = [(10, 5)] * 4
     begun = [(10, 2)] * 2
     ranks = MostInTime().rank(0.0, forecasts([*fresh, *begun]), ONE_SLOT)
@@ -58,13 +58,13 @@
     assert len(late) == 3
 
 
-def test_least_slack_spreads_over_what_cannot_all_be_in_time() -> None:
+def test_least_slack_ranks_no_item_late_where_not_all_can_be_in_time() -> None:
     items = forecasts([(10, 4)] * 5)
     assert not any(rank.is_late for rank in LeastSlack().rank(0.0, items, ONE_SLOT).values())
     assert sum(r.is_late for r in MostInTime().rank(0.0, items, ONE_SLOT).values()) == 3
 
 
-def test_an_item_that_is_often_stopped_needs_more_time() -> None:
+def test_a_lower_duty_makes_an_item_late() -> None:
     items = forecasts([(10, 6)])
     half = BatchCapacity(slots=4.0, duty=0.5)
     assert MostInTime().rank(0.0, items, half)[("job", "0")].is_late
@@ -74,7 +74,7 @@
 @every_order
 @DETERMINISTIC
 @given(ITEMS, st.floats(0.0, 20.0), st.floats(0.0, 40.0))
-def test_every_item_has_a_place_and_late_ones_stand_behind(
+def test_every_item_has_a_rank_and_late_items_come_last(
     order: ItemOrder, rows: list[tuple[int, int]], slots: float, now: float
 ) -> None:
     items = forecasts(rows)
--- a/tests/decisions/jobs/test_ownership.py
+++ b/tests/decisions/jobs/test_ownership.py
@@ -1,15 +1,15 @@
-"""Items go on while a shard is fenced again and the store is away."""
+"""Items start while a shard is fenced again during an outage of the store."""
 
 import pytest
 
 from tests.worlds.gateway_world import GatewayWorld
 from troutswitch.decisions.jobs.ownership import ShardOwnership
 
-DOWN_SECONDS = 6.0
+OUTAGE_SECONDS = 6.0
 
 
-def starts_while_the_store_is_away() -> int:
-    """Returns the runs that start after the one owner's writes were lost in an outage."""
+def starts_in_outage() -> int:
+    """Returns the number of runs started in an outage in which the only owner lost its writes."""
     world = GatewayWorld(1, daemons=1, engines=1)
     world.run(3.0)
     owner = next(iter(world.daemons.values())).core.jobs.owner
@@ -22,21 +22,23 @@
         ownership.fence_again(world.now, lease.shard)
     assert not ownership.owned()
     before = owner.runs_started
-    world.run(DOWN_SECONDS)
+    world.run(OUTAGE_SECONDS)
     assert not world.violations
     return owner.runs_started - before
 
 
-def test_items_start_although_the_shard_is_fenced_again() -> None:
-    assert starts_while_the_store_is_away() > 0
+def test_items_start_while_their_shard_is_fenced_again() -> None:
+    assert starts_in_outage() > 0
 
 
-def test_without_it_they_wait_for_the_store(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_items_wait_for_the_store_if_only_owned_shards_are_startable(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     monkeypatch.setattr(ShardOwnership, "startable", lambda self, served_at: self.owned())
-    assert starts_while_the_store_is_away() == 0
+    assert starts_in_outage() == 0
 
 
-def test_a_shard_that_was_never_read_starts_nothing() -> None:
+def test_a_shard_that_was_never_read_is_not_startable() -> None:
     world = GatewayWorld(1, daemons=1, engines=1)
     world.faults.is_down = True
     world.run(5.0)
--- a/tests/decisions/jobs/test_parts.py
+++ b/tests/decisions/jobs/test_parts.py
@@ -1,3 +1,5 @@
+"""Saved output of items, the fold of the index, and the encoding of items."""
+
 import pytest
 
 from troutswitch.decisions.invariants import InvariantViolated
@@ -24,7 +26,7 @@
 MANIFEST = Manifest("job", "route", "host", 2, 200, "digest", 3)
 
 
-def progress() -> ItemProgress:
+def new_progress() -> ItemProgress:
     return ItemProgress(0, "job", ITEM, 0)
 
 
@@ -35,60 +37,60 @@
 # Items.
 
 
-def test_a_successor_goes_on_after_what_was_saved() -> None:
-    first = progress()
+def test_a_successor_resumes_after_the_saved_output() -> None:
+    owner_progress = new_progress()
     fold = ShardFold()
-    for made in (events(1, 2), events(3)):
-        first.add_events(made)
-        part = first.next_part(RECORD_BYTES)
-        fold.apply(checkpoint_record("job", 0, first.parts, part))
-        first.on_saved(part)
-    successor = progress()
-    successor.restore(fold.content("job").saved_output(0))
-    assert successor.position == "3"
-    successor.add_events(events(4))
-    assert successor.output == "t1\nt2\nt3\nt4"
-    assert successor.next_part(RECORD_BYTES) == OutputPart("3", "4", "t4")
-
-
-def test_a_gap_in_the_saved_output_ends_it() -> None:
+    for new_events in (events(1, 2), events(3)):
+        owner_progress.add_events(new_events)
+        part = owner_progress.next_part(RECORD_BYTES)
+        fold.apply(checkpoint_record("job", 0, owner_progress.parts, part))
+        owner_progress.on_saved(part)
+    successor_progress = new_progress()
+    successor_progress.restore(fold.content("job").saved_output(0))
+    assert successor_progress.position == "3"
+    successor_progress.add_events(events(4))
+    assert successor_progress.output == "t1\nt2\nt3\nt4"
+    assert successor_progress.next_part(RECORD_BYTES) == OutputPart("3", "4", "t4")
+
+
+def test_saved_output_ends_at_the_first_gap() -> None:
     fold = ShardFold()
     fold.apply(checkpoint_record("job", 0, 0, OutputPart("", "2", "x")))
     fold.apply(checkpoint_record("job", 0, 1, OutputPart("5", "6", "y")))
     assert [part.position for part in fold.content("job").saved_output(0)] == ["2"]
 
 
-def test_a_write_whose_fate_was_unknown_may_have_been_taken() -> None:
-    held = progress()
-    held.add_events(events(1, 2))
-    part = held.next_part(RECORD_BYTES)
-    held.add_events(events(3))
-    assert held.reconcile([part])
-    assert (held.parts, held.saved_position) == (1, "2")
-    assert held.next_part(RECORD_BYTES) == OutputPart("2", "3", "t3")
+def test_a_part_from_a_write_with_unknown_outcome_counts_as_saved() -> None:
+    item_progress = new_progress()
+    item_progress.add_events(events(1, 2))
+    part = item_progress.next_part(RECORD_BYTES)
+    item_progress.add_events(events(3))
+    assert item_progress.reconcile([part])
+    assert (item_progress.parts, item_progress.saved_position) == (1, "2")
+    assert item_progress.next_part(RECORD_BYTES) == OutputPart("2", "3", "t3")
 
 
-def test_another_s_output_is_not_joined_to_ours() -> None:
-    held = progress()
-    held.add_events(events(1, 2))
-    assert not held.reconcile([OutputPart("", "7", "other")])
+def test_output_of_another_run_is_not_joined_to_existing_output() -> None:
+    item_progress = new_progress()
+    item_progress.add_events(events(1, 2))
+    assert not item_progress.reconcile([OutputPart("", "7", "other")])
     with pytest.raises(InvariantViolated):
-        held.restore([OutputPart("", "7", "other")])
+        item_progress.restore([OutputPart("", "7", "other")])
 
 
-def test_another_s_output_up_to_a_known_position_is_not_taken_for_ours() -> None:
-    """Two owners in turn run an item: positions are alike, but the runs are not."""
-    held = progress()
-    held.add_events(events(1, 2, 3))
-    assert not held.reconcile([OutputPart("", "2", "of another run")])
+def test_output_of_another_run_up_to_the_same_position_does_not_match() -> None:
+    """Two owners run an item in turn: the positions are equal, but the texts differ."""
+    item_progress = new_progress()
+    item_progress.add_events(events(1, 2, 3))
+    assert not item_progress.reconcile([OutputPart("", "2", "of another run")])
 
 
 # Index and records.
 
 
 @pytest.mark.parametrize("order", [(0, 1, 2), (1, 2, 0), (2, 1, 0)])
-def test_the_index_is_the_same_in_any_order_of_keys(order: tuple[int, ...]) -> None:
-    """A whole read comes by key, not in the order of the log."""
+def test_the_index_does_not_depend_on_the_order_of_records(order: tuple[int, ...]) -> None:
+    """Newest records are read in the order of keys, not of the log."""
     records = [manifest_record(MANIFEST), end_record("job"), progress_record("job", 50)]
     index = JobIndex()
     for number in order:
@@ -98,21 +100,21 @@
     assert index.queued_tokens("route", "") == 0
 
 
-def test_tokens_that_are_left_never_rise() -> None:
+def test_remaining_tokens_never_increase() -> None:
     index = JobIndex()
     index.apply(0.0, manifest_record(MANIFEST))
     index.apply(0.0, progress_record("job", 50))
-    index.apply(0.0, progress_record("job", 150))  # late, of a former owner
+    index.apply(0.0, progress_record("job", 150))  # a late report of a former owner
     assert index.queued_tokens("route", "") == 50
 
 
-def test_a_record_of_another_version_is_counted_and_left_out() -> None:
+def test_a_record_of_another_version_is_ignored_and_counted() -> None:
     index = JobIndex()
     index.apply(0.0, KeyedRecord("j:job", b"\x81\x18\x63"))
     assert (index.jobs, index.malformed) == ({}, 1)
 
 
-def test_items_are_cut_into_records_that_fit() -> None:
+def test_items_are_split_into_records_within_the_limit() -> None:
     items = tuple(JobItem(str(n), "/p", (), b"x" * 900, 1) for n in range(10))
     records = chunk_records("job", items, 4000)
     assert len(records) > 1
--- a/tests/decisions/jobs/test_progress_reports.py
+++ b/tests/decisions/jobs/test_progress_reports.py
@@ -1,4 +1,4 @@
-"""Reports of how far jobs are: always at the end, before that only near the limit of a route."""
+"""Progress reports of jobs: always at their end, before that only near their route's limit."""
 
 import random
 from collections import Counter
@@ -27,11 +27,11 @@
 
 JOBS = 3
 ITEMS = 4
-TOKENS_AN_ITEM = 100
+TOKENS_PER_ITEM = 100
 
 
-class Reports:
-    """Counts reports of progress as they pass to the store."""
+class ReportCounter:
+    """Counts progress reports on their way to the store."""
 
     def __init__(self) -> None:
         self.by_job: Counter[str] = Counter()
@@ -45,11 +45,13 @@
         return call
 
 
-def played(reports: Reports, tokens_most: int = 0, answers_lost: float = 0.0) -> GatewayWorld:
+def run_jobs(
+    reports: ReportCounter, tokens_most: int = 0, answers_lost: float = 0.0
+) -> GatewayWorld:
     world = GatewayWorld(2, tokens_most=tokens_most, change=reports)
     world.run(3.0)
     for number in range(JOBS):
-        world.hand_in(f"job{number}", ITEMS, tokens=TOKENS_AN_ITEM)
+        world.hand_in(f"job{number}", ITEMS, tokens=TOKENS_PER_ITEM)
     world.run(1.0)
     world.faults.answers_lost = answers_lost
     world.run(20.0)
@@ -58,7 +60,7 @@
     return world
 
 
-def assert_all_know_that_jobs_are_done(world: GatewayWorld) -> None:
+def assert_all_daemons_know_that_jobs_are_done(world: GatewayWorld) -> None:
     assert world.unfinished() == []
     for daemon in world.daemons.values():
         entries = daemon.core.jobs.replicas.index.jobs.values()
@@ -66,38 +68,38 @@
         assert not any(entry.is_open for entry in entries)
 
 
-def test_far_from_the_limit_a_job_is_reported_once_when_it_is_done() -> None:
-    reports = Reports()
-    assert_all_know_that_jobs_are_done(played(reports))
+def test_a_job_far_from_the_limit_is_reported_only_when_it_is_done() -> None:
+    reports = ReportCounter()
+    assert_all_daemons_know_that_jobs_are_done(run_jobs(reports))
     assert set(reports.by_job.values()) == {1}
 
 
-def test_near_the_limit_each_step_is_reported() -> None:
-    reports = Reports()
-    assert_all_know_that_jobs_are_done(played(reports, JOBS * ITEMS * TOKENS_AN_ITEM))
+def test_a_job_near_the_limit_is_reported_several_times() -> None:
+    reports = ReportCounter()
+    assert_all_daemons_know_that_jobs_are_done(run_jobs(reports, JOBS * ITEMS * TOKENS_PER_ITEM))
     assert max(reports.by_job.values()) > 1
 
 
-def test_a_report_whose_answer_was_lost_is_made_again() -> None:
-    assert_all_know_that_jobs_are_done(played(Reports(), answers_lost=0.6))
+def test_a_report_without_an_answer_is_repeated() -> None:
+    assert_all_daemons_know_that_jobs_are_done(run_jobs(ReportCounter(), answers_lost=0.6))
 
 
-def test_a_successor_reports_what_its_predecessor_could_not() -> None:
-    dropped = Reports()
+def test_a_successor_reports_jobs_that_its_predecessor_could_not_report() -> None:
+    counter = ReportCounter()
     world = GatewayWorld(2, change=lambda call: _without_reports(call))
     world.run(3.0)
     for number in range(JOBS):
-        world.hand_in(f"job{number}", ITEMS, tokens=TOKENS_AN_ITEM)
+        world.hand_in(f"job{number}", ITEMS, tokens=TOKENS_PER_ITEM)
     world.run(15.0)
-    world._change = dropped
+    world._change = counter
     for name in list(world.daemons):
         world.kill(name)
     world.run(15.0)
-    assert_all_know_that_jobs_are_done(world)
+    assert_all_daemons_know_that_jobs_are_done(world)
 
 
 def _without_reports(call: StoreCall) -> StoreCall:
-    """Empties appends of reports, as if they never arrived."""
+    """Removes progress reports from appends, as if they had never arrived."""
     if isinstance(call, AppendRecords) and call.partition == INDEX:
         kept = tuple(r for r in call.records if not r.key.startswith(f"{PROGRESS}:"))
         return AppendRecords(
@@ -106,7 +108,7 @@
     return call
 
 
-def test_a_job_whose_items_were_not_read_yet_is_never_reported_as_done() -> None:
+def test_a_job_is_not_reported_as_done_before_all_its_items_are_read() -> None:
     numbers = CallNumbers()
     rng = random.Random(1)
     replicas = JobReplicas(numbers, rng)
--- a/tests/decisions/jobs/test_ranking.py
+++ b/tests/decisions/jobs/test_ranking.py
@@ -1,11 +1,13 @@
+"""Ranking of items: which start first, and which stop first."""
+
 from tests.decisions.jobs.fixtures import item, job_index, route_table
 from troutswitch.decisions.jobs.items import ItemProgress
 from troutswitch.decisions.jobs.order import BatchCapacity, LeastSlack
 from troutswitch.decisions.jobs.ranking import ItemRanking
 
 
-def ranking(seen: dict[str, float]) -> ItemRanking:
-    return ItemRanking(route_table(), job_index(seen), LeastSlack())
+def ranking(read_at: dict[str, float]) -> ItemRanking:
+    return ItemRanking(route_table(), job_index(read_at), LeastSlack())
 
 
 def most_urgent_first(
@@ -22,13 +24,13 @@
     return ranked.least_urgent(items, count)
 
 
-def test_the_job_that_is_due_first_goes_first() -> None:
+def test_items_of_the_job_that_is_due_first_start_first() -> None:
     ranked = ranking({"old": 0.0, "new": 5.0})
     ordered = most_urgent_first(ranked, 6.0, [item("new"), item("old")])
     assert [progress.job_id for progress in ordered] == ["old", "new"]
 
 
-def test_an_item_that_cannot_be_in_time_waits_for_one_that_can() -> None:
+def test_late_items_come_after_items_that_can_meet_their_targets() -> None:
     ranked = ranking({"old": 0.0, "new": 5.0})
     ranked.run_times.on_completed(6.0, 60, 60)
     ordered = most_urgent_first(ranked, 15.0, [item("old"), item("new")])
@@ -41,7 +43,7 @@
     assert least_urgent(ranked, 16.0, [hopeless, nearly_done], 1) == [hopeless]
 
 
-def test_of_one_job_the_item_with_most_left_goes_first_and_yields_last() -> None:
+def test_the_item_of_a_job_with_most_remaining_time_starts_first_and_yields_last() -> None:
     ranked = ranking({"job": 0.0})
     ranked.run_times.on_completed(6.0, 60, 60)
     items = [item("job", 0, events=50), item("job", 1), item("job", 2, events=20)]
--- a/tests/decisions/jobs/test_results.py
+++ b/tests/decisions/jobs/test_results.py
@@ -1,4 +1,4 @@
-"""Results larger than a record, and parts of outputs larger than one."""
+"""Results and parts of outputs that are larger than a record."""
 
 import pytest
 from hypothesis import given, settings
@@ -23,7 +23,9 @@
 
 @DETERMINISTIC
 @given(st.text(max_size=300), st.randoms(use_true_random=False))
-def test_a_result_of_any_size_comes_back_whole_in_any_order(text: str, rng: object) -> None:
+def test_a_result_of_any_size_is_assembled_from_records_in_any_order(
+    text: str, rng: object
+) -> None:
     result = ItemResult("item", DONE, text)
     records = list(result_records("job", 3, result, RECORD_BYTES))
     assert all(len(r.key) + len(r.value) + 1 <= RECORD_BYTES for r in records)
@@ -36,7 +38,7 @@
     assert fold.malformed == 0
 
 
-def test_a_result_that_is_not_read_whole_is_listed_but_not_shown() -> None:
+def test_an_incompletely_read_result_is_listed_but_not_returned() -> None:
     records = result_records("job", 0, ItemResult("item", DONE, "x" * 200), RECORD_BYTES)
     fold = ShardFold()
     for record in records[1:]:
@@ -47,7 +49,7 @@
     assert content.next_position == 1
 
 
-def test_all_records_of_a_result_are_removed() -> None:
+def test_content_keys_remove_all_records_of_a_result() -> None:
     fold = ShardFold()
     for record in result_records("job", 0, ItemResult("item", DONE, "x" * 200), RECORD_BYTES):
         fold.apply(record)
@@ -56,14 +58,14 @@
     assert fold.jobs == {}
 
 
-@pytest.mark.parametrize("most", [1, 10, 1000])
-def test_what_is_not_saved_is_saved_in_parts_that_fit(most: int) -> None:
+@pytest.mark.parametrize("max_bytes", [1, 10, 1000])
+def test_unsaved_output_is_saved_in_parts_within_the_limit(max_bytes: int) -> None:
     progress = ItemProgress(0, "job", JobItem("i", "/p", (), b"", 1), 0)
     progress.add_events(tuple(OutputEvent(str(number), "data") for number in range(1, 8)))
     texts: list[str] = []
     while progress.unsaved:
-        part = progress.next_part(most)
-        assert len(part.text) <= max(most, 4)
+        part = progress.next_part(max_bytes)
+        assert len(part.text) <= max(max_bytes, 4)
         texts.append(part.text)
         progress.on_saved(part)
     assert "\n".join(texts) == progress.output
--- a/tests/decisions/jobs/test_run_time_estimate.py
+++ b/tests/decisions/jobs/test_run_time_estimate.py
@@ -1,8 +1,10 @@
+"""Estimate of the remaining run time of items."""
+
 from tests.decisions.jobs.fixtures import item
 from troutswitch.decisions.jobs.run_time_estimate import MIN_DUTY, RunTimeEstimate
 
 
-def test_run_times_are_learned_from_whole_runs() -> None:
+def test_remaining_time_follows_from_completed_runs() -> None:
     estimate = RunTimeEstimate()
     assert estimate.remaining_seconds(item("job")) == 0.0
     estimate.on_completed(4.0, 40, 40)
@@ -18,24 +20,24 @@
     assert estimate.item_events == 40
 
 
-def test_what_was_learnt_elsewhere_counts_until_something_is_learnt_here() -> None:
-    known = RunTimeEstimate()
-    assert known.learnt() is None
-    known.on_completed(4.0, 40, 40)
-    known.on_item_done(4.0, 5.0)
+def test_estimates_of_another_daemon_apply_only_until_a_run_completes_here() -> None:
+    other = RunTimeEstimate()
+    assert other.learnt() is None
+    other.on_completed(4.0, 40, 40)
+    other.on_item_done(4.0, 5.0)
     fresh = RunTimeEstimate()
-    learnt = known.learnt()
+    learnt = other.learnt()
     assert learnt is not None
     fresh.begin_with(learnt)
     assert fresh.remaining_seconds(item("job", events=30)) == 1.0
-    assert fresh.duty == known.duty
+    assert fresh.duty == other.duty
     fresh.on_completed(8.0, 40, 40)
-    held = fresh.event_seconds
+    before = fresh.event_seconds
     fresh.begin_with(learnt)
-    assert fresh.event_seconds == held
+    assert fresh.event_seconds == before
 
 
-def test_the_duty_is_bounded() -> None:
+def test_the_duty_stays_within_its_bounds() -> None:
     estimate = RunTimeEstimate()
     for _ in range(200):
         estimate.on_item_done(0.1, 50.0)
--- a/tests/decisions/jobs/test_tenants.py
+++ b/tests/decisions/jobs/test_tenants.py
@@ -1,4 +1,4 @@
-"""Jobs belong to tenants: whose key opens which job, and whose tokens count against whom."""
+"""Tenants of jobs: access by API key, and queued tokens by tenant."""
 
 import pytest
 
@@ -28,10 +28,10 @@
 
 
 class TenantWorld(GatewayWorld):
-    """Daemons with two tenants; notes for which tenant items run."""
+    """Daemons with two tenants; records the tenants whose items run."""
 
     def __init__(self, seed: int = 1, tokens_most: int = 0) -> None:
-        self.ran_for: set[str] = set()
+        self.run_tenants: set[str] = set()
         tenants = (
             Tenant("ours", frozenset({OURS, OURS_NEW})),
             Tenant("theirs", frozenset({THEIRS})),
@@ -40,7 +40,7 @@
         self.run(3.0)
 
     def run_item(self, daemon: Daemon, run: RunItem) -> None:
-        self.ran_for.add(run.tenant)
+        self.run_tenants.add(run.tenant)
         super().run_item(daemon, run)
 
     def call(self, event: JobCall | JobSubmitted) -> JobAnswer:
@@ -51,7 +51,7 @@
         assert answers, "a call was not answered"
         return answers[0]
 
-    def hand_in_for(self, key: str, job_id: str = "job", tokens: int = 100) -> JobAnswer:
+    def submit_for(self, key: str, job_id: str = "job", tokens: int = 100) -> JobAnswer:
         items = (JobItem(f"{job_id}-0", f"{PREFIX}0", (), b"body", tokens),)
         return self.call(
             JobSubmitted(self.next_token(), job_id, HOST, PREFIX, items, "d", 4.0, key)
@@ -63,26 +63,26 @@
     return answer.status
 
 
-def test_items_run_for_the_tenant_whose_key_handed_them_in() -> None:
+def test_items_run_for_the_tenant_that_submitted_them() -> None:
     world = TenantWorld()
-    assert isinstance(world.hand_in_for(OURS), JobAccepted)
+    assert isinstance(world.submit_for(OURS), JobAccepted)
     world.run(8.0)
-    assert world.ran_for == {"ours"}
+    assert world.run_tenants == {"ours"}
 
 
 @pytest.mark.parametrize("key", ["", UNKNOWN])
-def test_no_call_about_a_job_goes_without_a_known_key(key: str) -> None:
+def test_calls_about_jobs_without_a_known_key_are_refused(key: str) -> None:
     world = TenantWorld()
-    assert status(world.hand_in_for(key)) == 401
-    assert isinstance(world.hand_in_for(OURS), JobAccepted)
+    assert status(world.submit_for(key)) == 401
+    assert isinstance(world.submit_for(OURS), JobAccepted)
     assert status(world.call(ResultsRequested(world.next_token(), "job", 0, 4.0, key))) == 401
     assert status(world.call(BodyRequested(world.next_token(), "job", "job-0", 4.0, key))) == 401
     assert status(world.call(JobEndRequested(world.next_token(), "job", 4.0, key))) == 401
 
 
-def test_another_tenant_learns_nothing_of_a_job_not_even_that_it_exists() -> None:
+def test_a_job_of_another_tenant_looks_like_one_that_does_not_exist() -> None:
     world = TenantWorld()
-    assert isinstance(world.hand_in_for(OURS), JobAccepted)
+    assert isinstance(world.submit_for(OURS), JobAccepted)
     for job_id in ("job", "no-job"):
         results = world.call(ResultsRequested(world.next_token(), job_id, 0, 4.0, THEIRS))
         body = world.call(BodyRequested(world.next_token(), job_id, "job-0", 4.0, THEIRS))
@@ -93,32 +93,32 @@
     )
 
 
-def test_another_key_of_the_tenant_goes_on_with_its_job() -> None:
+def test_each_key_of_a_tenant_has_access_to_its_jobs() -> None:
     world = TenantWorld()
-    world.hand_in_for(OURS)
+    world.submit_for(OURS)
     answer = world.call(BodyRequested(world.next_token(), "job", "job-0", 4.0, OURS_NEW))
     assert isinstance(answer, ItemBody | JobRefused)
-    assert isinstance(world.hand_in_for(OURS_NEW), JobAccepted)
+    assert isinstance(world.submit_for(OURS_NEW), JobAccepted)
     assert isinstance(
         world.call(JobEndRequested(world.next_token(), "job", 4.0, OURS_NEW)), JobEnded
     )
 
 
-def test_the_same_id_of_another_tenant_is_not_taken_for_a_resend() -> None:
+def test_a_job_id_of_another_tenant_is_refused_as_a_conflict() -> None:
     world = TenantWorld()
-    assert isinstance(world.hand_in_for(OURS), JobAccepted)
-    assert status(world.hand_in_for(THEIRS)) == 409
+    assert isinstance(world.submit_for(OURS), JobAccepted)
+    assert status(world.submit_for(THEIRS)) == 409
 
 
-def test_tokens_that_wait_are_counted_by_tenant() -> None:
+def test_queued_tokens_are_counted_by_tenant() -> None:
     world = TenantWorld(tokens_most=1000)
     for daemon in world.daemons.values():
-        daemon.core.jobs.owner.is_draining = True  # so that nothing is done meanwhile
-    assert isinstance(world.hand_in_for(OURS, "a", 900), JobAccepted)
-    assert status(world.hand_in_for(OURS, "b", 900)) == 429
-    assert isinstance(world.hand_in_for(THEIRS, "c", 900), JobAccepted)
+        daemon.core.jobs.owner.is_draining = True  # so that no item starts
+    assert isinstance(world.submit_for(OURS, "a", 900), JobAccepted)
+    assert status(world.submit_for(OURS, "b", 900)) == 429
+    assert isinstance(world.submit_for(THEIRS, "c", 900), JobAccepted)
 
 
-def test_a_manifest_keeps_its_tenant() -> None:
+def test_a_manifest_keeps_its_tenant_when_encoded() -> None:
     manifest = Manifest("job", "route", HOST, 1, 10, "d", 0, 5.0, "ours")
     assert read_manifest("job", manifest_record(manifest).value) == manifest
