--- a/src/troutswitch/decisions/jobs/batch_capacity.py
+++ b/src/troutswitch/decisions/jobs/batch_capacity.py
@@ -11,8 +11,7 @@
 Why: engines have no priorities and admit in the order of arrival, so an online request finds a
 slot only if items leave one free or stop immediately. Stopping an item takes milliseconds, and the
 item resumes after its last whole event. Where this was measured, reserving slots cost more than it
-saved:
-docs/POLICY.md, "Rounds" (1, 4 and 12b) and "Ablation".
+saved: docs/POLICY.md, "Rounds" (1, 4 and 12b) and "Ablation".
 """
 
 import random
--- a/src/troutswitch/decisions/jobs/coordinator.py
+++ b/src/troutswitch/decisions/jobs/coordinator.py
@@ -132,7 +132,7 @@
         )
 
     def on_timer(self, now: float) -> None:
-        """Does what is due."""
+        """Runs the due work of all parts."""
         self._emit_all(self.ownership.on_timer(now))
         self._emit_all(self.owner.on_timer(now))
         self._emit_all(self.retention.on_timer(now))
--- a/src/troutswitch/decisions/jobs/dispatcher.py
+++ b/src/troutswitch/decisions/jobs/dispatcher.py
@@ -19,7 +19,7 @@
 from troutswitch.decisions.jobs.item_parts import ItemParts
 from troutswitch.decisions.jobs.items import ItemProgress
 from troutswitch.decisions.jobs.messages import RunItem
-from troutswitch.decisions.jobs.order import BatchCapacity
+from troutswitch.decisions.jobs.order import AvailableCapacity
 from troutswitch.decisions.jobs.starvation_guard import StarvationGuard
 from troutswitch.decisions.slots.messages import FleetShare, StartItems, WaitingItems
 
@@ -77,7 +77,7 @@
     def _rank(self, now: float, share: FleetShare) -> None:
         self._engine_choice.begin_round()
         own_slots = share.free_slots * self._own_share(share)
-        capacity = BatchCapacity(own_slots, self._ranking.run_times.duty)
+        capacity = AvailableCapacity(own_slots, self._ranking.run_times.duty)
         self._ranking.rank(now, self._items.unfinished(), capacity)
 
     def _own_share(self, share: FleetShare) -> float:
@@ -89,7 +89,7 @@
         """Returns whether late items may start: on their turn, or if no other items wait."""
         if self.starvation_guard.is_late_turn(now):
             return True
-        return not any(not progress.run for progress in in_time)
+        return not any(not progress.run_number for progress in in_time)
 
     def _start_without_grant(self, now: float, ordered: list[ItemProgress]) -> list[RunItem]:
         """Starts items at engines whose slots no coordinator grants, in the given order."""
--- a/src/troutswitch/decisions/jobs/engine_choice.py
+++ b/src/troutswitch/decisions/jobs/engine_choice.py
@@ -106,8 +106,8 @@
 
     def _cache_tokens(self, service: str) -> int:
         configuration = self._routes.configuration
-        known = configuration.services.get(service) if configuration is not None else None
-        return known.cache_tokens if known is not None else 0
+        settings = configuration.services.get(service) if configuration is not None else None
+        return settings.cache_tokens if settings is not None else 0
 
     def _has_own_slot(self, now: float, engine: Engine, age_share: float) -> bool:
         """Returns whether this daemon's share of an engine's free slots allows one more start."""
--- a/src/troutswitch/decisions/jobs/intake.py
+++ b/src/troutswitch/decisions/jobs/intake.py
@@ -150,9 +150,9 @@
             records = chunk_records(event.job_id, event.items, self._limits.record_bytes)
         except RecordError as error:
             return self._answer_immediately(now, event, JobRefused(413, str(error)))
-        known = self._existing_answer(manifest)
-        if known is not None:
-            return self._answer_immediately(now, event, known)
+        existing = self._existing_answer(manifest)
+        if existing is not None:
+            return self._answer_immediately(now, event, existing)
         batches = _split_into_batches(records, self._limits.call_bytes)
         expires_at = now + max(0.0, event.time_left - ANSWER_RESERVE_SECONDS)
         submission = Submission(event, route, manifest, batches, now, expires_at)
@@ -242,9 +242,9 @@
         if not succeeded:
             submission.retry_at = now + RETRY_PAUSE_SECONDS
             return
-        known = self._existing_answer(submission.manifest)
-        if known is not None:
-            self._finish(now, submission, known)
+        existing = self._existing_answer(submission.manifest)
+        if existing is not None:
+            self._finish(now, submission, existing)
         elif not self._token_limits.fits(submission.route, submission.manifest):
             self._refuse_for_limit(now, submission)
         else:
@@ -320,9 +320,9 @@
                 assert_never(submission.state)
 
     def _resume_after_read(self, now: float, submission: Submission) -> list[StoreCall]:
-        known = self._existing_answer(submission.manifest)
-        if known is not None:
-            self._finish(now, submission, known)
+        existing = self._existing_answer(submission.manifest)
+        if existing is not None:
+            self._finish(now, submission, existing)
             return []
         is_current = self._replicas.index_follower.is_current
         if not is_current or not self._token_limits.fits(submission.route, submission.manifest):
--- a/src/troutswitch/decisions/jobs/items.py
+++ b/src/troutswitch/decisions/jobs/items.py
@@ -24,13 +24,13 @@
         texts: its output so far.
         unsaved: the last events of the output, which are not in the store yet.
         saved_position: id of the last event in the store.
-        parts: number of records that hold the saved output.
+        saved_parts: number of records that hold the saved output.
         failures: failed runs, here and at earlier owners.
         saved_failures: the number of failed runs in the store.
-        runs: number of runs started here.
+        runs_started: number of runs started here.
         retry_at: when the next run may start.
         no_route_since: when it lost its route; infinite while it has one.
-        run: number of the run in flight, or 0.
+        run_number: number of the run in flight, or 0.
         is_finished: whether it has ended and only its result remains to be listed.
         started_at: when its first run here started.
         run_seconds: total duration of its runs here.
@@ -46,13 +46,13 @@
     texts: list[str] = field(default_factory=list)
     unsaved: list[OutputEvent] = field(default_factory=list)
     saved_position: str = ""
-    parts: int = 0
+    saved_parts: int = 0
     failures: int = 0
     saved_failures: int = 0
-    runs: int = 0
+    runs_started: int = 0
     retry_at: float = float("-inf")
     no_route_since: float = float("inf")
-    run: int = 0
+    run_number: int = 0
     is_finished: bool = False
     started_at: float = float("inf")
     run_seconds: float = 0.0
@@ -66,7 +66,7 @@
 
     def may_start(self, now: float) -> bool:
         """Returns whether it is unfinished, has no run in flight, and its retry time has passed."""
-        return not self.run and not self.is_finished and now >= self.retry_at
+        return not self.run_number and not self.is_finished and now >= self.retry_at
 
     def restore(self, parts: list[OutputPart]) -> None:
         """Restores the output that an earlier owner saved."""
@@ -75,7 +75,7 @@
             return
         self.texts = [part.text for part in parts]
         self.position = self.saved_position = parts[-1].position
-        self.parts = len(parts)
+        self.saved_parts = len(parts)
 
     def add_events(self, events: tuple[OutputEvent, ...]) -> None:
         """Appends the next events of the output."""
@@ -116,7 +116,7 @@
         ensure(
             self.saved_position == part.position, "a saved part does not match the unsaved events"
         )
-        self.parts += 1
+        self.saved_parts += 1
 
     def _text_up_to(self, position: str) -> str | None:
         """Returns the unsaved output up to a position; None if no unsaved event is there."""
@@ -134,9 +134,9 @@
         acknowledged; a further part that matches is recorded as saved. If a part is from another
         owner's run, this item must restart from the saved output.
         """
-        if len(parts) < self.parts:
+        if len(parts) < self.saved_parts:
             return False
-        for part in parts[self.parts :]:
+        for part in parts[self.saved_parts :]:
             if part.after != self.saved_position or part.text != self._text_up_to(part.position):
                 return False
             self.on_saved(part)
--- a/src/troutswitch/decisions/jobs/messages.py
+++ b/src/troutswitch/decisions/jobs/messages.py
@@ -70,7 +70,7 @@
 
 @dataclass(frozen=True, slots=True)
 class OutputEvent:
-    """The data of one whole event of an item's output, and the event's id."""
+    """One complete event of an item's output: its id and its data."""
 
     position: str
     text: str
--- a/src/troutswitch/decisions/jobs/order.py
+++ b/src/troutswitch/decisions/jobs/order.py
@@ -43,7 +43,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class BatchCapacity:
+class AvailableCapacity:
     """Capacity available to this daemon's items.
 
     `slots` is the mean number of slots for all of its items. `duty` is the share of the time since
@@ -58,7 +58,7 @@
     """Ranks all items that a daemon has to finish; the lowest rank starts first."""
 
     def rank(
-        self, now: float, items: Iterable[ItemForecast], capacity: BatchCapacity
+        self, now: float, items: Iterable[ItemForecast], capacity: AvailableCapacity
     ) -> dict[ItemKey, ItemRank]:
         """Returns the rank of each item."""
         ...
@@ -71,7 +71,7 @@
     """
 
     def rank(
-        self, now: float, items: Iterable[ItemForecast], capacity: BatchCapacity
+        self, now: float, items: Iterable[ItemForecast], capacity: AvailableCapacity
     ) -> dict[ItemKey, ItemRank]:
         """Ranks by slack."""
         slacks = {item.key: item.due_at - now - item.remaining_seconds for item in items}
@@ -87,7 +87,7 @@
     """
 
     def rank(
-        self, now: float, items: Iterable[ItemForecast], capacity: BatchCapacity
+        self, now: float, items: Iterable[ItemForecast], capacity: AvailableCapacity
     ) -> dict[ItemKey, ItemRank]:
         """Ranks by due time, then by remaining run time; late items by remaining run time only."""
         ordered = sorted(items, key=lambda item: (item.due_at, item.remaining_seconds, item.key))
@@ -95,7 +95,9 @@
         return {item.key: _rank(item, item.key in late) for item in ordered}
 
 
-def _late_items(now: float, ordered: list[ItemForecast], capacity: BatchCapacity) -> set[ItemKey]:
+def _late_items(
+    now: float, ordered: list[ItemForecast], capacity: AvailableCapacity
+) -> set[ItemKey]:
     """Returns the items that cannot meet their targets with the given capacity."""
     scheduled: list[tuple[float, ItemKey]] = []  # longest first
     late: set[ItemKey] = set()
--- a/src/troutswitch/decisions/jobs/owner.py
+++ b/src/troutswitch/decisions/jobs/owner.py
@@ -172,7 +172,7 @@
         return self._dispatcher.start_granted(now, grant)
 
     def yield_slot(self, now: float, engine_id: str) -> StopItem | None:
-        """Stops the least urgent item at an engine; None if this daemon has none there."""
+        """Stops the least urgent item at an engine; returns None if this daemon has none there."""
         stopped = self._run_stops.stop_least_urgent(now, engine_id, 1)
         return stopped[0] if stopped else None
 
--- a/src/troutswitch/decisions/jobs/ranking.py
+++ b/src/troutswitch/decisions/jobs/ranking.py
@@ -10,7 +10,7 @@
 from troutswitch.decisions.jobs.index import JobIndex
 from troutswitch.decisions.jobs.items import ItemProgress
 from troutswitch.decisions.jobs.order import (
-    BatchCapacity,
+    AvailableCapacity,
     ItemForecast,
     ItemKey,
     ItemOrder,
@@ -32,7 +32,7 @@
         self._order = order
         self._ranks: dict[ItemKey, ItemRank] = {}
 
-    def rank(self, now: float, items: Iterable[ItemProgress], capacity: BatchCapacity) -> None:
+    def rank(self, now: float, items: Iterable[ItemProgress], capacity: AvailableCapacity) -> None:
         """Computes the ranks of all items."""
         self._ranks = self._order.rank(now, [self._forecast(item) for item in items], capacity)
 
--- a/src/troutswitch/decisions/jobs/reads.py
+++ b/src/troutswitch/decisions/jobs/reads.py
@@ -1,6 +1,6 @@
 """Answers clients' calls about jobs, at any daemon: requests for results, bodies and ends of jobs.
 
-A replica may lag. So the index or the shard is read to its end before a client is told that a job,
+A replica may lag, so the index or the shard is read to its end before a client is told that a job,
 result or item does not exist. If the store cannot be read, the call is refused with a Retry-After.
 
 It owns the calls in progress on this daemon.
--- a/src/troutswitch/decisions/jobs/records.py
+++ b/src/troutswitch/decisions/jobs/records.py
@@ -43,7 +43,7 @@
 FAILURES = "f"
 CONTINUATION = "x"
 RECORD_OVERHEAD_BYTES = 512
-"""Bytes kept free in a record for its key and the arrays around the items."""
+"""Bytes reserved in a record for its key and the arrays around the items."""
 
 DONE = "done"
 """State of a result with the item's complete output."""
@@ -196,7 +196,7 @@
         row = [item.item_id, item.path, dict(item.headers), item.body, item.tokens]
         size = len(cbor2.dumps(row))
         if size > max_bytes:
-            raise RecordError(f"item {item.item_id} takes {size} bytes, a record holds {max_bytes}")
+            raise RecordError(f"item {item.item_id} has {size} bytes, the limit is {max_bytes}")
         if used + size > max_bytes:
             chunks.append([])
             used = 0
--- a/src/troutswitch/decisions/jobs/run_stops.py
+++ b/src/troutswitch/decisions/jobs/run_stops.py
@@ -42,7 +42,7 @@
             if is_unwanted and not run.is_stopped:
                 stops.append(self._runs.stop(now, number))
         for progress in self._items:
-            if not progress.run and not self._items.is_wanted(progress):
+            if not progress.run_number and not self._items.is_wanted(progress):
                 self._items.drop(progress)
         return stops
 
@@ -67,4 +67,4 @@
         if count <= 0 or not running:
             return []
         chosen = self._ranking.least_urgent(running, count)
-        return [self._runs.stop(now, progress.run) for progress in chosen]
+        return [self._runs.stop(now, progress.run_number) for progress in chosen]
--- a/src/troutswitch/decisions/jobs/runs.py
+++ b/src/troutswitch/decisions/jobs/runs.py
@@ -66,11 +66,11 @@
         self, now: float, progress: ItemProgress, manifest: Manifest, engine: Engine
     ) -> RunItem:
         """Starts a run of an item that has no run in flight."""
-        ensure(not progress.run, "an item runs twice at once")
+        ensure(not progress.run_number, "an item has two runs in flight")
         number = next(self._numbers)
-        progress.run = number
+        progress.run_number = number
         progress.started_at = min(progress.started_at, now)
-        progress.runs += 1
+        progress.runs_started += 1
         self.started += 1
         size = RequestSize(progress.item.tokens, progress.item.tokens // 2)
         engine_id = engine.record.engine_id
@@ -94,7 +94,7 @@
             "item sent",
             job_id=progress.job_id,
             item_id=progress.item.item_id,
-            run=progress.runs,
+            run=progress.runs_started,
             engine=engine.record.engine_id,
             load=engine.in_flight(now),
             resume_after=progress.position,
@@ -127,7 +127,7 @@
         run = self.by_number.pop(event.run, None)
         if run is None:
             return None
-        run.progress.run = 0
+        run.progress.run_number = 0
         run.progress.run_seconds += now - run.started_at
         self._update_engine(now, run, event)
         run.progress.add_events(event.events)
--- a/src/troutswitch/decisions/jobs/writer.py
+++ b/src/troutswitch/decisions/jobs/writer.py
@@ -206,7 +206,7 @@
             used += len(part.text.encode()) + ROW_OVERHEAD_BYTES
             if used > self._limits.call_bytes:
                 return
-            record = checkpoint_record(progress.job_id, progress.number, progress.parts, part)
+            record = checkpoint_record(progress.job_id, progress.number, progress.saved_parts, part)
             writes.batch.append(WriteRow(progress, (record,), part=part))
 
     # Outcomes.
--- a/tests/decisions/jobs/test_failures.py
+++ b/tests/decisions/jobs/test_failures.py
@@ -88,8 +88,9 @@
 ) -> None:
     """Guards against an item that fails at each run and is retried without a bound.
 
-    Its runs fail twice at its owner, then the shard moves to another daemon, where they fail twice
-    again. When each owner counted only its own failed runs, the item ran 27 to 35 times here.
+    Its runs fail twice at its owner, then the shard moves to another daemon, because all shards are
+    reassigned or the owner is lost, and they fail twice again. When each owner counted only its own
+    failed runs, the item ran 27 to 35 times here.
     """
     world = AlwaysFailingWorld(seed, daemons=6)
     world.run(3.0)
--- a/tests/decisions/jobs/test_order.py
+++ b/tests/decisions/jobs/test_order.py
@@ -8,7 +8,7 @@
 
 from troutswitch.decisions.jobs.order import (
     ITEM_ORDERS,
-    BatchCapacity,
+    AvailableCapacity,
     ItemForecast,
     ItemKey,
     ItemOrder,
@@ -16,7 +16,7 @@
     MostInTime,
 )
 
-ONE_SLOT = BatchCapacity(1.0, 1.0)
+ONE_SLOT = AvailableCapacity(1.0, 1.0)
 DETERMINISTIC = settings(derandomize=True, deadline=None, max_examples=150)
 ITEMS = st.lists(st.tuples(st.integers(1, 30), st.integers(1, 12)), max_size=7)
 every_order = pytest.mark.parametrize("order", [make() for make in ITEM_ORDERS.values()])
@@ -50,8 +50,8 @@
 
 def test_partly_finished_items_are_finished_before_new_ones_start() -> None:
     fresh = [(10, 5)] * 4
-    begun = [(10, 2)] * 2
-    ranks = MostInTime().rank(0.0, forecasts([*fresh, *begun]), ONE_SLOT)
+    partly_finished = [(10, 2)] * 2
+    ranks = MostInTime().rank(0.0, forecasts([*fresh, *partly_finished]), ONE_SLOT)
     late = {key for key, rank in ranks.items() if rank.is_late}
     assert ("job", "4") not in late
     assert ("job", "5") not in late
@@ -66,9 +66,9 @@
 
 def test_a_lower_duty_makes_an_item_late() -> None:
     items = forecasts([(10, 6)])
-    half = BatchCapacity(slots=4.0, duty=0.5)
+    half = AvailableCapacity(slots=4.0, duty=0.5)
     assert MostInTime().rank(0.0, items, half)[("job", "0")].is_late
-    assert not MostInTime().rank(0.0, items, BatchCapacity(4.0, 1.0))[("job", "0")].is_late
+    assert not MostInTime().rank(0.0, items, AvailableCapacity(4.0, 1.0))[("job", "0")].is_late
 
 
 @every_order
@@ -78,7 +78,7 @@
     order: ItemOrder, rows: list[tuple[int, int]], slots: float, now: float
 ) -> None:
     items = forecasts(rows)
-    ranks = order.rank(now, items, BatchCapacity(slots, 1.0))
+    ranks = order.rank(now, items, AvailableCapacity(slots, 1.0))
     assert ranks.keys() == {item.key for item in items}
     ordered: list[ItemKey] = sorted(ranks, key=lambda key: ranks[key])
     lateness = [ranks[key].is_late for key in ordered]
--- a/tests/decisions/jobs/test_parts.py
+++ b/tests/decisions/jobs/test_parts.py
@@ -43,7 +43,7 @@
     for new_events in (events(1, 2), events(3)):
         owner_progress.add_events(new_events)
         part = owner_progress.next_part(RECORD_BYTES)
-        fold.apply(checkpoint_record("job", 0, owner_progress.parts, part))
+        fold.apply(checkpoint_record("job", 0, owner_progress.saved_parts, part))
         owner_progress.on_saved(part)
     successor_progress = new_progress()
     successor_progress.restore(fold.content("job").saved_output(0))
@@ -66,7 +66,7 @@
     part = item_progress.next_part(RECORD_BYTES)
     item_progress.add_events(events(3))
     assert item_progress.reconcile([part])
-    assert (item_progress.parts, item_progress.saved_position) == (1, "2")
+    assert (item_progress.saved_parts, item_progress.saved_position) == (1, "2")
     assert item_progress.next_part(RECORD_BYTES) == OutputPart("2", "3", "t3")
 
 
--- a/tests/decisions/jobs/test_ranking.py
+++ b/tests/decisions/jobs/test_ranking.py
@@ -2,7 +2,7 @@
 
 from tests.decisions.jobs.fixtures import item, job_index, route_table
 from troutswitch.decisions.jobs.items import ItemProgress
-from troutswitch.decisions.jobs.order import BatchCapacity, LeastSlack
+from troutswitch.decisions.jobs.order import AvailableCapacity, LeastSlack
 from troutswitch.decisions.jobs.ranking import ItemRanking
 
 
@@ -13,14 +13,14 @@
 def most_urgent_first(
     ranked: ItemRanking, now: float, items: list[ItemProgress]
 ) -> list[ItemProgress]:
-    ranked.rank(now, items, BatchCapacity(1.0, 1.0))
+    ranked.rank(now, items, AvailableCapacity(1.0, 1.0))
     return ranked.most_urgent_first(items)
 
 
 def least_urgent(
     ranked: ItemRanking, now: float, items: list[ItemProgress], count: int
 ) -> list[ItemProgress]:
-    ranked.rank(now, items, BatchCapacity(1.0, 1.0))
+    ranked.rank(now, items, AvailableCapacity(1.0, 1.0))
     return ranked.least_urgent(items, count)
 
 
