--- a/src/troutswitch/decisions/jobs/coordinator.py
+++ b/src/troutswitch/decisions/jobs/coordinator.py
@@ -83,7 +83,7 @@
             case ItemRunEnded():
                 self.owner.on_run_ended(now, event)
             case ItemBegun():
-                self.owner.on_begun(event)
+                self.owner.on_first_token(event)
             case ItemProgressed():
                 self.owner.on_progressed(event)
             case _:
--- a/src/troutswitch/decisions/jobs/owner.py
+++ b/src/troutswitch/decisions/jobs/owner.py
@@ -178,9 +178,9 @@
 
     # Runs.
 
-    def on_begun(self, event: ItemBegun) -> None:
+    def on_first_token(self, event: ItemBegun) -> None:
         """Records that an engine has read a run's prompt."""
-        self._runs.on_begun(event)
+        self._runs.on_first_token(event)
 
     def on_progressed(self, event: ItemProgressed) -> None:
         """Adds the next events of a run's output."""
--- a/src/troutswitch/decisions/jobs/run_time_estimate.py
+++ b/src/troutswitch/decisions/jobs/run_time_estimate.py
@@ -58,7 +58,7 @@
             duty = min(1.0, max(MIN_DUTY, run_seconds / since_start))
             self.duty = moving_average(self.duty, duty, WEIGHT_OF_NEW)
 
-    def learnt(self) -> BatchRunTimes | None:
+    def snapshot(self) -> BatchRunTimes | None:
         """Returns the estimates for daemons that start; None before the first completed run."""
         if self.event_seconds == 0.0 or self.item_events == 0.0:
             return None
@@ -66,12 +66,12 @@
             round(self.event_seconds * 1e6), round(self.item_events), round(self.duty * 100)
         )
 
-    def begin_with(self, learnt: BatchRunTimes) -> None:
+    def adopt(self, estimates: BatchRunTimes) -> None:
         """Adopts the estimates of another daemon, if there are none here."""
         if self.event_seconds == 0.0:
-            self.event_seconds = learnt.event_microseconds / 1e6
-            self.item_events = float(learnt.item_events)
-            self.duty = min(1.0, max(MIN_DUTY, learnt.duty_percent / 100))
+            self.event_seconds = estimates.event_microseconds / 1e6
+            self.item_events = float(estimates.item_events)
+            self.duty = min(1.0, max(MIN_DUTY, estimates.duty_percent / 100))
 
     def remaining_seconds(self, progress: ItemProgress) -> float:
         """Returns the estimated remaining run time of an item, in seconds."""
--- a/src/troutswitch/decisions/jobs/runs.py
+++ b/src/troutswitch/decisions/jobs/runs.py
@@ -36,8 +36,9 @@
 class ItemRun:
     """One run of an item at an engine.
 
-    `events_before` is the number of output events from earlier runs. `is_begun` is set once the
-    engine has read the prompt, `is_stopped` once this daemon has stopped the run.
+    `events_before` is the number of output events from earlier runs. `has_first_token` is set once
+    the engine has begun its response, so it has read the prompt; `is_stopped` once this daemon has
+    stopped the run.
     """
 
     progress: ItemProgress
@@ -45,7 +46,7 @@
     started_at: float
     size: RequestSize
     events_before: int
-    is_begun: bool = False
+    has_first_token: bool = False
     is_stopped: bool = False
 
 
@@ -101,11 +102,11 @@
             **configuration_fields(self._routes.known(now)),
         )
 
-    def on_begun(self, event: ItemBegun) -> None:
+    def on_first_token(self, event: ItemBegun) -> None:
         """Records that the engine has read a run's prompt."""
         run = self.by_number.get(event.run)
-        if run is not None and not run.is_begun and not run.is_stopped:
-            run.is_begun = True
+        if run is not None and not run.has_first_token and not run.is_stopped:
+            run.has_first_token = True
             self._engines.on_first_token(run.engine_id, run.size)
 
     def on_progressed(self, event: ItemProgressed) -> None:
@@ -119,7 +120,7 @@
         run = self.by_number[number]
         ensure(not run.is_stopped, "a run is stopped twice")
         run.is_stopped = True
-        self._engines.on_preempted(now, run.engine_id, run.size, begun=run.is_begun)
+        self._engines.on_preempted(now, run.engine_id, run.size, begun=run.has_first_token)
         return StopItem(number)
 
     def end(self, now: float, event: ItemRunEnded) -> ItemRun | None:
@@ -150,7 +151,7 @@
             is_broken = event.kind in (AttemptOutcome.CUT, AttemptOutcome.UNREACHABLE)
             failed = is_broken and event.status == 0
             self._engines.on_ended(
-                now, run.engine_id, True, run.size, begun=run.is_begun, failed=failed
+                now, run.engine_id, True, run.size, begun=run.has_first_token, failed=failed
             )
         if event.load is not None:
             self._engines.on_load(now, run.engine_id, event.load)
--- a/src/troutswitch/decisions/run_time_sharing.py
+++ b/src/troutswitch/decisions/run_time_sharing.py
@@ -32,7 +32,7 @@
         """Returns this daemon's current entry."""
         identity = self._identity
         experience = replace(
-            self._requests.learned_times(), batch_run_times=self._job_owner.run_times.learnt()
+            self._requests.learned_times(), batch_run_times=self._job_owner.run_times.snapshot()
         )
         return PeerRegistryEntry(identity.name, identity.peer_address, identity.zone, experience)
 
@@ -41,4 +41,4 @@
         self._peers.on_registered(entry)
         self._requests.merge(entry.experience)
         if entry.experience.batch_run_times is not None:
-            self._job_owner.run_times.begin_with(entry.experience.batch_run_times)
+            self._job_owner.run_times.adopt(entry.experience.batch_run_times)
--- a/tests/decisions/jobs/test_run_time_estimate.py
+++ b/tests/decisions/jobs/test_run_time_estimate.py
@@ -22,18 +22,18 @@
 
 def test_estimates_of_another_daemon_apply_only_until_a_run_completes_here() -> None:
     other = RunTimeEstimate()
-    assert other.learnt() is None
+    assert other.snapshot() is None
     other.on_completed(4.0, 40, 40)
     other.on_item_done(4.0, 5.0)
     fresh = RunTimeEstimate()
-    learnt = other.learnt()
-    assert learnt is not None
-    fresh.begin_with(learnt)
+    snapshot = other.snapshot()
+    assert snapshot is not None
+    fresh.adopt(snapshot)
     assert fresh.remaining_seconds(item("job", events=30)) == 1.0
     assert fresh.duty == other.duty
     fresh.on_completed(8.0, 40, 40)
     before = fresh.event_seconds
-    fresh.begin_with(learnt)
+    fresh.adopt(snapshot)
     assert fresh.event_seconds == before
 
 
--- a/tests/decisions/test_gateway.py
+++ b/tests/decisions/test_gateway.py
@@ -33,7 +33,7 @@
     assert owner is not None
     world.run(AFTER_START_SECONDS)
     assert owner.core.jobs.owner.runs
-    assert all(run.is_begun for run in owner.core.jobs.owner.runs.values())
+    assert all(run.has_first_token for run in owner.core.jobs.owner.runs.values())
     assert waiting_prefill(owner) == 0
 
 
