--- a/src/troutswitch/decisions/jobs/records.py
+++ b/src/troutswitch/decisions/jobs/records.py
@@ -196,7 +196,7 @@
         row = [item.item_id, item.path, dict(item.headers), item.body, item.tokens]
         size = len(cbor2.dumps(row))
         if size > max_bytes:
-            raise RecordError(f"item {item.item_id} has {size} bytes, the limit is {max_bytes}")
+            raise RecordError(f"item {item.item_id} takes {size} bytes, a record holds {max_bytes}")
         if used + size > max_bytes:
             chunks.append([])
             used = 0
