--- a/src/troutswitch/cli/soak.py
+++ b/src/troutswitch/cli/soak.py
@@ -13,8 +13,8 @@
 
 from troutswitch.cli.explain import format_line, read_story
 from troutswitch.cli.log_files import read_files
-from troutswitch.soak.fleet import NotStarted
-from troutswitch.soak.report import Verdict, summarize, write_report
+from troutswitch.soak.fleet import FleetStartError
+from troutswitch.soak.report import SoakResult, summarize, write_report
 from troutswitch.soak.run import SoakSize, run_soak
 
 SECONDS_IN_MINUTE = 60.0
@@ -60,12 +60,12 @@
 
     try:
         verdict = run_soak(drawn, length, folder, size, print_progress, stop_requested)
-    except NotStarted as error:
+    except FleetStartError as error:
         raise click.ClickException(f"{error}; logs in {folder}") from error
     finish(verdict, folder, report)
 
 
-def finish(verdict: Verdict, folder: Path, report: Path | None) -> None:
+def finish(verdict: SoakResult, folder: Path, report: Path | None) -> None:
     """Prints the summary, writes the report, keeps the logs of a failure, and exits."""
     stories = explain_violations(verdict, folder)
     if report is not None:
@@ -81,7 +81,7 @@
     sys.exit(1)
 
 
-def explain_violations(verdict: Verdict, folder: Path) -> dict[str, str]:
+def explain_violations(verdict: SoakResult, folder: Path) -> dict[str, str]:
     """Returns, for the first violations, what the daemons logged of their subjects."""
     if not verdict.violations:
         return {}
--- a/src/troutswitch/soak/callers.py
+++ b/src/troutswitch/soak/callers.py
@@ -10,29 +10,29 @@
 
 from troutswitch.common import Address
 from troutswitch.platform import names
-from troutswitch.soak.evidence import Evidence, Exchange, Kind, Outcome
-from troutswitch.soak.tenants import STRANGER_KEY, is_stranger, key_of, tenant_of
+from troutswitch.soak.observations import Exchange, Observations, Outcome, RequestKind
+from troutswitch.soak.tenants import UNKNOWN_KEY, key_of, shows_unknown_key, tenant_of
 
 HOST = "soak.example"
 DEADLINE_SECONDS = 6.0
 """What callers wait: above a stream's second and a silent engine's 4 s."""
-ANSWER_SECONDS = 20.0
+ANSWER_TIMEOUT_SECONDS = 20.0
 """Bound on the wait for an answer; callers outlast their deadline to see what comes late."""
-REST_SECONDS = 0.04
+MAX_PAUSE_SECONDS = 0.04
 """Longest rest between two requests of a caller."""
-RECONNECT_SECONDS = 0.1
+RECONNECT_DELAY_SECONDS = 0.1
 """Rest after a failure, as the ingress takes to pass a new connection on."""
-LEAVE_SHARE = 0.04
+ABANDON_SHARE = 0.04
 """Share of requests whose caller leaves before the answer is whole."""
-BODY_BYTES_MOST = 3000
+MAX_BODY_BYTES = 3000
 """Largest body; above one segment on the wire."""
 FORGED_TENANT = "forged"
 """What callers write for their tenant's name; no engine may see it."""
-KINDS = (Kind.READ, Kind.ONCE, Kind.STREAM, Kind.STREAM_ONCE)
+KINDS = (RequestKind.READ, RequestKind.ONCE, RequestKind.STREAM, RequestKind.STREAM_ONCE)
 
 
 @dataclass(frozen=True, slots=True)
-class Front:
+class DaemonEndpoint:
     """Where callers reach a daemon."""
 
     daemon: str
@@ -40,10 +40,10 @@
 
 
 def request_headers(
-    request_id: str, owner: str = "", *, is_strange: bool = False
+    request_id: str, owner: str = "", *, has_unknown_key: bool = False
 ) -> dict[str, str]:
     """Returns the headers of a caller's request; `owner` is the job that a call is about."""
-    key = STRANGER_KEY if is_strange else key_of(tenant_of(owner or request_id))
+    key = UNKNOWN_KEY if has_unknown_key else key_of(tenant_of(owner or request_id))
     return {
         "Host": HOST,
         names.API_KEY: key,
@@ -62,100 +62,110 @@
     Raises:
         OSError: nobody takes it.
     """
-    connection = http.client.HTTPConnection(address.host, address.port, timeout=ANSWER_SECONDS)
+    connection = http.client.HTTPConnection(
+        address.host, address.port, timeout=ANSWER_TIMEOUT_SECONDS
+    )
     connection.connect()
     connection.auto_open = 0
     return connection
 
 
-def exchange(connection: http.client.HTTPConnection, held: Exchange) -> bool:
+def send_and_receive(connection: http.client.HTTPConnection, exchange: Exchange) -> bool:
     """Sends a request and takes its answer in; returns whether the connection may be kept."""
     try:
-        headers = request_headers(held.request_id, is_strange=held.is_strange)
-        connection.request("POST", held.path, held.body, headers)
+        headers = request_headers(exchange.request_id, has_unknown_key=exchange.has_unknown_key)
+        connection.request("POST", exchange.path, exchange.body, headers)
         response = connection.getresponse()
-        held.status = response.status
-        held.stamp = response.getheader(names.RESPONSE_STAMP, "")
-        held.answer = response.read()
+        exchange.status = response.status
+        exchange.stamp = response.getheader(names.RESPONSE_STAMP, "")
+        exchange.answer = response.read()
     except http.client.IncompleteRead as error:
-        held.answer = error.partial
-        return _ended(held, Outcome.CUT, "the answer ended early")
+        exchange.answer = error.partial
+        return _finish(exchange, Outcome.INTERRUPTED, "the answer ended early")
     except (http.client.RemoteDisconnected, OSError) as error:
-        return _ended(held, Outcome.CUT, f"{type(error).__name__}: {error}")
+        return _finish(exchange, Outcome.INTERRUPTED, f"{type(error).__name__}: {error}")
     except http.client.HTTPException as error:
-        return _ended(held, Outcome.MALFORMED, f"{type(error).__name__}: {error}")
-    _ended(held, Outcome.WHOLE, "")
+        return _finish(exchange, Outcome.MALFORMED, f"{type(error).__name__}: {error}")
+    _finish(exchange, Outcome.COMPLETE, "")
     return not response.will_close
 
 
-def _ended(held: Exchange, outcome: Outcome, reason: str) -> bool:
-    held.ended_at = time.monotonic()
-    held.outcome = outcome
-    held.reason = reason
+def _finish(exchange: Exchange, outcome: Outcome, reason: str) -> bool:
+    exchange.ended_at = time.monotonic()
+    exchange.outcome = outcome
+    exchange.reason = reason
     return False
 
 
 class Caller:
     """One caller on a thread of its own; its kinds, bodies and rests are drawn from the seed."""
 
-    def __init__(self, name: str, seed: int, fronts: list[Front], evidence: Evidence) -> None:
+    def __init__(
+        self, name: str, seed: int, endpoints: list[DaemonEndpoint], observations: Observations
+    ) -> None:
         self.name = name
-        self.fronts = fronts
-        self.evidence = evidence
-        self.asked_to_stop = threading.Event()
+        self.endpoints = endpoints
+        self.observations = observations
+        self.stop_requested = threading.Event()
         self._random = random.Random(f"{seed}-{name}")
         self._count = 0
         self._connection: http.client.HTTPConnection | None = None
-        self._front = fronts[0]
-        self.thread = threading.Thread(target=self._call, name=name, daemon=True)
+        self._endpoint = endpoints[0]
+        self.thread = threading.Thread(target=self._run, name=name, daemon=True)
 
-    def _call(self) -> None:
+    def _run(self) -> None:
         """Calls until it is asked to stop; a caller that dies makes the soak fail."""
         try:
-            self._call_on()
+            self._send_requests()
         except Exception as error:
-            with self.evidence.lock:
-                self.evidence.unmet.append(("SOAK", f"{self.name} died: {error!r}"))
+            with self.observations.lock:
+                self.observations.unmet_expectations.append(
+                    ("SOAK", f"{self.name} died: {error!r}")
+                )
             raise
 
-    def _call_on(self) -> None:
-        while not self.asked_to_stop.is_set():
-            rest = self._random.uniform(0.0, REST_SECONDS)
-            if not self._one():
-                self._drop()
-                rest += RECONNECT_SECONDS
-            self.asked_to_stop.wait(rest)
-        self._drop()
+    def _send_requests(self) -> None:
+        while not self.stop_requested.is_set():
+            pause = self._random.uniform(0.0, MAX_PAUSE_SECONDS)
+            if not self._send_one():
+                self._disconnect()
+                pause += RECONNECT_DELAY_SECONDS
+            self.stop_requested.wait(pause)
+        self._disconnect()
 
-    def _drop(self) -> None:
+    def _disconnect(self) -> None:
         if self._connection is not None:
             self._connection.close()
             self._connection = None
 
-    def _one(self) -> bool:
-        held = self._draw()
-        leaves = self._random.random() < LEAVE_SHARE
+    def _send_one(self) -> bool:
+        exchange = self._draw_request()
+        abandons = self._random.random() < ABANDON_SHARE
         if self._connection is None:
-            self._front = self._random.choice(self.fronts)
+            self._endpoint = self._random.choice(self.endpoints)
             try:
-                self._connection = connect(self._front.address)
+                self._connection = connect(self._endpoint.address)
             except OSError:
                 return False
-        held.daemon = self._front.daemon
-        held.stray = stray_bytes(self._connection)
-        held.sent_at = time.monotonic()
-        held.is_strange = is_stranger(held.request_id)
-        with self.evidence.lock:
-            seen = self.evidence.strangers if held.is_strange else self.evidence.exchanges
-            seen.append(held)
-        if leaves and not held.is_strange:
-            return self._leave(held)
-        return exchange(self._connection, held)
-
-    def _draw(self) -> Exchange:
+        exchange.daemon = self._endpoint.daemon
+        exchange.stray_bytes = peek_stray_bytes(self._connection)
+        exchange.sent_at = time.monotonic()
+        exchange.has_unknown_key = shows_unknown_key(exchange.request_id)
+        with self.observations.lock:
+            seen = (
+                self.observations.unknown_key_exchanges
+                if exchange.has_unknown_key
+                else self.observations.exchanges
+            )
+            seen.append(exchange)
+        if abandons and not exchange.has_unknown_key:
+            return self._send_and_abandon(exchange)
+        return send_and_receive(self._connection, exchange)
+
+    def _draw_request(self) -> Exchange:
         self._count += 1
         kind = self._random.choice(KINDS)
-        size = self._random.randint(0, BODY_BYTES_MOST)
+        size = self._random.randint(0, MAX_BODY_BYTES)
         return Exchange(
             request_id=f"{self.name}-{self._count}",
             kind=kind,
@@ -165,14 +175,16 @@
             sent_at=0.0,
         )
 
-    def _leave(self, held: Exchange) -> bool:
+    def _send_and_abandon(self, exchange: Exchange) -> bool:
         assert self._connection is not None
         try:
-            self._connection.request("POST", held.path, held.body, request_headers(held.request_id))
+            self._connection.request(
+                "POST", exchange.path, exchange.body, request_headers(exchange.request_id)
+            )
         except OSError as error:
-            return _ended(held, Outcome.CUT, str(error))
-        self.asked_to_stop.wait(self._random.uniform(0.0, 0.3))
-        return _ended(held, Outcome.LEFT, "the caller left")
+            return _finish(exchange, Outcome.INTERRUPTED, str(error))
+        self.stop_requested.wait(self._random.uniform(0.0, 0.3))
+        return _finish(exchange, Outcome.CALLER_LEFT, "the caller left")
 
 
 def _is_readable(sock: socket.socket) -> bool:
@@ -182,7 +194,7 @@
     return bool(poller.poll(0))
 
 
-def stray_bytes(connection: http.client.HTTPConnection) -> bytes:
+def peek_stray_bytes(connection: http.client.HTTPConnection) -> bytes:
     """Returns bytes that came on a kept connection on which no request waits."""
     sock = connection.sock
     if sock is None or not _is_readable(sock):
--- a/src/troutswitch/soak/clocked_daemon.py
+++ b/src/troutswitch/soak/clocked_daemon.py
@@ -18,15 +18,15 @@
 
 def install(file: Path) -> None:
     """Has the time of day of this process follow the file."""
-    true_time = time.time
-    ahead = 0.0
+    real_time = time.time
+    offset_seconds = 0.0
 
     def read(number: int, frame: object) -> None:
-        nonlocal ahead
-        ahead = float(file.read_text())
+        nonlocal offset_seconds
+        offset_seconds = float(file.read_text())
 
     signal.signal(signal.SIGUSR1, read)
-    time.time = lambda: true_time() + ahead
+    time.time = lambda: real_time() + offset_seconds
 
 
 if __name__ == "__main__":
--- a/src/troutswitch/soak/fleet.py
+++ b/src/troutswitch/soak/fleet.py
@@ -13,31 +13,33 @@
 from troutswitch.common import Address
 from troutswitch.platform.names import READINESS_PATH, SETTINGS_VARIABLE
 from troutswitch.platform.settings import format_settings
-from troutswitch.soak.callers import Front
+from troutswitch.soak.callers import DaemonEndpoint
 from troutswitch.soak.clocked_daemon import CLOCK_VARIABLE
-from troutswitch.soak.evidence import EngineLeft, Evidence
+from troutswitch.soak.observations import EngineDeparture, Observations
 from troutswitch.soak.operator import Operator
 from troutswitch.soak.processes import Child, ProcessGroup
 from troutswitch.soak.proxy import Link
 from troutswitch.standins.model_engine import BEHAVIOUR_PATH, Behaviour
 from troutswitch.standins.ports import HOST, Ports
 
-CONTROL_SECONDS = 2.0
+CONTROL_TIMEOUT_SECONDS = 2.0
 """Bound on a call to a stand-in's control or a daemon's readiness."""
-START_SECONDS = 60.0
+START_TIMEOUT_SECONDS = 60.0
 """Bound on any wait for a process to answer, far above what a start takes."""
 POLL_SECONDS = 0.05
-LEAVE_SECONDS = 10.0
+SERVE_AFTER_DEPARTURE_SECONDS = 10.0
 """A leaving engine serves on for this long, beyond all bounds, so that late work would show."""
 
 
-class NotStarted(RuntimeError):
+class FleetStartError(RuntimeError):
     """The fleet did not come up within its bound."""
 
 
 def http_call(address: Address, method: str, path: str, body: bytes = b"") -> int:
     """Makes a call and returns its status, 0 if nobody answers."""
-    connection = http.client.HTTPConnection(address.host, address.port, timeout=CONTROL_SECONDS)
+    connection = http.client.HTTPConnection(
+        address.host, address.port, timeout=CONTROL_TIMEOUT_SECONDS
+    )
     try:
         connection.request(method, path, body)
         response = connection.getresponse()
@@ -54,16 +56,16 @@
     """One daemon, its links, and its address past them."""
 
     child: Child
-    ready: Address
-    front: Address
-    front_link: Link
+    readiness_address: Address
+    caller_address: Address
+    caller_link: Link
     store_link: Link
     clock: Path
     """The file with the seconds by which its time of day is ahead."""
 
     def is_ready(self) -> bool:
         """Tells whether it says that it is ready."""
-        return http_call(self.ready, "GET", READINESS_PATH) == 200
+        return http_call(self.readiness_address, "GET", READINESS_PATH) == 200
 
 
 @dataclass(slots=True)
@@ -84,7 +86,7 @@
         """The id of the newest start."""
         return f"{self.child.name}-{self.starts}"
 
-    def behave(self, behaviour: Behaviour) -> None:
+    def set_behaviour(self, behaviour: Behaviour) -> None:
         """Puts a behaviour in force."""
         self.behaviour = behaviour
         fields = {name: getattr(behaviour, name) for name in Behaviour.__slots__}
@@ -97,7 +99,7 @@
     def __init__(self, folder: Path, seed: int, daemons: int, engines: int) -> None:
         self.folder = folder
         self.seed = seed
-        self.evidence = Evidence(time.monotonic())
+        self.observations = Observations(time.monotonic())
         self.group = ProcessGroup()
         self.ports = Ports()
         self.links: list[Link] = []
@@ -115,37 +117,37 @@
         """
         daemons, engines = self._counts
         arguments = ["standin", "store", "--address", str(self.store_address)]
-        self.store = self.group.add(self._child("store", *arguments))
-        self._wait(lambda: http_call(self.store_address, "POST", "/faults", b"{}") == 200)
+        self.store = self.group.add(self._make_child("store", *arguments))
+        self._wait_until(lambda: http_call(self.store_address, "POST", "/faults", b"{}") == 200)
         self.operator.configure()
         for number in range(engines):
             self._add_engine(number)
         for number in range(daemons):
             self._add_daemon(number)
         for daemon in self.daemons:
-            self._wait(daemon.is_ready)
+            self._wait_until(daemon.is_ready)
 
     def stop(self) -> None:
         """Ends all processes and links."""
-        self.operator.asked_to_stop.set()
-        self.group.end_all()
+        self.operator.stop_requested.set()
+        self.group.kill_all()
         for link in self.links:
             link.close()
         self.ports.give_back()
 
-    def fronts(self) -> list[Front]:
+    def endpoints(self) -> list[DaemonEndpoint]:
         """Returns where callers reach the daemons: through the links."""
-        return [Front(d.child.name, d.front_link.address) for d in self.daemons]
+        return [DaemonEndpoint(d.child.name, d.caller_link.address) for d in self.daemons]
 
-    def direct_fronts(self) -> list[Front]:
+    def direct_endpoints(self) -> list[DaemonEndpoint]:
         """Returns where probes reach the daemons: past the links."""
-        return [Front(d.child.name, d.front) for d in self.daemons]
+        return [DaemonEndpoint(d.child.name, d.caller_address) for d in self.daemons]
 
     def set_store_faults(self, **faults: Any) -> None:
         """Puts faults of the store in force; without any, all end."""
         http_call(self.store_address, "POST", "/faults", json.dumps(faults).encode())
 
-    def configure_soon(self) -> None:
+    def configure_in_background(self) -> None:
         """Has the operator write the next configuration, for as long as the store needs."""
         threading.Thread(target=self.operator.configure, daemon=True).start()
 
@@ -158,46 +160,48 @@
         engine.behaviour = Behaviour()
         engine.child.arguments = self._engine_arguments(engine)
         engine.child.start()
-        self._list_soon(engine, engine.engine_id)
+        self._list_in_background(engine, engine.engine_id)
 
     def drain_engine(self, engine: Engine) -> None:
         """Has an engine say that it leaves, serve on for a while, and end."""
-        self._leave_soon(engine, is_told=True)
+        self._remove_in_background(engine, is_announced=True)
 
-    def vanish_engine(self, engine: Engine) -> None:
+    def remove_engine_unannounced(self, engine: Engine) -> None:
         """Has an engine leave without a word: its entry goes, and it serves on for a while."""
-        self._leave_soon(engine, is_told=False)
+        self._remove_in_background(engine, is_announced=False)
 
-    def _leave_soon(self, engine: Engine, is_told: bool) -> None:
+    def _remove_in_background(self, engine: Engine, is_announced: bool) -> None:
         if engine.is_leaving:
             return
         engine.is_leaving = True
-        arguments = (engine, engine.engine_id, is_told)
-        threading.Thread(target=self._leave, args=arguments, daemon=True).start()
+        arguments = (engine, engine.engine_id, is_announced)
+        threading.Thread(target=self._remove_engine, args=arguments, daemon=True).start()
 
-    def _leave(self, engine: Engine, engine_id: str, is_told: bool) -> None:
-        if is_told:
+    def _remove_engine(self, engine: Engine, engine_id: str, is_announced: bool) -> None:
+        if is_announced:
             is_done = self.operator.list_engine(engine_id, engine.link.address, is_draining=True)
         else:
             is_done = self.operator.unlist_engine(engine_id)
         if not is_done:
             return
-        self.evidence.left.append(EngineLeft(engine_id, time.monotonic()))
-        time.sleep(LEAVE_SECONDS)
+        self.observations.departures.append(EngineDeparture(engine_id, time.monotonic()))
+        time.sleep(SERVE_AFTER_DEPARTURE_SECONDS)
         if engine.engine_id == engine_id:
             engine.child.signal(signal.SIGKILL)
 
-    def unlist_soon(self, engine_id: str) -> None:
+    def unlist_in_background(self, engine_id: str) -> None:
         """Removes the entry of an engine that is gone."""
         arguments = (engine_id,)
         threading.Thread(target=self.operator.unlist_engine, args=arguments, daemon=True).start()
 
-    def _list_soon(self, engine: Engine, engine_id: str) -> None:
+    def _list_in_background(self, engine: Engine, engine_id: str) -> None:
         def list_it() -> None:
             try:
-                self._wait(lambda: http_call(engine.address, "POST", BEHAVIOUR_PATH, b"{}") == 200)
-            except NotStarted:
-                if not self.operator.asked_to_stop.is_set():
+                self._wait_until(
+                    lambda: http_call(engine.address, "POST", BEHAVIOUR_PATH, b"{}") == 200
+                )
+            except FleetStartError:
+                if not self.operator.stop_requested.is_set():
                     raise
                 return  # the soak ended while the engine started
             self.operator.list_engine(engine_id, engine.link.address)
@@ -207,15 +211,15 @@
     def _add_engine(self, number: int) -> None:
         name = f"server-{number}"
         address = Address(HOST, self.ports.take())
-        link = self._link(address, refuses=True)
+        link = self._add_link(address, refuses_with_target=True)
         journal = self.folder / f"{name}.journal"
         journal.touch()
-        engine = Engine(self._child(name), address, link, journal, self.seed + number)
+        engine = Engine(self._make_child(name), address, link, journal, self.seed + number)
         engine.starts = 1
         engine.child.arguments = self._engine_arguments(engine)
         self.engines.append(engine)
         self.group.add(engine.child)
-        self._wait(lambda: http_call(address, "POST", BEHAVIOUR_PATH, b"{}") == 200)
+        self._wait_until(lambda: http_call(address, "POST", BEHAVIOUR_PATH, b"{}") == 200)
         self.operator.list_engine(engine.engine_id, link.address)
 
     def _engine_arguments(self, engine: Engine) -> list[str]:
@@ -229,13 +233,20 @@
 
     def _add_daemon(self, number: int) -> None:
         name = f"daemon-{number}"
-        front, ready, peers, metrics = (self.ports.take() for _ in range(4))
-        store_link = self._link(self.store_address)
+        caller_port, readiness_port, peer_port, metrics_port = (self.ports.take() for _ in range(4))
+        store_link = self._add_link(self.store_address)
         settings = self.folder / f"{name}.toml"
         clock = self.folder / f"{name}.clock"
         clock.write_text("0.0")
         settings.write_text(
-            format_settings(name, HOST, front, ready, (peers, metrics), store_link.address)
+            format_settings(
+                name,
+                HOST,
+                caller_port,
+                readiness_port,
+                (peer_port, metrics_port),
+                store_link.address,
+            )
         )
         child = Child(
             name,
@@ -243,12 +254,12 @@
             self.folder / f"{name}.log",
             {SETTINGS_VARIABLE: str(settings), CLOCK_VARIABLE: str(clock)},
         )
-        front_address = Address(HOST, front)
+        caller_address = Address(HOST, caller_port)
         daemon = Daemon(
             child,
-            Address(HOST, ready),
-            front_address,
-            self._link(front_address),
+            Address(HOST, readiness_port),
+            caller_address,
+            self._add_link(caller_address),
             store_link,
             clock,
         )
@@ -257,18 +268,18 @@
 
     # Parts.
 
-    def _child(self, name: str, *arguments: str) -> Child:
+    def _make_child(self, name: str, *arguments: str) -> Child:
         command = [sys.executable, "-m", "troutswitch.cli", *arguments]
         return Child(name, command, self.folder / f"{name}.log")
 
-    def _link(self, target: Address, refuses: bool = False) -> Link:
-        link = Link(target, refuses)
+    def _add_link(self, target: Address, refuses_with_target: bool = False) -> Link:
+        link = Link(target, refuses_with_target)
         self.links.append(link)
         return link
 
-    def _wait(self, condition: Any) -> None:
-        until = time.monotonic() + START_SECONDS
+    def _wait_until(self, condition: Any) -> None:
+        until = time.monotonic() + START_TIMEOUT_SECONDS
         while not condition():
-            if time.monotonic() > until or self.operator.asked_to_stop.is_set():
-                raise NotStarted("a process does not answer")
+            if time.monotonic() > until or self.operator.stop_requested.is_set():
+                raise FleetStartError("a process does not answer")
             time.sleep(POLL_SECONDS)
--- a/src/troutswitch/soak/jobs.py
+++ b/src/troutswitch/soak/jobs.py
@@ -10,70 +10,70 @@
 
 from troutswitch.platform import names
 from troutswitch.platform.stand_in_forms import results_path
-from troutswitch.soak.callers import Front, connect, request_headers
+from troutswitch.soak.callers import DaemonEndpoint, connect, request_headers
 from troutswitch.soak.checks import item_path
-from troutswitch.soak.evidence import Evidence, JobSeen, ResultSeen
+from troutswitch.soak.observations import Observations, ObservedJob, ObservedResult
 
-ITEMS = (1, 6)
+ITEMS_PER_JOB = (1, 6)
 """Items of a job: a few, so that many jobs live and end within a short soak."""
-HAND_IN_TRIES = 30
+MAX_SUBMIT_ATTEMPTS = 30
 """Tries at which a job is given up as not accepted; with the rests some 6 s and more."""
 RETRY_SECONDS = 0.2
-JOB_SECONDS = (0.2, 1.0)
+JOB_INTERVAL_SECONDS = (0.2, 1.0)
 """Rest between two jobs of one client."""
-READ_SECONDS = 0.1
+READ_INTERVAL_SECONDS = 0.1
 """Rest between two readings; the platform's clients read twice a second, a soak oftener."""
-END_SHARE = 0.02
+END_REQUEST_SHARE = 0.02
 """Share of a reader's calls that end the job instead; a job is read about ten times."""
-BODY_BYTES_MOST = 1000
+MAX_BODY_BYTES = 1000
 ACCEPTED = 202
-TURNED_AWAY = 429
-NO_SUCH_JOB = (404, 410)
+TOO_MANY_REQUESTS = 429
+NOT_FOUND_STATUSES = (404, 410)
 
 
 @dataclass(frozen=True, slots=True)
-class Answer:
+class JobAnswer:
     """Status and body of a call about a job; status 0 if no whole answer came."""
 
     status: int
     body: bytes
 
 
-def call(
-    front: Front, method: str, path: str, call_id: str, job_id: str, body: bytes = b""
-) -> Answer:
+def call_job(
+    endpoint: DaemonEndpoint, method: str, path: str, call_id: str, job_id: str, body: bytes = b""
+) -> JobAnswer:
     """Makes one call about a job on a new connection, with a key of the job's tenant."""
     try:
-        connection = connect(front.address)
+        connection = connect(endpoint.address)
     except OSError:
-        return Answer(0, b"")
+        return JobAnswer(0, b"")
     try:
         connection.request(method, path, body, request_headers(call_id, job_id))
         response = connection.getresponse()
-        return Answer(response.status, response.read())
+        return JobAnswer(response.status, response.read())
     except (OSError, http.client.HTTPException):
-        return Answer(0, b"")
+        return JobAnswer(0, b"")
     finally:
         connection.close()
 
 
-def read_results(front: Front, job: JobSeen, position: int) -> int:
+def read_results(endpoint: DaemonEndpoint, job: ObservedJob, position: int) -> int:
     """Reads results from a position, notes them, and returns the answer's status."""
     path = results_path(job.job_id, position)
-    answer = call(front, "GET", path, f"read-{job.job_id}", job.job_id)
-    if answer.status in NO_SUCH_JOB:
-        job.denied.append((front.daemon, time.monotonic()))
+    answer = call_job(endpoint, "GET", path, f"read-{job.job_id}", job.job_id)
+    if answer.status in NOT_FOUND_STATUSES:
+        job.not_found_replies.append((endpoint.daemon, time.monotonic()))
     if answer.status != 200:
         return answer.status
-    held = json.loads(answer.body)
-    job.totals.add(held["total"])
-    for number, row in enumerate(held["results"], position):
-        seen = ResultSeen(front.daemon, number, row["id"], row["state"], row["message"])
+    page = json.loads(answer.body)
+    job.totals.add(page["total"])
+    for number, row in enumerate(page["results"], position):
+        seen = ObservedResult(endpoint.daemon, number, row["id"], row["state"], row["message"])
         job.results.append(seen)
     return answer.status
 
 
-def listed_at(job: JobSeen, daemon: str) -> set[str]:
+def items_listed_by(job: ObservedJob, daemon: str) -> set[str]:
     """Returns the items that a daemon has shown a result of."""
     return {row.item_id for row in job.results if row.daemon == daemon}
 
@@ -81,68 +81,70 @@
 class JobClient:
     """One client on two threads: one hands jobs in, the other reads and ends them."""
 
-    def __init__(self, name: str, seed: int, fronts: list[Front], evidence: Evidence) -> None:
+    def __init__(
+        self, name: str, seed: int, endpoints: list[DaemonEndpoint], observations: Observations
+    ) -> None:
         self.name = name
-        self.fronts = fronts
-        self.evidence = evidence
-        self.asked_to_stop = threading.Event()
+        self.endpoints = endpoints
+        self.observations = observations
+        self.stop_requested = threading.Event()
         self._random = random.Random(f"{seed}-{name}")
         self._reader_random = random.Random(f"{seed}-{name}-reads")
-        self._accepted: list[JobSeen] = []
+        self._accepted: list[ObservedJob] = []
         self.threads = [
-            threading.Thread(target=self._hand_in_jobs, daemon=True),
+            threading.Thread(target=self._submit_jobs, daemon=True),
             threading.Thread(target=self._read_jobs, daemon=True),
         ]
 
-    def _hand_in_jobs(self) -> None:
+    def _submit_jobs(self) -> None:
         count = 0
-        while not self.asked_to_stop.wait(self._random.uniform(*JOB_SECONDS)):
+        while not self.stop_requested.wait(self._random.uniform(*JOB_INTERVAL_SECONDS)):
             count += 1
-            job = self._draw(f"{self.name}-{count}")
-            with self.evidence.lock:
-                self.evidence.jobs.append(job)
-            self._hand_in(job)
-
-    def _draw(self, job_id: str) -> JobSeen:
-        count = self._random.randint(*ITEMS)
-        sizes = [self._random.randint(0, BODY_BYTES_MOST) for _ in range(count)]
+            job = self._draw_job(f"{self.name}-{count}")
+            with self.observations.lock:
+                self.observations.jobs.append(job)
+            self._submit(job)
+
+    def _draw_job(self, job_id: str) -> ObservedJob:
+        count = self._random.randint(*ITEMS_PER_JOB)
+        sizes = [self._random.randint(0, MAX_BODY_BYTES) for _ in range(count)]
         items = {f"{job_id}-i{n}": self._random.randbytes(size) for n, size in enumerate(sizes)}
-        return JobSeen(job_id, items, time.monotonic())
+        return ObservedJob(job_id, items, time.monotonic())
 
-    def _hand_in(self, job: JobSeen) -> None:
-        body = write_submission(job)
-        for _ in range(HAND_IN_TRIES):
-            front = self._random.choice(self.fronts)
-            answer = call(front, "POST", f"/item/{job.job_id}", job.job_id, job.job_id, body)
+    def _submit(self, job: ObservedJob) -> None:
+        body = encode_submission(job)
+        for _ in range(MAX_SUBMIT_ATTEMPTS):
+            endpoint = self._random.choice(self.endpoints)
+            answer = call_job(endpoint, "POST", f"/item/{job.job_id}", job.job_id, job.job_id, body)
             job.statuses.append(answer.status)
             if answer.status == ACCEPTED:
                 job.accepted_at = time.monotonic()
                 self._accepted.append(job)
                 return
-            if answer.status == TURNED_AWAY or self.asked_to_stop.wait(RETRY_SECONDS):
+            if answer.status == TOO_MANY_REQUESTS or self.stop_requested.wait(RETRY_SECONDS):
                 return
 
     def _read_jobs(self) -> None:
-        drawn = self._reader_random
-        while not self.asked_to_stop.wait(READ_SECONDS):
+        rng = self._reader_random
+        while not self.stop_requested.wait(READ_INTERVAL_SECONDS):
             if not self._accepted:
                 continue
-            job = drawn.choice(self._accepted[-20:])
-            front = drawn.choice(self.fronts)
-            if drawn.random() < END_SHARE:
-                self._end(front, job)
+            job = rng.choice(self._accepted[-20:])
+            endpoint = rng.choice(self.endpoints)
+            if rng.random() < END_REQUEST_SHARE:
+                self._end_job(endpoint, job)
                 continue
-            read_results(front, job, drawn.randint(0, len(job.items) // 2))
+            read_results(endpoint, job, rng.randint(0, len(job.items) // 2))
 
-    def _end(self, front: Front, job: JobSeen) -> None:
-        job.end_asked_at = job.end_asked_at or time.monotonic()
+    def _end_job(self, endpoint: DaemonEndpoint, job: ObservedJob) -> None:
+        job.end_requested_at = job.end_requested_at or time.monotonic()
         path = f"{names.JOB_PATH}{job.job_id}"
-        answer = call(front, "DELETE", path, f"end-{job.job_id}", job.job_id)
+        answer = call_job(endpoint, "DELETE", path, f"end-{job.job_id}", job.job_id)
         if answer.status == 200 and not job.ended_at:
             job.ended_at = time.monotonic()
 
 
-def write_submission(job: JobSeen) -> bytes:
+def encode_submission(job: ObservedJob) -> bytes:
     """Writes a job as its client hands it in."""
     rows = [
         {
--- a/src/troutswitch/soak/evidence.py
+++ b/src/troutswitch/soak/observations.py
@@ -6,11 +6,11 @@
 from enum import StrEnum
 from pathlib import Path
 
-from troutswitch.soak.processes import ProcessEnd
-from troutswitch.soak.schedule import Strike
+from troutswitch.soak.processes import ProcessExit
+from troutswitch.soak.schedule import ScheduledAction
 
 
-class Kind(StrEnum):
+class RequestKind(StrEnum):
     """Kinds of requests; each has a route under a prefix of this name."""
 
     READ = "read"
@@ -20,17 +20,17 @@
     VERSION = "version"
 
 
-AT_MOST_ONCE = frozenset({Kind.ONCE, Kind.STREAM_ONCE})
+AT_MOST_ONCE = frozenset({RequestKind.ONCE, RequestKind.STREAM_ONCE})
 
 
 class Outcome(StrEnum):
     """How an exchange ended for its caller."""
 
     OPEN = "open"
-    WHOLE = "whole"
-    CUT = "cut"
+    COMPLETE = "whole"
+    INTERRUPTED = "cut"
     MALFORMED = "malformed"
-    LEFT = "left"
+    CALLER_LEFT = "left"
 
 
 @dataclass(slots=True)
@@ -38,7 +38,7 @@
     """One request as its caller saw it, noted before it is sent."""
 
     request_id: str
-    kind: Kind
+    kind: RequestKind
     path: str
     body: bytes
     daemon: str
@@ -50,18 +50,18 @@
     stamp: str = ""
     answer: bytes = b""
     reason: str = ""
-    stray: bytes = b""
-    is_strange: bool = False
+    stray_bytes: bytes = b""
+    has_unknown_key: bool = False
     """Whether it shows a key that nobody holds."""
 
 
 @dataclass(frozen=True, slots=True)
-class Run:
+class JournalEntry:
     """A line of an engine's journal."""
 
     kind: str
     request_id: str
-    at: float
+    written_at: float
     engine: str
     path: str = ""
     body: str = ""
@@ -73,25 +73,25 @@
 
 
 @dataclass(frozen=True, slots=True)
-class StruckSpan:
+class InjectedAction:
     """A strike as it happened, in monotonic time."""
 
-    strike: Strike
+    scheduled: ScheduledAction
     target: str
     begin: float
     end: float
 
 
 @dataclass(frozen=True, slots=True)
-class EngineLeft:
+class EngineDeparture:
     """An engine whose leaving the store has acknowledged."""
 
     engine: str
-    at: float
+    acknowledged_at: float
 
 
 @dataclass(frozen=True, slots=True)
-class ResultSeen:
+class ObservedResult:
     """A batch result as one reading showed it."""
 
     daemon: str
@@ -102,68 +102,68 @@
 
 
 @dataclass(slots=True)
-class JobSeen:
+class ObservedJob:
     """A batch job as its client saw it; `denied` are daemons that said there is none, and when."""
 
     job_id: str
     items: dict[str, bytes]
-    handed_in_at: float
+    submitted_at: float
     statuses: list[int] = field(default_factory=list)
     accepted_at: float = 0.0
-    end_asked_at: float = 0.0
+    end_requested_at: float = 0.0
     ended_at: float = 0.0
     totals: set[int] = field(default_factory=set)
-    results: list[ResultSeen] = field(default_factory=list)
-    denied: list[tuple[str, float]] = field(default_factory=list)
+    results: list[ObservedResult] = field(default_factory=list)
+    not_found_replies: list[tuple[str, float]] = field(default_factory=list)
 
 
 @dataclass(frozen=True, slots=True)
-class Sample:
+class ResourceSample:
     """Use of one process at a moment."""
 
     process: str
-    at: float
+    sampled_at: float
     memory_mb: float
     descriptors: int
     log_bytes: int
 
 
 @dataclass(slots=True)
-class Evidence:
+class Observations:
     """All observations of a soak."""
 
-    began_at: float
+    started_at: float
     exchanges: list[Exchange] = field(default_factory=list)
-    runs: list[Run] = field(default_factory=list)
-    strikes: list[StruckSpan] = field(default_factory=list)
-    left: list[EngineLeft] = field(default_factory=list)
-    jobs: list[JobSeen] = field(default_factory=list)
-    ends: list[ProcessEnd] = field(default_factory=list)
-    samples: list[Sample] = field(default_factory=list)
-    unmet: list[tuple[str, str]] = field(default_factory=list)
-    strangers: list[Exchange] = field(default_factory=list)
+    journal_entries: list[JournalEntry] = field(default_factory=list)
+    actions: list[InjectedAction] = field(default_factory=list)
+    departures: list[EngineDeparture] = field(default_factory=list)
+    jobs: list[ObservedJob] = field(default_factory=list)
+    exits: list[ProcessExit] = field(default_factory=list)
+    samples: list[ResourceSample] = field(default_factory=list)
+    unmet_expectations: list[tuple[str, str]] = field(default_factory=list)
+    unknown_key_exchanges: list[Exchange] = field(default_factory=list)
     """Requests with a key that nobody holds."""
     lock: threading.Lock = field(default_factory=threading.Lock)
 
-    def is_calm(self, begin: float, end: float) -> bool:
+    def is_fault_free(self, begin: float, end: float) -> bool:
         """Tells whether nothing but planned work touched a span."""
         return not any(
             span.begin <= end and span.end >= begin
-            for span in self.strikes
-            if not span.strike.is_planned
+            for span in self.actions
+            if not span.scheduled.is_planned
         )
 
 
-def read_journal(path: Path) -> list[Run]:
+def read_journal(path: Path) -> list[JournalEntry]:
     """Reads an engine's journal; a last line that is being written is left out."""
-    runs: list[Run] = []
+    journal_entries: list[JournalEntry] = []
     for line in path.read_text().splitlines():
         try:
             row = json.loads(line)
         except json.JSONDecodeError:
             continue
-        runs.append(
-            Run(
+        journal_entries.append(
+            JournalEntry(
                 row["kind"],
                 row["id"],
                 row["at"],
@@ -177,4 +177,4 @@
                 row.get("has_key", False),
             )
         )
-    return runs
+    return journal_entries
--- a/src/troutswitch/soak/operator.py
+++ b/src/troutswitch/soak/operator.py
@@ -15,7 +15,7 @@
 )
 from troutswitch.platform.store import StoreClient
 from troutswitch.soak.callers import HOST
-from troutswitch.soak.evidence import Kind
+from troutswitch.soak.observations import RequestKind
 from troutswitch.soak.tenants import tenant_forms
 
 SERVICE = "service-1"
@@ -36,25 +36,25 @@
 )
 """Limits of all routes: far above what a fault-free loopback needs, so refusals stay few."""
 ROUTES = (
-    RouteSpec("read", f"/{Kind.READ}/", "idempotent"),
-    RouteSpec("once", f"/{Kind.ONCE}/", "non_idempotent"),
-    RouteSpec("stream", f"/{Kind.STREAM}/", "streaming", is_resumable=True),
-    RouteSpec("stream-once", f"/{Kind.STREAM_ONCE}/", "streaming"),
+    RouteSpec("read", f"/{RequestKind.READ}/", "idempotent"),
+    RouteSpec("once", f"/{RequestKind.ONCE}/", "non_idempotent"),
+    RouteSpec("stream", f"/{RequestKind.STREAM}/", "streaming", is_resumable=True),
+    RouteSpec("stream-once", f"/{RequestKind.STREAM_ONCE}/", "streaming"),
     RouteSpec("batch", "/item/", "batch"),
 )
 
 
 def version_path(version: int) -> str:
     """Returns the path that only one version of the configuration allows."""
-    return f"/{Kind.VERSION}-{version}/"
+    return f"/{RequestKind.VERSION}-{version}/"
 
 
 @dataclass(frozen=True, slots=True)
-class Acknowledged:
+class AcknowledgedVersion:
     """A configuration and when the store acknowledged it."""
 
     version: int
-    at: float
+    acknowledged_at: float
 
 
 class Operator:
@@ -64,8 +64,8 @@
         self._client = StoreClient(store)
         self._lock = threading.Lock()
         self.version = 0
-        self.acknowledged: list[Acknowledged] = []
-        self.asked_to_stop = threading.Event()
+        self.acknowledged: list[AcknowledgedVersion] = []
+        self.stop_requested = threading.Event()
 
     def configure(self) -> None:
         """Writes the next configuration: its own probe route comes, the one before it goes."""
@@ -78,7 +78,7 @@
                 version, HOST, SERVICE, SLOTS, routes, LIMITS, tenant_forms()
             )
             if self._write(CONFIGURATION, CONFIGURATION_KEY, record):
-                self.acknowledged.append(Acknowledged(version, time.monotonic()))
+                self.acknowledged.append(AcknowledgedVersion(version, time.monotonic()))
 
     def list_engine(self, engine_id: str, address: Address, is_draining: bool = False) -> bool:
         """Writes an engine's record."""
@@ -91,8 +91,8 @@
 
     def _write(self, partition: Partition, key: str, value: bytes) -> bool:
         call = AppendRecords(0, partition, (KeyedRecord(key, value),))
-        while not self.asked_to_stop.is_set():
+        while not self.stop_requested.is_set():
             if isinstance(self._client.call(call), Appended):
                 return True
-            self.asked_to_stop.wait(RETRY_SECONDS)
+            self.stop_requested.wait(RETRY_SECONDS)
         return False
--- a/src/troutswitch/soak/probes.py
+++ b/src/troutswitch/soak/probes.py
@@ -3,59 +3,61 @@
 import threading
 import time
 
-from troutswitch.soak.callers import Front, connect, exchange
-from troutswitch.soak.evidence import Evidence, Exchange, Kind, Outcome
+from troutswitch.soak.callers import DaemonEndpoint, connect, send_and_receive
+from troutswitch.soak.observations import Exchange, Observations, Outcome, RequestKind
 from troutswitch.soak.operator import Operator, version_path
 
-PROBE_SECONDS = 0.25
+PROBE_INTERVAL_SECONDS = 0.25
 """Interval between two probes of a daemon: several inside any change's bound."""
 
 
 class Prober:
     """Asks one daemon again and again for the routes of the newest version and its neighbours."""
 
-    def __init__(self, front: Front, operator: Operator, evidence: Evidence) -> None:
-        self.front = front
+    def __init__(
+        self, endpoint: DaemonEndpoint, operator: Operator, observations: Observations
+    ) -> None:
+        self.endpoint = endpoint
         self.operator = operator
-        self.evidence = evidence
-        self.asked_to_stop = threading.Event()
+        self.observations = observations
+        self.stop_requested = threading.Event()
         self._count = 0
-        self.thread = threading.Thread(target=self._probe, daemon=True)
+        self.thread = threading.Thread(target=self._run, daemon=True)
 
-    def _probe(self) -> None:
-        while not self.asked_to_stop.wait(PROBE_SECONDS):
+    def _run(self) -> None:
+        while not self.stop_requested.wait(PROBE_INTERVAL_SECONDS):
             newest = self.operator.version
             for version in range(max(1, newest - 1), newest + 1):
-                self.ask(version)
+                self.probe(version)
 
-    def ask(self, version: int) -> Exchange | None:
+    def probe(self, version: int) -> Exchange | None:
         """Asks for a version's route once; None if the daemon takes no connection."""
         self._count += 1
-        held = Exchange(
-            request_id=f"probe-{self.front.daemon}-{threading.get_ident()}-{self._count}",
-            kind=Kind.VERSION,
+        exchange = Exchange(
+            request_id=f"probe-{self.endpoint.daemon}-{threading.get_ident()}-{self._count}",
+            kind=RequestKind.VERSION,
             path=f"{version_path(version)}{self._count}",
             body=b"",
-            daemon=self.front.daemon,
+            daemon=self.endpoint.daemon,
             sent_at=time.monotonic(),
             version=version,
         )
         try:
-            connection = connect(self.front.address)
+            connection = connect(self.endpoint.address)
         except OSError:
             return None
-        with self.evidence.lock:
-            self.evidence.exchanges.append(held)
-        exchange(connection, held)
+        with self.observations.lock:
+            self.observations.exchanges.append(exchange)
+        send_and_receive(connection, exchange)
         connection.close()
-        return held
+        return exchange
 
 
-def serves(held: Exchange | None) -> bool:
+def is_served(exchange: Exchange | None) -> bool:
     """Tells whether a probe shows its version in force."""
-    return held is not None and held.outcome is Outcome.WHOLE and held.status == 200
+    return exchange is not None and exchange.outcome is Outcome.COMPLETE and exchange.status == 200
 
 
-def denies(held: Exchange | None) -> bool:
+def is_not_found(exchange: Exchange | None) -> bool:
     """Tells whether a probe shows its version not in force."""
-    return held is not None and held.outcome is Outcome.WHOLE and held.status == 404
+    return exchange is not None and exchange.outcome is Outcome.COMPLETE and exchange.status == 404
--- a/src/troutswitch/soak/processes.py
+++ b/src/troutswitch/soak/processes.py
@@ -9,12 +9,12 @@
 
 from troutswitch.standins.model_engine import ENDED_CODE
 
-PROCESSES_MOST = 40
+MAX_PROCESSES = 40
 """Bound on processes of one soak, the users' limit for one machine."""
-EXIT_SECONDS = 10.0
+EXIT_TIMEOUT_SECONDS = 10.0
 """Wait for a killed process to be gone; the kernel needs milliseconds."""
 
-STOPPED_CODES = (0, -signal.SIGTERM)
+PLANNED_STOP_CODES = (0, -signal.SIGTERM)
 """Codes of a planned stop; the signal's own where it came before the program had begun."""
 
 
@@ -23,26 +23,26 @@
 
 
 @dataclass(slots=True)
-class ProcessEnd:
+class ProcessExit:
     """A process that ended: whether the soak had asked it to, and by which signal."""
 
     name: str
     incarnation: int
-    at: float
+    exited_at: float
     code: int
-    asked_by: int
+    requested_signal: int
 
     @property
-    def ended_under_request(self) -> bool:
+    def crashed_under_request(self) -> bool:
         """Whether it is an engine that ended under a request."""
         return self.code == ENDED_CODE
 
     @property
-    def is_own(self) -> bool:
+    def is_unexpected(self) -> bool:
         """Whether it ended by itself, or not as a planned stop has to end."""
-        if self.asked_by == signal.SIGKILL or self.ended_under_request:
+        if self.requested_signal == signal.SIGKILL or self.crashed_under_request:
             return False
-        return self.asked_by != signal.SIGTERM or self.code not in STOPPED_CODES
+        return self.requested_signal != signal.SIGTERM or self.code not in PLANNED_STOP_CODES
 
 
 @dataclass(slots=True)
@@ -54,7 +54,7 @@
     log: Path
     environment: dict[str, str] = field(default_factory=dict)
     incarnation: int = 0
-    asked_by: int = 0
+    requested_signal: int = 0
     is_paused: bool = False
     process: "subprocess.Popen[bytes] | None" = None
 
@@ -70,7 +70,7 @@
                 start_new_session=True,
             )
         self.incarnation += 1
-        self.asked_by = 0
+        self.requested_signal = 0
         self.is_paused = False
 
     def is_running(self) -> bool:
@@ -81,8 +81,8 @@
         """Sends a signal to its process, if it has not ended."""
         if self.process is None or self.process.poll() is not None:
             return
-        if number == signal.SIGKILL or (number == signal.SIGTERM and not self.asked_by):
-            self.asked_by = number
+        if number == signal.SIGKILL or (number == signal.SIGTERM and not self.requested_signal):
+            self.requested_signal = number
         if number in (signal.SIGSTOP, signal.SIGCONT):
             self.is_paused = number == signal.SIGSTOP
         self.process.send_signal(number)
@@ -99,13 +99,15 @@
         handled = int(fields["SigIgn"], 16) | int(fields["SigCgt"], 16)
         return bool(handled >> (number - 1) & 1)
 
-    def take_end(self) -> ProcessEnd | None:
+    def poll_exit(self) -> ProcessExit | None:
         """Returns its end once, and None while it runs."""
         if self.process is None or self.process.poll() is None:
             return None
         code = self.process.returncode
         self.process = None
-        return ProcessEnd(self.name, self.incarnation, time.monotonic(), code, self.asked_by)
+        return ProcessExit(
+            self.name, self.incarnation, time.monotonic(), code, self.requested_signal
+        )
 
 
 class ProcessGroup:
@@ -120,17 +122,17 @@
         Raises:
             TooManyProcesses: the bound is reached.
         """
-        if len(self.children) >= PROCESSES_MOST:
-            raise TooManyProcesses(f"more than {PROCESSES_MOST} processes")
+        if len(self.children) >= MAX_PROCESSES:
+            raise TooManyProcesses(f"more than {MAX_PROCESSES} processes")
         self.children.append(child)
         child.start()
         return child
 
-    def end_all(self) -> None:
+    def kill_all(self) -> None:
         """Kills what still runs and waits for it."""
-        held = [child for child in self.children if child.is_running()]
-        for child in held:
+        running = [child for child in self.children if child.is_running()]
+        for child in running:
             child.signal(signal.SIGKILL)
-        for child in held:
+        for child in running:
             assert child.process is not None
-            child.process.wait(EXIT_SECONDS)
+            child.process.wait(EXIT_TIMEOUT_SECONDS)
--- a/src/troutswitch/soak/proxy.py
+++ b/src/troutswitch/soak/proxy.py
@@ -13,7 +13,7 @@
 DELAY_SECONDS = 0.15
 """Delay of each piece under `DELAY`: seven times the pause between a stream's events."""
 DRIP_BYTES = 16
-DRIP_SECONDS = 0.004
+DRIP_INTERVAL_SECONDS = 0.004
 """Under `DRIP` a link passes 4 KB a second: a plain answer takes seconds."""
 TRUNCATE_BYTES = 300
 """Under `TRUNCATE` a connection is reset after these bytes of answer: inside head or body."""
@@ -30,13 +30,13 @@
 SILENT_DOWN = frozenset({LinkFault.SILENT, LinkFault.SILENT_DOWN})
 
 
-def reset(held: socket.socket) -> None:
+def reset(connection: socket.socket) -> None:
     """Closes a connection so that its peer sees a reset, never an orderly end."""
     with contextlib.suppress(OSError):
-        held.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
+        connection.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
     with contextlib.suppress(OSError):
-        held.shutdown(socket.SHUT_RD)  # wakes a thread that waits in a read
-    held.close()
+        connection.shutdown(socket.SHUT_RD)  # wakes a thread that waits in a read
+    connection.close()
 
 
 class _Pair:
@@ -68,10 +68,10 @@
             would without a link. Otherwise it takes them and resets them, as proxies do.
     """
 
-    def __init__(self, target: Address, refuses: bool = False) -> None:
+    def __init__(self, target: Address, refuses_with_target: bool = False) -> None:
         self.target = target
-        self._refuses = refuses
-        self._is_hung_up = False
+        self._refuses_with_target = refuses_with_target
+        self._is_listener_closed = False
         self.fault: LinkFault | None = None
         self._is_closed = False
         self._lock = threading.Lock()
@@ -83,7 +83,7 @@
     def _start_accepting(self) -> None:
         threading.Thread(target=self._accept, args=(self._listener,), daemon=True).start()
 
-    def strike(self, fault: LinkFault | None) -> None:
+    def set_fault(self, fault: LinkFault | None) -> None:
         """Puts a fault in force, or ends it."""
         self.fault = fault
         if fault is LinkFault.RESET:
@@ -103,12 +103,12 @@
 
     def _follow_target(self) -> None:
         """Stops to listen if the target has; called before a connection's end is passed on."""
-        if not self._refuses or self._is_target_listening():
+        if not self._refuses_with_target or self._is_target_listening():
             return
         with self._lock:
-            if self._is_hung_up or self._is_closed:
+            if self._is_listener_closed or self._is_closed:
                 return
-            self._is_hung_up = True
+            self._is_listener_closed = True
             with contextlib.suppress(OSError):
                 self._listener.shutdown(socket.SHUT_RDWR)  # wakes the thread that accepts
             self._listener.close()
@@ -133,7 +133,7 @@
             self._listener = socket.create_server(
                 (self.address.host, self.address.port), backlog=BACKLOG
             )
-            self._is_hung_up = False
+            self._is_listener_closed = False
         self._start_accepting()
 
     def _accept(self, listener: socket.socket) -> None:
@@ -154,9 +154,9 @@
             self._follow_target()
             reset(caller)
             return
-        for held in (caller, target):
-            held.settimeout(None)
-            held.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+        for connection in (caller, target):
+            connection.settimeout(None)
+            connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         pair = _Pair(caller, target)
         with self._lock:
             self._pairs.add(pair)
@@ -174,7 +174,7 @@
         passed = 0
         try:
             while data := source.recv(READ_BYTES):
-                self._hold(silences)
+                self._wait_while_silenced(silences)
                 if is_up and self.fault is LinkFault.BUSY:
                     source.sendall(BUSY_ANSWER)
                     source.shutdown(socket.SHUT_WR)
@@ -185,7 +185,7 @@
                 passed += len(data)
                 if not is_up and self.fault is LinkFault.TRUNCATE and passed >= TRUNCATE_BYTES:
                     raise ConnectionResetError("truncated")
-            self._hold(silences)
+            self._wait_while_silenced(silences)
             if pair.is_reset:
                 raise ConnectionResetError("struck")
             if not is_up:
@@ -196,7 +196,7 @@
                 self._follow_target()
             pair.reset()
 
-    def _hold(self, silences: frozenset[LinkFault]) -> None:
+    def _wait_while_silenced(self, silences: frozenset[LinkFault]) -> None:
         while self.fault in silences and not self._is_closed:
             time.sleep(POLL_SECONDS)
         if self.fault is LinkFault.DELAY:
@@ -210,4 +210,4 @@
                 return
             sink.sendall(data[position : position + DRIP_BYTES])
             position += DRIP_BYTES
-            time.sleep(DRIP_SECONDS)
+            time.sleep(DRIP_INTERVAL_SECONDS)
--- a/src/troutswitch/soak/report.py
+++ b/src/troutswitch/soak/report.py
@@ -7,8 +7,8 @@
 from pathlib import Path
 from typing import Any
 
-from troutswitch.soak.evidence import Evidence, Outcome
-from troutswitch.soak.schedule import Schedule
+from troutswitch.soak.observations import Observations, Outcome
+from troutswitch.soak.schedule import FaultSchedule
 from troutswitch.soak.violations import Violation
 
 ROW_PIXELS = 16
@@ -17,14 +17,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Verdict:
+class SoakResult:
     """What a soak came to."""
 
-    schedule: Schedule
+    schedule: FaultSchedule
     seconds: float
     was_interrupted: bool
     violations: tuple[Violation, ...]
-    evidence: Evidence
+    observations: Observations
 
     @property
     def is_clean(self) -> bool:
@@ -32,53 +32,59 @@
         return not self.violations and not self.was_interrupted
 
 
-def summarize(verdict: Verdict) -> dict[str, Any]:
+def summarize(result: SoakResult) -> dict[str, Any]:
     """Returns the summary of a soak."""
-    evidence = verdict.evidence
-    outcomes = Counter(str(held.outcome) for held in evidence.exchanges)
-    statuses = Counter(h.status for h in evidence.exchanges if h.outcome is Outcome.WHOLE)
-    samples = evidence.samples
+    observations = result.observations
+    outcomes = Counter(str(exchange.outcome) for exchange in observations.exchanges)
+    statuses = Counter(h.status for h in observations.exchanges if h.outcome is Outcome.COMPLETE)
+    samples = observations.samples
     return {
-        "seed": verdict.schedule.seed,
-        "seconds": round(verdict.seconds, 1),
-        "interrupted": verdict.was_interrupted,
-        "strikes": len(evidence.strikes),
-        "strikes_planned": sum(span.strike.is_planned for span in evidence.strikes),
-        "requests": len(evidence.exchanges),
+        "seed": result.schedule.seed,
+        "seconds": round(result.seconds, 1),
+        "interrupted": result.was_interrupted,
+        "strikes": len(observations.actions),
+        "strikes_planned": sum(span.scheduled.is_planned for span in observations.actions),
+        "requests": len(observations.exchanges),
         "outcomes": dict(outcomes),
         "statuses": {str(status): count for status, count in sorted(statuses.items())},
-        "jobs": len(evidence.jobs),
-        "jobs_accepted": sum(job.accepted_at > 0 for job in evidence.jobs),
-        "process_ends": len(evidence.ends),
+        "jobs": len(observations.jobs),
+        "jobs_accepted": sum(job.accepted_at > 0 for job in observations.jobs),
+        "process_ends": len(observations.exits),
         "memory_mb_most": round(max((s.memory_mb for s in samples), default=0.0)),
         "descriptors_most": max((s.descriptors for s in samples), default=0),
         "log_bytes_most": max((s.log_bytes for s in samples), default=0),
-        "violations": [asdict(violation) for violation in verdict.violations],
+        "violations": [asdict(violation) for violation in result.violations],
     }
 
 
-def write_report(verdict: Verdict, folder: Path, stories: dict[str, str]) -> None:
+def write_report(result: SoakResult, folder: Path, explanations: dict[str, str]) -> None:
     """Writes `summary.json` and `timeline.html`; `stories` explains violations by subject."""
     folder.mkdir(parents=True, exist_ok=True)
-    summary = summarize(verdict)
+    summary = summarize(result)
     (folder / "summary.json").write_text(json.dumps(summary, indent=1) + "\n")
-    (folder / "timeline.html").write_text(_timeline(verdict, stories))
+    (folder / "timeline.html").write_text(_timeline(result, explanations))
 
 
-def _timeline(verdict: Verdict, stories: dict[str, str]) -> str:
-    began = verdict.evidence.began_at
+def _timeline(result: SoakResult, explanations: dict[str, str]) -> str:
+    began = result.observations.started_at
     rows = [
-        _bar(number, span.begin - began, span.end - span.begin, span.target, span.strike.tell())
-        for number, span in enumerate(verdict.evidence.strikes)
+        _bar(
+            number,
+            span.begin - began,
+            span.end - span.begin,
+            span.target,
+            span.scheduled.describe(),
+        )
+        for number, span in enumerate(result.observations.actions)
     ]
-    width = LABEL_PIXELS + int(verdict.seconds * SECOND_PIXELS)
+    width = LABEL_PIXELS + int(result.seconds * SECOND_PIXELS)
     height = ROW_PIXELS * (len(rows) + 1)
-    found = "".join(_violation(violation, stories) for violation in verdict.violations)
+    found = "".join(_violation(violation, explanations) for violation in result.violations)
     return (
         "<!doctype html><meta charset=utf-8>"
-        f"<title>soak, seed {verdict.schedule.seed}</title>"
-        f"<h1>Soak, seed {verdict.schedule.seed}</h1>"
-        f"<p>{len(verdict.violations)} violations</p><ul>{found}</ul>"
+        f"<title>soak, seed {result.schedule.seed}</title>"
+        f"<h1>Soak, seed {result.schedule.seed}</h1>"
+        f"<p>{len(result.violations)} violations</p><ul>{found}</ul>"
         f'<svg width="{width}" height="{height}" font-family="sans-serif" font-size="11">'
         f"{''.join(rows)}</svg>\n"
     )
@@ -94,7 +100,7 @@
     )
 
 
-def _violation(violation: Violation, stories: dict[str, str]) -> str:
+def _violation(violation: Violation, explanations: dict[str, str]) -> str:
     text = html.escape(f"{violation.promise} {violation.subject}: {violation.what}")
-    story = html.escape(stories.get(violation.subject, ""))
+    story = html.escape(explanations.get(violation.subject, ""))
     return f"<li>{text}<pre>{story}</pre></li>"
--- a/src/troutswitch/soak/watcher.py
+++ b/src/troutswitch/soak/resource_sampler.py
@@ -4,31 +4,31 @@
 import time
 from pathlib import Path
 
-from troutswitch.soak.evidence import Evidence, Sample
 from troutswitch.soak.fleet import Daemon
+from troutswitch.soak.observations import Observations, ResourceSample
 
-SAMPLE_SECONDS = 1.0
+SAMPLE_INTERVAL_SECONDS = 1.0
 KB_IN_MB = 1024
 
 
-class Watcher:
+class ResourceSampler:
     """Reads memory, descriptors and log volume once a second."""
 
-    def __init__(self, daemons: list[Daemon], evidence: Evidence) -> None:
+    def __init__(self, daemons: list[Daemon], observations: Observations) -> None:
         self.daemons = daemons
-        self.evidence = evidence
-        self.asked_to_stop = threading.Event()
+        self.observations = observations
+        self.stop_requested = threading.Event()
         self.thread = threading.Thread(target=self._watch, daemon=True)
 
     def _watch(self) -> None:
-        while not self.asked_to_stop.wait(SAMPLE_SECONDS):
+        while not self.stop_requested.wait(SAMPLE_INTERVAL_SECONDS):
             for daemon in self.daemons:
                 sample = read_sample(daemon)
                 if sample is not None:
-                    self.evidence.samples.append(sample)
+                    self.observations.samples.append(sample)
 
 
-def read_sample(daemon: Daemon) -> Sample | None:
+def read_sample(daemon: Daemon) -> ResourceSample | None:
     """Reads a daemon's use; None if it does not run."""
     process = daemon.child.process
     if process is None:
@@ -42,4 +42,4 @@
         return None
     resident = [line for line in status.splitlines() if line.startswith("VmRSS:")]
     memory = int(resident[0].split()[1]) / KB_IN_MB if resident else 0.0
-    return Sample(daemon.child.name, time.monotonic(), memory, descriptors, log_bytes)
+    return ResourceSample(daemon.child.name, time.monotonic(), memory, descriptors, log_bytes)
--- a/src/troutswitch/soak/run.py
+++ b/src/troutswitch/soak/run.py
@@ -8,23 +8,23 @@
 from typing import Protocol
 
 from troutswitch.soak.callers import Caller
-from troutswitch.soak.calm_end import CalmEnd
 from troutswitch.soak.checks import find_violations
-from troutswitch.soak.conductor import Conductor
-from troutswitch.soak.evidence import Evidence, read_journal
+from troutswitch.soak.fault_injector import FaultInjector
 from troutswitch.soak.fleet import Fleet
 from troutswitch.soak.jobs import JobClient
+from troutswitch.soak.observations import Observations, read_journal
 from troutswitch.soak.probes import Prober
-from troutswitch.soak.report import Verdict
-from troutswitch.soak.schedule import Schedule, draw_schedule
+from troutswitch.soak.recovery_phase import RecoveryPhase
+from troutswitch.soak.report import SoakResult
+from troutswitch.soak.resource_sampler import ResourceSampler
+from troutswitch.soak.schedule import FaultSchedule, draw_schedule
 from troutswitch.soak.violations import Violation
-from troutswitch.soak.watcher import Watcher
 
-CHECK_SECONDS = 10.0
+CHECK_INTERVAL_SECONDS = 10.0
 """Interval between two looks at all promises while the soak runs."""
-JOIN_SECONDS = 30.0
+JOIN_TIMEOUT_SECONDS = 30.0
 """Bound on the end of callers: their longest wait for an answer, and some."""
-END_SECONDS = 2.0
+SETTLE_SECONDS = 2.0
 """Wait after the last caller, for late runs of requests that were refused."""
 
 
@@ -39,7 +39,7 @@
 
 
 class _Worker(Protocol):
-    asked_to_stop: threading.Event
+    stop_requested: threading.Event
 
 
 class Soak:
@@ -47,95 +47,103 @@
 
     def __init__(
         self,
-        schedule: Schedule,
+        schedule: FaultSchedule,
         folder: Path,
         size: SoakSize,
-        tell: Callable[[str], None],
-        stop_asked: threading.Event,
+        report_progress: Callable[[str], None],
+        stop_requested: threading.Event,
     ) -> None:
         self.schedule = schedule
-        self.tell = tell
-        self.stop_asked = stop_asked
+        self.report_progress = report_progress
+        self.stop_requested = stop_requested
         self.fleet = Fleet(folder, schedule.seed, size.daemons, size.engines)
         self._size = size
         self._workers: list[_Worker] = []
         self._threads: list[threading.Thread] = []
 
-    def run(self) -> Verdict:
+    def run(self) -> SoakResult:
         """Plays the schedule and the calm end; all processes are gone when it returns."""
         began = time.monotonic()
         try:
             self.fleet.start()
             self._start_workers()
-            conductor = Conductor(self.fleet, self.schedule)
-            self._play(conductor)
-            CalmEnd(self.fleet, conductor, self.stop_asked.is_set).play()
+            fault_injector = FaultInjector(self.fleet, self.schedule)
+            self._run_schedule(fault_injector)
+            RecoveryPhase(self.fleet, fault_injector, self.stop_requested.is_set).run()
             self._stop_workers()
-            conductor.run(time.monotonic() + END_SECONDS, self.stop_asked.is_set)
-            violations = self.look()
+            fault_injector.run(time.monotonic() + SETTLE_SECONDS, self.stop_requested.is_set)
+            violations = self.check_promises()
         finally:
             for worker in self._workers:
-                worker.asked_to_stop.set()
+                worker.stop_requested.set()
             self.fleet.stop()
         seconds = time.monotonic() - began
-        was_interrupted = self.stop_asked.is_set()
-        return Verdict(
-            self.schedule, seconds, was_interrupted, tuple(violations), self.fleet.evidence
+        was_interrupted = self.stop_requested.is_set()
+        return SoakResult(
+            self.schedule, seconds, was_interrupted, tuple(violations), self.fleet.observations
         )
 
-    def look(self) -> list[Violation]:
+    def check_promises(self) -> list[Violation]:
         """Checks all promises on what was seen so far."""
-        evidence = self.fleet.evidence
-        runs = [run for engine in self.fleet.engines for run in read_journal(engine.journal)]
-        with evidence.lock:
-            seen = Evidence(
-                evidence.began_at,
-                list(evidence.exchanges),
-                runs,
-                list(evidence.strikes),
-                list(evidence.left),
-                list(evidence.jobs),
-                list(evidence.ends),
-                list(evidence.samples),
-                list(evidence.unmet),
-                list(evidence.strangers),
+        observations = self.fleet.observations
+        journal_entries = [
+            entry for engine in self.fleet.engines for entry in read_journal(engine.journal)
+        ]
+        with observations.lock:
+            seen = Observations(
+                observations.started_at,
+                list(observations.exchanges),
+                journal_entries,
+                list(observations.actions),
+                list(observations.departures),
+                list(observations.jobs),
+                list(observations.exits),
+                list(observations.samples),
+                list(observations.unmet_expectations),
+                list(observations.unknown_key_exchanges),
             )
         return find_violations(seen)
 
-    def _play(self, conductor: Conductor) -> None:
-        while time.monotonic() < conductor.ends_at and not self.stop_asked.is_set():
-            until = min(conductor.ends_at, time.monotonic() + CHECK_SECONDS)
-            conductor.run(until, self.stop_asked.is_set)
-            found = self.look()
-            count = len(self.fleet.evidence.exchanges)
-            left = conductor.ends_at - time.monotonic()
-            self.tell(f"{count} requests, {len(found)} violations, {max(0.0, left):.0f} s left")
+    def _run_schedule(self, fault_injector: FaultInjector) -> None:
+        while time.monotonic() < fault_injector.ends_at and not self.stop_requested.is_set():
+            until = min(fault_injector.ends_at, time.monotonic() + CHECK_INTERVAL_SECONDS)
+            fault_injector.run(until, self.stop_requested.is_set)
+            found = self.check_promises()
+            count = len(self.fleet.observations.exchanges)
+            remaining = fault_injector.ends_at - time.monotonic()
+            self.report_progress(
+                f"{count} requests, {len(found)} violations, {max(0.0, remaining):.0f} s left"
+            )
 
     def _start_workers(self) -> None:
-        fronts, evidence, seed = self.fleet.fronts(), self.fleet.evidence, self.schedule.seed
-        ways = (fronts, self.fleet.direct_fronts())
+        endpoints, observations, seed = (
+            self.fleet.endpoints(),
+            self.fleet.observations,
+            self.schedule.seed,
+        )
+        ways = (endpoints, self.fleet.direct_endpoints())
         for number in range(self._size.callers):
-            caller = Caller(f"caller-{seed}-{number}", seed, ways[number % 2], evidence)
+            caller = Caller(f"caller-{seed}-{number}", seed, ways[number % 2], observations)
             self._workers.append(caller)
             self._threads.append(caller.thread)
         for number in range(self._size.job_clients):
-            client = JobClient(f"job-{seed}-{number}", seed, fronts, evidence)
+            client = JobClient(f"job-{seed}-{number}", seed, endpoints, observations)
             self._workers.append(client)
             self._threads += client.threads
-        for front in self.fleet.direct_fronts():
-            prober = Prober(front, self.fleet.operator, evidence)
+        for endpoint in self.fleet.direct_endpoints():
+            prober = Prober(endpoint, self.fleet.operator, observations)
             self._workers.append(prober)
             self._threads.append(prober.thread)
-        watcher = Watcher(self.fleet.daemons, evidence)
-        self._workers.append(watcher)
-        self._threads.append(watcher.thread)
+        resource_sampler = ResourceSampler(self.fleet.daemons, observations)
+        self._workers.append(resource_sampler)
+        self._threads.append(resource_sampler.thread)
         for thread in self._threads:
             thread.start()
 
     def _stop_workers(self) -> None:
         for worker in self._workers:
-            worker.asked_to_stop.set()
-        until = time.monotonic() + JOIN_SECONDS
+            worker.stop_requested.set()
+        until = time.monotonic() + JOIN_TIMEOUT_SECONDS
         for thread in self._threads:
             thread.join(max(0.0, until - time.monotonic()))
 
@@ -145,9 +153,9 @@
     seconds: float,
     folder: Path,
     size: SoakSize,
-    tell: Callable[[str], None],
-    stop_asked: threading.Event,
-) -> Verdict:
+    report_progress: Callable[[str], None],
+    stop_requested: threading.Event,
+) -> SoakResult:
     """Runs a soak of about some seconds beside its start and its calm end."""
     folder.mkdir(parents=True, exist_ok=True)
-    return Soak(draw_schedule(seed, seconds), folder, size, tell, stop_asked).run()
+    return Soak(draw_schedule(seed, seconds), folder, size, report_progress, stop_requested).run()
--- a/src/troutswitch/soak/schedule.py
+++ b/src/troutswitch/soak/schedule.py
@@ -4,23 +4,23 @@
 from dataclasses import dataclass
 from enum import StrEnum
 
-LEAD_SECONDS = 1.0
+WARM_UP_SECONDS = 1.0
 """Time with callers and without faults before the first episode."""
-CONTACT_SECONDS = 2.5
+FAULT_FREE_SECONDS = 2.5
 """Time without faults after an episode; above the platform's usual contact time of 2 s."""
-HARM_SECONDS = (4.0, 7.0)
+FAULT_EPISODE_SECONDS = (4.0, 7.0)
 """Length of an episode of harm: longer than a daemon's start and the store's time-outs."""
-PLANNED_SECONDS = (3.0, 5.0)
+PLANNED_EPISODE_SECONDS = (3.0, 5.0)
 """Length of an episode of planned work: series of stops and changes fit in and overlap."""
-HARM_STRIKES = (5, 12)
+FAULTS_PER_EPISODE = (5, 12)
 """Strikes of an episode of harm; many enough to overlap."""
-PLANNED_STRIKES = (2, 4)
+OPERATIONS_PER_EPISODE = (2, 4)
 """Strikes of an episode of planned work."""
-STRIKE_SECONDS = (0.2, 3.0)
+ACTION_SECONDS = (0.2, 3.0)
 """Length of a fault: from a blink to beyond the daemons' patience with peers and store."""
 
 
-class Action(StrEnum):
+class ActionKind(StrEnum):
     """What a strike does."""
 
     STOP_DAEMON = "stop_daemon"
@@ -33,27 +33,27 @@
     PAUSE_ENGINE = "pause_server"
     ENGINE_REJECTS = "server_rejects"
     ENGINE_FAILS = "server_fails"
-    ENGINE_BREAKS_OFF = "server_breaks_off"
-    ENGINE_GARBAGE = "server_garbage"
-    ENGINE_SILENT = "server_silent"
-    ENGINE_SURPLUS = "server_surplus"
+    ENGINE_TRUNCATES = "server_breaks_off"
+    ENGINE_SENDS_GARBAGE = "server_garbage"
+    ENGINE_HANGS = "server_silent"
+    ENGINE_SENDS_SURPLUS = "server_surplus"
     ENGINE_DRAINS = "server_drains"
-    ENGINE_VANISHES = "server_vanishes"
+    ENGINE_UNLISTED = "server_vanishes"
     STORE_DOWN = "store_down"
     STORE_SLOW = "store_slow"
     STORE_LOSES_ANSWERS = "store_loses_answers"
     STORE_PAUSED = "store_paused"
-    STORE_DEALS_ANEW = "store_deals_anew"
-    STORE_FORGETS = "store_forgets"
-    STORE_ACTS_LATE = "store_acts_late"
-    CALLERS_FLOOD = "callers_flood"
+    STORE_REBALANCES = "store_deals_anew"
+    STORE_DROPS_HISTORY = "store_forgets"
+    STORE_APPLIES_LATE = "store_acts_late"
+    CONNECTION_FLOOD = "callers_flood"
     CONFIGURE = "configure"
-    FRONT_LINK = "front_link"
+    CALLER_LINK = "front_link"
     STORE_LINK = "store_link"
     ENGINE_LINK = "server_link"
-    ENDING_REQUEST = "ending_request"
+    CRASHING_REQUEST = "ending_request"
     CLOCK_JUMPS = "clock_jumps"
-    STORE_REFUSES_ONE = "store_refuses_one"
+    STORE_BUSY_FOR_ONE_DAEMON = "store_refuses_one"
 
 
 class LinkFault(StrEnum):
@@ -69,95 +69,108 @@
     BUSY = "busy"
 
 
-PLANNED_ACTIONS = (Action.STOP_DAEMON, Action.RELOAD_DAEMON, Action.CONFIGURE, Action.ENGINE_DRAINS)
+PLANNED_ACTIONS = (
+    ActionKind.STOP_DAEMON,
+    ActionKind.RELOAD_DAEMON,
+    ActionKind.CONFIGURE,
+    ActionKind.ENGINE_DRAINS,
+)
 """Work that must cut no request."""
-DRAWN_APART = (Action.ENDING_REQUEST, Action.CLOCK_JUMPS, Action.STORE_REFUSES_ONE)
+SEPARATELY_DRAWN_ACTIONS = (
+    ActionKind.CRASHING_REQUEST,
+    ActionKind.CLOCK_JUMPS,
+    ActionKind.STORE_BUSY_FOR_ONE_DAEMON,
+)
 """Actions with a source of chance of their own each, so that what a seed draws of the others
 stays as it was."""
-HARM_ACTIONS = tuple(action for action in Action if action not in DRAWN_APART)
+FAULT_ACTIONS = tuple(action for action in ActionKind if action not in SEPARATELY_DRAWN_ACTIONS)
 """What an episode of harm draws from beside them."""
-APART_SHARE = 0.7
+SEPARATE_ACTION_SHARE = 0.7
 """Share of the episodes of harm in which an action that is drawn apart comes, each for itself."""
-APART_SECONDS = (2.0, 5.0)
+SEPARATE_ACTION_SECONDS = (2.0, 5.0)
 """Length of such an action: longer than an engine's restart, and than the store's time-outs."""
-LINK_FAULTS = tuple(fault for fault in LinkFault if fault is not LinkFault.BUSY)
+DRAWN_LINK_FAULTS = tuple(fault for fault in LinkFault if fault is not LinkFault.BUSY)
 """What a strike on a link draws from; the store alone says that it is busy."""
-LINK_ACTIONS = frozenset({Action.FRONT_LINK, Action.STORE_LINK, Action.ENGINE_LINK})
+LINK_ACTIONS = frozenset({ActionKind.CALLER_LINK, ActionKind.STORE_LINK, ActionKind.ENGINE_LINK})
 
 
 @dataclass(frozen=True, slots=True)
-class Strike:
+class ScheduledAction:
     """One fault or planned step; `target` is taken modulo the number of what it strikes."""
 
-    at: float
-    action: Action
+    offset_seconds: float
+    kind: ActionKind
     target: int
     seconds: float
     share: float
     link_fault: LinkFault
     is_planned: bool
 
-    def tell(self) -> str:
+    def describe(self) -> str:
         """Returns the strike in a few words."""
-        link = f" {self.link_fault}" if self.action in LINK_ACTIONS else ""
-        return f"{self.action}{link} #{self.target} for {self.seconds:.2f} s"
+        link = f" {self.link_fault}" if self.kind in LINK_ACTIONS else ""
+        return f"{self.kind}{link} #{self.target} for {self.seconds:.2f} s"
 
 
 @dataclass(frozen=True, slots=True)
-class Schedule:
+class FaultSchedule:
     """All strikes in order; `seconds` is when the last episode is over."""
 
     seed: int
     seconds: float
-    strikes: tuple[Strike, ...]
+    actions: tuple[ScheduledAction, ...]
 
 
-def draw_schedule(seed: int, seconds: float) -> Schedule:
+def draw_schedule(seed: int, seconds: float) -> FaultSchedule:
     """Draws a schedule of about some seconds; episodes of harm and planned work alternate."""
-    drawn = random.Random(seed)
-    apart = {action: random.Random(f"{seed}-{action}") for action in DRAWN_APART}
-    strikes: list[Strike] = []
-    at = LEAD_SECONDS
-    is_planned = drawn.random() < 0.5
+    rng = random.Random(seed)
+    rngs = {action: random.Random(f"{seed}-{action}") for action in SEPARATELY_DRAWN_ACTIONS}
+    actions: list[ScheduledAction] = []
+    at = WARM_UP_SECONDS
+    is_planned = rng.random() < 0.5
     while at < seconds:
-        length = drawn.uniform(*(PLANNED_SECONDS if is_planned else HARM_SECONDS))
+        length = rng.uniform(*(PLANNED_EPISODE_SECONDS if is_planned else FAULT_EPISODE_SECONDS))
         length = min(length, seconds - at)
-        strikes += _episode(drawn, at, length, is_planned)
+        actions += _draw_episode(rng, at, length, is_planned)
         if not is_planned:
-            strikes += _drawn_apart(apart, at, length)
-        at += length + CONTACT_SECONDS
+            actions += _draw_separate_actions(rngs, at, length)
+        at += length + FAULT_FREE_SECONDS
         is_planned = not is_planned
-    strikes.sort(key=lambda strike: strike.at)
-    return Schedule(seed, seconds, tuple(strikes))
+    actions.sort(key=lambda scheduled: scheduled.offset_seconds)
+    return FaultSchedule(seed, seconds, tuple(actions))
 
 
-def _drawn_apart(apart: dict[Action, random.Random], at: float, length: float) -> list[Strike]:
+def _draw_separate_actions(
+    rngs: dict[ActionKind, random.Random], at: float, length: float
+) -> list[ScheduledAction]:
     return [
-        Strike(
-            at=at + drawn.uniform(0.0, length),
-            action=action,
-            target=drawn.randrange(1000),
-            seconds=drawn.uniform(*APART_SECONDS),
-            share=drawn.uniform(0.1, 1.0),
+        ScheduledAction(
+            offset_seconds=at + rng.uniform(0.0, length),
+            kind=action,
+            target=rng.randrange(1000),
+            seconds=rng.uniform(*SEPARATE_ACTION_SECONDS),
+            share=rng.uniform(0.1, 1.0),
             link_fault=LinkFault.DELAY,
             is_planned=False,
         )
-        for action, drawn in apart.items()
-        if drawn.random() < APART_SHARE
+        for action, rng in rngs.items()
+        if rng.random() < SEPARATE_ACTION_SHARE
     ]
 
 
-def _episode(drawn: random.Random, at: float, length: float, is_planned: bool) -> list[Strike]:
-    count = drawn.randint(*(PLANNED_STRIKES if is_planned else HARM_STRIKES))
-    actions = PLANNED_ACTIONS if is_planned else HARM_ACTIONS
+def _draw_episode(
+    rng: random.Random, at: float, length: float, is_planned: bool
+) -> list[ScheduledAction]:
+    count = rng.randint(*(OPERATIONS_PER_EPISODE if is_planned else FAULTS_PER_EPISODE))
+    actions = PLANNED_ACTIONS if is_planned else FAULT_ACTIONS
     return [
-        Strike(
-            at=at + drawn.uniform(0.0, length),
-            action=drawn.choice(actions),
-            target=drawn.randrange(1000),
-            seconds=drawn.uniform(*STRIKE_SECONDS),
-            share=drawn.uniform(0.1, 1.0),
-            link_fault=drawn.choice(LINK_FAULTS),
+        ScheduledAction(
+            offset_seconds=at + rng.uniform(0.0, length),
+            kind=rng.choice(actions),
+            target=rng.randrange(1000),
+            seconds=rng.uniform(*ACTION_SECONDS),
+            share=rng.uniform(0.1, 1.0),
+            link_fault=rng.choice(DRAWN_LINK_FAULTS),
             is_planned=is_planned,
         )
         for _ in range(count)
--- a/src/troutswitch/soak/tenant_checks.py
+++ b/src/troutswitch/soak/tenant_checks.py
@@ -1,6 +1,6 @@
 """Promises about tenants: whose requests run, for whom, and that no engine sees a key."""
 
-from troutswitch.soak.evidence import Evidence, Run
+from troutswitch.soak.observations import JournalEntry, Observations
 from troutswitch.soak.tenants import tenant_of
 from troutswitch.soak.violations import Violation
 
@@ -9,35 +9,35 @@
 it is behind."""
 
 
-def only_for_its_tenant(evidence: Evidence) -> list[Violation]:
+def runs_are_for_the_key_s_tenant(observations: Observations) -> list[Violation]:
     """UNASKED: an engine is told the tenant that holds the key, and never the key."""
-    owners = {held.request_id: held.request_id for held in evidence.exchanges}
-    owners |= {item: job.job_id for job in evidence.jobs for item in job.items}
+    owners = {exchange.request_id: exchange.request_id for exchange in observations.exchanges}
+    owners |= {item: job.job_id for job in observations.jobs for item in job.items}
     found: list[Violation] = []
-    for run in evidence.runs:
-        if run.kind == "begun" and run.request_id in owners:
-            found += _wrong_tenant(run, tenant_of(owners[run.request_id]))
+    for entry in observations.journal_entries:
+        if entry.kind == "begun" and entry.request_id in owners:
+            found += _check_tenant(entry, tenant_of(owners[entry.request_id]))
     return found
 
 
-def _wrong_tenant(run: Run, tenant: str) -> list[Violation]:
+def _check_tenant(entry: JournalEntry, tenant: str) -> list[Violation]:
     found: list[Violation] = []
-    if run.tenant != tenant:
-        what = f"ran for {run.tenant!r}, its key is {tenant}'s"
-        found.append(Violation("UNASKED", run.request_id, what))
-    if run.has_key:
-        found.append(Violation("UNASKED", run.request_id, "a server was shown its key"))
+    if entry.tenant != tenant:
+        what = f"ran for {entry.tenant!r}, its key is {tenant}'s"
+        found.append(Violation("UNASKED", entry.request_id, what))
+    if entry.has_key:
+        found.append(Violation("UNASKED", entry.request_id, "a server was shown its key"))
     return found
 
 
-def strangers_do_not_run(evidence: Evidence) -> list[Violation]:
+def unknown_keys_do_not_run(observations: Observations) -> list[Violation]:
     """ROUTE: a request with a key that nobody holds runs nowhere, and is told so."""
-    begun = {run.request_id for run in evidence.runs if run.kind == "begun"}
+    begun = {entry.request_id for entry in observations.journal_entries if entry.kind == "begun"}
     found: list[Violation] = []
-    for held in evidence.strangers:
-        if held.request_id in begun:
-            found.append(Violation("ROUTE", held.request_id, "ran with a key of nobody"))
-        if held.status and held.status not in REFUSED_STATUSES:
-            what = f"answered {held.status} to a key of nobody"
-            found.append(Violation("ROUTE", held.request_id, what))
+    for exchange in observations.unknown_key_exchanges:
+        if exchange.request_id in begun:
+            found.append(Violation("ROUTE", exchange.request_id, "ran with a key of nobody"))
+        if exchange.status and exchange.status not in REFUSED_STATUSES:
+            what = f"answered {exchange.status} to a key of nobody"
+            found.append(Violation("ROUTE", exchange.request_id, what))
     return found
--- a/src/troutswitch/soak/tenants.py
+++ b/src/troutswitch/soak/tenants.py
@@ -4,9 +4,9 @@
 from troutswitch.platform.stand_in_forms import TenantSpec
 
 NAMES = ("east", "west")
-STRANGER_EACH = 40
+UNKNOWN_KEY_INTERVAL = 40
 """One request in so many shows a key that no configuration ever held."""
-STRANGER_KEY = "key-of-nobody"
+UNKNOWN_KEY = "key-of-nobody"
 
 
 def key_of(tenant: str) -> str:
@@ -19,9 +19,9 @@
     return NAMES[stable_hash("tenant", owner) % len(NAMES)]
 
 
-def is_stranger(request_id: str) -> bool:
+def shows_unknown_key(request_id: str) -> bool:
     """Returns whether a request shows a key that nobody holds."""
-    return stable_hash("stranger", request_id) % STRANGER_EACH == 0
+    return stable_hash("stranger", request_id) % UNKNOWN_KEY_INTERVAL == 0
 
 
 def tenant_forms() -> tuple[TenantSpec, ...]:
--- a/src/troutswitch/soak/violations.py
+++ b/src/troutswitch/soak/violations.py
@@ -3,7 +3,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from troutswitch.soak.evidence import Evidence
+from troutswitch.soak.observations import Observations
 
 
 @dataclass(frozen=True, slots=True)
@@ -15,4 +15,4 @@
     what: str
 
 
-Check = Callable[[Evidence], list[Violation]]
+Check = Callable[[Observations], list[Violation]]
--- /dev/null
+++ b/tests/soak/builders.py
@@ -0,0 +1,95 @@
+"""Observations of a soak as tests need them: all well, until a test breaks one."""
+
+from troutswitch.soak.checks import item_path
+from troutswitch.soak.observations import (
+    Exchange,
+    InjectedAction,
+    JournalEntry,
+    Observations,
+    ObservedJob,
+    ObservedResult,
+    Outcome,
+    RequestKind,
+)
+from troutswitch.soak.schedule import ActionKind, LinkFault, ScheduledAction
+from troutswitch.soak.tenants import tenant_of
+from troutswitch.standins.content import digest, event_bytes, event_texts, plain_answer
+
+ENGINE = "server-0-1"
+
+
+def completed_exchange(
+    request_id: str, kind: RequestKind, at: float = 10.0, daemon: str = "daemon-0"
+) -> Exchange:
+    """A request with its whole answer."""
+    is_stream = kind in (RequestKind.STREAM, RequestKind.STREAM_ONCE)
+    events = b"".join(event_bytes(request_id))
+    return Exchange(
+        request_id,
+        kind,
+        f"/{kind}/{request_id}",
+        b"body",
+        daemon,
+        at,
+        outcome=Outcome.COMPLETE,
+        ended_at=at + 0.1,
+        status=200,
+        stamp=f"{ENGINE}.{request_id}",
+        answer=events if is_stream else plain_answer(request_id, b"body"),
+    )
+
+
+def started_entry(exchange: Exchange, at: float = 10.05) -> JournalEntry:
+    """The line that an engine wrote as it began a request."""
+    return JournalEntry(
+        "begun",
+        exchange.request_id,
+        at,
+        ENGINE,
+        exchange.path,
+        digest(exchange.body),
+        "m",
+        tenant=tenant_of(exchange.request_id),
+    )
+
+
+def completed_job(job_id: str = "job") -> ObservedJob:
+    """An accepted job with both results read."""
+    items = {f"{job_id}-0": b"a", f"{job_id}-1": b"b"}
+    job = ObservedJob(job_id, items, 5.0, statuses=[202], accepted_at=5.5, totals={2})
+    job.results = [
+        ObservedResult("daemon-0", position, item, "completed", "\n".join(event_texts(item)))
+        for position, item in enumerate(items)
+    ]
+    return job
+
+
+def item_entry(job: ObservedJob, number: int, at: float = 6.0, kind: str = "begun") -> JournalEntry:
+    """The line of an engine that began an item."""
+    item = list(job.items)[number]
+    path = item_path(job.job_id, number)
+    return JournalEntry(
+        kind, item, at, ENGINE, path, digest(job.items[item]), "m", tenant=tenant_of(job.job_id)
+    )
+
+
+def injected_action(
+    action: ActionKind, begin: float, end: float, target: str = "daemon-0"
+) -> InjectedAction:
+    """A strike that happened."""
+    is_planned = action in (ActionKind.STOP_DAEMON, ActionKind.RELOAD_DAEMON)
+    scheduled = ScheduledAction(begin, action, 0, end - begin, 0.5, LinkFault.DELAY, is_planned)
+    return InjectedAction(scheduled, target, begin, end)
+
+
+def clean_observations() -> Observations:
+    """One request of each kind and one job, all as promised."""
+    observations = Observations(0.0)
+    for kind in (RequestKind.READ, RequestKind.ONCE, RequestKind.STREAM, RequestKind.STREAM_ONCE):
+        exchange = completed_exchange(f"request-{kind}", kind)
+        observations.exchanges.append(exchange)
+        observations.journal_entries.append(started_entry(exchange))
+    job = completed_job()
+    observations.jobs.append(job)
+    observations.journal_entries += [item_entry(job, 0), item_entry(job, 1)]
+    return observations
--- a/tests/soak/test_callers.py
+++ b/tests/soak/test_callers.py
@@ -11,12 +11,12 @@
 
 import pytest
 
-from tests.soak.evidences import all_well
+from tests.soak.builders import clean_observations
 from troutswitch.common import Address
 from troutswitch.soak import checks
-from troutswitch.soak.callers import Caller, stray_bytes
+from troutswitch.soak.callers import Caller, peek_stray_bytes
 
-SELECT_MOST = 1024
+SELECT_MAX_DESCRIPTORS = 1024
 """Descriptors that `select.select` takes."""
 
 
@@ -31,16 +31,16 @@
 @pytest.mark.usefixtures("many_descriptors")
 def test_stray_bytes_are_seen_on_a_high_descriptor() -> None:
     ours, theirs = socket.socketpair()
-    held = [ours.dup() for _ in range(SELECT_MOST)]
+    duplicates = [ours.dup() for _ in range(SELECT_MAX_DESCRIPTORS)]
     connection = http.client.HTTPConnection("127.0.0.1")
-    connection.sock = held[-1]
+    connection.sock = duplicates[-1]
     try:
-        assert held[-1].fileno() >= SELECT_MOST
-        assert stray_bytes(connection) == b""
+        assert duplicates[-1].fileno() >= SELECT_MAX_DESCRIPTORS
+        assert peek_stray_bytes(connection) == b""
         theirs.sendall(b"stray")
-        assert stray_bytes(connection) == b"stray"
+        assert peek_stray_bytes(connection) == b"stray"
     finally:
-        for duplicate in (*held, ours, theirs):
+        for duplicate in (*duplicates, ours, theirs):
             duplicate.close()
 
 
@@ -49,10 +49,10 @@
     def fail(self: Caller) -> bool:
         raise ValueError("filedescriptor out of range")
 
-    evidence = all_well()
-    front = type("Front", (), {"daemon": "d", "address": Address("127.0.0.1", 1)})()
-    caller = Caller("caller-1", 1, [front], evidence)
-    monkeypatch.setattr(Caller, "_one", fail)
+    observations = clean_observations()
+    endpoint = type("Front", (), {"daemon": "d", "address": Address("127.0.0.1", 1)})()
+    caller = Caller("caller-1", 1, [endpoint], observations)
+    monkeypatch.setattr(Caller, "_send_one", fail)
     caller.thread.start()
     caller.thread.join()
-    assert [violation.promise for violation in checks.find_violations(evidence)] == ["SOAK"]
+    assert [violation.promise for violation in checks.find_violations(observations)] == ["SOAK"]
--- a/tests/soak/test_command.py
+++ b/tests/soak/test_command.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-PATIENCE_SECONDS = 120.0
+TIMEOUT_SECONDS = 120.0
 COMMAND = [sys.executable, "-m", "troutswitch.cli", "soak", "--daemons", "1", "--servers", "1"]
 
 
@@ -40,14 +40,14 @@
         assert "violations" in soak.stderr.readline()  # it plays
         assert len(processes_of(folder)) >= 2
         soak.send_signal(number)
-        output, _ = soak.communicate(timeout=PATIENCE_SECONDS)
+        output, _ = soak.communicate(timeout=TIMEOUT_SECONDS)
     finally:
         if soak.poll() is None:
             soak.kill()
     assert soak.returncode == 1
     assert json.loads(output)["interrupted"] is True
     assert json.loads((tmp_path / "summary.json").read_text())["seed"] == 3
-    until = time.monotonic() + PATIENCE_SECONDS
+    until = time.monotonic() + TIMEOUT_SECONDS
     while processes_of(folder) and time.monotonic() < until:
         time.sleep(0.1)
     assert processes_of(folder) == []
--- a/tests/soak/test_crashing_requests.py
+++ b/tests/soak/test_crashing_requests.py
@@ -13,69 +13,69 @@
 import pytest
 
 from troutswitch.decisions.crashes.causes import CONCLUSIVE_CRASHES, CRASHES_TO_REFUSE
-from troutswitch.soak.conductor import Conductor
-from troutswitch.soak.crashing_requests import EndingCaller, is_refused
-from troutswitch.soak.evidence import read_journal
+from troutswitch.soak.crashing_requests import CrashingRequestCaller, is_refused
+from troutswitch.soak.fault_injector import FaultInjector
 from troutswitch.soak.fleet import Fleet
-from troutswitch.soak.schedule import Schedule
+from troutswitch.soak.observations import read_journal
+from troutswitch.soak.schedule import FaultSchedule
 
-PATIENCE_SECONDS = 90.0
+TIMEOUT_SECONDS = 90.0
 
 
 @pytest.fixture
 def fleet(tmp_path: Path) -> Iterator[Fleet]:
-    held = Fleet(tmp_path, 1, daemons=2, engines=4)
+    running_fleet = Fleet(tmp_path, 1, daemons=2, engines=4)
     try:
-        held.start()
-        yield held
+        running_fleet.start()
+        yield running_fleet
     finally:
-        held.stop()
+        running_fleet.stop()
 
 
-def expect(conductor: Conductor, what: str, condition: Callable[[], bool]) -> None:
+def wait_for(fault_injector: FaultInjector, what: str, condition: Callable[[], bool]) -> None:
     """Waits for a condition while the conductor starts again what has ended."""
-    until = time.monotonic() + PATIENCE_SECONDS
+    until = time.monotonic() + TIMEOUT_SECONDS
     while not condition():
         assert time.monotonic() < until, what
-        conductor.tick()
+        fault_injector.tick()
         time.sleep(0.02)
 
 
-def lives_ended(fleet: Fleet) -> int:
+def crash_count(fleet: Fleet) -> int:
     return sum(
-        run.kind == "ended under"
+        entry.kind == "ended under"
         for engine in fleet.engines
-        for run in read_journal(engine.journal)
+        for entry in read_journal(engine.journal)
     )
 
 
-def expect_refusals(fleet: Fleet, conductor: Conductor) -> None:
-    for front in fleet.direct_fronts():
-        caller = EndingCaller(0, [front], fleet.evidence)
-        expect(
-            conductor,
-            f"{front.daemon} does not refuse it",
-            lambda held=caller: is_refused(held.ask()),  # type: ignore[misc]
+def expect_refusals(fleet: Fleet, fault_injector: FaultInjector) -> None:
+    for endpoint in fleet.direct_endpoints():
+        caller = CrashingRequestCaller(0, [endpoint], fleet.observations)
+        wait_for(
+            fault_injector,
+            f"{endpoint.daemon} does not refuse it",
+            lambda caller=caller: is_refused(caller.send()),  # type: ignore[misc]
         )
 
 
 def test_all_daemons_refuse_what_ended_three_engines_and_so_do_their_next_lives(
     fleet: Fleet,
 ) -> None:
-    conductor = Conductor(fleet, Schedule(1, 0.0, ()))
-    expect_refusals(fleet, conductor)
-    ended = lives_ended(fleet)
+    fault_injector = FaultInjector(fleet, FaultSchedule(1, 0.0, ()))
+    expect_refusals(fleet, fault_injector)
+    ended = crash_count(fleet)
     assert CRASHES_TO_REFUSE <= ended <= CONCLUSIVE_CRASHES
     incarnations = [daemon.child.incarnation for daemon in fleet.daemons]
     for daemon in fleet.daemons:
         daemon.child.signal(signal.SIGKILL)
-    expect(
-        conductor,
+    wait_for(
+        fault_injector,
         "the daemons are not back",
         lambda: all(
             daemon.child.incarnation > incarnation and daemon.is_ready()
             for daemon, incarnation in zip(fleet.daemons, incarnations, strict=True)
         ),
     )
-    expect_refusals(fleet, conductor)
-    assert lives_ended(fleet) <= CONCLUSIVE_CRASHES
+    expect_refusals(fleet, fault_injector)
+    assert crash_count(fleet) <= CONCLUSIVE_CRASHES
--- a/tests/soak/test_processes.py
+++ b/tests/soak/test_processes.py
@@ -8,21 +8,21 @@
 
 import pytest
 
-from troutswitch.soak.processes import PROCESSES_MOST, Child, ProcessGroup, TooManyProcesses
+from troutswitch.soak.processes import MAX_PROCESSES, Child, ProcessGroup, TooManyProcesses
 
-PATIENCE_SECONDS = 30.0
+TIMEOUT_SECONDS = 30.0
 SLEEPER = [sys.executable, "-c", "import time; print('up', flush=True); time.sleep(600)"]
 
 
 @pytest.fixture
 def group() -> Iterator[ProcessGroup]:
-    held = ProcessGroup()
-    yield held
-    held.end_all()
+    started = ProcessGroup()
+    yield started
+    started.kill_all()
 
 
 def wait_until_up(child: Child) -> None:
-    until = time.monotonic() + PATIENCE_SECONDS
+    until = time.monotonic() + TIMEOUT_SECONDS
     while b"up" not in child.log.read_bytes():
         assert time.monotonic() < until
         time.sleep(0.01)
@@ -30,18 +30,18 @@
 
 def wait_until_ended(child: Child) -> None:
     assert child.process is not None
-    child.process.wait(PATIENCE_SECONDS)
+    child.process.wait(TIMEOUT_SECONDS)
 
 
 def test_an_asked_end_is_no_own_end(group: ProcessGroup, tmp_path: Path) -> None:
     child = group.add(Child("a", SLEEPER, tmp_path / "log"))
     wait_until_up(child)
-    assert child.take_end() is None
+    assert child.poll_exit() is None
     child.signal(signal.SIGTERM)
     wait_until_ended(child)
-    end = child.take_end()
-    assert end is not None and not end.is_own
-    assert child.take_end() is None
+    process_exit = child.poll_exit()
+    assert process_exit is not None and not process_exit.is_unexpected
+    assert child.poll_exit() is None
     child.start()
     assert child.incarnation == 2 and child.is_running()
 
@@ -49,8 +49,8 @@
 def test_an_own_end_is_told(group: ProcessGroup, tmp_path: Path) -> None:
     child = group.add(Child("a", [sys.executable, "-c", "raise SystemExit(3)"], tmp_path / "log"))
     wait_until_ended(child)
-    end = child.take_end()
-    assert end is not None and end.is_own and end.code == 3
+    process_exit = child.poll_exit()
+    assert process_exit is not None and process_exit.is_unexpected and process_exit.code == 3
 
 
 def test_a_signal_that_a_program_handles_is_told(group: ProcessGroup, tmp_path: Path) -> None:
@@ -65,11 +65,11 @@
 def test_a_paused_process_is_ended_too(group: ProcessGroup, tmp_path: Path) -> None:
     child = group.add(Child("a", SLEEPER, tmp_path / "log"))
     child.signal(signal.SIGSTOP)
-    group.end_all()
+    group.kill_all()
     assert not child.is_running()
 
 
 def test_the_bound_on_processes_holds(group: ProcessGroup, tmp_path: Path) -> None:
-    group.children = [Child(str(n), SLEEPER, tmp_path / "log") for n in range(PROCESSES_MOST)]
+    group.children = [Child(str(n), SLEEPER, tmp_path / "log") for n in range(MAX_PROCESSES)]
     with pytest.raises(TooManyProcesses):
         group.add(Child("one more", SLEEPER, tmp_path / "log"))
--- a/tests/soak/test_proxy.py
+++ b/tests/soak/test_proxy.py
@@ -11,7 +11,7 @@
 from troutswitch.soak.proxy import BUSY_ANSWER, DRIP_BYTES, TRUNCATE_BYTES, Link
 from troutswitch.soak.schedule import LinkFault
 
-PATIENCE_SECONDS = 30.0
+TIMEOUT_SECONDS = 30.0
 SHORT_SECONDS = 0.2
 CONTENT = bytes(range(256)) * 8
 
@@ -28,37 +28,37 @@
     def _accept(self) -> None:
         while True:
             try:
-                held, _ = self.listener.accept()
+                connection, _ = self.listener.accept()
             except OSError:
                 return
-            threading.Thread(target=self._answer, args=(held,), daemon=True).start()
+            threading.Thread(target=self._answer, args=(connection,), daemon=True).start()
 
-    def _answer(self, held: socket.socket) -> None:
+    def _answer(self, connection: socket.socket) -> None:
         try:
-            while data := held.recv(65536):
+            while data := connection.recv(65536):
                 self.received += data
-                held.sendall(data)
-            held.close()
+                connection.sendall(data)
+            connection.close()
         except OSError:
             return
 
 
 @pytest.fixture
 def echo() -> Iterator[Echo]:
-    held = Echo()
-    yield held
-    held.listener.close()
+    server = Echo()
+    yield server
+    server.listener.close()
 
 
 @pytest.fixture
 def link(echo: Echo) -> Iterator[Link]:
-    held = Link(echo.address)
-    yield held
-    held.close()
+    proxy = Link(echo.address)
+    yield proxy
+    proxy.close()
 
 
 def connect(link: Link) -> socket.socket:
-    return socket.create_connection(link.address, PATIENCE_SECONDS)
+    return socket.create_connection(link.address, TIMEOUT_SECONDS)
 
 
 def read(caller: socket.socket, count: int) -> bytes:
@@ -73,7 +73,7 @@
 
 @pytest.mark.parametrize("fault", [None, LinkFault.DELAY, LinkFault.DRIP])
 def test_bytes_pass_unchanged(link: Link, fault: LinkFault | None) -> None:
-    link.strike(fault)
+    link.set_fault(fault)
     with connect(link) as caller:
         caller.sendall(CONTENT[: 4 * DRIP_BYTES])
         assert read(caller, 4 * DRIP_BYTES) == CONTENT[: 4 * DRIP_BYTES]
@@ -90,12 +90,12 @@
     with connect(link) as caller:
         caller.sendall(b"a")
         assert read(caller, 1) == b"a"
-        link.strike(LinkFault.RESET)
+        link.set_fault(LinkFault.RESET)
         with pytest.raises(ConnectionResetError):
             caller.recv(1)
     with pytest.raises(ConnectionResetError), connect(link) as caller:
         caller.recv(1)
-    link.strike(None)
+    link.set_fault(None)
     with connect(link) as caller:
         caller.sendall(b"b")
         assert read(caller, 1) == b"b"
@@ -108,23 +108,23 @@
 def test_a_silence_holds_bytes_back_until_it_is_over(
     link: Link, echo: Echo, fault: LinkFault, arrives: bool
 ) -> None:
-    link.strike(fault)
+    link.set_fault(fault)
     with connect(link) as caller:
         caller.sendall(b"held")
         caller.settimeout(SHORT_SECONDS)
         with pytest.raises(TimeoutError):
             caller.recv(1)
-        until = time.monotonic() + PATIENCE_SECONDS
+        until = time.monotonic() + TIMEOUT_SECONDS
         while arrives and not echo.received and time.monotonic() < until:
             time.sleep(0.01)
         assert echo.received == (b"held" if arrives else b"")
-        caller.settimeout(PATIENCE_SECONDS)
-        link.strike(None)
+        caller.settimeout(TIMEOUT_SECONDS)
+        link.set_fault(None)
         assert read(caller, 4) == b"held"
 
 
 def test_a_truncated_answer_ends_by_a_reset(link: Link) -> None:
-    link.strike(LinkFault.TRUNCATE)
+    link.set_fault(LinkFault.TRUNCATE)
     with connect(link) as caller, pytest.raises(ConnectionResetError):
         caller.sendall(CONTENT)
         data = read(caller, TRUNCATE_BYTES)
@@ -145,7 +145,7 @@
 def is_refused(address: Address) -> bool:
     """Returns whether a port refuses connections; one that is reset at once was taken first."""
     try:
-        socket.create_connection((address.host, address.port), PATIENCE_SECONDS).close()
+        socket.create_connection((address.host, address.port), TIMEOUT_SECONDS).close()
     except ConnectionRefusedError:
         return True
     except ConnectionResetError:
@@ -161,27 +161,27 @@
         self.address = Address("127.0.0.1", self.listener.getsockname()[1])
 
     def end(self) -> None:
-        held, _ = self.listener.accept()
+        connection, _ = self.listener.accept()
         self.listener.close()
-        held.close()
+        connection.close()
 
 
 def test_a_link_that_refuses_does_so_before_a_connection_s_end_is_seen() -> None:
     """The port of a server that ended refuses connections; a link that took them hid the end."""
     target = Ending()
-    link = Link(target.address, refuses=True)
-    held = connect(link)
+    link = Link(target.address, refuses_with_target=True)
+    connection = connect(link)
     ender = threading.Thread(target=target.end)
     ender.start()
     try:
-        held.sendall(b"x")
-        assert held.recv(1) == b""
+        connection.sendall(b"x")
+        assert connection.recv(1) == b""
     except ConnectionResetError:
         pass
     assert is_refused(link.address)
     ender.join()
     again = Ending(target.address.port)
-    until = time.monotonic() + PATIENCE_SECONDS
+    until = time.monotonic() + TIMEOUT_SECONDS
     while is_refused(link.address):
         assert time.monotonic() < until
     again.listener.close()
@@ -199,11 +199,11 @@
 def test_a_busy_link_answers_in_its_target_s_place_and_passes_nothing_on(
     echo: Echo, link: Link
 ) -> None:
-    link.strike(LinkFault.BUSY)
-    held = connect(link)
-    held.sendall(b"POST /log-append HTTP/1.1\r\n\r\n")
+    link.set_fault(LinkFault.BUSY)
+    connection = connect(link)
+    connection.sendall(b"POST /log-append HTTP/1.1\r\n\r\n")
     answer = b""
-    while data := held.recv(65536):
+    while data := connection.recv(65536):
         answer += data
     assert answer == BUSY_ANSWER
     assert echo.received == b""
--- a/tests/soak/test_schedule.py
+++ b/tests/soak/test_schedule.py
@@ -6,10 +6,10 @@
 
 from troutswitch.soak import schedule
 from troutswitch.soak.schedule import (
-    CONTACT_SECONDS,
-    DRAWN_APART,
+    FAULT_FREE_SECONDS,
     PLANNED_ACTIONS,
-    Action,
+    SEPARATELY_DRAWN_ACTIONS,
+    ActionKind,
     draw_schedule,
 )
 
@@ -22,30 +22,32 @@
 
 
 def test_strikes_come_in_order_and_within_the_time() -> None:
-    strikes = draw_schedule(7, SECONDS).strikes
-    assert [s.at for s in strikes] == sorted(s.at for s in strikes)
-    assert all(0 < strike.at <= SECONDS for strike in strikes)
+    actions = draw_schedule(7, SECONDS).actions
+    assert [s.offset_seconds for s in actions] == sorted(s.offset_seconds for s in actions)
+    assert all(0 < scheduled.offset_seconds <= SECONDS for scheduled in actions)
 
 
 def test_all_actions_come_up_and_overlap() -> None:
-    strikes = draw_schedule(7, SECONDS).strikes
-    assert {strike.action for strike in strikes} == set(Action)
-    overlaps = [b.at < a.at + a.seconds for a, b in itertools.pairwise(strikes)]
+    actions = draw_schedule(7, SECONDS).actions
+    assert {scheduled.kind for scheduled in actions} == set(ActionKind)
+    overlaps = [
+        b.offset_seconds < a.offset_seconds + a.seconds for a, b in itertools.pairwise(actions)
+    ]
     assert sum(overlaps) > len(overlaps) / 2
 
 
 def test_planned_episodes_hold_planned_work_alone_and_lie_apart() -> None:
-    strikes = draw_schedule(7, SECONDS).strikes
-    for before, after in itertools.pairwise(strikes):
+    actions = draw_schedule(7, SECONDS).actions
+    for before, after in itertools.pairwise(actions):
         if before.is_planned != after.is_planned:
-            assert after.at - before.at >= CONTACT_SECONDS
-    assert all(s.action in PLANNED_ACTIONS for s in strikes if s.is_planned)
+            assert after.offset_seconds - before.offset_seconds >= FAULT_FREE_SECONDS
+    assert all(s.kind in PLANNED_ACTIONS for s in actions if s.is_planned)
 
 
 def test_what_is_drawn_apart_leaves_the_rest_of_a_seed_as_it_was(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    whole = draw_schedule(7, SECONDS).strikes
-    monkeypatch.setattr(schedule, "APART_SHARE", 0.0)
-    rest = draw_schedule(7, SECONDS).strikes
-    assert rest == tuple(s for s in whole if s.action not in DRAWN_APART)
+    whole = draw_schedule(7, SECONDS).actions
+    monkeypatch.setattr(schedule, "SEPARATE_ACTION_SHARE", 0.0)
+    rest = draw_schedule(7, SECONDS).actions
+    assert rest == tuple(s for s in whole if s.kind not in SEPARATELY_DRAWN_ACTIONS)
