--- a/src/troutswitch/soak/__init__.py
+++ b/src/troutswitch/soak/__init__.py
@@ -1,1 +1,1 @@
-"""Fault soak: real daemons and stand-ins as processes, faults from outside, promises checked."""
+"""Fault soak: runs daemons and stand-ins as processes, injects faults and checks the promises."""
--- a/src/troutswitch/soak/callers.py
+++ b/src/troutswitch/soak/callers.py
@@ -1,4 +1,4 @@
-"""Callers: each sends requests on a connection that it keeps for as long as the daemon does."""
+"""Callers that send online requests, each on a connection that it keeps open if possible."""
 
 import http.client
 import random
@@ -11,29 +11,30 @@
 from troutswitch.common import Address
 from troutswitch.platform import names
 from troutswitch.soak.observations import Exchange, Observations, Outcome, RequestKind
-from troutswitch.soak.tenants import UNKNOWN_KEY, key_of, shows_unknown_key, tenant_of
+from troutswitch.soak.tenants import UNKNOWN_KEY, key_of, tenant_of, uses_unknown_key
 
 HOST = "soak.example"
 DEADLINE_SECONDS = 6.0
-"""What callers wait: above a stream's second and a silent engine's 4 s."""
+"""Deadline that callers send with requests; longer than a stream of 1 s and the 4 s of a hanging
+engine."""
 ANSWER_TIMEOUT_SECONDS = 20.0
-"""Bound on the wait for an answer; callers outlast their deadline to see what comes late."""
+"""Timeout for an answer. It is longer than the deadline, so that late answers are observed."""
 MAX_PAUSE_SECONDS = 0.04
-"""Longest rest between two requests of a caller."""
+"""Longest pause between two requests of a caller."""
 RECONNECT_DELAY_SECONDS = 0.1
-"""Rest after a failure, as the ingress takes to pass a new connection on."""
+"""Pause after a failure: the time that the ingress takes to forward a new connection."""
 ABANDON_SHARE = 0.04
-"""Share of requests whose caller leaves before the answer is whole."""
+"""Share of requests whose caller disconnects before the answer is complete."""
 MAX_BODY_BYTES = 3000
-"""Largest body; above one segment on the wire."""
+"""Largest request body; larger than one TCP segment."""
 FORGED_TENANT = "forged"
-"""What callers write for their tenant's name; no engine may see it."""
+"""Tenant name that callers claim in a header; daemons must not forward it to engines."""
 KINDS = (RequestKind.READ, RequestKind.ONCE, RequestKind.STREAM, RequestKind.STREAM_ONCE)
 
 
 @dataclass(frozen=True, slots=True)
 class DaemonEndpoint:
-    """Where callers reach a daemon."""
+    """A daemon's name and an address at which callers reach it."""
 
     daemon: str
     address: Address
@@ -42,7 +43,7 @@
 def request_headers(
     request_id: str, owner: str = "", *, has_unknown_key: bool = False
 ) -> dict[str, str]:
-    """Returns the headers of a caller's request; `owner` is the job that a call is about."""
+    """Returns the headers of a request; for calls about a job, `owner` is the job's id."""
     key = UNKNOWN_KEY if has_unknown_key else key_of(tenant_of(owner or request_id))
     return {
         "Host": HOST,
@@ -57,10 +58,10 @@
 
 
 def connect(address: Address) -> http.client.HTTPConnection:
-    """Returns a new connection to a daemon.
+    """Returns a new connection to a daemon, which does not reconnect by itself.
 
     Raises:
-        OSError: nobody takes it.
+        OSError: the connection was refused or timed out.
     """
     connection = http.client.HTTPConnection(
         address.host, address.port, timeout=ANSWER_TIMEOUT_SECONDS
@@ -71,7 +72,7 @@
 
 
 def send_and_receive(connection: http.client.HTTPConnection, exchange: Exchange) -> bool:
-    """Sends a request and takes its answer in; returns whether the connection may be kept."""
+    """Sends a request and records its answer; returns whether the connection can be reused."""
     try:
         headers = request_headers(exchange.request_id, has_unknown_key=exchange.has_unknown_key)
         connection.request("POST", exchange.path, exchange.body, headers)
@@ -98,7 +99,7 @@
 
 
 class Caller:
-    """One caller on a thread of its own; its kinds, bodies and rests are drawn from the seed."""
+    """A caller on a thread of its own; the seed determines its kinds, bodies and pauses."""
 
     def __init__(
         self, name: str, seed: int, endpoints: list[DaemonEndpoint], observations: Observations
@@ -107,14 +108,14 @@
         self.endpoints = endpoints
         self.observations = observations
         self.stop_requested = threading.Event()
-        self._random = random.Random(f"{seed}-{name}")
+        self._rng = random.Random(f"{seed}-{name}")
         self._count = 0
         self._connection: http.client.HTTPConnection | None = None
         self._endpoint = endpoints[0]
         self.thread = threading.Thread(target=self._run, name=name, daemon=True)
 
     def _run(self) -> None:
-        """Calls until it is asked to stop; a caller that dies makes the soak fail."""
+        """Sends requests until a stop is requested; an unexpected error makes the soak fail."""
         try:
             self._send_requests()
         except Exception as error:
@@ -126,7 +127,7 @@
 
     def _send_requests(self) -> None:
         while not self.stop_requested.is_set():
-            pause = self._random.uniform(0.0, MAX_PAUSE_SECONDS)
+            pause = self._rng.uniform(0.0, MAX_PAUSE_SECONDS)
             if not self._send_one():
                 self._disconnect()
                 pause += RECONNECT_DELAY_SECONDS
@@ -140,9 +141,9 @@
 
     def _send_one(self) -> bool:
         exchange = self._draw_request()
-        abandons = self._random.random() < ABANDON_SHARE
+        is_abandoned = self._rng.random() < ABANDON_SHARE
         if self._connection is None:
-            self._endpoint = self._random.choice(self.endpoints)
+            self._endpoint = self._rng.choice(self.endpoints)
             try:
                 self._connection = connect(self._endpoint.address)
             except OSError:
@@ -150,27 +151,27 @@
         exchange.daemon = self._endpoint.daemon
         exchange.stray_bytes = peek_stray_bytes(self._connection)
         exchange.sent_at = time.monotonic()
-        exchange.has_unknown_key = shows_unknown_key(exchange.request_id)
+        exchange.has_unknown_key = uses_unknown_key(exchange.request_id)
         with self.observations.lock:
-            seen = (
+            exchanges = (
                 self.observations.unknown_key_exchanges
                 if exchange.has_unknown_key
                 else self.observations.exchanges
             )
-            seen.append(exchange)
-        if abandons and not exchange.has_unknown_key:
+            exchanges.append(exchange)
+        if is_abandoned and not exchange.has_unknown_key:
             return self._send_and_abandon(exchange)
         return send_and_receive(self._connection, exchange)
 
     def _draw_request(self) -> Exchange:
         self._count += 1
-        kind = self._random.choice(KINDS)
-        size = self._random.randint(0, MAX_BODY_BYTES)
+        kind = self._rng.choice(KINDS)
+        size = self._rng.randint(0, MAX_BODY_BYTES)
         return Exchange(
             request_id=f"{self.name}-{self._count}",
             kind=kind,
             path=f"/{kind}/{self._count}?caller={self.name}",
-            body=self._random.randbytes(size),
+            body=self._rng.randbytes(size),
             daemon="",
             sent_at=0.0,
         )
@@ -183,19 +184,22 @@
             )
         except OSError as error:
             return _finish(exchange, Outcome.INTERRUPTED, str(error))
-        self.stop_requested.wait(self._random.uniform(0.0, 0.3))
+        self.stop_requested.wait(self._rng.uniform(0.0, 0.3))
         return _finish(exchange, Outcome.CALLER_LEFT, "the caller left")
 
 
 def _is_readable(sock: socket.socket) -> bool:
-    """Returns whether bytes or an end wait; `select` would fail above descriptor 1,023."""
+    """Returns whether bytes or an end of file can be read.
+
+    Uses `poll`, as `select` fails for file descriptors above 1,023.
+    """
     poller = select.poll()
     poller.register(sock, select.POLLIN)
     return bool(poller.poll(0))
 
 
 def peek_stray_bytes(connection: http.client.HTTPConnection) -> bytes:
-    """Returns bytes that came on a kept connection on which no request waits."""
+    """Returns the bytes received on a connection on which no request is waiting."""
     sock = connection.sock
     if sock is None or not _is_readable(sock):
         return b""
--- a/src/troutswitch/soak/checks.py
+++ b/src/troutswitch/soak/checks.py
@@ -1,7 +1,8 @@
-"""The promises, each a pure function from what was seen to the violations found.
+"""Checks of the promises: pure functions that map observations to violations.
 
-Checks that hold whatever the timing look at all evidence. Those that hold only while nothing
-but planned work goes on look at calm spans, with bounds far above the promised ones.
+The docstring of a check starts with the promise that its violations name. Checks that do not depend
+on timing examine all observations. The others examine only spans without faults, in which planned
+operations may happen, and use bounds far above the promised ones.
 """
 
 from collections import defaultdict
@@ -16,41 +17,46 @@
     RequestKind,
 )
 from troutswitch.soak.schedule import FAULT_FREE_SECONDS, ActionKind
-from troutswitch.soak.tenant_checks import runs_are_for_the_key_s_tenant, unknown_keys_do_not_run
+from troutswitch.soak.tenant_checks import (
+    runs_have_the_tenant_of_their_key,
+    unknown_keys_do_not_run,
+)
 from troutswitch.soak.violations import Check, Violation
 from troutswitch.standins.content import digest, event_bytes, event_texts, plain_answer
 
 NOT_RUN_STATUSES = frozenset({408, 421, 429, 503})
 """Statuses that promise that a request has not run and never will."""
 LOSS_SLACK_SECONDS = 3.0
-"""A request that nobody read may be lost this long after it was sent. The platform's bound is
-shorter; the soak's own proxies and callers lag on a full machine (cuts were seen 0.2 s late)."""
+"""Time after it was sent at which a request that no daemon read may still be lost. The platform's
+bound is shorter, but the soak's proxies and callers lag on a busy machine: interruptions were seen
+0.2 s late."""
 GRACE_SECONDS = 8.0
 """`gracePeriodS` of the daemons' settings."""
 DRAIN_SECONDS = 2.0
 """`drainTimeoutMs` of the daemons' settings."""
 DRAIN_SLACK_SECONDS = 4.0
-"""Generous beside the bound: a shared machine may hold a process up for seconds."""
+"""Added to the bound on a drain, as a shared machine may delay a process by seconds."""
 JOB_END_SECONDS = 8.0
-"""Bound on new runs of an ended job's items: twice `ackTimeoutMs` of the daemons' settings."""
+"""Time after a job's end until which its items may start: twice `ackTimeoutMs` of the daemons'
+settings."""
 SETTLE_SECONDS = 5.0
-"""Bound on a daemon's hearing of a job: five times `settleTimeoutMs` of the settings."""
+"""Time until all daemons know an accepted job: five times `settleTimeoutMs` of their settings."""
 CRASHES_TO_REFUSE = 3
-"""Engines that may end under a request before it is refused."""
+"""Number of engines that a request crashes before it is refused."""
 CRASH_KNOWN_SECONDS = 6.0
-"""Time by which all daemons know of an engine's end: twice `contactMs` of the daemons' settings."""
+"""Time until all daemons know of an engine's crash: twice `contactMs` of their settings."""
 MAX_LATE_STARTS = 3
-"""Times that such a request may reach engines after that."""
+"""Number of times that such a request may still reach engines after `CRASH_KNOWN_SECONDS`."""
 MAX_ATTEMPTS = 3
 """`maxAttempts` of all routes."""
 MAX_MEMORY_MB = 600.0
-"""Bound on a daemon's memory: four daemons in the users' 4 GB with their stand-ins."""
+"""Bound on a daemon's memory: four daemons and their stand-ins fit in the users' 4 GB."""
 MAX_DESCRIPTORS = 1000
-"""Bound on a daemon's descriptors, below the usual limit of 1024."""
+"""Bound on a daemon's file descriptors, below the usual limit of 1024."""
 BASE_LOG_BYTES = 2_000_000
-"""Log volume of a daemon beside its requests: start, stops, dependencies."""
+"""Log volume of a daemon apart from requests: starts, stops, dependencies."""
 LOG_BYTES_PER_REQUEST = 20_000
-"""Log volume that one request may cost over all daemons, about thirty lines."""
+"""Log volume of one request over all daemons, about thirty lines."""
 
 
 def _starts_by_request(observations: Observations) -> dict[str, list[JournalEntry]]:
@@ -62,43 +68,48 @@
 
 
 def at_most_once(observations: Observations) -> list[Violation]:
-    """TWICE: a request that must not be repeated runs once at most."""
-    begun = _starts_by_request(observations)
+    """TWICE: a request that must not be repeated runs at most once."""
+    starts_by_request = _starts_by_request(observations)
     return [
-        Violation("TWICE", exchange.request_id, f"ran {len(begun[exchange.request_id])} times")
+        Violation(
+            "TWICE", exchange.request_id, f"ran {len(starts_by_request[exchange.request_id])} times"
+        )
         for exchange in observations.exchanges
-        if exchange.kind in AT_MOST_ONCE and len(begun.get(exchange.request_id, ())) > 1
+        if exchange.kind in AT_MOST_ONCE and len(starts_by_request.get(exchange.request_id, ())) > 1
     ]
 
 
 def refused_requests_never_run(observations: Observations) -> list[Violation]:
-    """REFUSED: a request that must not be repeated and was answered "not run" never runs."""
-    begun = _starts_by_request(observations)
+    """REFUSED: a request that must not be repeated never runs if it was answered "not run"."""
+    starts_by_request = _starts_by_request(observations)
     found = [
         Violation("REFUSED", exchange.request_id, f"answered {exchange.status}, and ran")
         for exchange in observations.exchanges
         if exchange.kind in AT_MOST_ONCE
         and exchange.status in NOT_RUN_STATUSES
-        and exchange.request_id in begun
+        and exchange.request_id in starts_by_request
     ]
     for job in observations.jobs:
         is_refused = job.statuses and all(status in NOT_RUN_STATUSES for status in job.statuses)
         if is_refused:
-            ran = [item for item in job.items if item in begun]
+            ran = [item for item in job.items if item in starts_by_request]
             found += [Violation("REFUSED", item, "its job was refused, and it ran") for item in ran]
     return found
 
 
 def successes_are_complete(observations: Observations) -> list[Violation]:
-    """MIXED: a success is the whole answer to its own request, signed; nothing comes unasked."""
+    """MIXED, ORDER: a success is the complete, signed answer to its own request.
+
+    Malformed answers and successes on idle connections are violations too.
+    """
     found: list[Violation] = []
     for exchange in observations.exchanges:
         if exchange.stray_bytes.startswith(b"HTTP/") and b" 2" in exchange.stray_bytes[:12]:
+            found.append(Violation("MIXED", exchange.request_id, "a success on an idle connection"))
+        if exchange.outcome is Outcome.MALFORMED:
             found.append(
-                Violation("MIXED", exchange.request_id, "a success where no request waits")
+                Violation("MIXED", exchange.request_id, f"malformed answer: {exchange.reason}")
             )
-        if exchange.outcome is Outcome.MALFORMED:
-            found.append(Violation("MIXED", exchange.request_id, f"no answer: {exchange.reason}"))
         if exchange.outcome is Outcome.COMPLETE and 200 <= exchange.status < 300:
             found += _check_success(exchange)
     return found
@@ -111,7 +122,11 @@
         return _check_stream(exchange)
     if exchange.answer != plain_answer(exchange.request_id, exchange.body):
         return [
-            Violation("MIXED", exchange.request_id, f"{len(exchange.answer)} bytes, not its answer")
+            Violation(
+                "MIXED",
+                exchange.request_id,
+                f"{len(exchange.answer)} bytes that are not its answer",
+            )
         ]
     return []
 
@@ -119,13 +134,15 @@
 def _check_stream(exchange: Exchange) -> list[Violation]:
     if exchange.answer == b"".join(event_bytes(exchange.request_id)):
         return []
-    return [Violation("ORDER", exchange.request_id, "complete without being its whole stream")]
+    return [Violation("ORDER", exchange.request_id, "complete, but not its whole stream")]
 
 
 def interrupted_streams_are_prefixes(observations: Observations) -> list[Violation]:
-    """ORDER: what came of a stream that was cut is a beginning of it, nothing else."""
+    """ORDER: the received part of an interrupted stream is a prefix of the stream."""
     return [
-        Violation("ORDER", exchange.request_id, "a cut stream is no beginning of its events")
+        Violation(
+            "ORDER", exchange.request_id, "an interrupted stream is not a prefix of its events"
+        )
         for exchange in observations.exchanges
         if exchange.kind in (RequestKind.STREAM, RequestKind.STREAM_ONCE)
         and exchange.outcome is Outcome.INTERRUPTED
@@ -135,7 +152,7 @@
 
 
 def engine_failures_keep_their_status(observations: Observations) -> list[Violation]:
-    """MIXED: a failure that an engine signed has the status that the engine gave."""
+    """MIXED: a failure that an engine signed has the status that the engine sent."""
     failed = {entry.request_id for entry in observations.journal_entries if entry.kind == "failed"}
     return [
         Violation(
@@ -150,21 +167,21 @@
 
 
 def engines_run_only_what_was_sent(observations: Observations) -> list[Violation]:
-    """UNASKED: engines run what callers sent, unchanged."""
-    asked = {
+    """UNASKED: engines run only requests that callers sent, unchanged."""
+    sent = {
         exchange.request_id: (exchange.path, digest(exchange.body))
         for exchange in observations.exchanges
     }
     for job in observations.jobs:
         for number, (item, body) in enumerate(job.items.items()):
-            asked[item] = (item_path(job.job_id, number), digest(body))
+            sent[item] = (item_path(job.job_id, number), digest(body))
     return [
         Violation(
             "UNASKED", entry.request_id, f"{entry.engine} ran {entry.path}, not what was sent"
         )
         for entry in observations.journal_entries
         if entry.kind == "begun"
-        and (asked.get(entry.request_id) != (entry.path, entry.body) or entry.model != "m")
+        and (sent.get(entry.request_id) != (entry.path, entry.body) or entry.model != "m")
     ]
 
 
@@ -174,7 +191,7 @@
 
 
 def configuration_never_reverts(observations: Observations) -> list[Violation]:
-    """CONFIG: a daemon that served a version serves no older one in the same life."""
+    """CONFIG: a daemon process that has served a version serves no older one afterwards."""
     found: list[Violation] = []
     exits = defaultdict(list)
     for process_exit in observations.exits:
@@ -189,25 +206,31 @@
             probes[exchange.daemon].append(exchange)
     for daemon, rows in probes.items():
         for newer in rows:
-            over = min((at for at in exits[daemon] if at > newer.ended_at), default=float("inf"))
+            exited_at = min(
+                (at for at in exits[daemon] if at > newer.ended_at), default=float("inf")
+            )
             found += [
                 Violation("CONFIG", daemon, f"version {older.version} after {newer.version}")
                 for older in rows
-                if older.version < newer.version and newer.ended_at < older.sent_at < over
+                if older.version < newer.version and newer.ended_at < older.sent_at < exited_at
             ]
     return found
 
 
 def planned_stops_interrupt_nothing(observations: Observations) -> list[Violation]:
-    """LOST: around a planned stop or reload, a request that was read gets its whole answer."""
-    begun = _starts_by_request(observations)
+    """LOST: around a planned stop or reload, a request that was read gets its complete answer."""
+    starts_by_request = _starts_by_request(observations)
     found: list[Violation] = []
     for span in observations.actions:
         if span.scheduled.kind not in (ActionKind.STOP_DAEMON, ActionKind.RELOAD_DAEMON):
             continue
         for exchange in observations.exchanges:
             if _is_lost(
-                observations, exchange, span.target, span.begin, exchange.request_id in begun
+                observations,
+                exchange,
+                span.target,
+                span.begin,
+                exchange.request_id in starts_by_request,
             ):
                 what = (
                     f"{exchange.outcome} {exchange.ended_at - span.begin:.2f} s after "
@@ -226,6 +249,11 @@
     stop_at: float,
     reached_engine: bool,
 ) -> bool:
+    """Returns whether a planned stop interrupted a request that had been read.
+
+    A request counts as read if it reached an engine, if its answer began with status 200, or if it
+    was open for longer than `LOSS_SLACK_SECONDS`.
+    """
     if exchange.daemon != target or exchange.outcome not in (
         Outcome.INTERRUPTED,
         Outcome.MALFORMED,
@@ -245,7 +273,7 @@
 
 
 def no_work_to_a_leaving_engine(observations: Observations) -> list[Violation]:
-    """DRAIN: after its bound nothing more begins at an engine that said that it leaves."""
+    """DRAIN: no request reaches an engine after the bound on its drain or removal."""
     found: list[Violation] = []
     for departure in observations.departures:
         late = departure.acknowledged_at + DRAIN_SECONDS + DRAIN_SLACK_SECONDS
@@ -267,12 +295,12 @@
 
 
 def no_unexpected_exits(observations: Observations) -> list[Violation]:
-    """A process ends only when it is asked to, and a planned stop ends with code 0."""
+    """ENDED: a process exits only on request, and a planned stop exits with an expected code."""
     return [
         Violation(
             "ENDED",
             process_exit.name,
-            f"life {process_exit.incarnation} ended with code {process_exit.code}",
+            f"incarnation {process_exit.incarnation} exited with code {process_exit.code}",
         )
         for process_exit in observations.exits
         if process_exit.is_unexpected
@@ -280,7 +308,7 @@
 
 
 def resource_use_is_bounded(observations: Observations) -> list[Violation]:
-    """Memory, descriptors and log volume of daemons stay within their bounds."""
+    """BOUND: memory, file descriptors and log volume of daemons stay within their bounds."""
     max_log_bytes = BASE_LOG_BYTES + LOG_BYTES_PER_REQUEST * len(observations.exchanges)
     found: list[Violation] = []
     for sample in observations.samples:
@@ -294,7 +322,7 @@
 
 
 def results_are_stable(observations: Observations) -> list[Violation]:
-    """TWICE, MIXED: a position holds one result for good, whole, of one item of its own job."""
+    """TWICE, MIXED: each position keeps one complete result, of one item of its own job."""
     found: list[Violation] = []
     for job in observations.jobs:
         found += _check_positions(job) + _check_results(observations, job)
@@ -304,13 +332,13 @@
 def _check_positions(job: ObservedJob) -> list[Violation]:
     found: list[Violation] = []
     contents: dict[int, tuple[str, str, str]] = {}
-    places: dict[str, int] = {}
+    positions: dict[str, int] = {}
     for row in job.results:
         content = (row.item_id, row.state, row.text)
         if contents.setdefault(row.position, content) != content:
             found.append(Violation("TWICE", job.job_id, f"position {row.position} has changed"))
-        if places.setdefault(row.item_id, row.position) != row.position:
-            found.append(Violation("TWICE", row.item_id, "stands at two positions"))
+        if positions.setdefault(row.item_id, row.position) != row.position:
+            found.append(Violation("TWICE", row.item_id, "is listed at two positions"))
     if job.totals - {len(job.items)}:
         found.append(Violation("MIXED", job.job_id, f"totals {sorted(job.totals)}"))
     return found
@@ -323,17 +351,19 @@
         failures[entry.request_id] += entry.kind == "failed"
     for row in job.results:
         if row.item_id not in job.items:
-            found.append(Violation("MIXED", row.item_id, f"is no item of {job.job_id}"))
+            found.append(Violation("MIXED", row.item_id, f"is not an item of {job.job_id}"))
         elif row.state == "completed":
             if row.text != "\n".join(event_texts(row.item_id)):
-                found.append(Violation("MIXED", row.item_id, "its text is not whole"))
+                found.append(Violation("MIXED", row.item_id, "its text is not its complete answer"))
         elif failures[row.item_id] < MAX_ATTEMPTS and not job.end_requested_at:
-            found.append(Violation("MIXED", row.item_id, "given up too early"))
+            found.append(
+                Violation("MIXED", row.item_id, "given up before its attempts were used up")
+            )
     return found
 
 
 def accepted_jobs_are_found(observations: Observations) -> list[Violation]:
-    """LOST: no daemon denies a job long after it was accepted."""
+    """LOST: no daemon answers that a job does not exist long after it was accepted."""
     return [
         Violation("LOST", job.job_id, f"{daemon} answered that there is no such job")
         for job in observations.jobs
@@ -345,10 +375,10 @@
 
 
 def ended_jobs_start_nothing(observations: Observations) -> list[Violation]:
-    """UNASKED: no item of an ended job begins after the bound."""
+    """UNASKED: no item of an ended job starts after `JOB_END_SECONDS`."""
     owners = {item: job for job in observations.jobs if job.ended_at for item in job.items}
     return [
-        Violation("UNASKED", entry.request_id, "began long after its job had ended")
+        Violation("UNASKED", entry.request_id, "started long after its job had ended")
         for entry in observations.journal_entries
         if entry.kind == "begun"
         and entry.request_id in owners
@@ -358,13 +388,13 @@
 
 
 def crashing_requests_are_stopped(observations: Observations) -> list[Violation]:
-    """BUDGET: a request under which three engines ended reaches few more once all can know."""
+    """BUDGET: a request that crashed three engines reaches few more once all daemons know it."""
     found: list[Violation] = []
-    ended: dict[str, list[float]] = defaultdict(list)
+    crash_times: dict[str, list[float]] = defaultdict(list)
     for entry in observations.journal_entries:
         if entry.kind == "ended under":
-            ended[entry.path].append(entry.written_at)
-    for path, times in ended.items():
+            crash_times[entry.path].append(entry.written_at)
+    for path, times in crash_times.items():
         if len(times) < CRASHES_TO_REFUSE:
             continue
         known_at = sorted(times)[CRASHES_TO_REFUSE - 1] + CRASH_KNOWN_SECONDS
@@ -384,7 +414,7 @@
 
 
 def _is_free_of_other_faults(observations: Observations, begin: float, end: float) -> bool:
-    """Tells whether nothing but ending requests and planned work touched a span."""
+    """Returns whether no fault except crashing requests overlaps a span; planned operations may."""
     return not any(
         span.begin <= end and span.end >= begin
         for span in observations.actions
@@ -392,8 +422,11 @@
     )
 
 
-def recovery_phase(observations: Observations) -> list[Violation]:
-    """RECOVER, CONFIG, LOST: what must come true once all faults are over, and didn't."""
+def recovery_succeeds(observations: Observations) -> list[Violation]:
+    """RECOVER, CONFIG, LOST, BUDGET, SOAK: all expectations that the soak recorded were met.
+
+    These are the expectations of the recovery phase, and that no caller of the soak dies.
+    """
     return [
         Violation(promise, "calm end", what) for promise, what in observations.unmet_expectations
     ]
@@ -415,12 +448,12 @@
     accepted_jobs_are_found,
     ended_jobs_start_nothing,
     crashing_requests_are_stopped,
-    runs_are_for_the_key_s_tenant,
+    runs_have_the_tenant_of_their_key,
     unknown_keys_do_not_run,
-    recovery_phase,
+    recovery_succeeds,
 )
 
 
 def find_violations(observations: Observations) -> list[Violation]:
-    """Runs all checks."""
+    """Returns the violations that all checks find."""
     return [violation for check in CHECKS for violation in check(observations)]
--- a/src/troutswitch/soak/clocked_daemon.py
+++ b/src/troutswitch/soak/clocked_daemon.py
@@ -1,9 +1,9 @@
-"""Runs a gateway daemon whose time of day the soak sets off.
+"""Runs a gateway daemon whose time of day (`time.time`) the soak can shift.
 
-`python -m troutswitch.soak.clocked_daemon` takes what the daemon takes.
+`python -m troutswitch.soak.clocked_daemon` accepts the same arguments and settings as the daemon.
 
-The machine's clock stays as it is. At `SIGUSR1` the process reads from the file that
-`TROUTSWITCH_SOAK_CLOCK` names by how many seconds its time of day is ahead, and goes by that.
+The machine's clock does not change. On `SIGUSR1` the process reads an offset in seconds from the
+file that `TROUTSWITCH_SOAK_CLOCK` names, and adds it to the time of day from then on.
 """
 
 import os
@@ -13,23 +13,23 @@
 from pathlib import Path
 
 CLOCK_VARIABLE = "TROUTSWITCH_SOAK_CLOCK"
-"""Names the file with the seconds by which the time of day is ahead."""
+"""Environment variable with the path of the file that contains the clock offset in seconds."""
 
 
 def install(file: Path) -> None:
-    """Has the time of day of this process follow the file."""
+    """Replaces `time.time` and reads the clock offset from the file on each `SIGUSR1`."""
     real_time = time.time
     offset_seconds = 0.0
 
-    def read(number: int, frame: object) -> None:
+    def read_offset(number: int, frame: object) -> None:
         nonlocal offset_seconds
         offset_seconds = float(file.read_text())
 
-    signal.signal(signal.SIGUSR1, read)
+    signal.signal(signal.SIGUSR1, read_offset)
     time.time = lambda: real_time() + offset_seconds
 
 
 if __name__ == "__main__":
-    signal.signal(signal.SIGHUP, signal.SIG_IGN)  # as the daemon itself does while it loads
+    signal.signal(signal.SIGHUP, signal.SIG_IGN)  # the daemon itself ignores it while it loads
     install(Path(os.environ[CLOCK_VARIABLE]))
     runpy.run_module("troutswitch.gateway", run_name="__main__")
--- a/src/troutswitch/soak/crashing_requests.py
+++ b/src/troutswitch/soak/crashing_requests.py
@@ -1,4 +1,4 @@
-"""Callers whose request ends each engine that runs it, and who come again all the same."""
+"""Callers that keep retrying a request which crashes each engine that runs it."""
 
 import threading
 import time
@@ -8,53 +8,53 @@
 from troutswitch.standins.model_engine import ENDING_MARK
 
 CRASHING_REQUESTS = 2
-"""Different ending requests of a soak: few, so that each comes back in later strikes."""
+"""Number of different crashing requests; few, so that later actions repeat the same ones."""
 KINDS = (RequestKind.READ, RequestKind.STREAM)
-"""Kinds that a caller may repeat: one ends its engine before its answer, the other midway."""
+"""Repeatable kinds: `READ` crashes the engine before its answer, `STREAM` in the middle of it."""
 RETRY_DELAY_SECONDS = 0.15
-"""Rest between two tries."""
+"""Delay between two attempts."""
 REFUSED_STATUS = 400
-"""Status after which a well-made caller doesn't try again."""
+"""Status after which a well-behaved caller does not retry."""
 ROUND_DELAY_SECONDS = 1.0
-"""Rest of a caller that was told to stop, until it comes back as if nothing had been said."""
+"""Delay after a refusal; these callers ignore it and retry."""
 
 
 def crashing_path(number: int) -> str:
-    """Returns the path of an ending request."""
+    """Returns the path of a crashing request."""
     return f"/{KINDS[number % len(KINDS)]}/ending-{number % CRASHING_REQUESTS}"
 
 
 def crashing_body(number: int) -> bytes:
-    """Returns the body of an ending request."""
+    """Returns the body of a crashing request."""
     return ENDING_MARK + str(number % CRASHING_REQUESTS).encode()
 
 
 class CrashingRequestCaller:
-    """Sends one ending request again and again, at one daemon after the other."""
+    """Sends one crashing request repeatedly, to the daemons in turn."""
 
     def __init__(
         self, number: int, endpoints: list[DaemonEndpoint], observations: Observations
     ) -> None:
         self.number = number
         self._endpoints = endpoints
-        self._evidence = observations
+        self._observations = observations
         self._count = 0
         self.last: Exchange | None = None
-        """The newest try that a daemon took."""
+        """The latest attempt whose connection a daemon accepted."""
 
     def start(self, until: float) -> None:
-        """Comes again until a time, on a thread of its own."""
+        """Sends the request repeatedly until a time, on a thread of its own."""
         threading.Thread(target=self._send_repeatedly, args=(until,), daemon=True).start()
 
     def _send_repeatedly(self, until: float) -> None:
         while time.monotonic() < until:
             exchange = self.send()
-            is_stop_requested = exchange is not None and exchange.status == REFUSED_STATUS
+            was_refused = exchange is not None and exchange.status == REFUSED_STATUS
             self.last = exchange or self.last
-            time.sleep(ROUND_DELAY_SECONDS if is_stop_requested else RETRY_DELAY_SECONDS)
+            time.sleep(ROUND_DELAY_SECONDS if was_refused else RETRY_DELAY_SECONDS)
 
     def send(self) -> Exchange | None:
-        """Sends it once to the next daemon; None if that takes no connection."""
+        """Sends the request to the next daemon; returns None if it refuses the connection."""
         endpoint = self._endpoints[self._count % len(self._endpoints)]
         self._count += 1
         exchange = Exchange(
@@ -69,15 +69,15 @@
             connection = connect(endpoint.address)
         except OSError:
             return None
-        with self._evidence.lock:
-            self._evidence.exchanges.append(exchange)
+        with self._observations.lock:
+            self._observations.exchanges.append(exchange)
         send_and_receive(connection, exchange)
         connection.close()
         return exchange
 
 
 def is_refused(exchange: Exchange | None) -> bool:
-    """Tells whether a caller was told not to come again."""
+    """Returns whether the daemon refused the request for good."""
     return (
         exchange is not None
         and exchange.outcome is Outcome.COMPLETE
--- a/src/troutswitch/soak/fault_injector.py
+++ b/src/troutswitch/soak/fault_injector.py
@@ -1,4 +1,4 @@
-"""Carries the schedule out: strikes what is due, ends faults, and starts again what has ended."""
+"""Performs the actions of a fault schedule, ends faults, and restarts processes that exited."""
 
 import heapq
 import itertools
@@ -17,25 +17,26 @@
 from troutswitch.standins.model_engine import Behaviour
 
 TICK_SECONDS = 0.02
-"""Interval of the conductor's rounds: short beside the shortest fault."""
+"""Interval between two ticks; far shorter than the shortest fault."""
 RESTART_DELAYS_SECONDS = (0.1, 0.6, 1.5)
-"""Rests before an ended process starts again, taken in turn; the platform restarts at once."""
+"""Delays before an exited process is restarted, used in turn; the platform restarts immediately."""
 STOP_TIMEOUT_SECONDS = 10.0
-"""A process that was asked to stop is killed after its grace period of 8 s and 2 s more."""
-AFTERMATH_SECONDS = 1.0
-"""A strike's span is counted a little longer, for what it leaves in flight."""
+"""Time after which a process that was asked to stop is killed: its grace period of 8 s and 2 s
+more."""
+SPAN_MARGIN_SECONDS = 1.0
+"""Extension of an action's span: requests in flight at its end may still be affected."""
 CLOCK_JUMP_SECONDS = 2.0
-"""Jump of a daemon's time of day, forward or back: the platform's usual one."""
+"""Jump of a daemon's time of day, forward or back; the usual jump on the platform."""
 EXIT_DETECTION_SECONDS = 0.5
-"""Time that may pass from a process's end until it is seen, on a full machine."""
+"""Time that may pass between the exit of a process and its detection on a busy machine."""
 KILL_SPAN_SECONDS = 5.0
-"""After a kill, the span lasts until the next life has surely begun to serve."""
+"""Span of a kill: long enough for the restarted process to serve again."""
 LATE_CALL_SECONDS = 2.0
-"""Delay after which a store carries out a call whose answer it has lost."""
+"""Delay after which the store carries out a call whose answer was lost."""
 FLOOD_CONNECTIONS = 300
-"""Connections of a flood, above a daemon's threads and below its descriptors."""
+"""Connections of a flood: more than a daemon's threads, fewer than its file descriptors."""
 STORE_DELAY_SECONDS = 0.3
-"""Delay of each call to a slow store, some fifty times its usual time."""
+"""Delay of each call to a slow store, about fifty times the usual duration."""
 
 ENGINE_FAULTS = {
     ActionKind.ENGINE_REJECTS: "reject",
@@ -45,6 +46,7 @@
     ActionKind.ENGINE_HANGS: "silent",
     ActionKind.ENGINE_SENDS_SURPLUS: "surplus",
 }
+"""Field of `Behaviour` that each engine fault sets."""
 
 
 @dataclass(order=True, slots=True)
@@ -55,7 +57,7 @@
 
 
 class FaultInjector:
-    """One thread's work: everything here happens in `run`, in the order of the schedule."""
+    """Performs the scheduled actions; single-threaded, all work happens inside `run` and `tick`."""
 
     def __init__(self, fleet: Fleet, schedule: FaultSchedule) -> None:
         self.fleet = fleet
@@ -71,13 +73,13 @@
             self._call_at(begin + scheduled.offset_seconds, lambda s=scheduled: self._inject(s))  # type: ignore[misc]
 
     def run(self, until: float, is_stop_requested: Callable[[], bool]) -> None:
-        """Carries out what is due until a time."""
+        """Ticks until a time, or until a stop is requested."""
         while time.monotonic() < until and not is_stop_requested():
             self.tick()
             time.sleep(TICK_SECONDS)
 
     def tick(self) -> None:
-        """Does what is due now, and looks after all processes."""
+        """Runs the timers that are due, then records exits and restarts processes."""
         now = time.monotonic()
         while self._timers and self._timers[0].due_at <= now:
             heapq.heappop(self._timers).callback()
@@ -85,7 +87,7 @@
             self._supervise(child, now)
 
     def end_all_faults(self) -> None:
-        """Ends all faults at once; what was due is forgotten."""
+        """Ends all faults immediately and drops the actions that have not started."""
         self._timers.clear()
         for link in self.fleet.links:
             link.set_fault(None)
@@ -99,7 +101,7 @@
             engine.set_behaviour(Behaviour())
 
     def stop_daemon(self, daemon: Daemon) -> None:
-        """Asks a daemon to stop as planned."""
+        """Starts a planned stop of a daemon."""
         daemon.child.signal(signal.SIGTERM)
         self._stop_requested_at.setdefault(daemon.child.name, time.monotonic())
 
@@ -119,7 +121,7 @@
             child.signal(signal.SIGKILL)
 
     def _record_crash(self, process_exit: ProcessExit) -> None:
-        """Notes the time around an engine's end under a request, in which answers break off."""
+        """Records the span around an engine's crash under a request, in which answers break off."""
         scheduled = ScheduledAction(
             0.0, ActionKind.CRASHING_REQUEST, 0, 0.0, 1.0, LinkFault.DELAY, False
         )
@@ -137,7 +139,7 @@
                 return
         child.start()
 
-    # Strikes.
+    # Actions.
 
     def _call_at(self, due_at: float, callback: Callable[[], None]) -> None:
         heapq.heappush(self._timers, _Timer(due_at, next(self._sequence), callback))
@@ -145,10 +147,11 @@
     def _inject(self, scheduled: ScheduledAction) -> None:
         begin = time.monotonic()
         seconds, target = self._perform(scheduled, begin + scheduled.seconds)
-        span = InjectedAction(scheduled, target, begin, begin + seconds + AFTERMATH_SECONDS)
+        span = InjectedAction(scheduled, target, begin, begin + seconds + SPAN_MARGIN_SECONDS)
         self.fleet.observations.actions.append(span)
 
     def _perform(self, scheduled: ScheduledAction, until: float) -> tuple[float, str]:
+        """Performs an action; returns the length of its span and the name of its target."""
         fleet = self.fleet
         daemon = fleet.daemons[scheduled.target % len(fleet.daemons)]
         engine = fleet.engines[scheduled.target % len(fleet.engines)]
@@ -157,7 +160,7 @@
                 self.stop_daemon(daemon)
                 return scheduled.seconds, daemon.child.name
             case ActionKind.RELOAD_DAEMON:
-                if daemon.child.handles(signal.SIGHUP):  # not while the interpreter starts
+                if daemon.child.handles(signal.SIGHUP):  # SIGHUP would kill a starting interpreter
                     daemon.child.signal(signal.SIGHUP)
                 return scheduled.seconds, daemon.child.name
             case ActionKind.KILL_DAEMON:
@@ -261,7 +264,7 @@
 
     @staticmethod
     def _set_clock_offset(daemon: Daemon, offset_seconds: float) -> None:
-        """Sets a daemon's time of day off, if it has begun to follow it."""
+        """Shifts a daemon's time of day; a daemon that is still starting is not signalled."""
         daemon.clock.write_text(str(offset_seconds))
         if daemon.child.handles(signal.SIGUSR1):
             daemon.child.signal(signal.SIGUSR1)
@@ -282,7 +285,7 @@
 
 
 def _open_connection(daemon: Daemon) -> socket.socket | None:
-    """Opens a connection to a daemon past its link; None if nobody takes it."""
+    """Opens a connection to a daemon that bypasses its link; None if the daemon refuses it."""
     connection = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     connection.setblocking(False)
     try:
--- a/src/troutswitch/soak/fleet.py
+++ b/src/troutswitch/soak/fleet.py
@@ -1,4 +1,4 @@
-"""The processes of a soak and the links between them."""
+"""The processes of a soak and the fault-injecting links between them."""
 
 import http.client
 import json
@@ -23,20 +23,21 @@
 from troutswitch.standins.ports import HOST, Ports
 
 CONTROL_TIMEOUT_SECONDS = 2.0
-"""Bound on a call to a stand-in's control or a daemon's readiness."""
+"""Timeout of a control call to a stand-in and of a readiness check."""
 START_TIMEOUT_SECONDS = 60.0
-"""Bound on any wait for a process to answer, far above what a start takes."""
+"""Timeout for a started process to answer; far longer than a start takes."""
 POLL_SECONDS = 0.05
 SERVE_AFTER_DEPARTURE_SECONDS = 10.0
-"""A leaving engine serves on for this long, beyond all bounds, so that late work would show."""
+"""Time for which a departed engine keeps serving. It exceeds all bounds on a drain, so that late
+requests are observed."""
 
 
 class FleetStartError(RuntimeError):
-    """The fleet did not come up within its bound."""
+    """A process did not answer within `START_TIMEOUT_SECONDS`."""
 
 
 def http_call(address: Address, method: str, path: str, body: bytes = b"") -> int:
-    """Makes a call and returns its status, 0 if nobody answers."""
+    """Makes an HTTP call and returns its status, or 0 if there is no answer."""
     connection = http.client.HTTPConnection(
         address.host, address.port, timeout=CONTROL_TIMEOUT_SECONDS
     )
@@ -53,7 +54,7 @@
 
 @dataclass(slots=True)
 class Daemon:
-    """One daemon, its links, and its address past them."""
+    """A daemon process, its links, and its addresses that bypass them."""
 
     child: Child
     readiness_address: Address
@@ -61,16 +62,16 @@
     caller_link: Link
     store_link: Link
     clock: Path
-    """The file with the seconds by which its time of day is ahead."""
+    """File with the offset of the daemon's time of day in seconds."""
 
     def is_ready(self) -> bool:
-        """Tells whether it says that it is ready."""
+        """Returns whether the daemon's readiness check succeeds."""
         return http_call(self.readiness_address, "GET", READINESS_PATH) == 200
 
 
 @dataclass(slots=True)
 class Engine:
-    """One place of an engine: each start there is a new engine with a new id."""
+    """An engine process with a fixed address; each start has a new engine id."""
 
     child: Child
     address: Address
@@ -83,18 +84,18 @@
 
     @property
     def engine_id(self) -> str:
-        """The id of the newest start."""
+        """The engine id of the latest start."""
         return f"{self.child.name}-{self.starts}"
 
     def set_behaviour(self, behaviour: Behaviour) -> None:
-        """Puts a behaviour in force."""
+        """Sets the faults that the engine process applies to requests."""
         self.behaviour = behaviour
         fields = {name: getattr(behaviour, name) for name in Behaviour.__slots__}
         http_call(self.address, "POST", BEHAVIOUR_PATH, json.dumps(fields).encode())
 
 
 class Fleet:
-    """Store, engines and daemons as processes, with a faulty link before each."""
+    """Store, engine and daemon processes, and the links through which they are reached."""
 
     def __init__(self, folder: Path, seed: int, daemons: int, engines: int) -> None:
         self.folder = folder
@@ -105,17 +106,17 @@
         self.links: list[Link] = []
         self.engines: list[Engine] = []
         self.daemons: list[Daemon] = []
-        self._counts = (daemons, engines)
+        self._process_counts = (daemons, engines)
         self.store_address = Address(HOST, self.ports.take())
         self.operator = Operator(self.store_address)
 
     def start(self) -> None:
-        """Starts all, and waits until each daemon is ready.
+        """Starts all processes and waits until each daemon is ready.
 
         Raises:
-            NotStarted: it took longer than the bound.
+            FleetStartError: a process did not answer in time.
         """
-        daemons, engines = self._counts
+        daemons, engines = self._process_counts
         arguments = ["standin", "store", "--address", str(self.store_address)]
         self.store = self.group.add(self._make_child("store", *arguments))
         self._wait_until(lambda: http_call(self.store_address, "POST", "/faults", b"{}") == 200)
@@ -128,7 +129,7 @@
             self._wait_until(daemon.is_ready)
 
     def stop(self) -> None:
-        """Ends all processes and links."""
+        """Kills all processes and closes all links."""
         self.operator.stop_requested.set()
         self.group.kill_all()
         for link in self.links:
@@ -136,25 +137,25 @@
         self.ports.give_back()
 
     def endpoints(self) -> list[DaemonEndpoint]:
-        """Returns where callers reach the daemons: through the links."""
+        """Returns the daemons' endpoints behind their links."""
         return [DaemonEndpoint(d.child.name, d.caller_link.address) for d in self.daemons]
 
     def direct_endpoints(self) -> list[DaemonEndpoint]:
-        """Returns where probes reach the daemons: past the links."""
+        """Returns the daemons' own endpoints, which bypass the links."""
         return [DaemonEndpoint(d.child.name, d.caller_address) for d in self.daemons]
 
     def set_store_faults(self, **faults: Any) -> None:
-        """Puts faults of the store in force; without any, all end."""
+        """Replaces the faults of the store; without arguments, all faults end."""
         http_call(self.store_address, "POST", "/faults", json.dumps(faults).encode())
 
     def configure_in_background(self) -> None:
-        """Has the operator write the next configuration, for as long as the store needs."""
+        """Writes the next configuration on a thread that retries until it is acknowledged."""
         threading.Thread(target=self.operator.configure, daemon=True).start()
 
     # Engines.
 
     def start_engine(self, engine: Engine) -> None:
-        """Starts a new engine at a place, and has it listed."""
+        """Starts an engine under a new id, and lists it once it answers."""
         engine.starts += 1
         engine.is_leaving = False
         engine.behaviour = Behaviour()
@@ -163,11 +164,11 @@
         self._list_in_background(engine, engine.engine_id)
 
     def drain_engine(self, engine: Engine) -> None:
-        """Has an engine say that it leaves, serve on for a while, and end."""
+        """Lists an engine as draining; it is killed after a while."""
         self._remove_in_background(engine, is_announced=True)
 
     def remove_engine_unannounced(self, engine: Engine) -> None:
-        """Has an engine leave without a word: its entry goes, and it serves on for a while."""
+        """Removes an engine's record without a drain; it is killed after a while."""
         self._remove_in_background(engine, is_announced=False)
 
     def _remove_in_background(self, engine: Engine, is_announced: bool) -> None:
@@ -179,10 +180,12 @@
 
     def _remove_engine(self, engine: Engine, engine_id: str, is_announced: bool) -> None:
         if is_announced:
-            is_done = self.operator.list_engine(engine_id, engine.link.address, is_draining=True)
+            is_acknowledged = self.operator.list_engine(
+                engine_id, engine.link.address, is_draining=True
+            )
         else:
-            is_done = self.operator.unlist_engine(engine_id)
-        if not is_done:
+            is_acknowledged = self.operator.unlist_engine(engine_id)
+        if not is_acknowledged:
             return
         self.observations.departures.append(EngineDeparture(engine_id, time.monotonic()))
         time.sleep(SERVE_AFTER_DEPARTURE_SECONDS)
@@ -190,12 +193,12 @@
             engine.child.signal(signal.SIGKILL)
 
     def unlist_in_background(self, engine_id: str) -> None:
-        """Removes the entry of an engine that is gone."""
+        """Removes the record of an engine that has exited, on a thread."""
         arguments = (engine_id,)
         threading.Thread(target=self.operator.unlist_engine, args=arguments, daemon=True).start()
 
     def _list_in_background(self, engine: Engine, engine_id: str) -> None:
-        def list_it() -> None:
+        def list_when_answering() -> None:
             try:
                 self._wait_until(
                     lambda: http_call(engine.address, "POST", BEHAVIOUR_PATH, b"{}") == 200
@@ -206,7 +209,7 @@
                 return  # the soak ended while the engine started
             self.operator.list_engine(engine_id, engine.link.address)
 
-        threading.Thread(target=list_it, daemon=True).start()
+        threading.Thread(target=list_when_answering, daemon=True).start()
 
     def _add_engine(self, number: int) -> None:
         name = f"server-{number}"
--- a/src/troutswitch/soak/jobs.py
+++ b/src/troutswitch/soak/jobs.py
@@ -1,4 +1,4 @@
-"""Clients of batch jobs: they hand in, resend, end and read, each call at a daemon they draw."""
+"""Clients of batch jobs: they submit, read and end jobs, each call at a randomly drawn daemon."""
 
 import http.client
 import json
@@ -15,17 +15,18 @@
 from troutswitch.soak.observations import Observations, ObservedJob, ObservedResult
 
 ITEMS_PER_JOB = (1, 6)
-"""Items of a job: a few, so that many jobs live and end within a short soak."""
+"""Range of items per job; small, so that many jobs complete within a short soak."""
 MAX_SUBMIT_ATTEMPTS = 30
-"""Tries at which a job is given up as not accepted; with the rests some 6 s and more."""
+"""Attempts after which a submission is given up; with the delays they take 6 s or more."""
 RETRY_SECONDS = 0.2
+"""Delay before a submission is repeated."""
 JOB_INTERVAL_SECONDS = (0.2, 1.0)
-"""Rest between two jobs of one client."""
+"""Range of the pause between two jobs of a client."""
 READ_INTERVAL_SECONDS = 0.1
-"""Rest between two readings; the platform's clients read twice a second, a soak oftener."""
+"""Pause between two reads of results; the platform's clients read only twice a second."""
 END_REQUEST_SHARE = 0.02
-"""Share of a reader's calls that end the job instead; a job is read about ten times."""
-MAX_BODY_BYTES = 1000
+"""Share of a reader's calls that end a job instead of reading it; a job is read about ten times."""
+MAX_ITEM_BODY_BYTES = 1000
 ACCEPTED = 202
 TOO_MANY_REQUESTS = 429
 NOT_FOUND_STATUSES = (404, 410)
@@ -33,7 +34,7 @@
 
 @dataclass(frozen=True, slots=True)
 class JobAnswer:
-    """Status and body of a call about a job; status 0 if no whole answer came."""
+    """Status and body of a call about a job; status 0 if the answer was not received completely."""
 
     status: int
     body: bytes
@@ -42,7 +43,7 @@
 def call_job(
     endpoint: DaemonEndpoint, method: str, path: str, call_id: str, job_id: str, body: bytes = b""
 ) -> JobAnswer:
-    """Makes one call about a job on a new connection, with a key of the job's tenant."""
+    """Makes one call about a job on a new connection, with the key of the job's tenant."""
     try:
         connection = connect(endpoint.address)
     except OSError:
@@ -58,7 +59,7 @@
 
 
 def read_results(endpoint: DaemonEndpoint, job: ObservedJob, position: int) -> int:
-    """Reads results from a position, notes them, and returns the answer's status."""
+    """Reads results from a position on, records them, and returns the status of the answer."""
     path = results_path(job.job_id, position)
     answer = call_job(endpoint, "GET", path, f"read-{job.job_id}", job.job_id)
     if answer.status in NOT_FOUND_STATUSES:
@@ -68,18 +69,18 @@
     page = json.loads(answer.body)
     job.totals.add(page["total"])
     for number, row in enumerate(page["results"], position):
-        seen = ObservedResult(endpoint.daemon, number, row["id"], row["state"], row["message"])
-        job.results.append(seen)
+        result = ObservedResult(endpoint.daemon, number, row["id"], row["state"], row["message"])
+        job.results.append(result)
     return answer.status
 
 
 def items_listed_by(job: ObservedJob, daemon: str) -> set[str]:
-    """Returns the items that a daemon has shown a result of."""
+    """Returns the ids of the items whose results a daemon has listed."""
     return {row.item_id for row in job.results if row.daemon == daemon}
 
 
 class JobClient:
-    """One client on two threads: one hands jobs in, the other reads and ends them."""
+    """A client with two threads: one submits jobs, the other reads and ends them."""
 
     def __init__(
         self, name: str, seed: int, endpoints: list[DaemonEndpoint], observations: Observations
@@ -88,8 +89,8 @@
         self.endpoints = endpoints
         self.observations = observations
         self.stop_requested = threading.Event()
-        self._random = random.Random(f"{seed}-{name}")
-        self._reader_random = random.Random(f"{seed}-{name}-reads")
+        self._rng = random.Random(f"{seed}-{name}")
+        self._reader_rng = random.Random(f"{seed}-{name}-reads")
         self._accepted: list[ObservedJob] = []
         self.threads = [
             threading.Thread(target=self._submit_jobs, daemon=True),
@@ -98,7 +99,7 @@
 
     def _submit_jobs(self) -> None:
         count = 0
-        while not self.stop_requested.wait(self._random.uniform(*JOB_INTERVAL_SECONDS)):
+        while not self.stop_requested.wait(self._rng.uniform(*JOB_INTERVAL_SECONDS)):
             count += 1
             job = self._draw_job(f"{self.name}-{count}")
             with self.observations.lock:
@@ -106,15 +107,15 @@
             self._submit(job)
 
     def _draw_job(self, job_id: str) -> ObservedJob:
-        count = self._random.randint(*ITEMS_PER_JOB)
-        sizes = [self._random.randint(0, MAX_BODY_BYTES) for _ in range(count)]
-        items = {f"{job_id}-i{n}": self._random.randbytes(size) for n, size in enumerate(sizes)}
+        count = self._rng.randint(*ITEMS_PER_JOB)
+        sizes = [self._rng.randint(0, MAX_ITEM_BODY_BYTES) for _ in range(count)]
+        items = {f"{job_id}-i{n}": self._rng.randbytes(size) for n, size in enumerate(sizes)}
         return ObservedJob(job_id, items, time.monotonic())
 
     def _submit(self, job: ObservedJob) -> None:
         body = encode_submission(job)
         for _ in range(MAX_SUBMIT_ATTEMPTS):
-            endpoint = self._random.choice(self.endpoints)
+            endpoint = self._rng.choice(self.endpoints)
             answer = call_job(endpoint, "POST", f"/item/{job.job_id}", job.job_id, job.job_id, body)
             job.statuses.append(answer.status)
             if answer.status == ACCEPTED:
@@ -125,7 +126,7 @@
                 return
 
     def _read_jobs(self) -> None:
-        rng = self._reader_random
+        rng = self._reader_rng
         while not self.stop_requested.wait(READ_INTERVAL_SECONDS):
             if not self._accepted:
                 continue
@@ -145,7 +146,7 @@
 
 
 def encode_submission(job: ObservedJob) -> bytes:
-    """Writes a job as its client hands it in."""
+    """Returns the body of the request that submits a job."""
     rows = [
         {
             "id": item,
--- a/src/troutswitch/soak/observations.py
+++ b/src/troutswitch/soak/observations.py
@@ -1,4 +1,4 @@
-"""What callers, engines and the operator saw: the only ground on which promises are judged."""
+"""Recorded observations of callers, engines and the operator, the only input of the checks."""
 
 import json
 import threading
@@ -11,7 +11,7 @@
 
 
 class RequestKind(StrEnum):
-    """Kinds of requests; each has a route under a prefix of this name."""
+    """Kinds of online requests; each has a route whose path prefix is the kind."""
 
     READ = "read"
     ONCE = "once"
@@ -21,6 +21,7 @@
 
 
 AT_MOST_ONCE = frozenset({RequestKind.ONCE, RequestKind.STREAM_ONCE})
+"""Kinds that must not be repeated."""
 
 
 class Outcome(StrEnum):
@@ -35,7 +36,7 @@
 
 @dataclass(slots=True)
 class Exchange:
-    """One request as its caller saw it, noted before it is sent."""
+    """A request and its answer as its caller observed them, recorded before the request is sent."""
 
     request_id: str
     kind: RequestKind
@@ -52,12 +53,12 @@
     reason: str = ""
     stray_bytes: bytes = b""
     has_unknown_key: bool = False
-    """Whether it shows a key that nobody holds."""
+    """Whether the request has an API key that no tenant has."""
 
 
 @dataclass(frozen=True, slots=True)
 class JournalEntry:
-    """A line of an engine's journal."""
+    """A line of an engine's journal, such as the start or failure of a request."""
 
     kind: str
     request_id: str
@@ -74,7 +75,7 @@
 
 @dataclass(frozen=True, slots=True)
 class InjectedAction:
-    """A strike as it happened, in monotonic time."""
+    """An action that was performed, with its target and its span in monotonic time."""
 
     scheduled: ScheduledAction
     target: str
@@ -84,7 +85,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EngineDeparture:
-    """An engine whose leaving the store has acknowledged."""
+    """The departure of an engine, from the time at which the store acknowledged it."""
 
     engine: str
     acknowledged_at: float
@@ -92,7 +93,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ObservedResult:
-    """A batch result as one reading showed it."""
+    """A batch result as one read returned it."""
 
     daemon: str
     position: int
@@ -103,7 +104,10 @@
 
 @dataclass(slots=True)
 class ObservedJob:
-    """A batch job as its client saw it; `denied` are daemons that said there is none, and when."""
+    """A batch job as its client observed it.
+
+    `not_found_replies` has the daemon and time of each answer that there is no such job.
+    """
 
     job_id: str
     items: dict[str, bytes]
@@ -119,7 +123,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ResourceSample:
-    """Use of one process at a moment."""
+    """The resource use of a process at one time."""
 
     process: str
     sampled_at: float
@@ -142,11 +146,11 @@
     samples: list[ResourceSample] = field(default_factory=list)
     unmet_expectations: list[tuple[str, str]] = field(default_factory=list)
     unknown_key_exchanges: list[Exchange] = field(default_factory=list)
-    """Requests with a key that nobody holds."""
+    """Requests with a key that no tenant has; they are not among `exchanges`."""
     lock: threading.Lock = field(default_factory=threading.Lock)
 
     def is_fault_free(self, begin: float, end: float) -> bool:
-        """Tells whether nothing but planned work touched a span."""
+        """Returns whether no fault overlaps a span; planned operations may."""
         return not any(
             span.begin <= end and span.end >= begin
             for span in self.actions
@@ -155,7 +159,7 @@
 
 
 def read_journal(path: Path) -> list[JournalEntry]:
-    """Reads an engine's journal; a last line that is being written is left out."""
+    """Reads an engine's journal, without a last line that is still being written."""
     journal_entries: list[JournalEntry] = []
     for line in path.read_text().splitlines():
         try:
--- a/src/troutswitch/soak/operator.py
+++ b/src/troutswitch/soak/operator.py
@@ -1,4 +1,4 @@
-"""The operator and the engines' own words, written to the store until it acknowledges them."""
+"""Writes the configuration and the engines' records to the store, with retries."""
 
 import threading
 import time
@@ -21,7 +21,7 @@
 SERVICE = "service-1"
 SLOTS = 8
 RETRY_SECONDS = 0.1
-"""Rest before a write that was not acknowledged is repeated; its content is the same."""
+"""Delay before a write that was not acknowledged is repeated with the same content."""
 CONFIGURATION = Partition("configuration")
 ENGINES = Partition("servers")
 
@@ -34,7 +34,8 @@
     retention=600.0,
     max_queued_tokens=100_000,
 )
-"""Limits of all routes: far above what a fault-free loopback needs, so refusals stay few."""
+"""Limits of all routes: far above what requests on loopback need without faults, so that few are
+refused."""
 ROUTES = (
     RouteSpec("read", f"/{RequestKind.READ}/", "idempotent"),
     RouteSpec("once", f"/{RequestKind.ONCE}/", "non_idempotent"),
@@ -45,20 +46,20 @@
 
 
 def version_path(version: int) -> str:
-    """Returns the path that only one version of the configuration allows."""
+    """Returns the path prefix of the route that only this configuration version has."""
     return f"/{RequestKind.VERSION}-{version}/"
 
 
 @dataclass(frozen=True, slots=True)
 class AcknowledgedVersion:
-    """A configuration and when the store acknowledged it."""
+    """A configuration version that the store acknowledged."""
 
     version: int
     acknowledged_at: float
 
 
 class Operator:
-    """Writes configurations and engines' records to the store, one at a time."""
+    """Writes configurations, one at a time, and engines' records to the store."""
 
     def __init__(self, store: Address) -> None:
         self._client = StoreClient(store)
@@ -68,7 +69,10 @@
         self.stop_requested = threading.Event()
 
     def configure(self) -> None:
-        """Writes the next configuration: its own probe route comes, the one before it goes."""
+        """Writes the next configuration.
+
+        Each version has a probe route of its own, and the previous version's is removed.
+        """
         with self._lock:
             self.version += 1
             version = self.version
@@ -81,12 +85,12 @@
                 self.acknowledged.append(AcknowledgedVersion(version, time.monotonic()))
 
     def list_engine(self, engine_id: str, address: Address, is_draining: bool = False) -> bool:
-        """Writes an engine's record."""
+        """Writes an engine's record; returns False if the soak stopped first."""
         record = engine_record(SERVICE, address, SLOTS, is_draining)
         return self._write(ENGINES, engine_id, record)
 
     def unlist_engine(self, engine_id: str) -> bool:
-        """Removes an engine's record."""
+        """Removes an engine's record; returns False if the soak stopped first."""
         return self._write(ENGINES, engine_id, b"")
 
     def _write(self, partition: Partition, key: str, value: bytes) -> bool:
--- a/src/troutswitch/soak/probes.py
+++ b/src/troutswitch/soak/probes.py
@@ -1,4 +1,7 @@
-"""Probes: which version of the configuration a daemon serves, asked past the faulty links."""
+"""Probes that find which configuration version a daemon serves.
+
+They bypass the fault-injecting links.
+"""
 
 import threading
 import time
@@ -8,11 +11,11 @@
 from troutswitch.soak.operator import Operator, version_path
 
 PROBE_INTERVAL_SECONDS = 0.25
-"""Interval between two probes of a daemon: several inside any change's bound."""
+"""Interval between two rounds of probes; several fall within the bound on applying a change."""
 
 
 class Prober:
-    """Asks one daemon again and again for the routes of the newest version and its neighbours."""
+    """Probes one daemon periodically for the newest configuration version and the one before it."""
 
     def __init__(
         self, endpoint: DaemonEndpoint, operator: Operator, observations: Observations
@@ -31,7 +34,7 @@
                 self.probe(version)
 
     def probe(self, version: int) -> Exchange | None:
-        """Asks for a version's route once; None if the daemon takes no connection."""
+        """Requests a version's probe route; returns None if the connection is refused."""
         self._count += 1
         exchange = Exchange(
             request_id=f"probe-{self.endpoint.daemon}-{threading.get_ident()}-{self._count}",
@@ -54,10 +57,10 @@
 
 
 def is_served(exchange: Exchange | None) -> bool:
-    """Tells whether a probe shows its version in force."""
+    """Returns whether a probe shows that the daemon serves its version."""
     return exchange is not None and exchange.outcome is Outcome.COMPLETE and exchange.status == 200
 
 
 def is_not_found(exchange: Exchange | None) -> bool:
-    """Tells whether a probe shows its version not in force."""
+    """Returns whether a probe shows that the daemon does not serve its version."""
     return exchange is not None and exchange.outcome is Outcome.COMPLETE and exchange.status == 404
--- a/src/troutswitch/soak/processes.py
+++ b/src/troutswitch/soak/processes.py
@@ -1,4 +1,4 @@
-"""Processes that the soak starts, signals and ends, each by its id and no other."""
+"""Child processes of the soak. They are signalled only by their process id."""
 
 import os
 import signal
@@ -10,21 +10,22 @@
 from troutswitch.standins.model_engine import ENDED_CODE
 
 MAX_PROCESSES = 40
-"""Bound on processes of one soak, the users' limit for one machine."""
+"""Maximum number of processes of a soak, the users' limit for one machine."""
 EXIT_TIMEOUT_SECONDS = 10.0
-"""Wait for a killed process to be gone; the kernel needs milliseconds."""
+"""Timeout for a killed process to exit; the kernel needs milliseconds."""
 
 PLANNED_STOP_CODES = (0, -signal.SIGTERM)
-"""Codes of a planned stop; the signal's own where it came before the program had begun."""
+"""Exit codes of a planned stop. `-SIGTERM` occurs if the signal arrives before the program has
+installed its handlers."""
 
 
 class TooManyProcesses(RuntimeError):
-    """The soak would start more processes than its bound."""
+    """The soak would start more than `MAX_PROCESSES` processes."""
 
 
 @dataclass(slots=True)
 class ProcessExit:
-    """A process that ended: whether the soak had asked it to, and by which signal."""
+    """The exit of a process; `requested_signal` is 0 if the soak did not request it."""
 
     name: str
     incarnation: int
@@ -34,12 +35,12 @@
 
     @property
     def crashed_under_request(self) -> bool:
-        """Whether it is an engine that ended under a request."""
+        """Whether the process is an engine that a request has crashed."""
         return self.code == ENDED_CODE
 
     @property
     def is_unexpected(self) -> bool:
-        """Whether it ended by itself, or not as a planned stop has to end."""
+        """Whether the soak did not request the exit, or a planned stop ended with another code."""
         if self.requested_signal == signal.SIGKILL or self.crashed_under_request:
             return False
         return self.requested_signal != signal.SIGTERM or self.code not in PLANNED_STOP_CODES
@@ -47,7 +48,7 @@
 
 @dataclass(slots=True)
 class Child:
-    """A program that is started again and again under one name."""
+    """A program that runs under one name, with a new process for each restart."""
 
     name: str
     arguments: list[str]
@@ -59,7 +60,7 @@
     process: "subprocess.Popen[bytes] | None" = None
 
     def start(self) -> None:
-        """Starts it in a session of its own, so that a terminal's signals don't reach it."""
+        """Starts a process in its own session, so that a terminal's signals don't reach it."""
         with self.log.open("ab") as log:
             self.process = subprocess.Popen(
                 self.arguments,
@@ -74,11 +75,11 @@
         self.is_paused = False
 
     def is_running(self) -> bool:
-        """Tells whether its process has not ended."""
+        """Returns whether the process has been started and has not exited."""
         return self.process is not None and self.process.poll() is None
 
     def signal(self, number: int) -> None:
-        """Sends a signal to its process, if it has not ended."""
+        """Sends a signal to the process, unless it has exited."""
         if self.process is None or self.process.poll() is not None:
             return
         if number == signal.SIGKILL or (number == signal.SIGTERM and not self.requested_signal):
@@ -88,7 +89,7 @@
         self.process.send_signal(number)
 
     def handles(self, number: int) -> bool:
-        """Tells whether its program has begun to catch or ignore a signal."""
+        """Returns whether the program currently catches or ignores a signal."""
         if self.process is None:
             return False
         try:
@@ -100,7 +101,7 @@
         return bool(handled >> (number - 1) & 1)
 
     def poll_exit(self) -> ProcessExit | None:
-        """Returns its end once, and None while it runs."""
+        """Returns the exit of the process once, and None before and after that."""
         if self.process is None or self.process.poll() is None:
             return None
         code = self.process.returncode
@@ -111,16 +112,16 @@
 
 
 class ProcessGroup:
-    """All processes of a soak; ends them, also when the soak fails midway."""
+    """All processes of a soak, so that they can be killed together."""
 
     def __init__(self) -> None:
         self.children: list[Child] = []
 
     def add(self, child: Child) -> Child:
-        """Takes a child in and starts it.
+        """Adds a child and starts it.
 
         Raises:
-            TooManyProcesses: the bound is reached.
+            TooManyProcesses: the group already has `MAX_PROCESSES` children.
         """
         if len(self.children) >= MAX_PROCESSES:
             raise TooManyProcesses(f"more than {MAX_PROCESSES} processes")
@@ -129,7 +130,7 @@
         return child
 
     def kill_all(self) -> None:
-        """Kills what still runs and waits for it."""
+        """Kills all running processes and waits until they have exited."""
         running = [child for child in self.children if child.is_running()]
         for child in running:
             child.signal(signal.SIGKILL)
--- a/src/troutswitch/soak/proxy.py
+++ b/src/troutswitch/soak/proxy.py
@@ -1,4 +1,4 @@
-"""Loopback proxy of one link: delays, resets, silences, drips and truncates connections."""
+"""Loopback TCP proxy that injects faults into the connections of one link."""
 
 import contextlib
 import socket
@@ -11,36 +11,39 @@
 
 READ_BYTES = 65536
 DELAY_SECONDS = 0.15
-"""Delay of each piece under `DELAY`: seven times the pause between a stream's events."""
+"""Delay of each chunk under `DELAY`: five times the pause between a stream's events."""
 DRIP_BYTES = 16
+"""Size of the chunks that a link forwards under `DRIP`."""
 DRIP_INTERVAL_SECONDS = 0.004
-"""Under `DRIP` a link passes 4 KB a second: a plain answer takes seconds."""
+"""Pause after each chunk under `DRIP`, at most 4 KB/s: a plain answer takes seconds."""
 TRUNCATE_BYTES = 300
-"""Under `TRUNCATE` a connection is reset after these bytes of answer: inside head or body."""
+"""Bytes of the answer after which `TRUNCATE` resets the connection, in its head or its body."""
 POLL_SECONDS = 0.01
-"""Interval at which a silenced link looks whether its fault is over."""
+"""Interval at which a silenced link checks whether its fault has ended, and a closed one whether
+its target listens again."""
 CONNECT_SECONDS = 2.0
-"""Bound on connecting on loopback, which takes no time unless the target's backlog is full."""
+"""Connect timeout. On loopback a connect takes no time unless the target's backlog is full."""
 BACKLOG = 256
 BUSY_ANSWER = b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"
-"""What a link says in place of its target under `BUSY`; the request goes no further."""
+"""Answer that a link gives instead of its target under `BUSY`; the request is not forwarded."""
 RESET_ON_CLOSE = struct.pack("ii", 1, 0)
+"""`SO_LINGER` value with which `close` sends a reset."""
 
 SILENT_UP = frozenset({LinkFault.SILENT, LinkFault.SILENT_UP})
 SILENT_DOWN = frozenset({LinkFault.SILENT, LinkFault.SILENT_DOWN})
 
 
 def reset(connection: socket.socket) -> None:
-    """Closes a connection so that its peer sees a reset, never an orderly end."""
+    """Closes a connection so that its peer sees a reset and no orderly end."""
     with contextlib.suppress(OSError):
         connection.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
     with contextlib.suppress(OSError):
-        connection.shutdown(socket.SHUT_RD)  # wakes a thread that waits in a read
+        connection.shutdown(socket.SHUT_RD)  # wakes a thread blocked in `recv`
     connection.close()
 
 
 class _Pair:
-    """The two connections of one caller."""
+    """A caller's connection and the connection to the target that serves it."""
 
     def __init__(self, caller: socket.socket, target: socket.socket) -> None:
         self.caller = caller
@@ -48,24 +51,25 @@
         self.is_reset = False
 
     def reset(self) -> None:
-        """Resets both; their pumps then pass no orderly end on."""
+        """Resets both connections; the pumps then forward no orderly end."""
         self.is_reset = True
         reset(self.caller)
         reset(self.target)
 
     def close(self) -> None:
-        """Closes both."""
+        """Closes both connections."""
         self.caller.close()
         self.target.close()
 
 
 class Link:
-    """A listener that passes connections on to a target.
+    """A proxy that listens on a loopback port and forwards connections to a target.
 
     Args:
-        target: where connections go.
-        refuses: whether the link's port refuses connections while the target's does, as it
-            would without a link. Otherwise it takes them and resets them, as proxies do.
+        target: address to which connections are forwarded.
+        refuses_with_target: whether the link's port refuses connections while the target's
+            port does, as if there were no link. Otherwise the link accepts and resets them,
+            as proxies do.
     """
 
     def __init__(self, target: Address, refuses_with_target: bool = False) -> None:
@@ -78,13 +82,13 @@
         self._pairs: set[_Pair] = set()
         self._listener = socket.create_server(("127.0.0.1", 0), backlog=BACKLOG)
         self.address = Address("127.0.0.1", self._listener.getsockname()[1])
-        self._start_accepting()
+        self._start_accept_thread()
 
-    def _start_accepting(self) -> None:
+    def _start_accept_thread(self) -> None:
         threading.Thread(target=self._accept, args=(self._listener,), daemon=True).start()
 
     def set_fault(self, fault: LinkFault | None) -> None:
-        """Puts a fault in force, or ends it."""
+        """Sets the fault of the link; None ends it."""
         self.fault = fault
         if fault is LinkFault.RESET:
             self._reset_all()
@@ -101,8 +105,12 @@
         for pair in pairs:
             pair.reset()
 
-    def _follow_target(self) -> None:
-        """Stops to listen if the target has; called before a connection's end is passed on."""
+    def _close_listener_with_target(self) -> None:
+        """Closes the listener if the target refuses connections.
+
+        Called before the end of a connection is forwarded: a peer that sees the end must already
+        find the port closed.
+        """
         if not self._refuses_with_target or self._is_target_listening():
             return
         with self._lock:
@@ -110,7 +118,7 @@
                 return
             self._is_listener_closed = True
             with contextlib.suppress(OSError):
-                self._listener.shutdown(socket.SHUT_RDWR)  # wakes the thread that accepts
+                self._listener.shutdown(socket.SHUT_RDWR)  # wakes the accepting thread
             self._listener.close()
         threading.Thread(target=self._listen_again, daemon=True).start()
 
@@ -124,7 +132,7 @@
         return True
 
     def _listen_again(self) -> None:
-        """Listens at the same port once the target does."""
+        """Waits until the target listens, then listens on the same port again."""
         while not self._is_closed and not self._is_target_listening():
             time.sleep(POLL_SECONDS)
         with self._lock:
@@ -134,7 +142,7 @@
                 (self.address.host, self.address.port), backlog=BACKLOG
             )
             self._is_listener_closed = False
-        self._start_accepting()
+        self._start_accept_thread()
 
     def _accept(self, listener: socket.socket) -> None:
         while not self._is_closed:
@@ -151,7 +159,7 @@
         try:
             target = socket.create_connection(self.target, CONNECT_SECONDS)
         except OSError:
-            self._follow_target()
+            self._close_listener_with_target()
             reset(caller)
             return
         for connection in (caller, target):
@@ -160,44 +168,48 @@
         pair = _Pair(caller, target)
         with self._lock:
             self._pairs.add(pair)
-        up = threading.Thread(target=self._pump, args=(pair, True), daemon=True)
-        up.start()
+        upstream_pump = threading.Thread(target=self._pump, args=(pair, True), daemon=True)
+        upstream_pump.start()
         self._pump(pair, False)
-        up.join()
+        upstream_pump.join()
         with self._lock:
             self._pairs.discard(pair)
         pair.close()
 
-    def _pump(self, pair: _Pair, is_up: bool) -> None:
-        source, sink = (pair.caller, pair.target) if is_up else (pair.target, pair.caller)
-        silences = SILENT_UP if is_up else SILENT_DOWN
-        passed = 0
+    def _pump(self, pair: _Pair, is_upstream: bool) -> None:
+        source, sink = (pair.caller, pair.target) if is_upstream else (pair.target, pair.caller)
+        silencing_faults = SILENT_UP if is_upstream else SILENT_DOWN
+        forwarded = 0
         try:
             while data := source.recv(READ_BYTES):
-                self._wait_while_silenced(silences)
-                if is_up and self.fault is LinkFault.BUSY:
+                self._apply_silence_or_delay(silencing_faults)
+                if is_upstream and self.fault is LinkFault.BUSY:
                     source.sendall(BUSY_ANSWER)
                     source.shutdown(socket.SHUT_WR)
                     break
-                if not is_up and self.fault is LinkFault.TRUNCATE:
-                    data = data[: max(0, TRUNCATE_BYTES - passed)]
+                if not is_upstream and self.fault is LinkFault.TRUNCATE:
+                    data = data[: max(0, TRUNCATE_BYTES - forwarded)]
                 self._send(sink, data)
-                passed += len(data)
-                if not is_up and self.fault is LinkFault.TRUNCATE and passed >= TRUNCATE_BYTES:
+                forwarded += len(data)
+                if (
+                    not is_upstream
+                    and self.fault is LinkFault.TRUNCATE
+                    and forwarded >= TRUNCATE_BYTES
+                ):
                     raise ConnectionResetError("truncated")
-            self._wait_while_silenced(silences)
+            self._apply_silence_or_delay(silencing_faults)
             if pair.is_reset:
-                raise ConnectionResetError("struck")
-            if not is_up:
-                self._follow_target()
+                raise ConnectionResetError("link reset")
+            if not is_upstream:
+                self._close_listener_with_target()
             sink.shutdown(socket.SHUT_WR)
         except OSError:
-            if not is_up:
-                self._follow_target()
+            if not is_upstream:
+                self._close_listener_with_target()
             pair.reset()
 
-    def _wait_while_silenced(self, silences: frozenset[LinkFault]) -> None:
-        while self.fault in silences and not self._is_closed:
+    def _apply_silence_or_delay(self, silencing_faults: frozenset[LinkFault]) -> None:
+        while self.fault in silencing_faults and not self._is_closed:
             time.sleep(POLL_SECONDS)
         if self.fault is LinkFault.DELAY:
             time.sleep(DELAY_SECONDS)
--- a/src/troutswitch/soak/recovery_phase.py
+++ b/src/troutswitch/soak/recovery_phase.py
@@ -1,4 +1,4 @@
-"""The end of a soak: all faults are over, and what was promised for then must come true."""
+"""Recovery phase at the end of a soak: after all faults, the system must return to normal."""
 
 import time
 from collections.abc import Callable
@@ -18,15 +18,16 @@
 from troutswitch.soak.schedule import FAULT_FREE_SECONDS, ActionKind, LinkFault, ScheduledAction
 
 RECOVERY_TIMEOUT_SECONDS = 60.0
-"""Bound on each thing that has to come true, five times the platform's `recoveryS` of 12 s."""
+"""Timeout of each expectation, five times the platform's `recoveryS` of 12 s."""
 PLANNED_STOP_SECONDS = 3.0
-"""Time with callers after the last planned stop, so that one would be cut if any is."""
+"""Time for which callers run before the planned stop, so that the stop would interrupt requests if
+any stop does; also the length of its recorded span."""
 CRASHING_CALLER_SECONDS = 3.0
-"""Time for which an ending request comes to a daemon that is to refuse it."""
+"""Time for which a crashing request is sent to a daemon before it is expected to refuse it."""
 
 
 class RecoveryPhase:
-    """Waits for what has to come true; what does not goes into the evidence."""
+    """Waits until expectations are met, and records those that are not within the timeout."""
 
     def __init__(
         self, fleet: Fleet, fault_injector: FaultInjector, is_stop_requested: Callable[[], bool]
@@ -40,7 +41,11 @@
         ]
 
     def run(self) -> None:
-        """Checks recovery, a leaving engine, configuration, a planned stop and all jobs."""
+        """Ends all faults and checks the expectations.
+
+        Daemons are ready, crashing requests are refused, a drain and a planned stop are clean, the
+        newest configuration is served everywhere, and all results of accepted jobs are listed.
+        """
         self.fault_injector.end_all_faults()
         for daemon in self.fleet.daemons:
             what = f"{daemon.child.name} is not ready"
@@ -48,14 +53,16 @@
         self._wait_until_fault_free()
         self._expect_refused()
         self.fleet.drain_engine(self.fleet.engines[0])
-        left_at = time.monotonic()
+        drain_started_at = time.monotonic()
         self.fleet.operator.configure()
         self._expect_newest()
         self._stop_daemon(self.fleet.daemons[0])
         for job in list(self.fleet.observations.jobs):
             if job.accepted_at and not job.end_requested_at:
                 self._expect_listed(job)
-        self.fault_injector.run(left_at + SERVE_AFTER_DEPARTURE_SECONDS, self.is_stop_requested)
+        self.fault_injector.run(
+            drain_started_at + SERVE_AFTER_DEPARTURE_SECONDS, self.is_stop_requested
+        )
 
     def _wait_until_fault_free(self) -> None:
         span_ends = [s.end for s in self.fleet.observations.actions if not s.scheduled.is_planned]
@@ -81,11 +88,11 @@
             name = prober.endpoint.daemon
             what = f"{name} does not serve version {newest}"
             self._expect("CONFIG", what, lambda p=prober: is_served(p.probe(newest)))  # type: ignore[misc]
-            what = f"{name} does not deny version {newest - 1}"
+            what = f"{name} still serves version {newest - 1}"
             self._expect("CONFIG", what, lambda p=prober: is_not_found(p.probe(newest - 1)))  # type: ignore[misc]
 
     def _expect_refused(self) -> None:
-        """A request under which three engines ended is refused by each daemon, also by new ones."""
+        """Expects all daemons to refuse the requests that crashed three engines."""
         for number in range(CRASHING_REQUESTS):
             if len(self._crashed_engines(number)) < CRASHES_TO_REFUSE:
                 continue
@@ -115,7 +122,7 @@
         )
         span = InjectedAction(scheduled, daemon.child.name, begin, begin + PLANNED_STOP_SECONDS)
         self.fleet.observations.actions.append(span)
-        what = f"{daemon.child.name} is not back after a planned stop"
+        what = f"{daemon.child.name} did not return after a planned stop"
         self._expect(
             "RECOVER", what, lambda: daemon.child.incarnation > incarnation and daemon.is_ready()
         )
@@ -127,5 +134,5 @@
                 read_results(endpoint, job, 0)  # noqa: B023
                 return items_listed_by(job, endpoint.daemon) >= set(job.items)  # noqa: B023
 
-            what = f"{job.job_id} is not wholly listed at {endpoint.daemon}"
+            what = f"results of {job.job_id} are incomplete at {endpoint.daemon}"
             self._expect("LOST", what, is_listed)
--- a/src/troutswitch/soak/report.py
+++ b/src/troutswitch/soak/report.py
@@ -1,4 +1,4 @@
-"""Report of a soak: a JSON summary and a timeline of faults and violations as HTML."""
+"""Reports of a soak: a JSON summary, and an HTML timeline of actions and violations."""
 
 import html
 import json
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SoakResult:
-    """What a soak came to."""
+    """The result of a soak."""
 
     schedule: FaultSchedule
     seconds: float
@@ -28,15 +28,15 @@
 
     @property
     def is_clean(self) -> bool:
-        """Whether it ran to its end and no promise was broken."""
+        """Whether the soak ran to its end and no promise was broken."""
         return not self.violations and not self.was_interrupted
 
 
 def summarize(result: SoakResult) -> dict[str, Any]:
-    """Returns the summary of a soak."""
+    """Returns the contents of `summary.json`."""
     observations = result.observations
     outcomes = Counter(str(exchange.outcome) for exchange in observations.exchanges)
-    statuses = Counter(h.status for h in observations.exchanges if h.outcome is Outcome.COMPLETE)
+    statuses = Counter(e.status for e in observations.exchanges if e.outcome is Outcome.COMPLETE)
     samples = observations.samples
     return {
         "seed": result.schedule.seed,
@@ -58,7 +58,7 @@
 
 
 def write_report(result: SoakResult, folder: Path, explanations: dict[str, str]) -> None:
-    """Writes `summary.json` and `timeline.html`; `stories` explains violations by subject."""
+    """Writes `summary.json` and `timeline.html`; `explanations` has log lines by subject."""
     folder.mkdir(parents=True, exist_ok=True)
     summary = summarize(result)
     (folder / "summary.json").write_text(json.dumps(summary, indent=1) + "\n")
@@ -66,11 +66,11 @@
 
 
 def _timeline(result: SoakResult, explanations: dict[str, str]) -> str:
-    began = result.observations.started_at
+    started_at = result.observations.started_at
     rows = [
         _bar(
             number,
-            span.begin - began,
+            span.begin - started_at,
             span.end - span.begin,
             span.target,
             span.scheduled.describe(),
@@ -102,5 +102,5 @@
 
 def _violation(violation: Violation, explanations: dict[str, str]) -> str:
     text = html.escape(f"{violation.promise} {violation.subject}: {violation.what}")
-    story = html.escape(explanations.get(violation.subject, ""))
-    return f"<li>{text}<pre>{story}</pre></li>"
+    explanation = html.escape(explanations.get(violation.subject, ""))
+    return f"<li>{text}<pre>{explanation}</pre></li>"
--- a/src/troutswitch/soak/resource_sampler.py
+++ b/src/troutswitch/soak/resource_sampler.py
@@ -1,4 +1,4 @@
-"""Samples the use of the daemons' processes."""
+"""Samples the resource use of the daemons' processes."""
 
 import threading
 import time
@@ -8,19 +8,19 @@
 from troutswitch.soak.observations import Observations, ResourceSample
 
 SAMPLE_INTERVAL_SECONDS = 1.0
-KB_IN_MB = 1024
+KB_PER_MB = 1024
 
 
 class ResourceSampler:
-    """Reads memory, descriptors and log volume once a second."""
+    """Samples memory, file descriptors and log volume of each daemon on a thread of its own."""
 
     def __init__(self, daemons: list[Daemon], observations: Observations) -> None:
         self.daemons = daemons
         self.observations = observations
         self.stop_requested = threading.Event()
-        self.thread = threading.Thread(target=self._watch, daemon=True)
+        self.thread = threading.Thread(target=self._run, daemon=True)
 
-    def _watch(self) -> None:
+    def _run(self) -> None:
         while not self.stop_requested.wait(SAMPLE_INTERVAL_SECONDS):
             for daemon in self.daemons:
                 sample = read_sample(daemon)
@@ -29,7 +29,7 @@
 
 
 def read_sample(daemon: Daemon) -> ResourceSample | None:
-    """Reads a daemon's use; None if it does not run."""
+    """Returns a sample of a daemon's resource use, or None if the daemon is not running."""
     process = daemon.child.process
     if process is None:
         return None
@@ -41,5 +41,5 @@
     except OSError:
         return None
     resident = [line for line in status.splitlines() if line.startswith("VmRSS:")]
-    memory = int(resident[0].split()[1]) / KB_IN_MB if resident else 0.0
+    memory = int(resident[0].split()[1]) / KB_PER_MB if resident else 0.0
     return ResourceSample(daemon.child.name, time.monotonic(), memory, descriptors, log_bytes)
--- a/src/troutswitch/soak/run.py
+++ b/src/troutswitch/soak/run.py
@@ -1,4 +1,4 @@
-"""Runs one soak from its seed to its verdict."""
+"""Runs a soak and checks the promises."""
 
 import threading
 import time
@@ -21,16 +21,16 @@
 from troutswitch.soak.violations import Violation
 
 CHECK_INTERVAL_SECONDS = 10.0
-"""Interval between two looks at all promises while the soak runs."""
+"""Interval between two checks of all promises while the schedule runs."""
 JOIN_TIMEOUT_SECONDS = 30.0
-"""Bound on the end of callers: their longest wait for an answer, and some."""
+"""Timeout for the workers to end; longer than a caller's longest wait for an answer."""
 SETTLE_SECONDS = 2.0
-"""Wait after the last caller, for late runs of requests that were refused."""
+"""Wait after the last caller, in which requests that were refused may still run."""
 
 
 @dataclass(frozen=True, slots=True)
 class SoakSize:
-    """How much of everything a soak has."""
+    """Number of processes and clients of a soak."""
 
     daemons: int = 3
     engines: int = 4
@@ -39,11 +39,13 @@
 
 
 class _Worker(Protocol):
+    """A client or monitor with threads of its own."""
+
     stop_requested: threading.Event
 
 
 class Soak:
-    """One soak: its fleet, its callers, and the end of both."""
+    """Runs one soak: its fleet, workers, schedule and recovery phase."""
 
     def __init__(
         self,
@@ -62,8 +64,8 @@
         self._threads: list[threading.Thread] = []
 
     def run(self) -> SoakResult:
-        """Plays the schedule and the calm end; all processes are gone when it returns."""
-        began = time.monotonic()
+        """Runs the schedule and the recovery phase; no process is left when it returns."""
+        soak_started_at = time.monotonic()
         try:
             self.fleet.start()
             self._start_workers()
@@ -77,20 +79,20 @@
             for worker in self._workers:
                 worker.stop_requested.set()
             self.fleet.stop()
-        seconds = time.monotonic() - began
+        seconds = time.monotonic() - soak_started_at
         was_interrupted = self.stop_requested.is_set()
         return SoakResult(
             self.schedule, seconds, was_interrupted, tuple(violations), self.fleet.observations
         )
 
     def check_promises(self) -> list[Violation]:
-        """Checks all promises on what was seen so far."""
+        """Checks all promises against the observations so far."""
         observations = self.fleet.observations
         journal_entries = [
             entry for engine in self.fleet.engines for entry in read_journal(engine.journal)
         ]
         with observations.lock:
-            seen = Observations(
+            snapshot = Observations(
                 observations.started_at,
                 list(observations.exchanges),
                 journal_entries,
@@ -102,7 +104,7 @@
                 list(observations.unmet_expectations),
                 list(observations.unknown_key_exchanges),
             )
-        return find_violations(seen)
+        return find_violations(snapshot)
 
     def _run_schedule(self, fault_injector: FaultInjector) -> None:
         while time.monotonic() < fault_injector.ends_at and not self.stop_requested.is_set():
@@ -121,9 +123,11 @@
             self.fleet.observations,
             self.schedule.seed,
         )
-        ways = (endpoints, self.fleet.direct_endpoints())
+        endpoint_lists = (endpoints, self.fleet.direct_endpoints())
         for number in range(self._size.callers):
-            caller = Caller(f"caller-{seed}-{number}", seed, ways[number % 2], observations)
+            caller = Caller(
+                f"caller-{seed}-{number}", seed, endpoint_lists[number % 2], observations
+            )
             self._workers.append(caller)
             self._threads.append(caller.thread)
         for number in range(self._size.job_clients):
@@ -156,6 +160,6 @@
     report_progress: Callable[[str], None],
     stop_requested: threading.Event,
 ) -> SoakResult:
-    """Runs a soak of about some seconds beside its start and its calm end."""
+    """Runs a soak; `seconds` is the length of the schedule, without start and recovery phase."""
     folder.mkdir(parents=True, exist_ok=True)
     return Soak(draw_schedule(seed, seconds), folder, size, report_progress, stop_requested).run()
--- a/src/troutswitch/soak/schedule.py
+++ b/src/troutswitch/soak/schedule.py
@@ -1,27 +1,30 @@
-"""Schedule of a soak: which faults strike what and when, drawn from the seed alone."""
+"""Fault schedule of a soak: which action is performed on what and when.
+
+The seed alone determines the schedule.
+"""
 
 import random
 from dataclasses import dataclass
 from enum import StrEnum
 
 WARM_UP_SECONDS = 1.0
-"""Time with callers and without faults before the first episode."""
+"""Time before the first episode, in which callers run without faults."""
 FAULT_FREE_SECONDS = 2.5
-"""Time without faults after an episode; above the platform's usual contact time of 2 s."""
+"""Time without faults after each episode; above the platform's usual contact time of 2 s."""
 FAULT_EPISODE_SECONDS = (4.0, 7.0)
-"""Length of an episode of harm: longer than a daemon's start and the store's time-outs."""
+"""Length of a fault episode; longer than a daemon's start and the timeouts of store calls."""
 PLANNED_EPISODE_SECONDS = (3.0, 5.0)
-"""Length of an episode of planned work: series of stops and changes fit in and overlap."""
+"""Length of an episode of planned operations, long enough for several that overlap."""
 FAULTS_PER_EPISODE = (5, 12)
-"""Strikes of an episode of harm; many enough to overlap."""
+"""Number of actions in a fault episode; high enough that they overlap."""
 OPERATIONS_PER_EPISODE = (2, 4)
-"""Strikes of an episode of planned work."""
+"""Number of actions in an episode of planned operations."""
 ACTION_SECONDS = (0.2, 3.0)
-"""Length of a fault: from a blink to beyond the daemons' patience with peers and store."""
+"""Duration of an action; the longest exceed the daemons' timeouts for peers and the store."""
 
 
 class ActionKind(StrEnum):
-    """What a strike does."""
+    """What an action does: injects a fault, or performs a planned operation."""
 
     STOP_DAEMON = "stop_daemon"
     RELOAD_DAEMON = "reload_daemon"
@@ -57,7 +60,7 @@
 
 
 class LinkFault(StrEnum):
-    """What a link does to its connections."""
+    """What a link does to its connections while the fault is set."""
 
     DELAY = "delay"
     RESET = "reset"
@@ -75,28 +78,37 @@
     ActionKind.CONFIGURE,
     ActionKind.ENGINE_DRAINS,
 )
-"""Work that must cut no request."""
+"""Planned operations, which must not interrupt any request."""
 SEPARATELY_DRAWN_ACTIONS = (
     ActionKind.CRASHING_REQUEST,
     ActionKind.CLOCK_JUMPS,
     ActionKind.STORE_BUSY_FOR_ONE_DAEMON,
 )
-"""Actions with a source of chance of their own each, so that what a seed draws of the others
-stays as it was."""
+"""Actions that each use a random generator of their own, so that a seed draws the same schedule of
+the other actions with and without them."""
 FAULT_ACTIONS = tuple(action for action in ActionKind if action not in SEPARATELY_DRAWN_ACTIONS)
-"""What an episode of harm draws from beside them."""
+"""Actions that a fault episode draws with the shared generator, planned operations included."""
 SEPARATE_ACTION_SHARE = 0.7
-"""Share of the episodes of harm in which an action that is drawn apart comes, each for itself."""
+"""Probability that a fault episode contains a given separately drawn action."""
 SEPARATE_ACTION_SECONDS = (2.0, 5.0)
-"""Length of such an action: longer than an engine's restart, and than the store's time-outs."""
-DRAWN_LINK_FAULTS = tuple(fault for fault in LinkFault if fault is not LinkFault.BUSY)
-"""What a strike on a link draws from; the store alone says that it is busy."""
+"""Duration of a separately drawn action; longer than an engine's restart and the timeouts of store
+calls."""
+LINK_ACTION_FAULTS = tuple(fault for fault in LinkFault if fault is not LinkFault.BUSY)
+"""Faults drawn for a link action. `BUSY` is left out: it is an answer that only the store gives."""
 LINK_ACTIONS = frozenset({ActionKind.CALLER_LINK, ActionKind.STORE_LINK, ActionKind.ENGINE_LINK})
+"""Actions that set a fault on a link."""
 
 
 @dataclass(frozen=True, slots=True)
 class ScheduledAction:
-    """One fault or planned step; `target` is taken modulo the number of what it strikes."""
+    """One fault or planned operation.
+
+    Attributes:
+        offset_seconds: when the action starts, since the start of the schedule.
+        target: selects the daemon, engine or crashing request, modulo their number.
+        share: share of requests to which a faulty engine applies the fault.
+        link_fault: fault of a link; used by `LINK_ACTIONS` only.
+    """
 
     offset_seconds: float
     kind: ActionKind
@@ -107,14 +119,14 @@
     is_planned: bool
 
     def describe(self) -> str:
-        """Returns the strike in a few words."""
+        """Returns a short description for the timeline."""
         link = f" {self.link_fault}" if self.kind in LINK_ACTIONS else ""
         return f"{self.kind}{link} #{self.target} for {self.seconds:.2f} s"
 
 
 @dataclass(frozen=True, slots=True)
 class FaultSchedule:
-    """All strikes in order; `seconds` is when the last episode is over."""
+    """All actions by start time; `seconds` is the time at which the last episode ends."""
 
     seed: int
     seconds: float
@@ -122,7 +134,7 @@
 
 
 def draw_schedule(seed: int, seconds: float) -> FaultSchedule:
-    """Draws a schedule of about some seconds; episodes of harm and planned work alternate."""
+    """Draws a schedule in which fault episodes alternate with episodes of planned operations."""
     rng = random.Random(seed)
     rngs = {action: random.Random(f"{seed}-{action}") for action in SEPARATELY_DRAWN_ACTIONS}
     actions: list[ScheduledAction] = []
@@ -170,7 +182,7 @@
             target=rng.randrange(1000),
             seconds=rng.uniform(*ACTION_SECONDS),
             share=rng.uniform(0.1, 1.0),
-            link_fault=rng.choice(DRAWN_LINK_FAULTS),
+            link_fault=rng.choice(LINK_ACTION_FAULTS),
             is_planned=is_planned,
         )
         for _ in range(count)
--- a/src/troutswitch/soak/tenant_checks.py
+++ b/src/troutswitch/soak/tenant_checks.py
@@ -1,16 +1,16 @@
-"""Promises about tenants: whose requests run, for whom, and that no engine sees a key."""
+"""Checks of the promises about tenants and their API keys."""
 
 from troutswitch.soak.observations import JournalEntry, Observations
 from troutswitch.soak.tenants import tenant_of
 from troutswitch.soak.violations import Violation
 
 REFUSED_STATUSES = frozenset({401, 503})
-"""What a caller with an unknown key may be answered: that, or to come back to a daemon that knows
-it is behind."""
+"""Allowed answers to an unknown key. 503 comes from a daemon that knows that its configuration is
+out of date and asks the caller to retry."""
 
 
-def runs_are_for_the_key_s_tenant(observations: Observations) -> list[Violation]:
-    """UNASKED: an engine is told the tenant that holds the key, and never the key."""
+def runs_have_the_tenant_of_their_key(observations: Observations) -> list[Violation]:
+    """UNASKED: an engine receives the name of the tenant that owns the key, and never the key."""
     owners = {exchange.request_id: exchange.request_id for exchange in observations.exchanges}
     owners |= {item: job.job_id for job in observations.jobs for item in job.items}
     found: list[Violation] = []
@@ -26,18 +26,18 @@
         what = f"ran for {entry.tenant!r}, its key is {tenant}'s"
         found.append(Violation("UNASKED", entry.request_id, what))
     if entry.has_key:
-        found.append(Violation("UNASKED", entry.request_id, "a server was shown its key"))
+        found.append(Violation("UNASKED", entry.request_id, "an engine received its key"))
     return found
 
 
 def unknown_keys_do_not_run(observations: Observations) -> list[Violation]:
-    """ROUTE: a request with a key that nobody holds runs nowhere, and is told so."""
+    """ROUTE: a request with an unknown key never runs and is refused."""
     begun = {entry.request_id for entry in observations.journal_entries if entry.kind == "begun"}
     found: list[Violation] = []
     for exchange in observations.unknown_key_exchanges:
         if exchange.request_id in begun:
-            found.append(Violation("ROUTE", exchange.request_id, "ran with a key of nobody"))
+            found.append(Violation("ROUTE", exchange.request_id, "ran with an unknown key"))
         if exchange.status and exchange.status not in REFUSED_STATUSES:
-            what = f"answered {exchange.status} to a key of nobody"
+            what = f"answered {exchange.status} to an unknown key"
             found.append(Violation("ROUTE", exchange.request_id, what))
     return found
--- a/src/troutswitch/soak/violations.py
+++ b/src/troutswitch/soak/violations.py
@@ -1,4 +1,4 @@
-"""What a check finds."""
+"""Violations of promises, and the type of the checks that find them."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -8,7 +8,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Violation:
-    """A broken promise and whom it struck."""
+    """A broken promise.
+
+    Attributes:
+        promise: name of the promise, such as TWICE.
+        subject: id of the request, item, job or process that is affected.
+        what: what was observed.
+    """
 
     promise: str
     subject: str
@@ -16,3 +22,4 @@
 
 
 Check = Callable[[Observations], list[Violation]]
+"""Returns the violations of one promise that the observations show."""
