--- a/tests/soak/builders.py
+++ b/tests/soak/builders.py
@@ -1,4 +1,4 @@
-"""Observations of a soak as tests need them: all well, until a test breaks one."""
+"""Builders of soak observations that break no promise; tests modify them to break one."""
 
 from troutswitch.soak.checks import item_path
 from troutswitch.soak.observations import (
@@ -21,7 +21,7 @@
 def completed_exchange(
     request_id: str, kind: RequestKind, at: float = 10.0, daemon: str = "daemon-0"
 ) -> Exchange:
-    """A request with its whole answer."""
+    """Returns an exchange with the complete answer."""
     is_stream = kind in (RequestKind.STREAM, RequestKind.STREAM_ONCE)
     events = b"".join(event_bytes(request_id))
     return Exchange(
@@ -40,7 +40,7 @@
 
 
 def started_entry(exchange: Exchange, at: float = 10.05) -> JournalEntry:
-    """The line that an engine wrote as it began a request."""
+    """Returns the journal entry of an engine that started a request."""
     return JournalEntry(
         "begun",
         exchange.request_id,
@@ -54,7 +54,7 @@
 
 
 def completed_job(job_id: str = "job") -> ObservedJob:
-    """An accepted job with both results read."""
+    """Returns an accepted job of two items whose results have been read."""
     items = {f"{job_id}-0": b"a", f"{job_id}-1": b"b"}
     job = ObservedJob(job_id, items, 5.0, statuses=[202], accepted_at=5.5, totals={2})
     job.results = [
@@ -65,7 +65,7 @@
 
 
 def item_entry(job: ObservedJob, number: int, at: float = 6.0, kind: str = "begun") -> JournalEntry:
-    """The line of an engine that began an item."""
+    """Returns the journal entry of an engine about an item, by default its start."""
     item = list(job.items)[number]
     path = item_path(job.job_id, number)
     return JournalEntry(
@@ -74,16 +74,16 @@
 
 
 def injected_action(
-    action: ActionKind, begin: float, end: float, target: str = "daemon-0"
+    kind: ActionKind, begin: float, end: float, target: str = "daemon-0"
 ) -> InjectedAction:
-    """A strike that happened."""
-    is_planned = action in (ActionKind.STOP_DAEMON, ActionKind.RELOAD_DAEMON)
-    scheduled = ScheduledAction(begin, action, 0, end - begin, 0.5, LinkFault.DELAY, is_planned)
+    """Returns a performed action; stops and reloads of a daemon count as planned."""
+    is_planned = kind in (ActionKind.STOP_DAEMON, ActionKind.RELOAD_DAEMON)
+    scheduled = ScheduledAction(begin, kind, 0, end - begin, 0.5, LinkFault.DELAY, is_planned)
     return InjectedAction(scheduled, target, begin, end)
 
 
 def clean_observations() -> Observations:
-    """One request of each kind and one job, all as promised."""
+    """Returns one completed exchange of each kind and one completed job."""
     observations = Observations(0.0)
     for kind in (RequestKind.READ, RequestKind.ONCE, RequestKind.STREAM, RequestKind.STREAM_ONCE):
         exchange = completed_exchange(f"request-{kind}", kind)
--- a/tests/soak/test_callers.py
+++ b/tests/soak/test_callers.py
@@ -1,7 +1,8 @@
-"""A caller of the soak sees stray bytes at any descriptor, and does not die unseen.
+"""Callers detect stray bytes on any file descriptor, and their threads do not die unnoticed.
 
-What happened: a large soak reported no violation although twenty callers' threads had died.
-Cause: `select.select` fails above descriptor 1,023, and nobody looked at the threads.
+Guards against a soak that reports no violation although caller threads have died. Twenty threads of
+a large soak died because `select.select` fails above file descriptor 1,023, and nothing checked the
+threads.
 """
 
 import http.client
@@ -17,7 +18,7 @@
 from troutswitch.soak.callers import Caller, peek_stray_bytes
 
 SELECT_MAX_DESCRIPTORS = 1024
-"""Descriptors that `select.select` takes."""
+"""Number of file descriptors that `select.select` supports."""
 
 
 @pytest.fixture
@@ -29,7 +30,7 @@
 
 
 @pytest.mark.usefixtures("many_descriptors")
-def test_stray_bytes_are_seen_on_a_high_descriptor() -> None:
+def test_stray_bytes_are_detected_on_a_descriptor_above_the_limit_of_select() -> None:
     ours, theirs = socket.socketpair()
     duplicates = [ours.dup() for _ in range(SELECT_MAX_DESCRIPTORS)]
     connection = http.client.HTTPConnection("127.0.0.1")
@@ -45,12 +46,12 @@
 
 
 @pytest.mark.filterwarnings("ignore::pytest.PytestUnhandledThreadExceptionWarning")
-def test_a_caller_that_dies_fails_the_soak(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_dead_caller_thread_is_a_violation(monkeypatch: pytest.MonkeyPatch) -> None:
     def fail(self: Caller) -> bool:
         raise ValueError("filedescriptor out of range")
 
     observations = clean_observations()
-    endpoint = type("Front", (), {"daemon": "d", "address": Address("127.0.0.1", 1)})()
+    endpoint = type("Endpoint", (), {"daemon": "d", "address": Address("127.0.0.1", 1)})()
     caller = Caller("caller-1", 1, [endpoint], observations)
     monkeypatch.setattr(Caller, "_send_one", fail)
     caller.thread.start()
--- a/tests/soak/test_clocked_daemon.py
+++ b/tests/soak/test_clocked_daemon.py
@@ -1,4 +1,4 @@
-"""A daemon's time of day follows the soak's file, and its steady clock doesn't."""
+"""The clock file shifts a daemon's time of day, but not its monotonic clock."""
 
 import os
 import signal
@@ -13,20 +13,20 @@
 JUMP_SECONDS = 1000.0
 
 
-def test_the_time_of_day_jumps_at_the_signal_and_back(
+def test_sigusr1_shifts_the_time_of_day_to_the_offset_of_the_file(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     real_time = time.time
     monkeypatch.setattr(time, "time", real_time)  # restores it after the test
-    before = signal.getsignal(signal.SIGUSR1)
+    previous_handler = signal.getsignal(signal.SIGUSR1)
     file = tmp_path / "clock"
     try:
         install(file)
-        steady = steady_seconds()
+        steady_start = steady_seconds()
         for offset_seconds in (JUMP_SECONDS, 0.0):
             file.write_text(str(offset_seconds))
             os.kill(os.getpid(), signal.SIGUSR1)
             assert abs(time.time() - real_time() - offset_seconds) < JUMP_SECONDS / 10
-        assert steady_seconds() - steady < JUMP_SECONDS / 10
+        assert steady_seconds() - steady_start < JUMP_SECONDS / 10
     finally:
-        signal.signal(signal.SIGUSR1, before)
+        signal.signal(signal.SIGUSR1, previous_handler)
--- a/tests/soak/test_command.py
+++ b/tests/soak/test_command.py
@@ -1,4 +1,4 @@
-"""The command as a process: it leaves nothing running behind, also when it is interrupted."""
+"""The `soak` command as a process: no child process is left when it is interrupted."""
 
 import json
 import signal
@@ -13,7 +13,7 @@
 COMMAND = [sys.executable, "-m", "troutswitch.cli", "soak", "--daemons", "1", "--servers", "1"]
 
 
-def processes_of(folder: str) -> list[str]:
+def process_ids_of(folder: str) -> list[str]:
     """Returns the ids of processes whose command line or environment names a folder."""
     found: list[str] = []
     for process in Path("/proc").glob("[0-9]*"):
@@ -27,7 +27,7 @@
 
 
 @pytest.mark.parametrize("number", [signal.SIGTERM, signal.SIGINT])
-def test_an_interrupted_soak_ends_all_that_it_started(number: int, tmp_path: Path) -> None:
+def test_an_interrupted_soak_leaves_no_process_running(number: int, tmp_path: Path) -> None:
     soak = subprocess.Popen(
         [*COMMAND, "--seconds", "600", "--seed", "3", "--report", str(tmp_path)],
         stdout=subprocess.PIPE,
@@ -37,8 +37,8 @@
     try:
         assert soak.stderr is not None
         folder = soak.stderr.readline().split("logs in ")[1].strip()
-        assert "violations" in soak.stderr.readline()  # it plays
-        assert len(processes_of(folder)) >= 2
+        assert "violations" in soak.stderr.readline()  # the schedule has started
+        assert len(process_ids_of(folder)) >= 2
         soak.send_signal(number)
         output, _ = soak.communicate(timeout=TIMEOUT_SECONDS)
     finally:
@@ -48,6 +48,6 @@
     assert json.loads(output)["interrupted"] is True
     assert json.loads((tmp_path / "summary.json").read_text())["seed"] == 3
     until = time.monotonic() + TIMEOUT_SECONDS
-    while processes_of(folder) and time.monotonic() < until:
+    while process_ids_of(folder) and time.monotonic() < until:
         time.sleep(0.1)
-    assert processes_of(folder) == []
+    assert process_ids_of(folder) == []
--- a/tests/soak/test_crashing_requests.py
+++ b/tests/soak/test_crashing_requests.py
@@ -1,8 +1,8 @@
-"""Real daemons before real engines that end under a request: refused by all, also by new lives.
+"""All daemons refuse a request that crashed several engines, also after a restart.
 
-What users saw: one request ended engine after engine, at whichever daemon its caller came again.
-The decisions are proved on virtual time (tests/proofs/test_crashes.py); this is the same through
-sockets, the store's forms, datagrams, checks of ports and processes that end.
+Guards against a request that crashes one engine after another because its caller retries at other
+daemons. tests/proofs/test_crashes.py proves the decisions on virtual time; this test runs real
+processes, with sockets, store records, datagrams, port checks and process exits.
 """
 
 import signal
@@ -33,7 +33,7 @@
 
 
 def wait_for(fault_injector: FaultInjector, what: str, condition: Callable[[], bool]) -> None:
-    """Waits for a condition while the conductor starts again what has ended."""
+    """Waits for a condition while the fault injector restarts processes that exited."""
     until = time.monotonic() + TIMEOUT_SECONDS
     while not condition():
         assert time.monotonic() < until, what
@@ -59,19 +59,19 @@
         )
 
 
-def test_all_daemons_refuse_what_ended_three_engines_and_so_do_their_next_lives(
+def test_all_daemons_refuse_a_request_that_crashed_three_engines_also_after_a_restart(
     fleet: Fleet,
 ) -> None:
     fault_injector = FaultInjector(fleet, FaultSchedule(1, 0.0, ()))
     expect_refusals(fleet, fault_injector)
-    ended = crash_count(fleet)
-    assert CRASHES_TO_REFUSE <= ended <= CONCLUSIVE_CRASHES
+    crashes = crash_count(fleet)
+    assert CRASHES_TO_REFUSE <= crashes <= CONCLUSIVE_CRASHES
     incarnations = [daemon.child.incarnation for daemon in fleet.daemons]
     for daemon in fleet.daemons:
         daemon.child.signal(signal.SIGKILL)
     wait_for(
         fault_injector,
-        "the daemons are not back",
+        "the daemons did not restart",
         lambda: all(
             daemon.child.incarnation > incarnation and daemon.is_ready()
             for daemon, incarnation in zip(fleet.daemons, incarnations, strict=True)
--- a/tests/soak/test_processes.py
+++ b/tests/soak/test_processes.py
@@ -1,4 +1,4 @@
-"""Processes that the soak starts and ends."""
+"""Child processes of the soak: exits, signals and the maximum number."""
 
 import signal
 import sys
@@ -28,17 +28,19 @@
         time.sleep(0.01)
 
 
-def wait_until_ended(child: Child) -> None:
+def wait_until_exited(child: Child) -> None:
     assert child.process is not None
     child.process.wait(TIMEOUT_SECONDS)
 
 
-def test_an_asked_end_is_no_own_end(group: ProcessGroup, tmp_path: Path) -> None:
+def test_a_requested_exit_is_expected_and_returned_once(
+    group: ProcessGroup, tmp_path: Path
+) -> None:
     child = group.add(Child("a", SLEEPER, tmp_path / "log"))
     wait_until_up(child)
     assert child.poll_exit() is None
     child.signal(signal.SIGTERM)
-    wait_until_ended(child)
+    wait_until_exited(child)
     process_exit = child.poll_exit()
     assert process_exit is not None and not process_exit.is_unexpected
     assert child.poll_exit() is None
@@ -46,14 +48,16 @@
     assert child.incarnation == 2 and child.is_running()
 
 
-def test_an_own_end_is_told(group: ProcessGroup, tmp_path: Path) -> None:
+def test_an_exit_that_was_not_requested_is_unexpected(group: ProcessGroup, tmp_path: Path) -> None:
     child = group.add(Child("a", [sys.executable, "-c", "raise SystemExit(3)"], tmp_path / "log"))
-    wait_until_ended(child)
+    wait_until_exited(child)
     process_exit = child.poll_exit()
     assert process_exit is not None and process_exit.is_unexpected and process_exit.code == 3
 
 
-def test_a_signal_that_a_program_handles_is_told(group: ProcessGroup, tmp_path: Path) -> None:
+def test_handles_is_true_only_for_signals_that_the_program_catches_or_ignores(
+    group: ProcessGroup, tmp_path: Path
+) -> None:
     code = "import signal, time; signal.signal(signal.SIGHUP, signal.SIG_IGN); "
     code += "print('up', flush=True); time.sleep(600)"
     child = group.add(Child("a", [sys.executable, "-c", code], tmp_path / "log"))
@@ -62,14 +66,14 @@
     assert not child.handles(signal.SIGTERM)
 
 
-def test_a_paused_process_is_ended_too(group: ProcessGroup, tmp_path: Path) -> None:
+def test_kill_all_kills_a_paused_process(group: ProcessGroup, tmp_path: Path) -> None:
     child = group.add(Child("a", SLEEPER, tmp_path / "log"))
     child.signal(signal.SIGSTOP)
     group.kill_all()
     assert not child.is_running()
 
 
-def test_the_bound_on_processes_holds(group: ProcessGroup, tmp_path: Path) -> None:
+def test_adding_a_child_above_the_maximum_raises(group: ProcessGroup, tmp_path: Path) -> None:
     group.children = [Child(str(n), SLEEPER, tmp_path / "log") for n in range(MAX_PROCESSES)]
     with pytest.raises(TooManyProcesses):
         group.add(Child("one more", SLEEPER, tmp_path / "log"))
--- a/tests/soak/test_proxy.py
+++ b/tests/soak/test_proxy.py
@@ -1,4 +1,4 @@
-"""The faults of a link, on real sockets. Nothing here asserts how long something takes."""
+"""Faults of a link, on real sockets. No test asserts a duration."""
 
 import socket
 import threading
@@ -17,7 +17,7 @@
 
 
 class Echo:
-    """Sends back what it gets."""
+    """A server that sends back the bytes it receives."""
 
     def __init__(self) -> None:
         self.listener = socket.create_server(("127.0.0.1", 0))
@@ -72,21 +72,21 @@
 
 
 @pytest.mark.parametrize("fault", [None, LinkFault.DELAY, LinkFault.DRIP])
-def test_bytes_pass_unchanged(link: Link, fault: LinkFault | None) -> None:
+def test_bytes_are_forwarded_unchanged(link: Link, fault: LinkFault | None) -> None:
     link.set_fault(fault)
     with connect(link) as caller:
         caller.sendall(CONTENT[: 4 * DRIP_BYTES])
         assert read(caller, 4 * DRIP_BYTES) == CONTENT[: 4 * DRIP_BYTES]
 
 
-def test_an_orderly_end_passes_both_ways(link: Link) -> None:
+def test_an_orderly_end_is_forwarded_in_both_directions(link: Link) -> None:
     with connect(link) as caller:
         caller.sendall(CONTENT)
         caller.shutdown(socket.SHUT_WR)
         assert read(caller, len(CONTENT) + 1) == CONTENT
 
 
-def test_a_reset_strikes_open_and_new_connections(link: Link) -> None:
+def test_reset_resets_open_and_new_connections_until_it_ends(link: Link) -> None:
     with connect(link) as caller:
         caller.sendall(b"a")
         assert read(caller, 1) == b"a"
@@ -105,7 +105,7 @@
     ("fault", "arrives"),
     [(LinkFault.SILENT, False), (LinkFault.SILENT_UP, False), (LinkFault.SILENT_DOWN, True)],
 )
-def test_a_silence_holds_bytes_back_until_it_is_over(
+def test_a_silent_link_forwards_bytes_only_after_the_fault_ends(
     link: Link, echo: Echo, fault: LinkFault, arrives: bool
 ) -> None:
     link.set_fault(fault)
@@ -123,7 +123,7 @@
         assert read(caller, 4) == b"held"
 
 
-def test_a_truncated_answer_ends_by_a_reset(link: Link) -> None:
+def test_a_truncated_answer_ends_with_a_reset(link: Link) -> None:
     link.set_fault(LinkFault.TRUNCATE)
     with connect(link) as caller, pytest.raises(ConnectionResetError):
         caller.sendall(CONTENT)
@@ -133,7 +133,7 @@
         caller.recv(1)
 
 
-def test_nobody_behind_a_link_is_a_reset() -> None:
+def test_a_connection_is_reset_if_the_target_does_not_listen() -> None:
     with socket.create_server(("127.0.0.1", 0)) as free:
         port = free.getsockname()[1]
     link = Link(Address("127.0.0.1", port))
@@ -143,7 +143,7 @@
 
 
 def is_refused(address: Address) -> bool:
-    """Returns whether a port refuses connections; one that is reset at once was taken first."""
+    """Returns whether a port refuses connections; a connection that is reset was accepted first."""
     try:
         socket.create_connection((address.host, address.port), TIMEOUT_SECONDS).close()
     except ConnectionRefusedError:
@@ -153,8 +153,8 @@
     return False
 
 
-class Ending:
-    """A target that ends with its first connection, and can listen again at the same port."""
+class OneConnectionServer:
+    """A server that closes its port with its first connection; another can reuse the port."""
 
     def __init__(self, port: int = 0) -> None:
         self.listener = socket.create_server(("127.0.0.1", port))
@@ -166,39 +166,37 @@
         connection.close()
 
 
-def test_a_link_that_refuses_does_so_before_a_connection_s_end_is_seen() -> None:
-    """The port of a server that ended refuses connections; a link that took them hid the end."""
-    target = Ending()
+def test_a_refusing_link_closes_its_port_before_the_end_of_a_connection_is_forwarded() -> None:
+    """The port of an exited server refuses connections; a link that accepted them hid the exit."""
+    target = OneConnectionServer()
     link = Link(target.address, refuses_with_target=True)
     connection = connect(link)
-    ender = threading.Thread(target=target.end)
-    ender.start()
+    closing_thread = threading.Thread(target=target.end)
+    closing_thread.start()
     try:
         connection.sendall(b"x")
         assert connection.recv(1) == b""
     except ConnectionResetError:
         pass
     assert is_refused(link.address)
-    ender.join()
-    again = Ending(target.address.port)
+    closing_thread.join()
+    restarted = OneConnectionServer(target.address.port)
     until = time.monotonic() + TIMEOUT_SECONDS
     while is_refused(link.address):
         assert time.monotonic() < until
-    again.listener.close()
+    restarted.listener.close()
     link.close()
 
 
-def test_another_link_takes_connections_for_a_target_that_ended() -> None:
-    target = Ending()
+def test_a_link_without_refusal_accepts_connections_for_a_closed_target() -> None:
+    target = OneConnectionServer()
     link = Link(target.address)
     target.listener.close()
     assert not is_refused(link.address)
     link.close()
 
 
-def test_a_busy_link_answers_in_its_target_s_place_and_passes_nothing_on(
-    echo: Echo, link: Link
-) -> None:
+def test_a_busy_link_answers_itself_and_forwards_nothing(echo: Echo, link: Link) -> None:
     link.set_fault(LinkFault.BUSY)
     connection = connect(link)
     connection.sendall(b"POST /log-append HTTP/1.1\r\n\r\n")
--- a/tests/soak/test_schedule.py
+++ b/tests/soak/test_schedule.py
@@ -1,4 +1,4 @@
-"""The schedule of a soak."""
+"""The fault schedule of a soak."""
 
 import itertools
 
@@ -21,13 +21,13 @@
     assert draw_schedule(7, SECONDS) != draw_schedule(8, SECONDS)
 
 
-def test_strikes_come_in_order_and_within_the_time() -> None:
+def test_actions_are_ordered_and_start_within_the_schedule() -> None:
     actions = draw_schedule(7, SECONDS).actions
     assert [s.offset_seconds for s in actions] == sorted(s.offset_seconds for s in actions)
     assert all(0 < scheduled.offset_seconds <= SECONDS for scheduled in actions)
 
 
-def test_all_actions_come_up_and_overlap() -> None:
+def test_every_kind_of_action_occurs_and_most_overlap_the_next() -> None:
     actions = draw_schedule(7, SECONDS).actions
     assert {scheduled.kind for scheduled in actions} == set(ActionKind)
     overlaps = [
@@ -36,7 +36,7 @@
     assert sum(overlaps) > len(overlaps) / 2
 
 
-def test_planned_episodes_hold_planned_work_alone_and_lie_apart() -> None:
+def test_planned_episodes_have_planned_actions_only_and_a_pause_around_them() -> None:
     actions = draw_schedule(7, SECONDS).actions
     for before, after in itertools.pairwise(actions):
         if before.is_planned != after.is_planned:
@@ -44,7 +44,7 @@
     assert all(s.kind in PLANNED_ACTIONS for s in actions if s.is_planned)
 
 
-def test_what_is_drawn_apart_leaves_the_rest_of_a_seed_as_it_was(
+def test_separately_drawn_actions_do_not_change_the_others_of_a_seed(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     whole = draw_schedule(7, SECONDS).actions
