--- a/src/troutswitch/soak/checks.py
+++ b/src/troutswitch/soak/checks.py
@@ -27,7 +27,7 @@
 NOT_RUN_STATUSES = frozenset({408, 421, 429, 503})
 """Statuses that promise that a request has not run and never will."""
 LOSS_SLACK_SECONDS = 3.0
-"""Time after it was sent at which a request that no daemon read may still be lost. The platform's
+"""Time after sending within which a request that no daemon has read may be lost. The platform's
 bound is shorter, but the soak's proxies and callers lag on a busy machine: interruptions were seen
 0.2 s late."""
 GRACE_SECONDS = 8.0
@@ -295,7 +295,7 @@
 
 
 def no_unexpected_exits(observations: Observations) -> list[Violation]:
-    """ENDED: a process exits only on request, and a planned stop exits with an expected code."""
+    """ENDED: a process exits only on request, and a planned stop by code 0 or by SIGTERM."""
     return [
         Violation(
             "ENDED",
--- a/src/troutswitch/soak/fleet.py
+++ b/src/troutswitch/soak/fleet.py
@@ -137,7 +137,7 @@
         self.ports.give_back()
 
     def endpoints(self) -> list[DaemonEndpoint]:
-        """Returns the daemons' endpoints behind their links."""
+        """Returns the endpoints at which the links accept callers."""
         return [DaemonEndpoint(d.child.name, d.caller_link.address) for d in self.daemons]
 
     def direct_endpoints(self) -> list[DaemonEndpoint]:
@@ -269,7 +269,7 @@
         self.daemons.append(daemon)
         self.group.add(child)
 
-    # Parts.
+    # Helpers.
 
     def _make_child(self, name: str, *arguments: str) -> Child:
         command = [sys.executable, "-m", "troutswitch.cli", *arguments]
--- a/src/troutswitch/soak/proxy.py
+++ b/src/troutswitch/soak/proxy.py
@@ -15,7 +15,7 @@
 DRIP_BYTES = 16
 """Size of the chunks that a link forwards under `DRIP`."""
 DRIP_INTERVAL_SECONDS = 0.004
-"""Pause after each chunk under `DRIP`, at most 4 KB/s: a plain answer takes seconds."""
+"""Pause after each chunk under `DRIP`; limits a link to 4 KB/s, so a plain answer takes seconds."""
 TRUNCATE_BYTES = 300
 """Bytes of the answer after which `TRUNCATE` resets the connection, in its head or its body."""
 POLL_SECONDS = 0.01
--- a/src/troutswitch/soak/recovery_phase.py
+++ b/src/troutswitch/soak/recovery_phase.py
@@ -43,8 +43,9 @@
     def run(self) -> None:
         """Ends all faults and checks the expectations.
 
-        Daemons are ready, crashing requests are refused, a drain and a planned stop are clean, the
-        newest configuration is served everywhere, and all results of accepted jobs are listed.
+        Each daemon must be ready, refuse crashing requests, serve the newest configuration and list
+        the results of all accepted jobs. An engine is drained and a daemon stopped as planned while
+        callers run, so that the checks of drains and planned stops have something to examine.
         """
         self.fault_injector.end_all_faults()
         for daemon in self.fleet.daemons:
--- a/src/troutswitch/soak/tenant_checks.py
+++ b/src/troutswitch/soak/tenant_checks.py
@@ -32,10 +32,10 @@
 
 def unknown_keys_do_not_run(observations: Observations) -> list[Violation]:
     """ROUTE: a request with an unknown key never runs and is refused."""
-    begun = {entry.request_id for entry in observations.journal_entries if entry.kind == "begun"}
+    started = {entry.request_id for entry in observations.journal_entries if entry.kind == "begun"}
     found: list[Violation] = []
     for exchange in observations.unknown_key_exchanges:
-        if exchange.request_id in begun:
+        if exchange.request_id in started:
             found.append(Violation("ROUTE", exchange.request_id, "ran with an unknown key"))
         if exchange.status and exchange.status not in REFUSED_STATUSES:
             what = f"answered {exchange.status} to an unknown key"
--- a/src/troutswitch/soak/violations.py
+++ b/src/troutswitch/soak/violations.py
@@ -22,4 +22,4 @@
 
 
 Check = Callable[[Observations], list[Violation]]
-"""Returns the violations of one promise that the observations show."""
+"""A function that returns the violations which it finds in the observations."""
--- a/tests/soak/test_schedule.py
+++ b/tests/soak/test_schedule.py
@@ -47,7 +47,7 @@
 def test_separately_drawn_actions_do_not_change_the_others_of_a_seed(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    whole = draw_schedule(7, SECONDS).actions
+    all_actions = draw_schedule(7, SECONDS).actions
     monkeypatch.setattr(schedule, "SEPARATE_ACTION_SHARE", 0.0)
-    rest = draw_schedule(7, SECONDS).actions
-    assert rest == tuple(s for s in whole if s.kind not in SEPARATELY_DRAWN_ACTIONS)
+    others = draw_schedule(7, SECONDS).actions
+    assert others == tuple(s for s in all_actions if s.kind not in SEPARATELY_DRAWN_ACTIONS)
