--- a/src/troutswitch/soak/crashing_requests.py
+++ b/src/troutswitch/soak/crashing_requests.py
@@ -5,7 +5,7 @@
 
 from troutswitch.soak.callers import DaemonEndpoint, connect, send_and_receive
 from troutswitch.soak.observations import Exchange, Observations, Outcome, RequestKind
-from troutswitch.standins.model_engine import ENDING_MARK
+from troutswitch.standins.model_engine import CRASHING_BODY_PREFIX
 
 CRASHING_REQUESTS = 2
 """Number of different crashing requests; few, so that later actions repeat the same ones."""
@@ -26,7 +26,7 @@
 
 def crashing_body(number: int) -> bytes:
     """Returns the body of a crashing request."""
-    return ENDING_MARK + str(number % CRASHING_REQUESTS).encode()
+    return CRASHING_BODY_PREFIX + str(number % CRASHING_REQUESTS).encode()
 
 
 class CrashingRequestCaller:
--- a/src/troutswitch/soak/fleet.py
+++ b/src/troutswitch/soak/fleet.py
@@ -107,7 +107,7 @@
         self.engines: list[Engine] = []
         self.daemons: list[Daemon] = []
         self._process_counts = (daemons, engines)
-        self.store_address = Address(HOST, self.ports.take())
+        self.store_address = Address(HOST, self.ports.reserve())
         self.operator = Operator(self.store_address)
 
     def start(self) -> None:
@@ -134,7 +134,7 @@
         self.group.kill_all()
         for link in self.links:
             link.close()
-        self.ports.give_back()
+        self.ports.release_all()
 
     def endpoints(self) -> list[DaemonEndpoint]:
         """Returns the endpoints at which the links accept callers."""
@@ -213,7 +213,7 @@
 
     def _add_engine(self, number: int) -> None:
         name = f"server-{number}"
-        address = Address(HOST, self.ports.take())
+        address = Address(HOST, self.ports.reserve())
         link = self._add_link(address, refuses_with_target=True)
         journal = self.folder / f"{name}.journal"
         journal.touch()
@@ -236,7 +236,7 @@
 
     def _add_daemon(self, number: int) -> None:
         name = f"daemon-{number}"
-        caller_port, readiness_port, peer_port, metrics_port = (self.ports.take() for _ in range(4))
+        caller_port, readiness_port, peer_port, metrics_port = (self.ports.reserve() for _ in range(4))
         store_link = self._add_link(self.store_address)
         settings = self.folder / f"{name}.toml"
         clock = self.folder / f"{name}.clock"
--- a/src/troutswitch/soak/processes.py
+++ b/src/troutswitch/soak/processes.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass, field
 from pathlib import Path
 
-from troutswitch.standins.model_engine import ENDED_CODE
+from troutswitch.standins.model_engine import CRASH_EXIT_CODE
 
 MAX_PROCESSES = 40
 """Maximum number of processes of a soak, the users' limit for one machine."""
@@ -36,7 +36,7 @@
     @property
     def crashed_under_request(self) -> bool:
         """Whether the process is an engine that a request has crashed."""
-        return self.code == ENDED_CODE
+        return self.code == CRASH_EXIT_CODE
 
     @property
     def is_unexpected(self) -> bool:
--- a/src/troutswitch/standins/__init__.py
+++ b/src/troutswitch/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins for the platform and the model engines, for tests and demonstrations."""
+"""Stand-ins for the platform and model engines, for tests and demonstrations."""
--- a/src/troutswitch/standins/content.py
+++ b/src/troutswitch/standins/content.py
@@ -1,15 +1,15 @@
-"""What a model-engine stand-in answers to a request: a function of its id and body alone.
+"""Content of a model-engine stand-in's answers: a function of the request's id and body alone.
 
-An observer computes the same, so it can tell a whole answer to the right request from any
-other bytes.
+A test computes the same content, so it can verify that an answer is complete and belongs to the
+request.
 """
 
 import hashlib
 
-EVENTS_LEAST = 3
-EVENTS_SPREAD = 10
-BODY_UNITS_MOST = 400
-"""Units of 64 bytes in a plain answer: up to 25 KB, more than one read of a socket."""
+MIN_EVENTS = 3
+EVENT_COUNT_CHOICES = 10
+MAX_BODY_UNITS = 400
+"""Maximum units of 64 bytes in a plain answer: up to 25 KB, which takes several socket reads."""
 
 
 def digest(data: bytes) -> str:
@@ -18,19 +18,19 @@
 
 
 def plain_answer(request_id: str, body: bytes) -> bytes:
-    """Returns the whole body of a plain answer."""
+    """Returns the complete body of a plain answer."""
     unit = hashlib.sha256(request_id.encode() + b"\n" + body).hexdigest()
-    return (unit * (1 + int(unit[:4], 16) % BODY_UNITS_MOST)).encode()
+    return (unit * (1 + int(unit[:4], 16) % MAX_BODY_UNITS)).encode()
 
 
 def event_texts(request_id: str) -> list[str]:
-    """Returns the data of all events of a stream, in order."""
+    """Returns the data fields of all events of a stream, in order."""
     drawn = hashlib.sha256(request_id.encode()).digest()
-    return [f"{request_id}-{n}" for n in range(1, EVENTS_LEAST + drawn[0] % EVENTS_SPREAD + 1)]
+    return [f"{request_id}-{n}" for n in range(1, MIN_EVENTS + drawn[0] % EVENT_COUNT_CHOICES + 1)]
 
 
 def event_bytes(request_id: str, after: int = 0) -> list[bytes]:
-    """Returns the events of a stream after an id, as they go over the wire."""
+    """Returns the encoded events of a stream whose ids are above `after`."""
     return [
         f"id: {number}\ndata: {text}\n\n".encode()
         for number, text in enumerate(event_texts(request_id), 1)
--- a/src/troutswitch/standins/keyed_store.py
+++ b/src/troutswitch/standins/keyed_store.py
@@ -1,8 +1,8 @@
 """Model of the platform's store: keyed partitions, fenced appends and groups.
 
-A pure model without clock or sockets: the simulation calls it on virtual time, and the
-stand-in process serves it over HTTP. Source: the users' page PROTOCOL, section on the
-platform's metadata store, and the answers recorded in docs/PLATFORM.md.
+The model has no clock and no sockets: simulations call it in virtual time, and the stand-in
+process serves it over HTTP. It follows the users' page PROTOCOL, section on the platform's
+metadata store, and the answers recorded in docs/PLATFORM.md.
 """
 
 from collections import deque
@@ -33,24 +33,26 @@
 
 PAGE_RECORDS = 500
 PAGE_BYTES = 1_000_000
-ANSWERS_KEPT = 5
-"""Last appends of a writer whose first answer is given again."""
+CACHED_ANSWERS = 5
+"""Number of a writer's latest appends whose answers are repeated if the append is repeated."""
 
 
 @dataclass(slots=True)
 class WriterState:
-    """What a partition knows of a writer."""
+    """A partition's state of one writer."""
 
     epoch: int = -1
     next_sequence: int | None = None
-    answers: deque[tuple[int, Appended]] = field(default_factory=lambda: deque(maxlen=ANSWERS_KEPT))
+    answers: deque[tuple[int, Appended]] = field(
+        default_factory=lambda: deque(maxlen=CACHED_ANSWERS)
+    )
 
 
 @dataclass(slots=True)
 class PartitionLog:
-    """One partition."""
+    """The records of one partition, and the newest record of each key."""
 
-    first: int = 0
+    first_offset: int = 0
     records: list[KeyedRecord] = field(default_factory=list)
     newest: dict[str, KeyedRecord] = field(default_factory=dict)
     writers: dict[str, WriterState] = field(default_factory=dict)
@@ -58,29 +60,29 @@
     @property
     def end(self) -> int:
         """Offset after the last record."""
-        return self.first + len(self.records)
+        return self.first_offset + len(self.records)
 
     def append(self, records: tuple[KeyedRecord, ...]) -> Appended:
-        """Adds records."""
+        """Appends records; an empty value deletes its key."""
         offset = self.end
         for record in records:
-            held = KeyedRecord(record.key, record.value, self.end)
-            self.records.append(held)
+            stored = KeyedRecord(record.key, record.value, self.end)
+            self.records.append(stored)
             if record.value:
-                self.newest[record.key] = held
+                self.newest[record.key] = stored
             else:
                 self.newest.pop(record.key, None)
         return Appended(offset, self.end)
 
     def drop_history(self) -> None:
-        """Drops all records, but not the newest of each key."""
-        self.first = self.end
+        """Drops the history; the newest record of each key stays."""
+        self.first_offset = self.end
         self.records = []
 
 
 @dataclass(slots=True)
 class Member:
-    """A member of a group."""
+    """A member of a group. `generation` is the newest assignment that it has acknowledged."""
 
     last_seen_at: float
     ttl: float
@@ -89,7 +91,11 @@
 
 @dataclass(slots=True)
 class Group:
-    """A group that deals partitions to its members."""
+    """A group that assigns partitions to its members.
+
+    `targets` is the newest assignment; `holders` names the current owners, which may still have to
+    hand over. `rotation` shifts the assignment.
+    """
 
     generation: int = 0
     members: dict[str, Member] = field(default_factory=dict)
@@ -99,7 +105,7 @@
 
 
 class KeyedStoreModel:
-    """All partitions and groups."""
+    """The whole store: all partitions and groups."""
 
     def __init__(self, partitions: int = 8) -> None:
         self.partitions = partitions
@@ -107,11 +113,11 @@
         self.groups: dict[str, Group] = {}
 
     def log(self, partition: Partition) -> PartitionLog:
-        """Returns a partition, which exists from its first use."""
+        """Returns the log of a partition and creates it on first use."""
         return self.logs.setdefault(partition, PartitionLog())
 
     def call(self, now: float, call: StoreCall) -> StoreOutcome:
-        """Carries a call out."""
+        """Executes a call at time `now`, in seconds."""
         match call:
             case ReadNewest():
                 return self._newest(call)
@@ -140,9 +146,9 @@
 
     def _read(self, call: ReadRecords) -> StoreOutcome:
         log = self.log(call.partition)
-        if call.offset < log.first:
-            return HistoryGone(log.first)
-        records = tuple(log.records[call.offset - log.first :])
+        if call.offset < log.first_offset:
+            return HistoryGone(log.first_offset)
+        records = tuple(log.records[call.offset - log.first_offset :])
         return RecordsRead(records, call.offset + len(records), log.end)
 
     def _append(self, call: AppendRecords) -> StoreOutcome:
@@ -188,43 +194,43 @@
         self._expire(now, group)
         if call.member not in group.members:
             group.members[call.member] = Member(now, call.ttl, call.generation)
-            self._deal(group)
+            self._assign_targets(group)
         member = group.members[call.member]
         member.last_seen_at = now
         member.generation = call.generation
         self._hand_over(group)
-        mine = tuple(
+        owned = tuple(
             Partition(topic, number)
             for topic in call.topics
             for number, holder in sorted(group.holders.items())
             if holder == call.member and group.targets.get(number) == call.member
         )
-        return GroupJoined(group.generation, mine)
+        return GroupJoined(group.generation, owned)
 
     def _leave(self, now: float, call: LeaveGroup) -> GroupLeft:
         group = self.groups.setdefault(call.group, Group())
         self._expire(now, group)
         if group.members.pop(call.member, None) is not None:
-            self._deal(group)
+            self._assign_targets(group)
             self._hand_over(group)
         return GroupLeft()
 
     def _expire(self, now: float, group: Group) -> None:
-        silent = [n for n, m in group.members.items() if now - m.last_seen_at > m.ttl]
-        for name in silent:
+        expired = [n for n, m in group.members.items() if now - m.last_seen_at > m.ttl]
+        for name in expired:
             del group.members[name]
-        if silent:
-            self._deal(group)
+        if expired:
+            self._assign_targets(group)
             self._hand_over(group)
 
     def reassign(self, name: str) -> None:
-        """Deals all partitions anew at once, unasked, whoever believes to hold them."""
+        """Reassigns all partitions immediately, without waiting for their owners to hand over."""
         group = self.groups.setdefault(name, Group())
         group.rotation += 1
-        self._deal(group)
+        self._assign_targets(group)
         group.holders = dict(group.targets)
 
-    def _deal(self, group: Group) -> None:
+    def _assign_targets(self, group: Group) -> None:
         group.generation += 1
         names = sorted(group.members)
         group.targets = {
@@ -235,7 +241,7 @@
 
     @staticmethod
     def _hand_over(group: Group) -> None:
-        """Passes a partition on once its holder knows the new deal, or is gone."""
+        """Moves each partition to its target once the owner knows the assignment or has left."""
         for number, target in group.targets.items():
             holder = group.holders.get(number)
             member = group.members.get(holder) if holder is not None else None
--- a/src/troutswitch/standins/loopback.py
+++ b/src/troutswitch/standins/loopback.py
@@ -1,20 +1,20 @@
-"""HTTP server of the stand-ins: threads, kept connections, no words on callers that left."""
+"""HTTP server of the stand-ins: threaded, with persistent connections, silent on broken ones."""
 
 from http.server import BaseHTTPRequestHandler, ThreadingHTTPServer
 
 
 class LoopbackServer(ThreadingHTTPServer):
-    """Says nothing of callers that went away."""
+    """Threaded HTTP server that does not report errors of connections."""
 
     daemon_threads = True
     request_queue_size = 128
 
     def handle_error(self, request: object, client_address: object) -> None:
-        """Leaves out the trace of a connection that its caller broke."""
+        """Suppresses the traceback of a connection that its caller broke."""
 
 
 class LoopbackHandler(BaseHTTPRequestHandler):
-    """Reads whole bodies and writes whole answers."""
+    """Request handler that reads complete bodies and writes complete answers."""
 
     protocol_version = "HTTP/1.1"
     disable_nagle_algorithm = True
@@ -23,19 +23,19 @@
         """Writes no access log."""
 
     def body(self) -> bytes:
-        """Reads the body that the request's length tells.
+        """Reads a body of the length given by `Content-Length`.
 
         Raises:
-            ConnectionError: the caller left in the middle of it, so there is no request.
+            ConnectionError: The caller disconnected before the end of the body.
         """
         length = int(self.headers.get("Content-Length") or 0)
         data = self.rfile.read(length)
         if len(data) < length:
-            raise ConnectionError(f"{len(data)} of {length} bytes of a body came")
+            raise ConnectionError(f"{len(data)} of {length} bytes of the body received")
         return data
 
     def reply(self, status: int, body: bytes, headers: dict[str, str] | None = None) -> None:
-        """Sends a whole answer."""
+        """Sends a complete answer."""
         self.send_response(status)
         for name, value in (headers or {}).items():
             self.send_header(name, value)
--- a/src/troutswitch/standins/model_engine.py
+++ b/src/troutswitch/standins/model_engine.py
@@ -1,7 +1,8 @@
-"""An engine of the users' protocol as a process: streams and plain answers, faults, a journal.
+"""A stand-in engine of the users' protocol, with injected faults and a journal.
 
-The journal is a file of JSON lines, one for each request that began or was rejected. A line is
-written before the work it tells of, so that it outlasts a kill of the process.
+The engine answers with streams and plain bodies. The journal is a file of JSON lines that record
+the start, rejection, failure and end of requests. The start of a request is written before its
+work, so that the line survives a kill of the process.
 """
 
 import json
@@ -19,21 +20,21 @@
 from troutswitch.standins.loopback import LoopbackHandler, LoopbackServer
 
 BEHAVIOUR_PATH = "/behaviour"
-ENDING_MARK = b"this request ends its server "
-"""Begins the body of a request under which the process ends once it has begun to run it."""
-ENDED_CODE = 86
-"""Exit code of a process that ended under a request."""
-PLAIN_SECONDS = 0.02
-"""Time of a plain answer: short beside the callers' deadlines, long enough to be struck."""
-SILENT_SECONDS = 4.0
-"""Time for which a silent engine holds its answer: less than the callers' deadline."""
-EVENT_SECONDS = 0.03
-"""Pause before each event: a stream takes 0.1 to 0.4 s, so that faults fall inside."""
+CRASHING_BODY_PREFIX = b"this request ends its server "
+"""Prefix of the body of a request that crashes the engine after it has begun to run."""
+CRASH_EXIT_CODE = 86
+"""Exit code of a process that a request has crashed."""
+PLAIN_ANSWER_SECONDS = 0.02
+"""Duration of a plain answer: far below callers' deadlines, but long enough to be hit by faults."""
+SILENCE_SECONDS = 4.0
+"""Delay of a silent engine's answer: less than callers' deadlines."""
+EVENT_INTERVAL_SECONDS = 0.03
+"""Pause before each event: a stream takes 0.1 to 0.4 s, long enough for faults to hit it."""
 
 
 @dataclass(slots=True)
 class Behaviour:
-    """Shares of requests that meet a fault, each from 0 to 1."""
+    """Shares of requests that are hit by each fault, from 0 to 1, and whether the engine drains."""
 
     reject: float = 0.0
     fail: float = 0.0
@@ -45,7 +46,7 @@
 
 
 class ModelEngine:
-    """Answers requests over HTTP and writes what it runs to its journal."""
+    """Answers requests over HTTP and records them in its journal."""
 
     def __init__(self, address: Address, engine_id: str, journal: Path, seed: int) -> None:
         self.engine_id = engine_id
@@ -58,19 +59,19 @@
         self.address = Address("127.0.0.1", self.server.server_address[1])
         threading.Thread(target=self.server.serve_forever, daemon=True).start()
 
-    def note(self, kind: str, request_id: str, **fields: Any) -> None:
-        """Writes a line of the journal."""
+    def write_journal(self, kind: str, request_id: str, **fields: Any) -> None:
+        """Appends a line to the journal."""
         row = {"kind": kind, "id": request_id, "at": time.monotonic(), "engine": self.engine_id}
         with self._lock:
             self._journal.write(json.dumps(row | fields) + "\n")
 
-    def end_under(self, request_id: str, path: str) -> None:
-        """Ends this process at once, as a request does that no engine can run."""
-        self.note("ended under", request_id, path=path)
-        os._exit(ENDED_CODE)
+    def crash_on(self, request_id: str, path: str) -> None:
+        """Exits the process immediately, as a request does that crashes its engine."""
+        self.write_journal("ended under", request_id, path=path)
+        os._exit(CRASH_EXIT_CODE)
 
-    def draws(self, share: float) -> bool:
-        """Draws whether a request meets a fault of some share."""
+    def draw(self, share: float) -> bool:
+        """Draws whether a request is hit by a fault that affects a share of requests."""
         with self._lock:
             return self.random.random() < share
 
@@ -79,11 +80,11 @@
     standin: ModelEngine
 
     def do_GET(self) -> None:
-        """Answers like any request."""
+        """Answers a request."""
         self._answer()
 
     def do_POST(self) -> None:
-        """Answers a request, or takes a new behaviour."""
+        """Answers a request, or sets the behaviour."""
         if self.path == BEHAVIOUR_PATH:
             self.standin.behaviour = Behaviour(**json.loads(self.body()))
             self.reply(200, b"{}")
@@ -99,12 +100,12 @@
             self.reply(421, b"", not_run)
             return
         behaviour = self.standin.behaviour
-        if behaviour.is_draining or self.standin.draws(behaviour.reject):
-            self.standin.note("rejected", request_id)
+        if behaviour.is_draining or self.standin.draw(behaviour.reject):
+            self.standin.write_journal("rejected", request_id)
             self.reply(503, b"", not_run)
             return
         resume_after = int(self.headers.get(names.LAST_EVENT_ID) or 0)
-        self.standin.note(
+        self.standin.write_journal(
             "begun",
             request_id,
             method=self.command,
@@ -118,35 +119,35 @@
         self._run(request_id, body, resume_after, behaviour)
 
     def _run(self, request_id: str, body: bytes, after: int, behaviour: Behaviour) -> None:
-        ends = body.startswith(ENDING_MARK)
-        if ends and "/stream" not in self.path:
-            self.standin.end_under(request_id, self.path)
-        draws = self.standin.draws
-        if draws(behaviour.silent):
-            time.sleep(SILENT_SECONDS)
-        if draws(behaviour.garbage):
+        crashes = body.startswith(CRASHING_BODY_PREFIX)
+        if crashes and "/stream" not in self.path:
+            self.standin.crash_on(request_id, self.path)
+        draw = self.standin.draw
+        if draw(behaviour.silent):
+            time.sleep(SILENCE_SECONDS)
+        if draw(behaviour.garbage):
             self.wfile.write(b"this is no answer\r\n\r\n")
             self.close_connection = True
             return
         signed = {names.REQUEST_ID: request_id, names.RESPONSE_STAMP: self._stamp(request_id)}
-        if draws(behaviour.fail):
-            self.standin.note("failed", request_id, status=500)
+        if draw(behaviour.fail):
+            self.standin.write_journal("failed", request_id, status=500)
             self.reply(500, b"failed", signed)
             return
-        is_broken = draws(behaviour.break_off)
+        is_broken = draw(behaviour.break_off)
         if "/stream" in self.path or "/item" in self.path:
-            self._stream(request_id, after, signed, is_broken, ends)
+            self._stream(request_id, after, signed, is_broken, crashes)
         else:
             self._plain(request_id, body, signed, is_broken)
-        if not is_broken and draws(behaviour.surplus):
+        if not is_broken and draw(behaviour.surplus):
             self.reply(200, b"surplus", signed)
-        self.standin.note("ended", request_id)
+        self.standin.write_journal("ended", request_id)
 
     def _stamp(self, request_id: str) -> str:
         return f"{self.standin.engine_id}.{request_id}"
 
     def _plain(self, request_id: str, body: bytes, signed: dict[str, str], is_broken: bool) -> None:
-        time.sleep(PLAIN_SECONDS)
+        time.sleep(PLAIN_ANSWER_SECONDS)
         answer = plain_answer(request_id, body)
         if not is_broken:
             self.reply(200, answer, signed)
@@ -160,7 +161,7 @@
         self.close_connection = True
 
     def _stream(
-        self, request_id: str, after: int, signed: dict[str, str], is_broken: bool, ends: bool
+        self, request_id: str, after: int, signed: dict[str, str], is_broken: bool, crashes: bool
     ) -> None:
         self.send_response(200)
         for name, value in signed.items():
@@ -170,9 +171,9 @@
         self.end_headers()
         events = event_bytes(request_id, after)
         for number, event in enumerate(events):
-            time.sleep(EVENT_SECONDS)
-            if ends and number == len(events) // 2:
-                self.standin.end_under(request_id, self.path)
+            time.sleep(EVENT_INTERVAL_SECONDS)
+            if crashes and number == len(events) // 2:
+                self.standin.crash_on(request_id, self.path)
             if is_broken and number == len(events) // 2:
                 half = event[: len(event) // 2]
                 self.wfile.write(f"{len(half):x}\r\n".encode() + half + b"\r\n")
--- a/src/troutswitch/standins/ports.py
+++ b/src/troutswitch/standins/ports.py
@@ -1,10 +1,10 @@
-"""Ports for processes that a test or soak starts, held until they are given back.
+"""Reserves ports for the processes of a test or soak.
 
-Ports are the kernel's choice. A holder is bound and doesn't listen, so the kernel gives its
-port to nobody who asks for any port or connects from one, and calls to it are refused. A
-server that sets `SO_REUSEADDR`, as those under test do, may listen there all the same. UDP
-has no such way: its port is one that was free when taken, and whose number is held for TCP,
-so no two holders take the same.
+The kernel chooses the ports. A reservation is a TCP socket that is bound but does not listen. The
+kernel therefore never picks its port for another bind to port 0 or an outgoing connection, and
+connections to it are refused. A server that sets `SO_REUSEADDR`, as the servers under test do, can
+still listen on it. UDP has no equivalent: the port was free for UDP when it was reserved, and the
+TCP reservation keeps other reservations from getting the same number.
 """
 
 import socket
@@ -13,34 +13,34 @@
 
 
 class Ports:
-    """Ports of one test or soak."""
+    """The reserved ports of one test or soak."""
 
     def __init__(self) -> None:
-        self._holders: list[socket.socket] = []
+        self._reservations: list[socket.socket] = []
 
-    def take(self) -> int:
-        """Returns a port that is free for TCP and UDP."""
+    def reserve(self) -> int:
+        """Reserves a port that is free for TCP and UDP, and returns it."""
         while True:
-            port = self._hold()
+            port = self._reserve_tcp()
             if is_free_for_udp(port):
                 return port
 
-    def give_back(self) -> None:
-        """Lets go of all ports."""
-        for holder in self._holders:
-            holder.close()
-        self._holders.clear()
+    def release_all(self) -> None:
+        """Releases all reserved ports."""
+        for reservation in self._reservations:
+            reservation.close()
+        self._reservations.clear()
 
-    def _hold(self) -> int:
-        holder = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
-        self._holders.append(holder)
-        holder.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-        holder.bind((HOST, 0))
-        return int(holder.getsockname()[1])
+    def _reserve_tcp(self) -> int:
+        reservation = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
+        self._reservations.append(reservation)
+        reservation.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+        reservation.bind((HOST, 0))
+        return int(reservation.getsockname()[1])
 
 
 def is_free_for_udp(port: int) -> bool:
-    """Tells whether nobody has the port for datagrams."""
+    """Whether no UDP socket is bound to the port."""
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as probe:
         try:
             probe.bind((HOST, port))
--- a/tests/gateway/test_process.py
+++ b/tests/gateway/test_process.py
@@ -46,7 +46,7 @@
         raise AssertionError("no free ports")
 
     def _start(self, store: StoreStandin, folder: Path) -> None:
-        first, self.metrics, self.front, self.ready = sorted(self.ports.take() for _ in range(4))
+        first, self.metrics, self.front, self.ready = sorted(self.ports.reserve() for _ in range(4))
         settings = folder / "node.toml"
         settings.write_text(
             f"""
@@ -76,7 +76,7 @@
         self.process.kill()
         self.process.wait()
         print(self.log.read_text())
-        self.ports.give_back()
+        self.ports.release_all()
 
     def call(
         self, method: str, path: str, body: bytes = b"", port: int = 0, **headers: str
--- a/tests/soak/test_checks.py
+++ b/tests/soak/test_checks.py
@@ -26,7 +26,7 @@
 )
 from troutswitch.soak.processes import ProcessExit
 from troutswitch.soak.schedule import ActionKind
-from troutswitch.standins.model_engine import ENDED_CODE
+from troutswitch.standins.model_engine import CRASH_EXIT_CODE
 
 
 def violated_promises(observations: Observations) -> set[str]:
@@ -408,7 +408,7 @@
 
 
 def test_the_exit_of_an_engine_that_a_request_crashed_is_not_unexpected() -> None:
-    assert not ProcessExit("server-0", 1, 10.0, ENDED_CODE, 0).is_unexpected
+    assert not ProcessExit("server-0", 1, 10.0, CRASH_EXIT_CODE, 0).is_unexpected
     assert ProcessExit("server-0", 1, 10.0, 1, 0).is_unexpected
 
 
--- a/tests/standalone/system/fleet.py
+++ b/tests/standalone/system/fleet.py
@@ -84,7 +84,7 @@
         self.platform = self.take_address()
 
     def take_address(self) -> Address:
-        return Address(HOST, self.ports.take())
+        return Address(HOST, self.ports.reserve())
 
     def log_lines(self) -> list[dict[str, Any]]:
         self.errors.seek(0)
@@ -184,4 +184,4 @@
         self.errors.seek(0)
         print(self.errors.read().decode(errors="replace"))
         self.errors.close()
-        self.ports.give_back()
+        self.ports.release_all()
