--- a/src/troutswitch/cli/__init__.py
+++ b/src/troutswitch/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The command line."""
+"""Command-line interface."""
--- a/src/troutswitch/cli/__main__.py
+++ b/src/troutswitch/cli/__main__.py
@@ -1,4 +1,4 @@
-"""Allows `python -m troutswitch.cli`."""
+"""Entry point of `python -m troutswitch.cli`."""
 
 from troutswitch.cli.main import main
 
--- a/src/troutswitch/cli/bound.py
+++ b/src/troutswitch/cli/bound.py
@@ -1,51 +1,52 @@
 """Command `bound`: how much more could have been served in time, from daemons' logs.
 
-It owns the output alone; `hindsight/` reads and counts.
+This module formats the output; `hindsight/` reads the logs and counts.
 """
 
 import click
 
 from troutswitch.cli.log_files import read_files
-from troutswitch.hindsight.bound import WINDOW_SECONDS, Share
-from troutswitch.hindsight.bound import bound as work_out
+from troutswitch.hindsight.bound import WINDOW_SECONDS, ServedCounts, compute_bound
 from troutswitch.hindsight.callers import RouteCallers, TryReader, count_callers
-from troutswitch.hindsight.day import DayReader
+from troutswitch.hindsight.workload import WorkloadReader
 
 
-def _row(name: str, share: Share) -> str:
-    return f"{name:14s} {share.total:7d} {share.reached:8d} {share.possible:9d} {share.gap:6d}"
+def _row(name: str, share: ServedCounts) -> str:
+    return f"{name:14s} {share.total:7d} {share.served:8d} {share.possible:9d} {share.gap:6d}"
 
 
 CALLERS_HEADING = (
     f"{'route':14s} {'callers':>8s} {'in aim':>7s} {'late':>6s} {'refused once':>13s}"
     f" {'twice':>6s} {'failed':>7s} {'left':>5s} {'not told':>9s} {'unserved, held':>15s}"
 )
-TRIES_ONLY = "* counts of tries: its callers set out with different times, so that a try that came"
-"""Why a route's callers are not counted; `_print_callers` completes the sentence."""
+TRIES_ONLY_NOTE = (
+    "* counts of tries: its callers set out with different times, so that a try that came"
+)
+"""Explains why a route's callers are not counted; `_print_callers` completes the sentence."""
 
 
-def _callers_row(found: RouteCallers) -> str:
-    name = found.route if found.knows_retries else f"{found.route} *"
-    callers = found.first_tries if found.knows_retries else found.tries
-    once = found.refused_once if found.knows_retries else found.refused
-    twice = str(found.refused_again) if found.knows_retries else "-"
+def _callers_row(counts: RouteCallers) -> str:
+    name = counts.route if counts.recognises_retries else f"{counts.route} *"
+    callers = counts.first_tries if counts.recognises_retries else counts.tries
+    once = counts.refused_once if counts.recognises_retries else counts.refused
+    twice = str(counts.refused_again) if counts.recognises_retries else "-"
     return (
-        f"{name:14s} {callers:8d} {found.in_time:7d} {found.late:6d} {once:13d}"
-        f" {twice:>6s} {found.failed:7d} {found.left:5d} {found.unknown:9d}"
-        f" {found.wasted_seconds:8.1f} s, {found.longest_wasted:.1f} s"
+        f"{name:14s} {callers:8d} {counts.in_time:7d} {counts.late:6d} {once:13d}"
+        f" {twice:>6s} {counts.failed:7d} {counts.disconnected:5d} {counts.unknown:9d}"
+        f" {counts.wasted_seconds:8.1f} s, {counts.max_wasted_seconds:.1f} s"
     )
 
 
 def _print_callers(reader: TryReader, counted: list[RouteCallers]) -> None:
     click.echo("since the first try; unserved tries with seconds held in all, and at most:")
     click.echo(CALLERS_HEADING)
-    for found in counted:
-        click.echo(_callers_row(found))
+    for counts in counted:
+        click.echo(_callers_row(counts))
     click.echo(
         "tries carry no mark of the caller: one that came back is known by the time it lacks"
     )
-    if not all(found.knows_retries for found in counted):
-        click.echo(f"{TRIES_ONLY} back is not known")
+    if not all(counts.recognises_retries for counts in counted):
+        click.echo(f"{TRIES_ONLY_NOTE} back is not known")
     click.echo(f"refused before a route was known: {reader.refused_before_route}")
 
 
@@ -53,21 +54,21 @@
 @click.option("--logs", "paths", multiple=True, required=True, help="Log file; may be repeated.")
 @click.option("--windows", is_flag=True, help=f"Online requests by {WINDOW_SECONDS:.0f} s, too.")
 def bound(paths: tuple[str, ...], windows: bool) -> None:
-    """Print what was in time and what could have been, from the logs of all daemons.
+    """Print what was served in time and what could have been, from the logs of all daemons.
 
-    The bound has hindsight and takes all slots as one pool: the gap is the most that better
-    decisions could win. docs/POLICY.md names the assumptions.
+    The bound uses hindsight and treats all slots as one pool: the gap is the maximum that better
+    decisions could gain. docs/POLICY.md lists the assumptions.
     """
     logs = read_files(paths)
-    reader = DayReader()
-    day = reader.read(logs.lines)
-    found = work_out(day, reader.free_first())
+    reader = WorkloadReader()
+    workload = reader.read(logs.lines)
+    counts = compute_bound(workload, reader.unqueued_first_event())
     click.echo(f"{'':14s} {'asked':>7s} {'in time':>8s} {'possible':>9s} {'gap':>6s}")
-    click.echo(_row("online", found.online))
-    click.echo(_row("batch items", found.batch))
+    click.echo(_row("online", counts.online))
+    click.echo(_row("batch items", counts.batch))
     if windows:
-        for start, share in found.windows:
+        for start, share in counts.windows:
             click.echo(_row(f"from {start:.0f} s", share))
     tries = TryReader()
     _print_callers(tries, count_callers(tries.read(logs.lines)))
-    click.echo(f"asked to come back: {day.deferred}; lines not read: {logs.bad_lines}")
+    click.echo(f"asked to come back: {workload.deferred}; lines not read: {logs.bad_lines}")
--- a/src/troutswitch/cli/ctl.py
+++ b/src/troutswitch/cli/ctl.py
@@ -1,4 +1,4 @@
-"""Command `ctl`: configuration, jobs and fleet status, over a daemon's operator interface."""
+"""Command `ctl`: configuration, jobs and fleet status through a daemon's operator interface."""
 
 import getpass
 import json
@@ -24,22 +24,22 @@
 from troutswitch.standalone.log_service.records import ConfigurationChange
 from troutswitch.standalone.runtime.http_client import HttpError, ThreadLocalConnections
 
-CALL_SECONDS = 40.0
+CALL_TIMEOUT_SECONDS = 40.0
 WAIT_POLL_SECONDS = 0.2
 
 
 class OperatorClient:
-    """Blocking calls to a daemon's operator interface."""
+    """Makes blocking calls to a daemon's operator interface."""
 
     def __init__(self, address: Address) -> None:
         self._address = address
-        self._pool = ThreadLocalConnections(CALL_SECONDS)
+        self._pool = ThreadLocalConnections(CALL_TIMEOUT_SECONDS)
 
     def call(self, method: str, path: str, body: object = None) -> Any:
         """Makes a call and returns the JSON answer.
 
         Raises:
-            click.ClickException: no answer, or a refusal.
+            click.ClickException: The daemon does not answer or refuses the call.
         """
         data = None if body is None else json.dumps(body).encode()
         try:
@@ -122,7 +122,7 @@
     """Plan, apply and read the configuration."""
 
 
-def _tree_of(answer: Any) -> ConfigurationTree:
+def _build_tree(answer: Any) -> ConfigurationTree:
     tree = ConfigurationTree()
     for path, key, value in answer["overrides"]:
         tree.apply(ConfigurationChange(path, key, value))
@@ -131,11 +131,11 @@
 
 def _plan(client: OperatorClient, directory: str) -> tuple[int, list[ConfigurationChange]]:
     try:
-        wanted = read_declarations(Path(directory))
+        declared = read_declarations(Path(directory))
     except DeclarationError as error:
         raise click.UsageError(str(error)) from error
     answer = client.call("GET", "/configuration")
-    return int(answer["version"]), changes_between(_tree_of(answer), wanted)
+    return int(answer["version"]), changes_between(_build_tree(answer), declared)
 
 
 def _show_changes(changes: list[ConfigurationChange]) -> None:
@@ -147,8 +147,8 @@
 
 
 def _show_effect(client: OperatorClient, changes: list[ConfigurationChange]) -> None:
-    """Shows, for each changed path, the value in force there before and after."""
-    before = _tree_of(client.call("GET", "/configuration"))
+    """Shows the effective value of each changed key before and after the change."""
+    before = _build_tree(client.call("GET", "/configuration"))
     after = before.copy()
     for change in changes:
         after.apply(change)
@@ -175,14 +175,14 @@
 
 @config.command()
 @click.argument("directory")
-@click.option("--message", default="", help="Why.")
-@click.option("--author", default=None, help="Who; the login name by default.")
-@click.option("--wait/--no-wait", default=True, help="Wait until it is in force everywhere.")
+@click.option("--message", default="", help="Reason for the change.")
+@click.option("--author", default=None, help="Author; the login name by default.")
+@click.option("--wait/--no-wait", default=True, help="Wait until it is in force on all daemons.")
 @click.pass_obj
 def apply(
     client: OperatorClient, directory: str, message: str, author: str | None, wait: bool
 ) -> None:
-    """Publish DIRECTORY's declarations; prints accepted or rejected with the reason."""
+    """Publish DIRECTORY's declarations and print whether they were accepted."""
     version, changes = _plan(client, directory)
     _show_changes(changes)
     if changes:
@@ -230,7 +230,11 @@
     message: str,
     wait: bool,
 ) -> None:
-    """Publishes changes and tells whether they were accepted."""
+    """Publishes changes and prints the version that they were accepted as.
+
+    Raises:
+        click.ClickException: The changes were rejected, or are not in force in time.
+    """
     body = {
         "publication_id": uuid.uuid4().hex,
         "author": author,
@@ -238,16 +242,16 @@
         "base_version": version,
         "changes": [msgspec.structs.asdict(change) for change in changes],
     }
-    verdict = client.call("POST", "/configuration", body)
-    if not verdict["accepted"]:
-        raise click.ClickException(f"rejected: {verdict['reason']}")
-    click.echo(f"accepted as version {verdict['version']}")
+    result = client.call("POST", "/configuration", body)
+    if not result["accepted"]:
+        raise click.ClickException(f"rejected: {result['reason']}")
+    click.echo(f"accepted as version {result['version']}")
     if wait:
         _wait_in_force(client)
 
 
 def _wait_in_force(client: OperatorClient) -> None:
-    """Waits until every live member reports the configuration offset of this daemon."""
+    """Waits until every live member has reached the configuration offset of this daemon."""
     target = int(client.call("GET", "/status")["configuration_offset"])
     deadline = steady_seconds() + 30.0
     while steady_seconds() < deadline:
@@ -285,10 +289,10 @@
 @config.command()
 @click.pass_obj
 def history(client: OperatorClient) -> None:
-    """Show who changed what."""
+    """Show all publications with their author, message and changes."""
     for line in client.call("GET", "/configuration/history")["publications"]:
-        when = time.strftime("%Y-%m-%d %H:%M:%S", time.gmtime(line["published_at"]))
-        click.echo(f"version {line['version']}  {when}  {line['author']}  {line['message']}")
+        published = time.strftime("%Y-%m-%d %H:%M:%S", time.gmtime(line["published_at"]))
+        click.echo(f"version {line['version']}  {published}  {line['author']}  {line['message']}")
         for path, key, value in line["changes"]:
             click.echo(f"    {path}: {key} = {json.dumps(value)}")
 
@@ -296,7 +300,7 @@
 @config.command()
 @click.pass_obj
 def status(client: OperatorClient) -> None:
-    """Show which daemon is at which configuration offset."""
+    """Show the configuration offset of each daemon."""
     answer = client.call("GET", "/status")
     click.echo(f"version {answer['configuration_version']} digest {answer['configuration_digest']}")
     for member in answer["members"]:
--- a/src/troutswitch/cli/demo.py
+++ b/src/troutswitch/cli/demo.py
@@ -1,4 +1,4 @@
-"""Command `demo`: the standalone product's platform, engines and daemons in one process."""
+"""Command `demo`: runs the standalone product's platform, engines and daemons in one process."""
 
 import json
 
@@ -12,10 +12,10 @@
 
 
 @click.command()
-@click.option("--seconds", default=6.0, show_default=True, help="Time that load is sent.")
+@click.option("--seconds", default=6.0, show_default=True, help="Duration of the load.")
 @click.option("--json", "as_json", is_flag=True)
 def demo(seconds: float, as_json: bool) -> None:
-    """Send a mixed load through a small fleet and print what came back."""
+    """Send a mixed load through a small fleet and print the results."""
     configure_logging("error", "demo")
     demonstration = Demonstration(DEMO_DAEMONS, DEMO_ENGINES)
     demonstration.start()
--- a/src/troutswitch/cli/explain.py
+++ b/src/troutswitch/cli/explain.py
@@ -1,7 +1,7 @@
 """Command `explain`: what happened to one request, item or job, from the logs of several daemons.
 
-It relies on the log events of the decisions by name: `ENDINGS` lists those that end a request, an
-item or a job.
+The command matches log events of `decisions` by name. `END_EVENTS` lists those that end a request,
+an item or a job.
 """
 
 import re
@@ -15,9 +15,9 @@
 ID_FIELDS = ("request_id", "job_id", "item_id")
 HIDDEN_FIELDS = frozenset({*ID_FIELDS, "event", "level", "timestamp", "daemon"})
 EXIT_NOT_FOUND = 1
-"""Exit code if no line names the id."""
+"""Exit code if no line contains the id."""
 
-ENDINGS = {
+END_EVENTS = {
     "request given up": "given up",
     "request refused": "refused",
     "request deferred": "asked to come back",
@@ -25,59 +25,63 @@
     "item dead-lettered": "dead-lettered",
     "job does not fit": "refused: too many tokens wait",
 }
-DECIDED_BY = ("status", "tenant", "decided_by", "retry_after_ms", "configuration_version")
-"""Fields of the last line that show what decided on a request."""
+DECISION_FIELDS = ("status", "tenant", "decided_by", "retry_after_ms", "configuration_version")
+"""Fields of the last end event that show why a request was refused or deferred."""
 
 
 @dataclass
-class Story:
-    """All lines that name an id, in order, and how many lines could not be read."""
+class Timeline:
+    """All lines that contain an id, in time order, and the number of unreadable lines."""
 
     lines: list[Line] = field(default_factory=list)
     bad_lines: int = 0
 
     def cause(self) -> str:
-        """Returns, as one line of text, where it ended and why."""
-        ends = [line for line in self.lines if line.event in ENDINGS]
-        if ends:
-            last = ends[-1]
+        """Returns one line of text that says where and why the request, item or job ended."""
+        end_lines = [line for line in self.lines if line.event in END_EVENTS]
+        if end_lines:
+            last = end_lines[-1]
             state = last.fields.get("state", "")
-            ending = f"{ENDINGS[last.event]} {state}".rstrip()
-            return f"{ending} at {last.daemon}: {_reason(ends)}".rstrip(": ")
+            ending = f"{END_EVENTS[last.event]} {state}".rstrip()
+            return f"{ending} at {last.daemon}: {_reason(end_lines)}".rstrip(": ")
         attempts = [line for line in self.lines if line.event == "attempt ended"]
         if attempts:
             last = attempts[-1]
-            waits = f"first {last.fields.get('first_ms')} ms, in all {last.fields.get('total_ms')}"
-            return f"{last.fields.get('kind')} at {last.daemon}, {waits} ms"
+            timings = (
+                f"first {last.fields.get('first_ms')} ms, in all {last.fields.get('total_ms')}"
+            )
+            return f"{last.fields.get('kind')} at {last.daemon}, {timings} ms"
         last = self.lines[-1]
         return f"no end was logged; the last line is {last.event!r} at {last.daemon}"
 
 
-def _reason(ends: list[Line]) -> str:
-    """Returns why it ended.
+def _reason(end_lines: list[Line]) -> str:
+    """Returns the newest logged reason, followed by the decision fields of the last line.
 
-    The reason may stand in an earlier line: a dead-lettered item is listed later, without one.
+    The reason may be in an earlier line: a dead-lettered item is listed later, without a reason.
     """
-    reasons = [str(line.fields["reason"]) for line in ends if line.fields.get("reason")]
+    reasons = [str(line.fields["reason"]) for line in end_lines if line.fields.get("reason")]
     decided = [
-        f"{name}={ends[-1].fields[name]}" for name in DECIDED_BY if ends[-1].fields.get(name)
+        f"{name}={end_lines[-1].fields[name]}"
+        for name in DECISION_FIELDS
+        if end_lines[-1].fields.get(name)
     ]
     facts = f" ({', '.join(decided)})" if decided else ""
     return f"{reasons[-1] if reasons else ''}{facts}"
 
 
-def read_story(identifier: str, logs: LogLines) -> Story:
-    """Picks the lines that name an id."""
-    named = [line for line in logs.lines if _names(line, identifier)]
-    return Story(named, logs.bad_lines)
+def read_timeline(identifier: str, logs: LogLines) -> Timeline:
+    """Selects the lines that contain an id."""
+    named = [line for line in logs.lines if _mentions(line, identifier)]
+    return Timeline(named, logs.bad_lines)
 
 
-def _names(line: Line, identifier: str) -> bool:
+def _mentions(line: Line, identifier: str) -> bool:
     return any(line.fields.get(name) == identifier for name in ID_FIELDS)
 
 
 def format_line(line: Line) -> str:
-    """Returns one line of a story as text."""
+    """Returns one line of a timeline as text."""
     facts = [f"{k}={v}" for k, v in line.fields.items() if k not in HIDDEN_FIELDS and v != ""]
     clock = re.sub(r"^.*T|Z$", "", line.time)
     return f"{clock}  {line.daemon}  {line.event}  {' '.join(facts)}".rstrip()
@@ -87,13 +91,13 @@
 @click.argument("identifier")
 @click.option("--logs", "paths", multiple=True, required=True, help="Log file; may be repeated.")
 def explain(identifier: str, paths: tuple[str, ...]) -> None:
-    """Print all that happened to one request, item or job, from daemons' logs."""
-    story = read_story(identifier, read_files(paths))
-    for line in story.lines:
+    """Print everything that daemons logged of one request, item or job."""
+    timeline = read_timeline(identifier, read_files(paths))
+    for line in timeline.lines:
         click.echo(format_line(line))
-    if story.bad_lines:
-        click.echo(f"({story.bad_lines} lines could not be read)")
-    if not story.lines:
+    if timeline.bad_lines:
+        click.echo(f"({timeline.bad_lines} lines could not be read)")
+    if not timeline.lines:
         click.echo(f"no line names {identifier}")
         raise click.exceptions.Exit(EXIT_NOT_FOUND)
-    click.echo(f"cause: {story.cause()}")
+    click.echo(f"cause: {timeline.cause()}")
--- a/src/troutswitch/cli/gateway.py
+++ b/src/troutswitch/cli/gateway.py
@@ -1,6 +1,7 @@
-"""Command `gateway`: one daemon on the users' platform.
+"""Command `gateway`: runs one daemon on the users' platform.
 
-Nothing heavy is imported before the signals are taken, so that none ends the process at its start.
+The slow imports are inside the command. `python -m troutswitch.gateway` ignores SIGHUP before them,
+so that a reload signal at startup does not end the process.
 """
 
 import os
@@ -11,12 +12,12 @@
 from troutswitch.gateway.settings import GatewaySettingsError
 
 SETTINGS_POLL_SECONDS = 1.0
-"""Interval between checks whether the settings file changed without a signal."""
+"""Interval at which the settings file is checked for changes, besides reload signals."""
 
 
 @click.command()
 def gateway() -> None:
-    """Run one daemon on the platform until SIGTERM, which stops it as planned."""
+    """Run one daemon on the platform until SIGTERM, which drains and stops it."""
     from troutswitch.gateway.logging import configure_line_logging
     from troutswitch.gateway.policies import POLICIES_VARIABLE, read_policies
     from troutswitch.gateway.process import GatewayProcess, Signals
--- a/src/troutswitch/cli/load.py
+++ b/src/troutswitch/cli/load.py
@@ -1,4 +1,4 @@
-"""Command `load`: streams at a daemon or an engine, with latencies measured by the caller."""
+"""Command `load`: sends streams to daemons or engines and measures the callers' latencies."""
 
 import json
 
@@ -15,12 +15,12 @@
     multiple=True,
     default=("127.0.0.1:8000",),
     show_default=True,
-    help="Callers' address; may be repeated, streams take them in turn.",
+    help="Callers' address; may be repeated, streams are spread over them in turn.",
 )
 @click.option("--model", required=True)
 @click.option("--streams", default=50, show_default=True, help="Concurrent streams.")
-@click.option("--tokens", default=64, show_default=True, help="Tokens an answer.")
-@click.option("--requests", default=1, show_default=True, help="Requests a stream, in turn.")
+@click.option("--tokens", default=64, show_default=True, help="Tokens per answer.")
+@click.option("--requests", default=1, show_default=True, help="Requests per stream, in turn.")
 @click.option("--spread", default=5.0, show_default=True, help="Seconds over which streams start.")
 @click.option("--direct", is_flag=True, help="The target is an engine, not a daemon.")
 @click.option("--json", "as_json", is_flag=True)
@@ -34,7 +34,7 @@
     direct: bool,
     as_json: bool,
 ) -> None:
-    """Run a bounded load and print what callers saw."""
+    """Run a bounded load and print the latencies and outcomes that callers saw."""
     addresses = tuple(parse_address(target) for target in targets)
     plan = LoadPlan(addresses, model, streams, tokens, requests, spread, direct)
     report = run_load(plan)
--- a/src/troutswitch/cli/log_files.py
+++ b/src/troutswitch/cli/log_files.py
@@ -1,4 +1,4 @@
-"""Reads the log files that a command names."""
+"""Reads the log files given to a command."""
 
 from pathlib import Path
 
@@ -8,10 +8,10 @@
 
 
 def read_files(paths: tuple[str, ...]) -> LogLines:
-    """Reads log files.
+    """Reads log files and merges their lines in time order.
 
     Raises:
-        click.UsageError: a file cannot be read.
+        click.UsageError: A file cannot be read.
     """
     texts: list[str] = []
     for path in paths:
--- a/src/troutswitch/cli/main.py
+++ b/src/troutswitch/cli/main.py
@@ -11,9 +11,9 @@
 from troutswitch.cli.explain import explain
 from troutswitch.cli.gateway import gateway
 from troutswitch.cli.load import load
+from troutswitch.cli.simulation import experiment, simulate
 from troutswitch.cli.soak import soak
 from troutswitch.cli.standin import standin
-from troutswitch.cli.world import experiment, simulate
 from troutswitch.standalone.command import daemon, settings
 
 
@@ -41,7 +41,10 @@
 
 
 def main() -> None:
-    """Runs the command line; bad usage gives one line on standard error and exit 2."""
+    """Runs the command line.
+
+    Any `ClickException`, bad usage included, prints one line to standard error and exits with 2.
+    """
     try:
         cli.main(standalone_mode=False)
     except click.exceptions.Abort:
--- a/src/troutswitch/cli/world.py
+++ b/src/troutswitch/cli/simulation.py
@@ -1,4 +1,4 @@
-"""Commands `simulate` and `experiment` of the standalone product, on a virtual clock."""
+"""Commands `simulate` and `experiment`: the standalone product on a virtual clock."""
 
 import sys
 from pathlib import Path
@@ -10,14 +10,14 @@
 from troutswitch.standalone.simulation.scenarios import SCENARIOS
 from troutswitch.standalone.simulation.world import SimulatedWorld, WorldOptions, parse_faults
 
-SECONDS_A_MINUTE = 60.0
+SECONDS_PER_MINUTE = 60.0
 
 
 @click.command()
 @click.option("--scenario", type=click.Choice(sorted(SCENARIOS)), default="quetzal")
 @click.option("--seed", default=1, show_default=True)
 @click.option("--minutes", default=10.0, show_default=True, help="Virtual minutes of load.")
-@click.option("--faults", default="all", show_default=True, help="none, all, or names.")
+@click.option("--faults", default="all", show_default=True, help="none, all, or names of faults.")
 @click.option("--json", "as_json", is_flag=True)
 def simulate(scenario: str, seed: int, minutes: float, faults: str, as_json: bool) -> None:
     """Run a simulated fleet on a virtual clock; exit 1 if a promise is broken."""
@@ -25,7 +25,7 @@
         names = parse_faults(faults)
     except ValueError as error:
         raise click.UsageError(f"--faults: {error}") from error
-    options = WorldOptions(SCENARIOS[scenario], seed, minutes * SECONDS_A_MINUTE, names)
+    options = WorldOptions(SCENARIOS[scenario], seed, minutes * SECONDS_PER_MINUTE, names)
     report = SimulatedWorld(options).run()
     if as_json:
         click.echo(report.to_json())
@@ -45,7 +45,7 @@
     scenario: str, seed: int, minutes: float, directory: str | None, as_json: bool
 ) -> None:
     """Compare policies on the same seed: batch throughput and harm to online requests."""
-    runs, ideal = run_experiment(SCENARIOS[scenario], seed, minutes * SECONDS_A_MINUTE)
+    runs, ideal = run_experiment(SCENARIOS[scenario], seed, minutes * SECONDS_PER_MINUTE)
     if directory is not None:
         title = f"{scenario}, seed {seed}, {minutes:g} virtual minutes"
         for path in write_report(Path(directory), title, runs, ideal):
--- a/src/troutswitch/cli/standin.py
+++ b/src/troutswitch/cli/standin.py
@@ -1,4 +1,4 @@
-"""Command `standin`: the platform and engines as processes, for tests and trials."""
+"""Command `standin`: runs the platform and engines as processes, for tests and trials."""
 
 import signal
 import threading
@@ -16,14 +16,18 @@
 from troutswitch.standalone.standins.platform import PlatformStandin
 from troutswitch.standins.model_engine import ModelEngine
 
-REGISTER_TRIES = 50
-"""Tries to register while the platform starts."""
-KV_TOKENS_A_SLOT = 5000
-REGISTER_SECONDS = 0.1
+MAX_REGISTER_ATTEMPTS = 50
+"""Maximum attempts to register while the platform starts."""
+KV_TOKENS_PER_SLOT = 5000
+REGISTER_RETRY_SECONDS = 0.1
 
 
 def parse_address(text: str) -> Address:
-    """Parses an address given as a flag."""
+    """Parses an address from the command line.
+
+    Raises:
+        click.UsageError: The address is malformed.
+    """
     try:
         return Address.parse(text)
     except ValueError as error:
@@ -31,7 +35,7 @@
 
 
 def wait_for_signal() -> None:
-    """Waits until the process is asked to end."""
+    """Waits for SIGTERM or SIGINT."""
     stop_requested = threading.Event()
     signal.signal(signal.SIGTERM, lambda number, frame: stop_requested.set())
     signal.signal(signal.SIGINT, lambda number, frame: stop_requested.set())
@@ -40,7 +44,7 @@
 
 @click.group()
 def standin() -> None:
-    """Run a stand-in for an outside system on loopback."""
+    """Run a stand-in for an external system on loopback."""
 
 
 @standin.command()
@@ -65,8 +69,8 @@
 def engine(
     address: str, name: str, zone: str, service: str, platform_address: str, slots: int
 ) -> None:
-    """Run one engine and put it on the machine list."""
-    shape = EngineShape(slots=slots, kv_tokens=slots * KV_TOKENS_A_SLOT)
+    """Run one engine and register it on the machine list."""
+    shape = EngineShape(slots=slots, kv_tokens=slots * KV_TOKENS_PER_SLOT)
     server = EngineStandin(parse_address(address), name, service, shape)
     server.start()
     machine = Machine(name, "engine", server.address, zone, service, server.incarnation)
@@ -89,9 +93,14 @@
 @click.option("--address", default="127.0.0.1:7100", show_default=True)
 @click.option("--id", "engine_id", required=True, help="Id of this incarnation of the engine.")
 @click.option("--journal", type=click.Path(path_type=Path), required=True)
-@click.option("--seed", default=0, show_default=True, help="Draws which requests meet a fault.")
+@click.option(
+    "--seed",
+    default=0,
+    show_default=True,
+    help="Seed of the random faults.",
+)
 def server(address: str, engine_id: str, journal: Path, seed: int) -> None:
-    """Run an engine of the users' protocol that writes what it runs to a journal."""
+    """Run an engine of the users' protocol that records its requests in a journal."""
     model_engine = ModelEngine(parse_address(address), engine_id, journal, seed)
     click.echo(f"engine {engine_id} on {model_engine.address}", err=True)
     wait_for_signal()
@@ -103,16 +112,20 @@
 @click.option("--peers-address", required=True)
 @click.option("--platform", "platform_address", default="127.0.0.1:7000", show_default=True)
 def announce(name: str, zone: str, peers_address: str, platform_address: str) -> None:
-    """Put a daemon on the stand-in's machine list, as the platform does in production."""
+    """Register a daemon on the stand-in's machine list, as the platform does in production."""
     machine = Machine(name, "daemon", parse_address(peers_address), zone)
     register(parse_address(platform_address), machine)
 
 
 def register(platform_address: Address, machine: Machine) -> None:
-    """Puts a machine on the list, waiting for the platform to come up."""
+    """Registers a machine, retrying while the platform starts.
+
+    Raises:
+        click.ClickException: The platform does not answer.
+    """
     client = MachineListClient(platform_address)
-    for _ in range(REGISTER_TRIES):
+    for _ in range(MAX_REGISTER_ATTEMPTS):
         if client.register(machine):
             return
-        time.sleep(REGISTER_SECONDS)
+        time.sleep(REGISTER_RETRY_SECONDS)
     raise click.ClickException(f"the platform at {platform_address} does not answer")
--- a/src/troutswitch/hindsight/__init__.py
+++ b/src/troutswitch/hindsight/__init__.py
@@ -1,1 +1,1 @@
-"""Evaluations of daemons' logs: what callers saw, and what decisions could have reached at best."""
+"""Evaluation of daemons' logs: what callers got, and an upper bound on what was possible."""
--- a/src/troutswitch/hindsight/log_lines.py
+++ b/src/troutswitch/hindsight/log_lines.py
@@ -1,6 +1,6 @@
-"""Reads log lines of daemons: JSON objects, with any prefix before the first brace.
+"""Parses daemons' log lines: JSON objects, with any prefix before the first brace.
 
-It owns the order of the lines of several daemons, which is that of their times.
+Lines of several daemons are merged in time order.
 """
 
 import json
@@ -14,7 +14,8 @@
 class Line:
     """One log line.
 
-    `time` is as written, in ISO 8601; `order` is the line's place among those of equal times.
+    `time` is the logged text, in ISO 8601. `order` is the index of the line in the input, which
+    orders lines of equal time.
     """
 
     time: str
@@ -28,21 +29,21 @@
         """The line's time in seconds since the epoch.
 
         Raises:
-            ValueError: it has no time that can be read.
+            ValueError: The time is missing or malformed.
         """
         return datetime.fromisoformat(self.time).timestamp()
 
 
 @dataclass
 class LogLines:
-    """Lines in the order of time, and the count of those that could not be read."""
+    """Lines in time order, and the number of lines that could not be parsed."""
 
     lines: list[Line] = field(default_factory=list)
     bad_lines: int = 0
 
 
 def read_lines(texts: Iterable[str]) -> LogLines:
-    """Reads lines; those without a JSON object are counted as bad, empty ones are left out."""
+    """Parses lines; those without a JSON object count as bad, and empty ones are ignored."""
     result = LogLines()
     for order, text in enumerate(texts):
         start = text.find("{")
@@ -62,5 +63,5 @@
 
 
 def _sortable(time: str) -> str:
-    """Returns a time that sorts as text; a whole second is written without its fraction."""
+    """Returns a time that sorts as text, as whole seconds are logged without a fraction."""
     return time if "." in time else time.replace("Z", ".000000Z")
--- a/tests/cli/test_commands.py
+++ b/tests/cli/test_commands.py
@@ -1,6 +1,7 @@
-"""Each command can be called with the options and arguments that it declares.
+"""The callback of each command accepts the options and arguments that the command declares.
 
-A rename of a function's parameter alone left three commands failing on every call.
+Guards against renaming a callback's parameter but not its option, which made three commands fail on
+every call.
 """
 
 import inspect
@@ -23,7 +24,7 @@
 
 
 @pytest.mark.parametrize("name", sorted(COMMANDS))
-def test_a_command_takes_what_it_declares(name: str) -> None:
+def test_callback_accepts_declared_parameters(name: str) -> None:
     command = COMMANDS[name]
     assert command.callback is not None
     declared = {str(parameter.name): None for parameter in command.params}
--- a/tests/cli/test_explain.py
+++ b/tests/cli/test_explain.py
@@ -1,9 +1,11 @@
+"""Command `explain`: order of the lines, cause and exit codes."""
+
 import json
 from pathlib import Path
 
 from click.testing import CliRunner
 
-from troutswitch.cli.explain import explain, read_story
+from troutswitch.cli.explain import explain, read_timeline
 from troutswitch.hindsight.log_lines import read_lines
 
 
@@ -11,7 +13,7 @@
     return json.dumps({"timestamp": time, "daemon": daemon, "event": event, **fields})
 
 
-STORY = [
+LINES = [
     line("T2", "b", "attempt ended", request_id="x", kind="cut", first_ms=9, total_ms=30),
     line("T1", "a", "request sent", request_id="x", engine="s1"),
     "not a line of ours",
@@ -21,41 +23,41 @@
 ]
 
 
-def test_lines_of_several_daemons_are_put_in_order() -> None:
-    story = read_story("x", read_lines(STORY))
-    assert [held.event for held in story.lines] == [
+def test_lines_of_several_daemons_are_sorted_by_time() -> None:
+    timeline = read_timeline("x", read_lines(LINES))
+    assert [entry.event for entry in timeline.lines] == [
         "request sent",
         "attempt ended",
         "request given up",
     ]
-    assert story.bad_lines == 2
-    assert story.cause() == "given up at b: deadline reached"
+    assert timeline.bad_lines == 2
+    assert timeline.cause() == "given up at b: deadline reached"
 
 
-def test_the_command_tells_the_story(tmp_path: Path) -> None:
-    for number, rows in enumerate((STORY[:2], STORY[2:])):
+def test_command_prints_cause_and_sets_exit_code(tmp_path: Path) -> None:
+    for number, rows in enumerate((LINES[:2], LINES[2:])):
         (tmp_path / f"{number}.log").write_text("\n".join(rows))
     paths = [f"--logs={tmp_path / name}" for name in ("0.log", "1.log")]
-    told = CliRunner().invoke(explain, ["x", *paths])
-    assert told.exit_code == 0
-    assert told.output.splitlines()[-1] == "cause: given up at b: deadline reached"
+    result = CliRunner().invoke(explain, ["x", *paths])
+    assert result.exit_code == 0
+    assert result.output.splitlines()[-1] == "cause: given up at b: deadline reached"
     assert CliRunner().invoke(explain, ["y", *paths]).exit_code == 1
     assert CliRunner().invoke(explain, ["x", "--logs=/none"]).exit_code == 2
 
 
-def test_an_item_that_was_given_up_says_why_although_it_was_listed_later() -> None:
-    """What an operator saw: an item given up after a 422 ended with "listed at", and no reason."""
+def test_cause_of_dead_lettered_item_includes_reason_when_listed_later() -> None:
+    """The cause of an item given up after a 422 was only "listed at", without the reason."""
     rows = [
         line("T1", "a", "item dead-lettered", item_id="i", reason="status 422"),
         line("T2", "a", "item listed", item_id="i", state="dead", position=0),
     ]
-    assert read_story("i", read_lines(rows)).cause() == "listed dead at a: status 422"
+    assert read_timeline("i", read_lines(rows)).cause() == "listed dead at a: status 422"
 
 
-def test_a_refusal_says_what_decided_it() -> None:
+def test_cause_of_refusal_includes_decision_fields() -> None:
     fields = {"reason": "above the tenant's quota", "status": 429, "tenant": "t", "decided_by": "b"}
     rows = [line("T1", "a", "request refused", request_id="x", configuration_version=7, **fields)]
-    assert read_story("x", read_lines(rows)).cause() == (
+    assert read_timeline("x", read_lines(rows)).cause() == (
         "refused at a: above the tenant's quota "
         "(status=429, tenant=t, decided_by=b, configuration_version=7)"
     )
--- a/tests/hindsight/test_bound.py
+++ b/tests/hindsight/test_bound.py
@@ -1,4 +1,4 @@
-"""The bound on small logs whose best is known."""
+"""The bound on small logs for which the best possible result is known."""
 
 import json
 from datetime import UTC, datetime, timedelta
@@ -9,9 +9,9 @@
 from hypothesis import strategies as st
 
 from troutswitch.cli.bound import bound as command
-from troutswitch.hindsight.bound import Bound, bound
-from troutswitch.hindsight.day import BatchItem, Day, DayReader, OnlineRequest
+from troutswitch.hindsight.bound import Bound, compute_bound
 from troutswitch.hindsight.log_lines import read_lines
+from troutswitch.hindsight.workload import BatchItem, OnlineRequest, Workload, WorkloadReader
 
 BEGIN = datetime(2026, 1, 1, tzinfo=UTC)
 DETERMINISTIC = settings(derandomize=True, deadline=None, max_examples=100)
@@ -39,93 +39,93 @@
     ]
 
 
-def work_out(*rows: str) -> Bound:
-    reader = DayReader()
-    day = reader.read(read_lines(rows).lines)
-    return bound(day, reader.free_first())
+def compute(*rows: str) -> Bound:
+    reader = WorkloadReader()
+    workload = reader.read(read_lines(rows).lines)
+    return compute_bound(workload, reader.unqueued_first_event())
 
 
-def test_what_waited_without_need_is_a_gap() -> None:
+def test_request_that_waited_while_slots_were_free_is_a_gap() -> None:
     rows = [line(0, "engines changed", slots=2)]
     rows += online(1, 1.0, 100, 1000) + online(2, 1.0, 100, 1000)
-    rows += online(3, 2.5, 800, 1700)  # both slots were free again
-    found = work_out(*rows)
-    assert (found.online.total, found.online.reached, found.online.possible) == (3, 2, 3)
+    rows += online(3, 2.5, 800, 1700)  # both slots are free again
+    found = compute(*rows)
+    assert (found.online.total, found.online.served, found.online.possible) == (3, 2, 3)
     assert found.online.gap == 1
 
 
-def test_what_no_slot_was_free_for_is_no_gap() -> None:
+def test_request_without_a_free_slot_is_no_gap() -> None:
     rows = [line(0, "engines changed", slots=1)]
     rows += online(1, 1.0, 100, 1000)
     rows += online(2, 1.1, 1000, 1900)
-    found = work_out(*rows)
-    assert (found.online.reached, found.online.possible) == (1, 1)
+    found = compute(*rows)
+    assert (found.online.served, found.online.possible) == (1, 1)
 
 
-def test_one_that_cannot_be_in_aim_takes_no_room_from_the_next() -> None:
+def test_request_that_cannot_meet_its_objective_takes_no_slot() -> None:
     rows = [line(0, "engines changed", slots=1)]
     rows += online(1, 1.0, 100, 1000) + online(2, 1.1, 1000, 1900) + online(3, 1.95, 1100, 2000)
-    assert work_out(*rows).online.possible == 2
+    assert compute(*rows).online.possible == 2
 
 
-def test_an_engine_that_left_gives_no_more_slots() -> None:
+def test_slots_of_removed_engine_do_not_count() -> None:
     rows = [line(0, "engines changed", slots=2), line(3, "engines changed", slots=0)]
     rows += online(1, 1.0, 100, 1000) + online(2, 4.0, 100, 1000)
-    assert work_out(*rows).online.possible == 1
+    assert compute(*rows).online.possible == 1
 
 
-def test_an_answer_without_events_is_left_out() -> None:
+def test_answer_without_events_is_left_out() -> None:
     rows = [line(0, "engines changed", slots=2)]
     rows += online(1, 1.0, 3, 3) + online(2, 2.0, 100, 1000)
     rows[2] = rows[2].replace('"position": "31"', '"position": ""')
-    assert work_out(*rows).online.total == 1
+    assert compute(*rows).online.total == 1
 
 
-def test_a_deferral_counts_where_it_came_back() -> None:
+def test_deferred_request_counts_at_its_retry() -> None:
     rows = [line(0, "engines changed", slots=2), line(1, "request deferred", request_id="x")]
     rows += online(1, 2.0, 100, 1000)
-    assert work_out(*rows).online.total == 1
+    assert compute(*rows).online.total == 1
 
 
 def batch(items: int, done: int, due_ms: int, run_ms: int) -> list[str]:
     rows = [line(0, "engines changed", slots=1)]
     rows.append(line(1, "job submission ended", job_id="j", items=items, status=202, due_ms=due_ms))
     for number in range(items):
-        held = {"job_id": "j", "item_id": f"i{number}"}
-        rows.append(line(2, "item sent", **held))
-        rows.append(line(2 + run_ms / 1000, "item run ended", **held))
+        ids = {"job_id": "j", "item_id": f"i{number}"}
+        rows.append(line(2, "item sent", **ids))
+        rows.append(line(2 + run_ms / 1000, "item run ended", **ids))
         if number < done:
-            rows.append(line(2 + run_ms / 1000, "item listed", **held))
+            rows.append(line(2 + run_ms / 1000, "item listed", **ids))
     return rows
 
 
-def test_items_for_which_there_was_room_are_a_gap() -> None:
-    found = work_out(*batch(items=5, done=2, due_ms=9000, run_ms=2000))
-    assert (found.batch.total, found.batch.reached, found.batch.possible) == (5, 2, 4)
+def test_unfinished_items_with_free_slots_are_a_gap() -> None:
+    found = compute(*batch(items=5, done=2, due_ms=9000, run_ms=2000))
+    assert (found.batch.total, found.batch.served, found.batch.possible) == (5, 2, 4)
 
 
-def test_online_requests_take_room_from_items() -> None:
+def test_online_requests_reduce_slots_of_items() -> None:
     rows = batch(items=4, done=1, due_ms=8000, run_ms=2000)
     for number in range(4):
         rows += online(number, 1.0 + number, 100, 1000)
-    assert work_out(*rows).batch.possible == 2
+    assert compute(*rows).batch.possible == 2
 
 
-def test_an_item_that_never_ran_needs_what_others_did() -> None:
+def test_item_that_never_ran_needs_mean_work_of_others() -> None:
     rows = batch(items=2, done=2, due_ms=9000, run_ms=4000)
     rows[1] = rows[1].replace('"items": 2', '"items": 5')
-    found = work_out(*rows)
+    found = compute(*rows)
     assert (found.batch.total, found.batch.possible) == (5, 2)
 
 
-def test_a_job_of_which_nothing_started_counts() -> None:
+def test_items_of_job_that_never_started_count() -> None:
     rows = [line(0, "engines changed", slots=1)]
     rows.append(line(1, "job submission ended", job_id="j", items=3, status=202, due_ms=1000))
-    assert work_out(*rows).batch.total == 3
+    assert compute(*rows).batch.total == 3
 
 
-def test_an_empty_log_has_no_bound() -> None:
-    found = work_out()
+def test_empty_log_gives_zero_bound() -> None:
+    found = compute()
     assert (found.online.total, found.batch.possible, found.windows) == (0, 0, [])
 
 
@@ -135,27 +135,27 @@
     st.lists(st.tuples(st.floats(0, 4), st.floats(0.5, 6), st.floats(0.1, 3)), max_size=10),
     st.integers(0, 6),
 )
-def test_more_slots_never_make_the_bound_smaller(
+def test_more_slots_never_reduce_the_bound(
     requests: list[tuple[float, float]], items: list[tuple[float, float, float]], slots: int
 ) -> None:
     def found(count: int) -> Bound:
-        day = Day(
+        workload = Workload(
             [OnlineRequest(at, 0.3, slot_seconds=1.0) for at, _ in requests],
             [BatchItem(at, at + due, work) for at, due, work in items],
             [(0.0, count)],
         )
-        return bound(day, 0.1)
+        return compute_bound(workload, 0.1)
 
     fewer, more = found(slots), found(slots + 1)
     assert fewer.online.possible <= more.online.possible <= len(requests)
     assert more.batch.possible <= len(items)
 
 
-def test_the_command_tells_the_gaps(tmp_path: Path) -> None:
+def test_command_prints_gaps(tmp_path: Path) -> None:
     log = tmp_path / "day.log"
     log.write_text("\n".join(batch(items=5, done=2, due_ms=9000, run_ms=2000)) + "\nnoise\n")
-    told = CliRunner().invoke(command, [f"--logs={log}", "--windows"])
-    assert told.exit_code == 0, told.output
-    assert told.output.splitlines()[2].split() == ["batch", "items", "5", "2", "4", "2"]
-    assert told.output.splitlines()[-1].endswith("lines not read: 1")
+    result = CliRunner().invoke(command, [f"--logs={log}", "--windows"])
+    assert result.exit_code == 0, result.output
+    assert result.output.splitlines()[2].split() == ["batch", "items", "5", "2", "4", "2"]
+    assert result.output.splitlines()[-1].endswith("lines not read: 1")
     assert CliRunner().invoke(command, ["--logs=/none"]).exit_code == 2
--- a/tests/hindsight/test_callers.py
+++ b/tests/hindsight/test_callers.py
@@ -1,4 +1,4 @@
-"""Callers counted from their first try, on small logs whose counts are known."""
+"""Counts of callers from their first try, on small logs whose counts are known."""
 
 from pathlib import Path
 
@@ -9,11 +9,11 @@
 from troutswitch.hindsight.callers import RouteCallers, TryReader, count_callers
 from troutswitch.hindsight.log_lines import read_lines
 
-GIVEN_MS = 5000
+CLIENT_TIMEOUT_MS = 5000
 
 
 def sent(
-    name: str, client_timeout_ms: int = GIVEN_MS, elapsed_ms: int = 0, attempt: int = 1
+    name: str, client_timeout_ms: int = CLIENT_TIMEOUT_MS, elapsed_ms: int = 0, attempt: int = 1
 ) -> str:
     return line(
         1.0,
@@ -40,10 +40,12 @@
     )
 
 
-def closed(name: str, event: str, client_timeout_ms: int = GIVEN_MS, **fields: str | int) -> str:
-    held: dict[str, object] = {"route": "r", "objective_ms": 300, "elapsed_ms": 20}
-    held |= {"request_id": name, "client_timeout_ms": client_timeout_ms, **fields}
-    return line(2.0, event, "d", **held)
+def closed(
+    name: str, event: str, client_timeout_ms: int = CLIENT_TIMEOUT_MS, **fields: str | int
+) -> str:
+    row: dict[str, object] = {"route": "r", "objective_ms": 300, "elapsed_ms": 20}
+    row |= {"request_id": name, "client_timeout_ms": client_timeout_ms, **fields}
+    return line(2.0, event, "d", **row)
 
 
 def count(*rows: str) -> RouteCallers:
@@ -51,7 +53,7 @@
     return found
 
 
-def test_an_answer_in_aim_counts_from_arrival_over_all_attempts() -> None:
+def test_time_to_answer_counts_from_arrival_over_all_attempts() -> None:
     found = count(sent("a"), ended("a", 250), sent("b", elapsed_ms=100), ended("b", 250))
     assert (found.first_tries, found.in_time, found.late) == (2, 1, 1)
     again = [sent("a"), ended("a", 3_600_000, kind="refused")]
@@ -59,14 +61,14 @@
     assert (count(*again).in_time, count(*again).late) == (0, 1)
 
 
-def test_a_success_after_a_refusal_is_late_by_the_time_since_the_first_try() -> None:
+def test_answer_after_refusal_is_timed_from_first_try() -> None:
     rows = [closed("a", "request deferred"), sent("b", client_timeout_ms=4000), ended("b", 100)]
     found = count(*rows, sent("c"), ended("c", 100))
     assert (found.tries, found.first_tries) == (3, 2)
     assert (found.in_time, found.late, found.refused_once, found.refused_again) == (1, 1, 0, 0)
 
 
-def test_refused_once_and_twice_knows_retries_by_the_time_left() -> None:
+def test_retry_is_recognised_by_shorter_timeout() -> None:
     rows = [closed("a", "request deferred"), closed("b", "request deferred"), sent("c"), sent("d")]
     rows += [
         closed("e", "request given up", client_timeout_ms=3800, outcome="NotRun", reason="full")
@@ -75,42 +77,42 @@
     assert (found.refused_once, found.refused_again, found.unknown) == (1, 1, 2)
 
 
-def test_what_was_held_and_not_served_tells_its_seconds() -> None:
+def test_durations_of_unanswered_tries_are_wasted_seconds() -> None:
     rows = [closed("a", "request given up", outcome="Cut", reason="deadline", elapsed_ms=4900)]
     rows += [closed("b", "request given up", outcome="NotRun", reason="full", elapsed_ms=100)]
     found = count(*rows)
     assert (found.failed, found.refused_first) == (1, 1)
-    assert (found.wasted_seconds, found.longest_wasted) == (5.0, 4.9)
+    assert (found.wasted_seconds, found.max_wasted_seconds) == (5.0, 4.9)
 
 
-def test_a_caller_that_left_is_neither_refused_nor_failed() -> None:
+def test_disconnected_caller_is_neither_refused_nor_failed() -> None:
     gone = closed("a", "request given up", outcome="NotRun", reason="caller went away")
     found = count(gone)
-    assert (found.left, found.refused_first, found.failed) == (1, 0, 0)
+    assert (found.disconnected, found.refused_first, found.failed) == (1, 0, 0)
 
 
-def test_an_answer_that_stops_midway_is_not_answered() -> None:
+def test_interrupted_answer_counts_as_failed() -> None:
     cut = [sent("a"), ended("a", 100, kind="cut")]
     cut += [closed("a", "request given up", outcome="Cut", reason="reset")]
     found = count(*cut)
     assert (found.answered, found.failed) == (0, 1)
 
 
-def test_callers_that_set_out_with_different_times_are_not_told_apart() -> None:
+def test_retries_are_not_recognised_if_timeouts_differ() -> None:
     rows = [row for n in range(9) for row in (sent(f"{n}", 1000 + 500 * n), ended(f"{n}", 100))]
     found = count(*rows, closed("x", "request deferred", 1200))
-    assert not found.knows_retries
+    assert not found.recognises_retries
     assert (found.in_time, found.late, found.refused) == (9, 0, 1)
 
 
-def test_the_command_says_what_it_can_tell(tmp_path: Path) -> None:
+def test_command_notes_routes_without_recognised_retries(tmp_path: Path) -> None:
     log = tmp_path / "day.log"
     rows = [sent("a"), ended("a", 250), line(1, "request refused", request_id="z", status=503)]
     log.write_text("\n".join(rows))
-    told = CliRunner().invoke(command, [f"--logs={log}"]).output
-    assert "r                     1       1      0" in told
-    assert "refused before a route was known: 1" in told
-    assert "tries carry no mark of the caller" in told
-    assert "counts of tries" not in told
+    result = CliRunner().invoke(command, [f"--logs={log}"]).output
+    assert "r                     1       1      0" in result
+    assert "refused before a route was known: 1" in result
+    assert "tries carry no mark of the caller" in result
+    assert "counts of tries" not in result
     log.write_text("\n".join([*rows, sent("b", 100), ended("b", 3)]))
     assert "counts of tries" in CliRunner().invoke(command, [f"--logs={log}"]).output
