--- a/src/troutswitch/cli/bound.py
+++ b/src/troutswitch/cli/bound.py
@@ -11,8 +11,8 @@
 from troutswitch.hindsight.workload import WorkloadReader
 
 
-def _row(name: str, share: ServedCounts) -> str:
-    return f"{name:14s} {share.total:7d} {share.served:8d} {share.possible:9d} {share.gap:6d}"
+def _row(name: str, counts: ServedCounts) -> str:
+    return f"{name:14s} {counts.total:7d} {counts.served:8d} {counts.possible:9d} {counts.gap:6d}"
 
 
 CALLERS_HEADING = (
@@ -62,13 +62,13 @@
     logs = read_files(paths)
     reader = WorkloadReader()
     workload = reader.read(logs.lines)
-    counts = compute_bound(workload, reader.unqueued_first_event())
+    result = compute_bound(workload, reader.unqueued_first_event())
     click.echo(f"{'':14s} {'asked':>7s} {'in time':>8s} {'possible':>9s} {'gap':>6s}")
-    click.echo(_row("online", counts.online))
-    click.echo(_row("batch items", counts.batch))
+    click.echo(_row("online", result.online))
+    click.echo(_row("batch items", result.batch))
     if windows:
-        for start, share in counts.windows:
-            click.echo(_row(f"from {start:.0f} s", share))
+        for start, counts in result.windows:
+            click.echo(_row(f"from {start:.0f} s", counts))
     tries = TryReader()
     _print_callers(tries, count_callers(tries.read(logs.lines)))
     click.echo(f"asked to come back: {workload.deferred}; lines not read: {logs.bad_lines}")
--- a/src/troutswitch/hindsight/workload.py
+++ b/src/troutswitch/hindsight/workload.py
@@ -59,8 +59,7 @@
     """The requests, items and slots from which the bound is computed.
 
     `slots` holds pairs of a time, in seconds since the epoch, and the slots of all engines from
-    then on.
-    `deferred` counts requests that were asked to retry later.
+    then on. `deferred` counts requests that were asked to retry later.
     """
 
     online: list[OnlineRequest] = field(default_factory=list)
@@ -75,8 +74,8 @@
         """
         if not self.slots:
             return 0
-        place = bisect.bisect_right(self.slots, (at, 1 << 31)) - 1
-        return self.slots[max(0, place)][1]
+        index = bisect.bisect_right(self.slots, (at, 1 << 31)) - 1
+        return self.slots[max(0, index)][1]
 
 
 class WorkloadReader:
--- a/src/troutswitch/standins/model_engine.py
+++ b/src/troutswitch/standins/model_engine.py
@@ -134,22 +134,24 @@
             self.standin.write_journal("failed", request_id, status=500)
             self.reply(500, b"failed", signed)
             return
-        is_broken = draw(behaviour.break_off)
+        breaks_off = draw(behaviour.break_off)
         if "/stream" in self.path or "/item" in self.path:
-            self._stream(request_id, after, signed, is_broken, crashes)
+            self._stream(request_id, after, signed, breaks_off, crashes)
         else:
-            self._plain(request_id, body, signed, is_broken)
-        if not is_broken and draw(behaviour.surplus):
+            self._plain(request_id, body, signed, breaks_off)
+        if not breaks_off and draw(behaviour.surplus):
             self.reply(200, b"surplus", signed)
         self.standin.write_journal("ended", request_id)
 
     def _stamp(self, request_id: str) -> str:
         return f"{self.standin.engine_id}.{request_id}"
 
-    def _plain(self, request_id: str, body: bytes, signed: dict[str, str], is_broken: bool) -> None:
+    def _plain(
+        self, request_id: str, body: bytes, signed: dict[str, str], breaks_off: bool
+    ) -> None:
         time.sleep(PLAIN_ANSWER_SECONDS)
         answer = plain_answer(request_id, body)
-        if not is_broken:
+        if not breaks_off:
             self.reply(200, answer, signed)
             return
         self.send_response(200)
@@ -161,7 +163,7 @@
         self.close_connection = True
 
     def _stream(
-        self, request_id: str, after: int, signed: dict[str, str], is_broken: bool, crashes: bool
+        self, request_id: str, after: int, signed: dict[str, str], breaks_off: bool, crashes: bool
     ) -> None:
         self.send_response(200)
         for name, value in signed.items():
@@ -174,7 +176,7 @@
             time.sleep(EVENT_INTERVAL_SECONDS)
             if crashes and number == len(events) // 2:
                 self.standin.crash_on(request_id, self.path)
-            if is_broken and number == len(events) // 2:
+            if breaks_off and number == len(events) // 2:
                 half = event[: len(event) // 2]
                 self.wfile.write(f"{len(half):x}\r\n".encode() + half + b"\r\n")
                 self.close_connection = True
--- a/tests/hindsight/test_bound.py
+++ b/tests/hindsight/test_bound.py
@@ -49,17 +49,17 @@
     rows = [line(0, "engines changed", slots=2)]
     rows += online(1, 1.0, 100, 1000) + online(2, 1.0, 100, 1000)
     rows += online(3, 2.5, 800, 1700)  # both slots are free again
-    found = compute(*rows)
-    assert (found.online.total, found.online.served, found.online.possible) == (3, 2, 3)
-    assert found.online.gap == 1
+    bound = compute(*rows)
+    assert (bound.online.total, bound.online.served, bound.online.possible) == (3, 2, 3)
+    assert bound.online.gap == 1
 
 
 def test_request_without_a_free_slot_is_no_gap() -> None:
     rows = [line(0, "engines changed", slots=1)]
     rows += online(1, 1.0, 100, 1000)
     rows += online(2, 1.1, 1000, 1900)
-    found = compute(*rows)
-    assert (found.online.served, found.online.possible) == (1, 1)
+    bound = compute(*rows)
+    assert (bound.online.served, bound.online.possible) == (1, 1)
 
 
 def test_request_that_cannot_meet_its_objective_takes_no_slot() -> None:
@@ -100,8 +100,8 @@
 
 
 def test_unfinished_items_with_free_slots_are_a_gap() -> None:
-    found = compute(*batch(items=5, done=2, due_ms=9000, run_ms=2000))
-    assert (found.batch.total, found.batch.served, found.batch.possible) == (5, 2, 4)
+    bound = compute(*batch(items=5, done=2, due_ms=9000, run_ms=2000))
+    assert (bound.batch.total, bound.batch.served, bound.batch.possible) == (5, 2, 4)
 
 
 def test_online_requests_reduce_slots_of_items() -> None:
@@ -114,8 +114,8 @@
 def test_item_that_never_ran_needs_mean_work_of_others() -> None:
     rows = batch(items=2, done=2, due_ms=9000, run_ms=4000)
     rows[1] = rows[1].replace('"items": 2', '"items": 5')
-    found = compute(*rows)
-    assert (found.batch.total, found.batch.possible) == (5, 2)
+    bound = compute(*rows)
+    assert (bound.batch.total, bound.batch.possible) == (5, 2)
 
 
 def test_items_of_job_that_never_started_count() -> None:
@@ -125,8 +125,8 @@
 
 
 def test_empty_log_gives_zero_bound() -> None:
-    found = compute()
-    assert (found.online.total, found.batch.possible, found.windows) == (0, 0, [])
+    bound = compute()
+    assert (bound.online.total, bound.batch.possible, bound.windows) == (0, 0, [])
 
 
 @DETERMINISTIC
@@ -138,7 +138,7 @@
 def test_more_slots_never_reduce_the_bound(
     requests: list[tuple[float, float]], items: list[tuple[float, float, float]], slots: int
 ) -> None:
-    def found(count: int) -> Bound:
+    def bound_with_slots(count: int) -> Bound:
         workload = Workload(
             [OnlineRequest(at, 0.3, slot_seconds=1.0) for at, _ in requests],
             [BatchItem(at, at + due, work) for at, due, work in items],
@@ -146,7 +146,7 @@
         )
         return compute_bound(workload, 0.1)
 
-    fewer, more = found(slots), found(slots + 1)
+    fewer, more = bound_with_slots(slots), bound_with_slots(slots + 1)
     assert fewer.online.possible <= more.online.possible <= len(requests)
     assert more.batch.possible <= len(items)
 
--- a/tests/hindsight/test_callers.py
+++ b/tests/hindsight/test_callers.py
@@ -49,23 +49,23 @@
 
 
 def count(*rows: str) -> RouteCallers:
-    (found,) = count_callers(TryReader().read(read_lines(rows).lines))
-    return found
+    (counts,) = count_callers(TryReader().read(read_lines(rows).lines))
+    return counts
 
 
 def test_time_to_answer_counts_from_arrival_over_all_attempts() -> None:
-    found = count(sent("a"), ended("a", 250), sent("b", elapsed_ms=100), ended("b", 250))
-    assert (found.first_tries, found.in_time, found.late) == (2, 1, 1)
-    again = [sent("a"), ended("a", 3_600_000, kind="refused")]
-    again += [sent("a", elapsed_ms=100, attempt=2), ended("a", 250, attempt=2)]
-    assert (count(*again).in_time, count(*again).late) == (0, 1)
+    counts = count(sent("a"), ended("a", 250), sent("b", elapsed_ms=100), ended("b", 250))
+    assert (counts.first_tries, counts.in_time, counts.late) == (2, 1, 1)
+    two_attempts = [sent("a"), ended("a", 3_600_000, kind="refused")]
+    two_attempts += [sent("a", elapsed_ms=100, attempt=2), ended("a", 250, attempt=2)]
+    assert (count(*two_attempts).in_time, count(*two_attempts).late) == (0, 1)
 
 
 def test_answer_after_refusal_is_timed_from_first_try() -> None:
     rows = [closed("a", "request deferred"), sent("b", client_timeout_ms=4000), ended("b", 100)]
-    found = count(*rows, sent("c"), ended("c", 100))
-    assert (found.tries, found.first_tries) == (3, 2)
-    assert (found.in_time, found.late, found.refused_once, found.refused_again) == (1, 1, 0, 0)
+    counts = count(*rows, sent("c"), ended("c", 100))
+    assert (counts.tries, counts.first_tries) == (3, 2)
+    assert (counts.in_time, counts.late, counts.refused_once, counts.refused_again) == (1, 1, 0, 0)
 
 
 def test_retry_is_recognised_by_shorter_timeout() -> None:
@@ -73,36 +73,36 @@
     rows += [
         closed("e", "request given up", client_timeout_ms=3800, outcome="NotRun", reason="full")
     ]
-    found = count(*rows)
-    assert (found.refused_once, found.refused_again, found.unknown) == (1, 1, 2)
+    counts = count(*rows)
+    assert (counts.refused_once, counts.refused_again, counts.unknown) == (1, 1, 2)
 
 
 def test_durations_of_unanswered_tries_are_wasted_seconds() -> None:
     rows = [closed("a", "request given up", outcome="Cut", reason="deadline", elapsed_ms=4900)]
     rows += [closed("b", "request given up", outcome="NotRun", reason="full", elapsed_ms=100)]
-    found = count(*rows)
-    assert (found.failed, found.refused_first) == (1, 1)
-    assert (found.wasted_seconds, found.max_wasted_seconds) == (5.0, 4.9)
+    counts = count(*rows)
+    assert (counts.failed, counts.refused_first) == (1, 1)
+    assert (counts.wasted_seconds, counts.max_wasted_seconds) == (5.0, 4.9)
 
 
 def test_disconnected_caller_is_neither_refused_nor_failed() -> None:
-    gone = closed("a", "request given up", outcome="NotRun", reason="caller went away")
-    found = count(gone)
-    assert (found.disconnected, found.refused_first, found.failed) == (1, 0, 0)
+    disconnected = closed("a", "request given up", outcome="NotRun", reason="caller went away")
+    counts = count(disconnected)
+    assert (counts.disconnected, counts.refused_first, counts.failed) == (1, 0, 0)
 
 
 def test_interrupted_answer_counts_as_failed() -> None:
-    cut = [sent("a"), ended("a", 100, kind="cut")]
-    cut += [closed("a", "request given up", outcome="Cut", reason="reset")]
-    found = count(*cut)
-    assert (found.answered, found.failed) == (0, 1)
+    interrupted = [sent("a"), ended("a", 100, kind="cut")]
+    interrupted += [closed("a", "request given up", outcome="Cut", reason="reset")]
+    counts = count(*interrupted)
+    assert (counts.answered, counts.failed) == (0, 1)
 
 
 def test_retries_are_not_recognised_if_timeouts_differ() -> None:
     rows = [row for n in range(9) for row in (sent(f"{n}", 1000 + 500 * n), ended(f"{n}", 100))]
-    found = count(*rows, closed("x", "request deferred", 1200))
-    assert not found.recognises_retries
-    assert (found.in_time, found.late, found.refused) == (9, 0, 1)
+    counts = count(*rows, closed("x", "request deferred", 1200))
+    assert not counts.recognises_retries
+    assert (counts.in_time, counts.late, counts.refused) == (9, 0, 1)
 
 
 def test_command_notes_routes_without_recognised_retries(tmp_path: Path) -> None:
