--- a/src/troutswitch/cli/ctl.py
+++ b/src/troutswitch/cli/ctl.py
@@ -20,7 +20,7 @@
     changes_between,
     read_declarations,
 )
-from troutswitch.standalone.decisions.configuration.tree import ConfigurationTree, place_of
+from troutswitch.standalone.decisions.configuration.tree import ConfigurationTree, scope_of_path
 from troutswitch.standalone.log_service.records import ConfigurationChange
 from troutswitch.standalone.runtime.http_client import HttpError, ThreadLocalConnections
 
@@ -153,7 +153,7 @@
     for change in changes:
         after.apply(change)
     for change in changes:
-        place = place_of(change.path)
+        place = scope_of_path(change.path)
         old = before.effective(*place)[change.key]
         new = after.effective(*place)[change.key]
         click.echo(
--- a/src/troutswitch/standalone/callers/batch_app.py
+++ b/src/troutswitch/standalone/callers/batch_app.py
@@ -9,7 +9,7 @@
     parse_window,
     to_json_lines,
 )
-from troutswitch.standalone.decisions.batch.results import RESULTS_MOST
+from troutswitch.standalone.decisions.batch.results import MAX_RESULTS_PER_ANSWER
 from troutswitch.standalone.decisions.effects import (
     CallAnswer,
     CallRefused,
@@ -19,9 +19,9 @@
 )
 from troutswitch.standalone.decisions.events import (
     Event,
-    JobAsked,
-    JobCancelAsked,
-    JobResultsAsked,
+    JobCancelRequested,
+    JobResultsRequested,
+    JobStatusRequested,
     JobSubmitted,
 )
 from troutswitch.standalone.log_service.records import content_digest
@@ -74,14 +74,14 @@
     def _status(self, request: Request, job_id: str) -> Response:
         tenant = self._context.authenticate(request)
         answer = self._context.ask(
-            lambda token, deadline: JobAsked(token, tenant, job_id, deadline)
+            lambda token, deadline: JobStatusRequested(token, tenant, job_id, deadline)
         )
         return _job_response(answer)
 
     def _cancel(self, request: Request, job_id: str) -> Response:
         tenant = self._context.authenticate(request)
         answer = self._context.ask(
-            lambda token, deadline: JobCancelAsked(token, tenant, job_id, deadline)
+            lambda token, deadline: JobCancelRequested(token, tenant, job_id, deadline)
         )
         return _job_response(answer)
 
@@ -109,8 +109,8 @@
 
     def _read(self, tenant: str, job_id: str, first: int) -> JobResults | CallRefused:
         answer = self._context.ask(
-            lambda token, deadline: JobResultsAsked(
-                token, tenant, job_id, first, RESULTS_MOST, deadline
+            lambda token, deadline: JobResultsRequested(
+                token, tenant, job_id, first, MAX_RESULTS_PER_ANSWER, deadline
             )
         )
         assert isinstance(answer, JobResults | CallRefused)
--- a/src/troutswitch/standalone/decisions/batch/claims.py
+++ b/src/troutswitch/standalone/decisions/batch/claims.py
@@ -19,13 +19,13 @@
 from troutswitch.standalone.log_service.records import OnceClaimed
 
 ClaimOutcome = NotRun | MayHaveRun | None
-ClaimEnded = Callable[[float, str, ClaimOutcome], list[Effect]]
+ClaimHandler = Callable[[float, str, ClaimOutcome], list[Effect]]
 
 CLAIM_SECONDS = 10.0
 """Longest time a claim may take to be read back."""
 
 
-class OnceClaim(ShardCall):
+class OnceClaimCall(ShardCall):
     """Appends a claim of a key and waits until the fold tells whose it is."""
 
     def __init__(
@@ -34,7 +34,7 @@
         event: OnlineArrived,
         policy: ServingPolicy,
         now: float,
-        on_ended: ClaimEnded,
+        on_ended: ClaimHandler,
     ) -> None:
         self._key = f"{event.tenant}/{event.once_key}"
         shard = stable_hash("once", self._key) % context.ownership.shard_count
--- a/src/troutswitch/standalone/decisions/batch/dispatcher.py
+++ b/src/troutswitch/standalone/decisions/batch/dispatcher.py
@@ -221,7 +221,7 @@
         effects: list[Effect] = []
         for owner, job in self._jobs_by_deadline(service):
             while free > 0 and (job.repeatable or self._firm_running(name) < grant.firm):
-                handout, more = owner.take_item(now, job)
+                handout, more = owner.next_item(now, job)
                 effects.extend(more)
                 if handout is None:
                     if not more:
--- a/src/troutswitch/standalone/decisions/batch/fold.py
+++ b/src/troutswitch/standalone/decisions/batch/fold.py
@@ -167,7 +167,7 @@
         if record.job_id in self.verdicts or record.job_id in self.jobs:
             return []
         chunks = self.staged.pop(record.job_id, {})
-        verdict = self._judge(record, chunks)
+        verdict = self._evaluate_submission(record, chunks)
         self._remember_verdict(record.job_id, verdict)
         if not isinstance(verdict, Accepted):
             return []
@@ -190,7 +190,9 @@
         self.job_of_identity[job.identity] = job.job_id
         return [JobOpened(job.job_id)]
 
-    def _judge(self, record: JobCommitted, chunks: dict[int, tuple[int, int]]) -> SubmissionVerdict:
+    def _evaluate_submission(
+        self, record: JobCommitted, chunks: dict[int, tuple[int, int]]
+    ) -> SubmissionVerdict:
         earlier = self.jobs.get(self.job_of_identity.get(record.identity, ""))
         if earlier is not None:
             age = record.committed_at - earlier.committed_at
--- a/src/troutswitch/standalone/decisions/batch/owner.py
+++ b/src/troutswitch/standalone/decisions/batch/owner.py
@@ -82,14 +82,14 @@
 
     Items below `cursor` have been handed out at least once; those that came back
     wait in `retries` as (ready time, index). `out` are the items handed out or being
-    recorded; `attempted_here` those whose attempt this epoch has on record.
+    recorded; `attempted_in_epoch` those whose attempt this epoch has on record.
     """
 
     cursor: int = 0
     retries: list[tuple[float, int]] = field(default_factory=list)
     failures: dict[int, int] = field(default_factory=dict)
     out: set[int] = field(default_factory=set)
-    attempted_here: set[int] = field(default_factory=set)
+    attempted_in_epoch: set[int] = field(default_factory=set)
 
 
 class ShardOwner:
@@ -141,13 +141,13 @@
         """Begins the epoch: settles attempts that earlier epochs left open."""
         effects: list[Effect] = []
         for job in self.fold.open_jobs.values():
-            effects.extend(self._open(job))
+            effects.extend(self._open_job(job))
         return effects
 
-    def _open(self, job: Job) -> list[Effect]:
+    def _open_job(self, job: Job) -> list[Effect]:
         self._progress[job.job_id] = JobProgress()
         if job.finished == job.item_count:
-            return self._close(job)
+            return self._close_job(job)
         if job.repeatable:
             return []
         # An attempt on record without a result may have run: it is never dispatched again.
@@ -167,11 +167,11 @@
                     self._progress[job_id] = JobProgress()
                     effects.append(self._line("job accepted", job_id))
                 case JobStopped(job_id):
-                    self._forget(job_id)
+                    self._forget_job(job_id)
                     effects.append(self._line("job cancelled", job_id))
                 case JobCompleted(job_id):
                     effects.append(self._line("job completed", job_id))
-                    effects.extend(self._close(self.fold.jobs[job_id]))
+                    effects.extend(self._close_job(self.fold.jobs[job_id]))
                 case AttemptRecorded(job_id, index):
                     self._attempt_recorded(job_id, index)
                 case _:
@@ -199,7 +199,7 @@
     def _attempt_recorded(self, job_id: str, index: int) -> None:
         progress = self._progress.get(job_id)
         if progress is not None:
-            progress.attempted_here.add(index)
+            progress.attempted_in_epoch.add(index)
             progress.out.discard(index)
             heapq.heappush(progress.retries, (0.0, index))
 
@@ -216,15 +216,15 @@
         progress = self._progress.get(reference.job_id)
         if progress is not None:
             progress.out.discard(reference.index)
-            progress.attempted_here.discard(reference.index)
+            progress.attempted_in_epoch.discard(reference.index)
             progress.failures.pop(reference.index, None)
 
-    def _close(self, job: Job) -> list[Effect]:
-        self._forget(job.job_id)
+    def _close_job(self, job: Job) -> list[Effect]:
+        self._forget_job(job.job_id)
         packed = pack_offsets(job.result_offsets)
         return self._writer.append(self.stream, [JobClosed(self.epoch, job.job_id, packed)])
 
-    def _forget(self, job_id: str) -> None:
+    def _forget_job(self, job_id: str) -> None:
         self._progress.pop(job_id, None)
         for key in [key for key in self._chunks if key[0] == job_id]:
             del self._chunks[key]
@@ -251,7 +251,7 @@
             if job.service == service:
                 yield job
 
-    def take_item(self, now: float, job: Job) -> tuple[Handout | None, list[Effect]]:
+    def next_item(self, now: float, job: Job) -> tuple[Handout | None, list[Effect]]:
         """Hands out the next item of a job, or None if none can run yet.
 
         The first call for an item of a job not to be repeated records an attempt;
@@ -261,7 +261,7 @@
         index = self._next_index(now, job, progress) if progress else None
         if progress is None or index is None:
             return None, []
-        if not job.repeatable and index not in progress.attempted_here:
+        if not job.repeatable and index not in progress.attempted_in_epoch:
             progress.out.add(index)
             attempt = AttemptStarted(self.epoch, job.job_id, index)
             return None, self._writer.append(self.stream, [attempt])
--- a/src/troutswitch/standalone/decisions/batch/ownership.py
+++ b/src/troutswitch/standalone/decisions/batch/ownership.py
@@ -65,7 +65,7 @@
         """This daemon's name as an owner: name and incarnation."""
         return self._writer.writer
 
-    def set_job_stopped(self, hook: Callable[[int, str], list[Effect]]) -> None:
+    def set_job_stopped_hook(self, hook: Callable[[int, str], list[Effect]]) -> None:
         """Sets the function called with shard and job when an owned job is cancelled."""
         self._on_job_stopped = hook
 
--- a/src/troutswitch/standalone/decisions/batch/results.py
+++ b/src/troutswitch/standalone/decisions/batch/results.py
@@ -32,7 +32,7 @@
     unpack_offsets,
 )
 
-RESULTS_MOST = 256
+MAX_RESULTS_PER_ANSWER = 256
 """Most results in one answer."""
 RUN_ENTRIES_MOST = 64
 """Most entries asked for in one read."""
@@ -55,7 +55,7 @@
         super().__init__(token, tenant, job_id, shard, deadline)
         self._context = context
         self._first = first
-        self._limit = max(1, min(limit, RESULTS_MOST))
+        self._limit = max(1, min(limit, MAX_RESULTS_PER_ANSWER))
         self._is_started = False
         self._is_over = False
         self._stream = ""
--- a/src/troutswitch/standalone/decisions/configuration/tree.py
+++ b/src/troutswitch/standalone/decisions/configuration/tree.py
@@ -41,7 +41,7 @@
     return paths
 
 
-def place_of(path: str) -> tuple[str, str, str]:
+def scope_of_path(path: str) -> tuple[str, str, str]:
     """Returns the zone, service and tenant that a valid path names; empty where it does not."""
     names = dict(zip(path.split("/")[::2], path.split("/")[1::2], strict=False))
     return names.get("zone", ""), names.get("service", ""), names.get("tenant", "")
--- a/src/troutswitch/standalone/decisions/daemon.py
+++ b/src/troutswitch/standalone/decisions/daemon.py
@@ -21,7 +21,7 @@
     WaitingCalls,
     unknown_job,
 )
-from troutswitch.standalone.decisions.batch.claims import ClaimOutcome, OnceClaim
+from troutswitch.standalone.decisions.batch.claims import ClaimOutcome, OnceClaimCall
 from troutswitch.standalone.decisions.batch.dispatcher import BatchDispatcher
 from troutswitch.standalone.decisions.batch.ownership import Ownership
 from troutswitch.standalone.decisions.batch.results import ResultsRead
@@ -43,15 +43,15 @@
 from troutswitch.standalone.decisions.events import (
     BatchAttemptEnded,
     ConfigurationSubmitted,
+    ConfigurationTreeRequested,
     DatagramReceived,
-    DrainAsked,
-    EffectiveAsked,
+    DrainRequested,
+    EffectiveConfigurationRequested,
     EngineLoadRead,
     Event,
-    HistoryAsked,
-    JobAsked,
-    JobCancelAsked,
-    JobResultsAsked,
+    JobCancelRequested,
+    JobResultsRequested,
+    JobStatusRequested,
     JobSubmitted,
     LogAppended,
     LogAppendFailed,
@@ -62,9 +62,9 @@
     OnlineArrived,
     OnlineAttemptEnded,
     OnlineFirstToken,
-    StatusAsked,
+    PublicationHistoryRequested,
+    StatusRequested,
     TimerFired,
-    TreeAsked,
 )
 from troutswitch.standalone.decisions.fleet import MachineListFollower
 from troutswitch.standalone.decisions.log_reader import LogReader
@@ -131,7 +131,7 @@
             self.dispatcher.on_owner_lost,
         )
         self.dispatcher.set_ownership(self.ownership)
-        self.ownership.set_job_stopped(self.dispatcher.cancel_job)
+        self.ownership.set_job_stopped_hook(self.dispatcher.cancel_job)
         self.calls = WaitingCalls(self.ownership)
         self._context = CallContext(self.ownership, self.writer, self.reader)
         self._submissions = Submissions(self._context, self.configuration)
@@ -201,15 +201,17 @@
             OnlineAbandoned: self.online.on_abandoned,
             BatchAttemptEnded: self.dispatcher.on_attempt_ended,
             JobSubmitted: self._on_job_submitted,
-            JobAsked: self._on_job_asked,
-            JobCancelAsked: self._on_job_cancel_asked,
-            JobResultsAsked: self._on_job_results_asked,
+            JobStatusRequested: self._on_job_asked,
+            JobCancelRequested: self._on_job_cancel_asked,
+            JobResultsRequested: self._on_job_results_asked,
             ConfigurationSubmitted: self.configuration.submit,
-            DrainAsked: self._on_drain_asked,
-            StatusAsked: lambda now, event: [AnswerCall(event.token, self.status())],
-            EffectiveAsked: self._on_effective_asked,
-            TreeAsked: lambda now, event: [AnswerCall(event.token, view_tree(self.configuration))],
-            HistoryAsked: lambda now, event: [
+            DrainRequested: self._on_drain_asked,
+            StatusRequested: lambda now, event: [AnswerCall(event.token, self.status())],
+            EffectiveConfigurationRequested: self._on_effective_asked,
+            ConfigurationTreeRequested: lambda now, event: [
+                AnswerCall(event.token, view_tree(self.configuration))
+            ],
+            PublicationHistoryRequested: lambda now, event: [
                 AnswerCall(event.token, view_history(self.configuration, event.limit))
             ],
         }
@@ -286,7 +288,7 @@
     # Calls.
 
     def _claim(self, now: float, event: OnlineArrived, policy: ServingPolicy) -> list[Effect]:
-        call = OnceClaim(self._context, event, policy, now, self._on_claim_ended)
+        call = OnceClaimCall(self._context, event, policy, now, self._on_claim_ended)
         return self.calls.start(now, call)
 
     def _on_claim_ended(self, now: float, request_id: str, outcome: ClaimOutcome) -> list[Effect]:
@@ -300,7 +302,7 @@
             return [AnswerCall(event.token, refusal)]
         return self.calls.start(now, self._submissions.prepare(now, event))
 
-    def _on_job_asked(self, now: float, event: JobAsked) -> list[Effect]:
+    def _on_job_asked(self, now: float, event: JobStatusRequested) -> list[Effect]:
         return self._about_job(
             now,
             event,
@@ -309,7 +311,7 @@
             ),
         )
 
-    def _on_job_cancel_asked(self, now: float, event: JobCancelAsked) -> list[Effect]:
+    def _on_job_cancel_asked(self, now: float, event: JobCancelRequested) -> list[Effect]:
         return self._about_job(
             now,
             event,
@@ -323,7 +325,7 @@
             ),
         )
 
-    def _on_job_results_asked(self, now: float, event: JobResultsAsked) -> list[Effect]:
+    def _on_job_results_asked(self, now: float, event: JobResultsRequested) -> list[Effect]:
         return self._about_job(
             now,
             event,
@@ -342,7 +344,7 @@
     def _about_job(
         self,
         now: float,
-        event: JobAsked | JobCancelAsked | JobResultsAsked,
+        event: JobStatusRequested | JobCancelRequested | JobResultsRequested,
         make_call: Callable[[int], JobCall],
     ) -> list[Effect]:
         """Starts a call about a job on the shard that the job's id names."""
@@ -353,7 +355,9 @@
 
     # Operators.
 
-    def _on_effective_asked(self, now: float, event: EffectiveAsked) -> list[Effect]:
+    def _on_effective_asked(
+        self, now: float, event: EffectiveConfigurationRequested
+    ) -> list[Effect]:
         view = view_effective(self.configuration, event.zone, event.service, event.tenant)
         return [AnswerCall(event.token, view)]
 
@@ -379,7 +383,7 @@
 
     # Planned stop.
 
-    def _on_drain_asked(self, now: float, event: DrainAsked) -> list[Effect]:
+    def _on_drain_asked(self, now: float, event: DrainRequested) -> list[Effect]:
         if self.is_draining:
             return []
         self.is_draining = True
--- a/src/troutswitch/standalone/decisions/engines.py
+++ b/src/troutswitch/standalone/decisions/engines.py
@@ -222,7 +222,7 @@
         engine.poll_at = now + self._poll_interval
         effects: list[Effect] = []
         if event.load is None:
-            self._failed(now, engine)
+            self._record_failure(now, engine)
         else:
             effects.extend(self._take_load(now, engine, event.load))
         for hook in self._load_hooks:
@@ -234,7 +234,7 @@
         engine.load = load
         while engine.sends and engine.sends[0] < engine.asked_at - LOAD_LAG_SECONDS:
             engine.sends.popleft()
-        self._succeeded(engine)
+        self._record_success(engine)
         engine.confirmed_at = max(engine.confirmed_at, engine.asked_at)
         if load.leaving:
             return self.mark_leaving(now, engine.name, load.incarnation)
@@ -251,25 +251,25 @@
         """An attempt on the engine ended."""
         engine.online_in_flight = max(0, engine.online_in_flight - 1)
         if succeeded:
-            self._succeeded(engine)
+            self._record_success(engine)
         else:
-            self._failed(now, engine)
+            self._record_failure(now, engine)
 
     def on_answer_begun(
         self, now: float, engine: Engine, asked_at: float, leaving: bool
     ) -> list[Effect]:
         """The engine began to answer a request that was sent at `asked_at`."""
-        self._succeeded(engine)
+        self._record_success(engine)
         if leaving:
             return self.mark_leaving(now, engine.name, engine.incarnation)
         engine.confirmed_at = max(engine.confirmed_at, asked_at)
         return []
 
-    def _succeeded(self, engine: Engine) -> None:
+    def _record_success(self, engine: Engine) -> None:
         engine.failures = 0
         engine.ejected_until = float("-inf")
 
-    def _failed(self, now: float, engine: Engine) -> None:
+    def _record_failure(self, now: float, engine: Engine) -> None:
         engine.failures += 1
         if engine.failures >= EJECT_AFTER_FAILURES:
             doubling = min(engine.failures - EJECT_AFTER_FAILURES, 10)
--- a/src/troutswitch/standalone/decisions/events.py
+++ b/src/troutswitch/standalone/decisions/events.py
@@ -175,7 +175,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class JobAsked:
+class JobStatusRequested:
     """A caller asks for a job's state."""
 
     token: str
@@ -185,7 +185,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class JobCancelAsked:
+class JobCancelRequested:
     """A caller cancels a job."""
 
     token: str
@@ -195,7 +195,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class JobResultsAsked:
+class JobResultsRequested:
     """A caller reads up to `limit` results from item index `first` on."""
 
     token: str
@@ -220,14 +220,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class StatusAsked:
+class StatusRequested:
     """An operator asks for the daemon's state."""
 
     token: str
 
 
 @dataclass(frozen=True, slots=True)
-class EffectiveAsked:
+class EffectiveConfigurationRequested:
     """An operator asks for the effective configuration."""
 
     token: str
@@ -237,14 +237,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class TreeAsked:
+class ConfigurationTreeRequested:
     """An operator asks for all overrides."""
 
     token: str
 
 
 @dataclass(frozen=True, slots=True)
-class HistoryAsked:
+class PublicationHistoryRequested:
     """An operator asks for the newest `limit` publications."""
 
     token: str
@@ -252,7 +252,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class DrainAsked:
+class DrainRequested:
     """The daemon is to stop as planned."""
 
 
@@ -275,14 +275,14 @@
     | OnlineAbandoned
     | BatchAttemptEnded
     | JobSubmitted
-    | JobAsked
-    | JobCancelAsked
-    | JobResultsAsked
+    | JobStatusRequested
+    | JobCancelRequested
+    | JobResultsRequested
     | ConfigurationSubmitted
-    | StatusAsked
-    | EffectiveAsked
-    | TreeAsked
-    | HistoryAsked
-    | DrainAsked
+    | StatusRequested
+    | EffectiveConfigurationRequested
+    | ConfigurationTreeRequested
+    | PublicationHistoryRequested
+    | DrainRequested
     | TimerFired
 )
--- a/src/troutswitch/standalone/operators/app.py
+++ b/src/troutswitch/standalone/operators/app.py
@@ -9,12 +9,12 @@
 from troutswitch.standalone.decisions.effects import CallAnswer, CallRefused
 from troutswitch.standalone.decisions.events import (
     ConfigurationSubmitted,
-    EffectiveAsked,
-    HistoryAsked,
-    JobAsked,
-    JobCancelAsked,
-    StatusAsked,
-    TreeAsked,
+    ConfigurationTreeRequested,
+    EffectiveConfigurationRequested,
+    JobCancelRequested,
+    JobStatusRequested,
+    PublicationHistoryRequested,
+    StatusRequested,
 )
 from troutswitch.standalone.log_service.records import ConfigurationChange
 from troutswitch.standalone.runtime.http_requests import Request, json_response
@@ -49,25 +49,32 @@
         """Returns the answer to a call."""
         match (request.method, request.path):
             case ("GET", "/status"):
-                return _told(self._context.ask(lambda token, _: StatusAsked(token)))
+                return _told(self._context.ask(lambda token, _: StatusRequested(token)))
             case ("GET", "/configuration"):
-                return _told(self._context.ask(lambda token, _: TreeAsked(token)))
+                return _told(self._context.ask(lambda token, _: ConfigurationTreeRequested(token)))
             case ("GET", "/configuration/effective"):
                 return self._effective(request)
             case ("GET", "/configuration/history"):
-                return _told(self._context.ask(lambda token, _: HistoryAsked(token, HISTORY_LIMIT)))
+                return _told(
+                    self._context.ask(
+                        lambda token, _: PublicationHistoryRequested(token, HISTORY_LIMIT)
+                    )
+                )
             case ("POST", "/configuration"):
                 return self._publish(request)
             case ("GET", path) if path.startswith(JOBS_PATH):
-                return self._job(request, path.removeprefix(JOBS_PATH), JobAsked)
+                return self._job(request, path.removeprefix(JOBS_PATH), JobStatusRequested)
             case ("POST", path) if path.startswith(JOBS_PATH) and path.endswith(CANCEL_SUFFIX):
                 job_id = path.removeprefix(JOBS_PATH).removesuffix(CANCEL_SUFFIX)
-                return self._job(request, job_id, JobCancelAsked)
+                return self._job(request, job_id, JobCancelRequested)
             case _:
                 return bad_request("unknown path", 404)
 
     def _job(
-        self, request: Request, job_id: str, kind: type[JobAsked] | type[JobCancelAsked]
+        self,
+        request: Request,
+        job_id: str,
+        kind: type[JobStatusRequested] | type[JobCancelRequested],
     ) -> Response:
         tenant = request.query("tenant", ANONYMOUS_TENANT)
         return _told(
@@ -77,7 +84,9 @@
     def _effective(self, request: Request) -> Response:
         zone, service, tenant = (request.query(key) for key in ("zone", "service", "tenant"))
         return _told(
-            self._context.ask(lambda token, _: EffectiveAsked(token, zone, service, tenant))
+            self._context.ask(
+                lambda token, _: EffectiveConfigurationRequested(token, zone, service, tenant)
+            )
         )
 
     def _publish(self, request: Request) -> Response:
--- a/src/troutswitch/standalone/runtime/server.py
+++ b/src/troutswitch/standalone/runtime/server.py
@@ -11,7 +11,7 @@
 from troutswitch.standalone.callers.online_app import OnlineApplication
 from troutswitch.standalone.daemons.messages import Sealer
 from troutswitch.standalone.decisions.daemon import DaemonCore, DaemonIdentity
-from troutswitch.standalone.decisions.events import DrainAsked
+from troutswitch.standalone.decisions.events import DrainRequested
 from troutswitch.standalone.log_service.client import LogClient
 from troutswitch.standalone.machine_list.client import MachineListClient
 from troutswitch.standalone.operators.app import OperatorApplication
@@ -103,7 +103,7 @@
         self._logger.info("drain asked")
         self.runner.is_stopping = True
         time.sleep(self.settings.drain_grace_seconds)
-        self.loop.post(DrainAsked())
+        self.loop.post(DrainRequested())
 
     def wait_drained(self, timeout: float | None = None) -> bool:
         """Waits until every request and lease is settled."""
--- a/src/troutswitch/standalone/simulation/callers.py
+++ b/src/troutswitch/standalone/simulation/callers.py
@@ -12,9 +12,9 @@
     JobView,
 )
 from troutswitch.standalone.decisions.events import (
-    JobAsked,
-    JobCancelAsked,
-    JobResultsAsked,
+    JobCancelRequested,
+    JobResultsRequested,
+    JobStatusRequested,
     JobSubmitted,
     OnlineArrived,
 )
@@ -254,7 +254,7 @@
             if isinstance(answer, JobView) and answer.status == "cancelled":
                 record.cancelled_at = self._clock.now()
 
-        event = JobCancelAsked(token, JOB_TENANT, record.accepted_id, deadline)
+        event = JobCancelRequested(token, JOB_TENANT, record.accepted_id, deadline)
         daemon.call(token, event, on_answer)
 
     # At the end.
@@ -271,7 +271,9 @@
                 told(answer)
 
         deadline = self._clock.now() + CALL_SECONDS
-        daemon.call(token, JobAsked(token, JOB_TENANT, record.accepted_id, deadline), on_answer)
+        daemon.call(
+            token, JobStatusRequested(token, JOB_TENANT, record.accepted_id, deadline), on_answer
+        )
 
     def read_results(
         self, record: JobRecord, so_far: tuple[ItemResult, ...] = (), first: int = 0
@@ -296,5 +298,5 @@
             else:
                 self.read_results(record, results, answer.next_index)
 
-        event = JobResultsAsked(token, JOB_TENANT, record.accepted_id, first, PAGE, deadline)
+        event = JobResultsRequested(token, JOB_TENANT, record.accepted_id, first, PAGE, deadline)
         daemon.call(token, event, on_answer)
--- a/src/troutswitch/standalone/simulation/daemon.py
+++ b/src/troutswitch/standalone/simulation/daemon.py
@@ -36,7 +36,7 @@
 from troutswitch.standalone.decisions.events import (
     BatchAttemptEnded,
     DatagramReceived,
-    DrainAsked,
+    DrainRequested,
     EngineLoadRead,
     Event,
     LogAppended,
@@ -233,7 +233,7 @@
 
     def drain(self) -> None:
         """The machine is asked to stop as planned."""
-        self.post(DrainAsked())
+        self.post(DrainRequested())
 
     # Effects out.
 
--- a/tests/standalone/decisions/batch/test_owner.py
+++ b/tests/standalone/decisions/batch/test_owner.py
@@ -97,7 +97,7 @@
     job = replica.fold.jobs["job"]
     handouts = []
     for _ in range(6):
-        handout, more = owner.take_item(NOW, job)
+        handout, more = owner.next_item(NOW, job)
         shard.carry_out(more)
         handouts.extend([handout.reference.index] if handout is not None else [])
     assert handouts == [1]
@@ -108,13 +108,13 @@
     submit(shard, repeatable=True)
     owner = shard.start()
     job = owner.fold.jobs["job"]
-    _, fetch = owner.take_item(NOW, job)
+    _, fetch = owner.next_item(NOW, job)
     shard.carry_out(fetch)
-    first, _ = owner.take_item(NOW, job)
+    first, _ = owner.next_item(NOW, job)
     assert first is not None
     cut = BatchAttemptEnded("a", AttemptOutcome.CANCELLED, "yielded", False, 7, "half an")
     owner.on_attempt_ended(NOW, first.reference, cut)
-    again, _ = owner.take_item(NOW, job)
+    again, _ = owner.next_item(NOW, job)
     assert again is not None and again.reference == first.reference
     assert (again.partial.position, again.partial.text) == (7, "half an")
     done = BatchAttemptEnded("b", AttemptOutcome.COMPLETED, "half an answer")
--- a/tests/standalone/decisions/configuration/test_declarations.py
+++ b/tests/standalone/decisions/configuration/test_declarations.py
@@ -9,7 +9,7 @@
     changes_between,
     read_declarations,
 )
-from troutswitch.standalone.decisions.configuration.tree import ConfigurationTree, place_of
+from troutswitch.standalone.decisions.configuration.tree import ConfigurationTree, scope_of_path
 from troutswitch.standalone.runtime.settings import load_settings
 
 EXAMPLES = Path(__file__).parents[4] / "examples"
@@ -47,5 +47,5 @@
     before = read_declarations(EXAMPLES / "quetzal" / "configuration")
     changes = changes_between(before, ConfigurationTree())
     assert all(change.value is None for change in changes)
-    assert place_of("zone/a/service/b") == ("a", "b", "")
-    assert place_of("root") == ("", "", "")
+    assert scope_of_path("zone/a/service/b") == ("a", "b", "")
+    assert scope_of_path("root") == ("", "", "")
--- a/tests/standalone/proofs/test_limits.py
+++ b/tests/standalone/proofs/test_limits.py
@@ -53,7 +53,7 @@
 
 def test_without_budget_and_ejection_retries_amplify(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(limits.RetryBudget, "take", lambda self, service: True)
-    monkeypatch.setattr(EngineRegistry, "_failed", lambda self, now, engine: None)
+    monkeypatch.setattr(EngineRegistry, "_record_failure", lambda self, now, engine: None)
     assert amplification(storm(1)) >= 1.2
 
 
--- a/tests/standalone/proofs/test_promises.py
+++ b/tests/standalone/proofs/test_promises.py
@@ -40,7 +40,7 @@
 
 
 def accept_any_submission(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(ShardFold, "_judge", lambda self, record, chunks: Accepted())
+    patch.setattr(ShardFold, "_evaluate_submission", lambda self, record, chunks: Accepted())
     patch.setattr(submission.Submission, "_earlier_job", lambda self, fold: None)
 
 
@@ -54,19 +54,19 @@
 
 
 def dispatch_without_attempt_record(patch: pytest.MonkeyPatch) -> None:
-    original = owner.ShardOwner.take_item
+    original = owner.ShardOwner.next_item
 
-    def take_item(self: Any, now: float, job: Any) -> Any:
+    def next_item(self: Any, now: float, job: Any) -> Any:
         progress = self._progress.get(job.job_id)
         if progress is not None:
-            progress.attempted_here.update(range(job.item_count))
+            progress.attempted_in_epoch.update(range(job.item_count))
         return original(self, now, job)
 
-    patch.setattr(owner.ShardOwner, "take_item", take_item)
+    patch.setattr(owner.ShardOwner, "next_item", next_item)
 
 
 def forget_attempts_at_takeover(patch: pytest.MonkeyPatch) -> None:
-    original = owner.ShardOwner._open
+    original = owner.ShardOwner._open_job
 
     def open_job(self: Any, job: Any) -> Any:
         for index, state in enumerate(job.item_states):
@@ -74,7 +74,7 @@
                 job.item_states[index] = ItemState.OPEN
         return original(self, job)
 
-    patch.setattr(owner.ShardOwner, "_open", open_job)
+    patch.setattr(owner.ShardOwner, "_open_job", open_job)
 
 
 def acknowledge_before_the_log(patch: pytest.MonkeyPatch) -> None:
@@ -89,8 +89,8 @@
 
 
 def keep_cancelled_jobs(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(owner.ShardOwner, "_forget", lambda self, job_id: None)
-    patch.setattr(ownership.Ownership, "set_job_stopped", lambda self, hook: None)
+    patch.setattr(owner.ShardOwner, "_forget_job", lambda self, job_id: None)
+    patch.setattr(ownership.Ownership, "set_job_stopped_hook", lambda self, hook: None)
 
 
 def say_not_run_always(patch: pytest.MonkeyPatch) -> None:
@@ -111,7 +111,7 @@
     def poll(self: Any, now: float, replica: Any) -> Progress:
         return Progress(True, self._on_ended(now, self._request_id, None))
 
-    patch.setattr(claims.OnceClaim, "poll", poll)
+    patch.setattr(claims.OnceClaimCall, "poll", poll)
 
 
 def ignore_that_engines_leave(patch: pytest.MonkeyPatch) -> None:
