--- a/src/troutswitch/standalone/decisions/admission_control.py
+++ b/src/troutswitch/standalone/decisions/admission_control.py
@@ -11,7 +11,7 @@
 from troutswitch.standalone.constants import RETRY_AFTER_SECONDS
 from troutswitch.standalone.decisions.configuration.keys import ServingPolicy
 
-TENANTS_KEPT = 10_000
+MAX_REMEMBERED_TENANTS = 10_000
 """Idle tenants whose rate is remembered."""
 
 
@@ -35,9 +35,9 @@
         if self._tenant_in_flight.get(tenant, 0) >= concurrency:
             return NotRun("tenant concurrency limit", Step.ADMIT, "", RETRY_AFTER_SECONDS, 429)
         rate = policy.tenant_requests_per_second / max(1, daemons)
-        wait = self._bucket(now, tenant, rate).take(now, rate)
-        if wait > 0:
-            return NotRun("tenant rate limit", Step.ADMIT, "", wait, 429)
+        retry_after = self._bucket(now, tenant, rate).take(now, rate)
+        if retry_after > 0:
+            return NotRun("tenant rate limit", Step.ADMIT, "", retry_after, 429)
         self.in_flight += 1
         self._tenant_in_flight[tenant] = self._tenant_in_flight.get(tenant, 0) + 1
         return None
@@ -45,16 +45,16 @@
     def release(self, tenant: str) -> None:
         """Ends an admitted request."""
         self.in_flight -= 1
-        left = self._tenant_in_flight[tenant] - 1
-        ensure(self.in_flight >= 0 and left >= 0, "more requests ended than admitted")
-        if left:
-            self._tenant_in_flight[tenant] = left
+        remaining = self._tenant_in_flight[tenant] - 1
+        ensure(self.in_flight >= 0 and remaining >= 0, "more requests ended than admitted")
+        if remaining:
+            self._tenant_in_flight[tenant] = remaining
         else:
             del self._tenant_in_flight[tenant]
 
     def _bucket(self, now: float, tenant: str, rate: float) -> TokenBucket:
         bucket = self._buckets.pop(tenant, None) or TokenBucket(max(1.0, rate), now)
         self._buckets[tenant] = bucket
-        if len(self._buckets) > TENANTS_KEPT:
+        if len(self._buckets) > MAX_REMEMBERED_TENANTS:
             self._buckets.popitem(last=False)
         return bucket
--- a/src/troutswitch/standalone/decisions/batch/calls.py
+++ b/src/troutswitch/standalone/decisions/batch/calls.py
@@ -63,47 +63,47 @@
         return self.writer.append(replica.stream, records)
 
 
-class WaitingCalls:
+class PendingCalls:
     """The calls in progress on this daemon."""
 
     def __init__(self, ownership: Ownership) -> None:
         self._ownership = ownership
-        self._waiting: dict[int, ShardCall] = {}
+        self._calls: dict[int, ShardCall] = {}
         self._ids = itertools.count(1)
         ownership.add_change_hook(self._on_shard_read)
 
     def is_idle(self) -> bool:
         """Returns whether no call is in progress."""
-        return not self._waiting
+        return not self._calls
 
     def start(self, now: float, call: ShardCall) -> list[Effect]:
         """Starts a call: its shard is read now, and it is polled after each read."""
         replica, effects = self._ownership.replica(now, call.shard)
-        self._waiting[next(self._ids)] = call
+        self._calls[next(self._ids)] = call
         return effects + replica.read_now(now)
 
     def next_due(self) -> float:
         """Returns when the next call runs out of time."""
-        return min((call.deadline for call in self._waiting.values()), default=float("inf"))
+        return min((call.deadline for call in self._calls.values()), default=float("inf"))
 
     def on_timer(self, now: float) -> list[Effect]:
         """Ends the calls that ran out of time."""
         effects: list[Effect] = []
-        for call_id, call in list(self._waiting.items()):
+        for call_id, call in list(self._calls.items()):
             if call.deadline <= now:
-                del self._waiting[call_id]
+                del self._calls[call_id]
                 effects.extend(call.expire())
         return effects
 
     def _on_shard_read(self, now: float, shard: int) -> list[Effect]:
         effects: list[Effect] = []
-        for call_id, call in list(self._waiting.items()):
-            if call.shard != shard or call_id not in self._waiting:
+        for call_id, call in list(self._calls.items()):
+            if call.shard != shard or call_id not in self._calls:
                 continue
             progress = call.poll(now, self._ownership.replicas[shard])
             effects.extend(progress.effects)
             if progress.is_done:
-                self._waiting.pop(call_id, None)
+                self._calls.pop(call_id, None)
         return effects
 
 
@@ -115,20 +115,20 @@
         self.token = token
         self.job_id = job_id
         self._tenant = tenant
-        self._since = float("nan")
+        self._started_at = float("nan")
 
-    def started_at(self, now: float) -> "JobCall":
+    def with_start_time(self, now: float) -> "JobCall":
         """Sets the time as of which the fold must be fresh."""
-        self._since = now
+        self._started_at = now
         return self
 
     def poll(self, now: float, replica: ShardReplica) -> Progress:
         """Finds the job once the fold is fresh."""
-        if replica.fresh_as_of < self._since:
+        if replica.fresh_as_of < self._started_at:
             return STILL_WAITING
         job = find_job(replica.fold, self._tenant, self.job_id)
         if job is None:
-            return Progress(True, [AnswerCall(self.token, unknown_job(self.job_id))])
+            return Progress(True, [AnswerCall(self.token, unknown_job_refusal(self.job_id))])
         return self.on_found(now, replica, job)
 
     @abstractmethod
@@ -137,15 +137,15 @@
 
     def expire(self) -> list[Effect]:
         """Refuses the call: nothing was read and nothing was changed."""
-        return [AnswerCall(self.token, log_silent(Step.READ))]
+        return [AnswerCall(self.token, log_unavailable_refusal(Step.READ))]
 
 
-class JobQuestion(JobCall):
+class JobStatusCall(JobCall):
     """Asks for a job's state."""
 
     def on_found(self, now: float, replica: ShardReplica, job: Job) -> Progress:
         """Answers with the job's state."""
-        return Progress(True, [AnswerCall(self.token, view_of(job))])
+        return Progress(True, [AnswerCall(self.token, job_view(job))])
 
 
 def find_job(fold: ShardFold, tenant: str, job_id: str) -> Job | None:
@@ -154,7 +154,7 @@
     return job if job is not None and job.tenant == tenant else None
 
 
-def view_of(job: Job, duplicate: bool = False) -> JobView:
+def job_view(job: Job, duplicate: bool = False) -> JobView:
     """Returns a job's state as told to callers."""
     status = job.status.name.lower()
     if job.status is JobStatus.RUNNING and job.finished == job.item_count:
@@ -172,12 +172,12 @@
     )
 
 
-def unknown_job(job_id: str) -> CallRefused:
+def unknown_job_refusal(job_id: str) -> CallRefused:
     """Returns the refusal of a call about a job that is not there."""
     return CallRefused(f"no job {job_id}", Step.READ, 404, True)
 
 
-def log_silent(step: Step) -> CallRefused:
+def log_unavailable_refusal(step: Step) -> CallRefused:
     """Returns the refusal of a call that changed nothing because the log is silent."""
     reason = "the log service does not answer"
     return CallRefused(reason, step, 503, True, LOG_PEER, RETRY_AFTER_SECONDS)
--- a/src/troutswitch/standalone/decisions/batch/claims.py
+++ b/src/troutswitch/standalone/decisions/batch/claims.py
@@ -42,24 +42,24 @@
         self._context = context
         self._request_id = event.request_id
         self._claim = OnceClaimed(self._key, event.request_id, now, policy.once_window_seconds)
-        self._since = now
+        self._started_at = now
         self._is_appended = False
         self._on_ended = on_ended
 
     def poll(self, now: float, replica: ShardReplica) -> Progress:
         """Appends once the fold is fresh and the key is free, then reads it back."""
-        held = replica.fold.once.get(self._key)
-        is_held = held is not None and now < held.expires_at
-        if held is not None and held.request_id == self._request_id:
+        claim = replica.fold.once_claims.get(self._key)
+        is_key_claimed = claim is not None and now < claim.expires_at
+        if claim is not None and claim.request_id == self._request_id:
             return Progress(True, self._on_ended(now, self._request_id, None))
-        if is_held and (self._is_appended or replica.fresh_as_of >= self._since):
-            return Progress(True, self._on_ended(now, self._request_id, self._taken()))
-        if self._is_appended or replica.fresh_as_of < self._since:
+        if is_key_claimed and (self._is_appended or replica.fresh_as_of >= self._started_at):
+            return Progress(True, self._on_ended(now, self._request_id, self._key_in_use()))
+        if self._is_appended or replica.fresh_as_of < self._started_at:
             return STILL_WAITING
         self._is_appended = True
         return Progress(False, self._context.append(replica, [self._claim]))
 
-    def _taken(self) -> MayHaveRun:
+    def _key_in_use(self) -> MayHaveRun:
         reason = "a request with this key was sent before and may have run"
         return MayHaveRun(reason, Step.CLAIM, LOG_PEER, None, 409)
 
--- a/src/troutswitch/standalone/decisions/batch/dispatcher.py
+++ b/src/troutswitch/standalone/decisions/batch/dispatcher.py
@@ -13,7 +13,7 @@
 )
 from troutswitch.standalone.daemons.messages import SlotAsk, SlotGrant
 from troutswitch.standalone.decisions.batch.jobs import Job
-from troutswitch.standalone.decisions.batch.owner import Handout, ItemReference, ShardOwner
+from troutswitch.standalone.decisions.batch.owner import ItemReference, ReadyItem, ShardOwner
 from troutswitch.standalone.decisions.batch.ownership import Ownership
 from troutswitch.standalone.decisions.effects import (
     CancelAttempt,
@@ -30,11 +30,11 @@
 
 @dataclass(slots=True)
 class HeldGrant:
-    """Slots held on one engine until `expires_at`, `firm` of them for items not to be
+    """Slots held on one engine until `expires_at`, `non_preemptible` of them for items not to be
     repeated."""
 
     slots: int
-    firm: int
+    non_preemptible: int
     expires_at: float
     priority: int
     incarnation: str
@@ -90,7 +90,7 @@
         self._running: dict[str, RunningItem] = {}
         self._by_engine: dict[str, _EngineWork] = {}
         self._attempt_count = 0
-        self._ask_at = float("-inf")
+        self._next_request_at = float("-inf")
         engines.add_load_hook(self._on_engine_polled)
 
     def set_ownership(self, ownership: Ownership) -> None:
@@ -111,14 +111,14 @@
 
     def next_due(self) -> float:
         """Returns when slots are to be asked for."""
-        return self._ask_at if self._shards.owners or self._running else float("inf")
+        return self._next_request_at if self._shards.owners or self._running else float("inf")
 
     def on_timer(self, now: float) -> list[Effect]:
         """Asks for slots if there is work, and renews what is held."""
-        if now < self._ask_at:
+        if now < self._next_request_at:
             return []
-        self._ask_at = now + SLOT_ASK_SECONDS
-        return self._ask(now) + self.fill(now)
+        self._next_request_at = now + SLOT_ASK_SECONDS
+        return self._request_slots(now) + self.fill(now)
 
     def _demand(self, now: float) -> dict[str, int]:
         demand: dict[str, int] = {}
@@ -127,38 +127,38 @@
                 demand[service] = demand.get(service, 0) + count
         return demand
 
-    def _ask(self, now: float) -> list[Effect]:
+    def _request_slots(self, now: float) -> list[Effect]:
         if self._writer.queued_records() > WRITER_QUEUE_MOST_RECORDS:
             return []  # results pile up while the log is away: take on no more
         effects: list[Effect] = []
-        asked: set[str] = set()
+        requested: set[str] = set()
         for service, waiting in self._demand(now).items():
-            effects.extend(self._ask_for_service(now, service, waiting, asked))
+            effects.extend(self._request_slots_for_service(now, service, waiting, requested))
         for name in self._by_engine:
-            if name not in asked:
-                effects.extend(self._ask_engine(name, 0))
+            if name not in requested:
+                effects.extend(self._request_slots_from(name, 0))
         return effects
 
-    def _ask_for_service(
-        self, now: float, service: str, waiting: int, asked: set[str]
+    def _request_slots_for_service(
+        self, now: float, service: str, waiting: int, requested: set[str]
     ) -> list[Effect]:
         candidates = [engine for engine in self._engines.usable(now, service)]
         chosen = self._rng.sample(candidates, min(SLOT_ASK_ENGINES, len(candidates)))
         effects: list[Effect] = []
         for engine in chosen:
-            asked.add(engine.name)
+            requested.add(engine.name)
             wanted = -(-waiting // len(chosen))
-            effects.extend(self._ask_engine(engine.name, min(wanted, 512)))
+            effects.extend(self._request_slots_from(engine.name, min(wanted, 512)))
         return effects
 
-    def _ask_engine(self, name: str, wanted: int) -> list[Effect]:
+    def _request_slots_from(self, name: str, wanted: int) -> list[Effect]:
         steward = self._stewardship.steward_of(name)
         address = self._membership.address_of(steward) if steward is not None else None
         if address is None:
             return []
         work = self._by_engine.get(name)
-        held = len(work.running) if work is not None else 0
-        return [SendDatagram(address, SlotAsk(self._membership.name, name, held, wanted))]
+        running_count = len(work.running) if work is not None else 0
+        return [SendDatagram(address, SlotAsk(self._membership.name, name, running_count, wanted))]
 
     def on_grant(self, now: float, message: SlotGrant) -> list[Effect]:
         """Takes in a grant: fills new slots, or cancels what is above it."""
@@ -178,10 +178,10 @@
         work = self._by_engine.get(engine_name)
         if engine is None or work is None:
             return []
-        staying = [item for item in work.running.values() if not item.is_cancelled]
-        excess = len(staying) - slots
+        active = [item for item in work.running.values() if not item.is_cancelled]
+        excess = len(active) - slots
         effects: list[Effect] = []
-        for item in reversed(staying):
+        for item in reversed(active):
             if excess <= 0:
                 break
             if item.repeatable:
@@ -220,21 +220,23 @@
     ) -> list[Effect]:
         effects: list[Effect] = []
         for owner, job in self._jobs_by_deadline(service):
-            while free > 0 and (job.repeatable or self._firm_running(name) < grant.firm):
-                handout, more = owner.next_item(now, job)
-                effects.extend(more)
-                if handout is None:
-                    if not more:
+            while free > 0 and (
+                job.repeatable or self._non_preemptible_count(name) < grant.non_preemptible
+            ):
+                ready_item, reads = owner.next_item(now, job)
+                effects.extend(reads)
+                if ready_item is None:
+                    if not reads:
                         break
                     free -= 1
                     continue
-                effects.append(self._start(owner, job, handout, name, grant))
+                effects.append(self._start_attempt(owner, job, ready_item, name, grant))
                 free -= 1
             if free <= 0:
                 break
         return effects
 
-    def _firm_running(self, name: str) -> int:
+    def _non_preemptible_count(self, name: str) -> int:
         work = self._by_engine.get(name)
         if work is None:
             return 0
@@ -246,14 +248,14 @@
         ]
         return sorted(pairs, key=lambda pair: (pair[1].deadline, pair[1].job_id))
 
-    def _start(
-        self, owner: ShardOwner, job: Job, handout: Handout, name: str, grant: HeldGrant
+    def _start_attempt(
+        self, owner: ShardOwner, job: Job, ready_item: ReadyItem, name: str, grant: HeldGrant
     ) -> Effect:
         self._attempt_count += 1
         self.counts.attempts += 1
         attempt_id = f"{self._writer.writer}-b{self._attempt_count}"
         item = RunningItem(
-            attempt_id, owner.shard, owner.epoch, handout.reference, name, job.repeatable
+            attempt_id, owner.shard, owner.epoch, ready_item.reference, name, job.repeatable
         )
         self._running[attempt_id] = item
         self._by_engine.setdefault(name, _EngineWork()).running[attempt_id] = item
@@ -263,10 +265,10 @@
             self._engines.engines[name].address,
             grant.incarnation,
             job.job_id,
-            handout.item,
+            ready_item.item,
             grant.priority,
-            handout.partial.position,
-            handout.partial.text,
+            ready_item.partial.position,
+            ready_item.partial.text,
         )
 
     # The end of an attempt.
@@ -276,20 +278,22 @@
         item = self._running.pop(event.attempt_id, None)
         if item is None:
             return []
-        self._forget_on_engine(item)
-        effects = self._learn(now, item, event)
+        self._remove_from_engine(item)
+        effects = self._update_engine(now, item, event)
         owner = self._shards.owners.get(item.shard)
         if owner is not None and owner.epoch == item.epoch:
             effects.extend(owner.on_attempt_ended(now, item.reference, event))
         return effects + self.fill(now)
 
-    def _forget_on_engine(self, item: RunningItem) -> None:
+    def _remove_from_engine(self, item: RunningItem) -> None:
         work = self._by_engine[item.engine]
         del work.running[item.attempt_id]
         if not work.running:
             del self._by_engine[item.engine]
 
-    def _learn(self, now: float, item: RunningItem, event: BatchAttemptEnded) -> list[Effect]:
+    def _update_engine(
+        self, now: float, item: RunningItem, event: BatchAttemptEnded
+    ) -> list[Effect]:
         engine = self._engines.engines.get(item.engine)
         if engine is None:
             return []
@@ -307,11 +311,11 @@
         """Cancels what still runs of a cancelled job."""
         return self._cancel(lambda item: item.shard == shard and item.reference.job_id == job_id)
 
-    def _cancel(self, is_meant: Callable[[RunningItem], bool]) -> list[Effect]:
+    def _cancel(self, matches: Callable[[RunningItem], bool]) -> list[Effect]:
         effects: list[Effect] = []
         for item in self._running.values():
             engine = self._engines.engines.get(item.engine)
-            if is_meant(item) and not item.is_cancelled and engine is not None:
+            if matches(item) and not item.is_cancelled and engine is not None:
                 item.is_cancelled = True
                 effects.append(CancelAttempt(item.attempt_id, engine.address))
         return effects
--- a/src/troutswitch/standalone/decisions/batch/fold.py
+++ b/src/troutswitch/standalone/decisions/batch/fold.py
@@ -125,8 +125,8 @@
         self.open_jobs: dict[str, Job] = {}
         self.job_of_identity: dict[str, str] = {}
         self.verdicts: OrderedDict[str, SubmissionVerdict] = OrderedDict()
-        self.staged: OrderedDict[str, dict[int, tuple[int, int]]] = OrderedDict()
-        self.once: OrderedDict[str, OnceClaim] = OrderedDict()
+        self.staged_chunks: OrderedDict[str, dict[int, tuple[int, int]]] = OrderedDict()
+        self.once_claims: OrderedDict[str, OnceClaim] = OrderedDict()
         self.sequences = WriterSequences()
         self.void_records = 0
 
@@ -157,16 +157,16 @@
     # Records of submitters.
 
     def _on_chunk(self, offset: int, record: ChunkSubmitted) -> list[FoldChange]:
-        chunks = self.staged.setdefault(record.job_id, {})
+        chunks = self.staged_chunks.setdefault(record.job_id, {})
         chunks.setdefault(record.chunk_index, (offset, len(record.items)))
-        if len(self.staged) > STAGED_JOBS_MOST:
-            self.staged.popitem(last=False)
+        if len(self.staged_chunks) > STAGED_JOBS_MOST:
+            self.staged_chunks.popitem(last=False)
         return []
 
     def _on_commit(self, offset: int, record: JobCommitted) -> list[FoldChange]:
         if record.job_id in self.verdicts or record.job_id in self.jobs:
             return []
-        chunks = self.staged.pop(record.job_id, {})
+        chunks = self.staged_chunks.pop(record.job_id, {})
         verdict = self._evaluate_submission(record, chunks)
         self._remember_verdict(record.job_id, verdict)
         if not isinstance(verdict, Accepted):
@@ -218,25 +218,27 @@
         del self.open_jobs[job.job_id]
         return [JobStopped(job.job_id)]
 
-    def _on_once(self, offset: int, record: OnceClaimed) -> list[FoldChange]:
-        held = self.once.get(record.key)
+    def _on_once_claim(self, offset: int, record: OnceClaimed) -> list[FoldChange]:
+        held = self.once_claims.get(record.key)
         if held is not None and record.claimed_at < held.expires_at:
             return []
-        self.once.pop(record.key, None)
-        self.once[record.key] = OnceClaim(record.request_id, record.claimed_at + record.window)
+        self.once_claims.pop(record.key, None)
+        self.once_claims[record.key] = OnceClaim(
+            record.request_id, record.claimed_at + record.window
+        )
         self._drop_expired_claims(record.claimed_at)
         return []
 
     def _drop_expired_claims(self, now: float) -> None:
-        while self.once:
-            oldest = next(iter(self.once))
-            if self.once[oldest].expires_at > now:
+        while self.once_claims:
+            oldest = next(iter(self.once_claims))
+            if self.once_claims[oldest].expires_at > now:
                 return
-            del self.once[oldest]
+            del self.once_claims[oldest]
 
     # Records of owners.
 
-    def _on_claim(self, offset: int, record: EpochClaimed) -> list[FoldChange]:
+    def _on_epoch_claim(self, offset: int, record: EpochClaimed) -> list[FoldChange]:
         # Legal only on top of the epoch the claimant had seen: the first claim wins.
         if record.previous_epoch != self.epoch:
             self.void_records += 1
@@ -246,25 +248,25 @@
         self.last_owner_offset = offset
         return [OwnerChanged(offset, record.owner)]
 
-    def _on_release(self, offset: int, record: EpochReleased) -> list[FoldChange]:
+    def _on_epoch_release(self, offset: int, record: EpochReleased) -> list[FoldChange]:
         if not self._is_current(offset, record.epoch):
             return []
         self.owner = ""
         return [OwnerChanged(self.epoch, "")]
 
-    def _on_renew(self, offset: int, record: EpochRenewed) -> list[FoldChange]:
+    def _on_epoch_renewal(self, offset: int, record: EpochRenewed) -> list[FoldChange]:
         self._is_current(offset, record.epoch)
         return []
 
     def _on_attempt(self, offset: int, record: AttemptStarted) -> list[FoldChange]:
-        job = self._open_job(offset, record.epoch, record.job_id)
+        job = self._running_job(offset, record.epoch, record.job_id)
         if job is None or job.state_of(record.item_index) is not ItemState.OPEN:
             return []
         job.item_states[record.item_index] = ItemState.ATTEMPTED
         return [AttemptRecorded(job.job_id, record.item_index)]
 
     def _on_finish(self, offset: int, record: ItemFinished) -> list[FoldChange]:
-        job = self._open_job(offset, record.epoch, record.job_id)
+        job = self._running_job(offset, record.epoch, record.job_id)
         state = FINAL_OUTCOMES.get(record.outcome)
         if job is None or state is None or job.state_of(record.item_index).is_final:
             self.void_records += 1
@@ -275,7 +277,7 @@
         return []
 
     def _on_close(self, offset: int, record: JobClosed) -> list[FoldChange]:
-        job = self._open_job(offset, record.epoch, record.job_id)
+        job = self._running_job(offset, record.epoch, record.job_id)
         if job is None or job.finished != job.item_count or job.is_closed:
             return []
         job.close(offset)
@@ -289,7 +291,7 @@
         self.last_owner_offset = offset
         return True
 
-    def _open_job(self, offset: int, epoch: int, job_id: str) -> Job | None:
+    def _running_job(self, offset: int, epoch: int, job_id: str) -> Job | None:
         """Returns the job if an owner's record about it may count."""
         if not self._is_current(offset, epoch):
             return None
@@ -301,10 +303,10 @@
     ChunkSubmitted: ShardFold._on_chunk,
     JobCommitted: ShardFold._on_commit,
     JobCancelled: ShardFold._on_cancel,
-    OnceClaimed: ShardFold._on_once,
-    EpochClaimed: ShardFold._on_claim,
-    EpochReleased: ShardFold._on_release,
-    EpochRenewed: ShardFold._on_renew,
+    OnceClaimed: ShardFold._on_once_claim,
+    EpochClaimed: ShardFold._on_epoch_claim,
+    EpochReleased: ShardFold._on_epoch_release,
+    EpochRenewed: ShardFold._on_epoch_renewal,
     AttemptStarted: ShardFold._on_attempt,
     ItemFinished: ShardFold._on_finish,
     JobClosed: ShardFold._on_close,
--- a/src/troutswitch/standalone/decisions/batch/owner.py
+++ b/src/troutswitch/standalone/decisions/batch/owner.py
@@ -64,11 +64,11 @@
     text: str
 
 
-NOTHING_YET = PartialAnswer(0, "")
+NO_PARTIAL_ANSWER = PartialAnswer(0, "")
 
 
 @dataclass(frozen=True, slots=True)
-class Handout:
+class ReadyItem:
     """An item that may run now, going on from an earlier attempt's partial answer."""
 
     reference: ItemReference
@@ -81,14 +81,14 @@
     """What the owner knows of a job beyond the fold.
 
     Items below `cursor` have been handed out at least once; those that came back
-    wait in `retries` as (ready time, index). `out` are the items handed out or being
+    wait in `retries` as (ready time, index). `dispatched` are the items handed out or being
     recorded; `attempted_in_epoch` those whose attempt this epoch has on record.
     """
 
     cursor: int = 0
     retries: list[tuple[float, int]] = field(default_factory=list)
     failures: dict[int, int] = field(default_factory=dict)
-    out: set[int] = field(default_factory=set)
+    dispatched: set[int] = field(default_factory=set)
     attempted_in_epoch: set[int] = field(default_factory=set)
 
 
@@ -114,8 +114,8 @@
         self._recording: set[ItemReference] = set()
         self._partials: OrderedDict[ItemReference, PartialAnswer] = OrderedDict()
         self._chunks: OrderedDict[tuple[str, int], list[BatchItem]] = OrderedDict()
-        self._chunks_wanted: set[tuple[str, int]] = set()
-        self._renew_at = float("-inf")
+        self._chunk_reads: set[tuple[str, int]] = set()
+        self._next_renewal_at = float("-inf")
         self._snapshot_at_offset = self.fold.next_offset + SNAPSHOT_EVERY_ENTRIES
         self.snapshot_due = False
 
@@ -135,7 +135,7 @@
 
     def running_items(self) -> int:
         """Returns the items handed out and not yet recorded."""
-        return sum(len(progress.out) for progress in self._progress.values())
+        return sum(len(progress.dispatched) for progress in self._progress.values())
 
     def take_over(self, now: float) -> list[Effect]:
         """Begins the epoch: settles attempts that earlier epochs left open."""
@@ -165,24 +165,24 @@
             match change:
                 case JobOpened(job_id):
                     self._progress[job_id] = JobProgress()
-                    effects.append(self._line("job accepted", job_id))
+                    effects.append(self._job_log_event("job accepted", job_id))
                 case JobStopped(job_id):
                     self._forget_job(job_id)
-                    effects.append(self._line("job cancelled", job_id))
+                    effects.append(self._job_log_event("job cancelled", job_id))
                 case JobCompleted(job_id):
-                    effects.append(self._line("job completed", job_id))
+                    effects.append(self._job_log_event("job completed", job_id))
                     effects.extend(self._close_job(self.fold.jobs[job_id]))
                 case AttemptRecorded(job_id, index):
-                    self._attempt_recorded(job_id, index)
+                    self._on_attempt_recorded(job_id, index)
                 case _:
                     pass
-        self._settle_recorded()
+        self._clear_recorded()
         if self.fold.next_offset >= self._snapshot_at_offset:
             self._snapshot_at_offset = self.fold.next_offset + SNAPSHOT_EVERY_ENTRIES
             self.snapshot_due = True
         return effects
 
-    def _line(self, event: str, job_id: str) -> LogEvent:
+    def _job_log_event(self, event: str, job_id: str) -> LogEvent:
         job = self.fold.jobs[job_id]
         return LogEvent(
             event,
@@ -196,26 +196,26 @@
             },
         )
 
-    def _attempt_recorded(self, job_id: str, index: int) -> None:
+    def _on_attempt_recorded(self, job_id: str, index: int) -> None:
         progress = self._progress.get(job_id)
         if progress is not None:
             progress.attempted_in_epoch.add(index)
-            progress.out.discard(index)
+            progress.dispatched.discard(index)
             heapq.heappush(progress.retries, (0.0, index))
 
-    def _settle_recorded(self) -> None:
+    def _clear_recorded(self) -> None:
         for reference in list(self._recording):
             job = self.fold.jobs.get(reference.job_id)
             if job is None or job.is_closed or not job.is_running:
                 self._recording.discard(reference)
             elif job.state_of(reference.index).is_final:
                 self._recording.discard(reference)
-                self._return(reference)
+                self._clear_item(reference)
 
-    def _return(self, reference: ItemReference) -> None:
+    def _clear_item(self, reference: ItemReference) -> None:
         progress = self._progress.get(reference.job_id)
         if progress is not None:
-            progress.out.discard(reference.index)
+            progress.dispatched.discard(reference.index)
             progress.attempted_in_epoch.discard(reference.index)
             progress.failures.pop(reference.index, None)
 
@@ -251,7 +251,7 @@
             if job.service == service:
                 yield job
 
-    def next_item(self, now: float, job: Job) -> tuple[Handout | None, list[Effect]]:
+    def next_item(self, now: float, job: Job) -> tuple[ReadyItem | None, list[Effect]]:
         """Hands out the next item of a job, or None if none can run yet.
 
         The first call for an item of a job not to be repeated records an attempt;
@@ -262,7 +262,7 @@
         if progress is None or index is None:
             return None, []
         if not job.repeatable and index not in progress.attempted_in_epoch:
-            progress.out.add(index)
+            progress.dispatched.add(index)
             attempt = AttemptStarted(self.epoch, job.job_id, index)
             return None, self._writer.append(self.stream, [attempt])
         item = self._cached_item(job, index)
@@ -270,20 +270,20 @@
             heapq.heappush(progress.retries, (now, index))
             return None, self._fetch_chunk(job, index // CHUNK_ITEMS)
         ensure(not job.state_of(index).is_final, "a finished item is handed out")
-        ensure(index not in progress.out, "an item is handed out twice at once")
-        progress.out.add(index)
-        partial = self._partials.pop(ItemReference(job.job_id, index), NOTHING_YET)
-        return Handout(ItemReference(job.job_id, index), item, partial), []
+        ensure(index not in progress.dispatched, "an item is handed out twice at once")
+        progress.dispatched.add(index)
+        partial = self._partials.pop(ItemReference(job.job_id, index), NO_PARTIAL_ANSWER)
+        return ReadyItem(ItemReference(job.job_id, index), item, partial), []
 
     def _next_index(self, now: float, job: Job, progress: JobProgress) -> int | None:
         while progress.retries and progress.retries[0][0] <= now:
             _, index = heapq.heappop(progress.retries)
-            if index not in progress.out and not job.state_of(index).is_final:
+            if index not in progress.dispatched and not job.state_of(index).is_final:
                 return index
         while progress.cursor < job.item_count:
             index = progress.cursor
             progress.cursor += 1
-            if job.state_of(index) is ItemState.OPEN and index not in progress.out:
+            if job.state_of(index) is ItemState.OPEN and index not in progress.dispatched:
                 return index
         return None
 
@@ -297,21 +297,21 @@
 
     def _fetch_chunk(self, job: Job, chunk_index: int) -> list[Effect]:
         key = (job.job_id, chunk_index)
-        if key in self._chunks_wanted:
+        if key in self._chunk_reads:
             return []
-        self._chunks_wanted.add(key)
+        self._chunk_reads.add(key)
 
         def on_answer(now: float, answer: LogRead | LogReadFailed) -> list[Effect]:
-            self._chunks_wanted.discard(key)
+            self._chunk_reads.discard(key)
             if isinstance(answer, LogRead):
-                self._keep_chunk(key, answer)
+                self._cache_chunk(key, answer)
             return self._on_ready(now) if key in self._chunks else []
 
         offset = job.chunk_offsets[chunk_index]
         return self._reader.read(self.stream, offset, on_answer, limit=1)
 
-    def _keep_chunk(self, key: tuple[str, int], answer: LogRead) -> None:
-        items = chunk_items(answer, *key)
+    def _cache_chunk(self, key: tuple[str, int], answer: LogRead) -> None:
+        items = find_chunk_items(answer, *key)
         if items is None or key[0] not in self._progress:
             return
         self._chunks[key] = items
@@ -330,34 +330,34 @@
             return []  # cancelled or closed meanwhile: late results are not counted
         match event.kind:
             case AttemptOutcome.COMPLETED:
-                return self._record(reference, ItemState.COMPLETED, event.body)
+                return self._record_result(reference, ItemState.COMPLETED, event.body)
             case AttemptOutcome.REJECTED:
-                return self._record(reference, ItemState.FAILED, event.body)
+                return self._record_result(reference, ItemState.FAILED, event.body)
             case AttemptOutcome.CUT | AttemptOutcome.CANCELLED if not job.repeatable:
-                return self._record(reference, ItemState.MAY_HAVE_RUN, event.body)
+                return self._record_result(reference, ItemState.MAY_HAVE_RUN, event.body)
             case _:
-                self._keep_partial(reference, PartialAnswer(event.position, event.partial))
-                self._put_back(now, progress, reference.index, event.kind)
+                self._save_partial(reference, PartialAnswer(event.position, event.partial))
+                self._requeue(now, progress, reference.index, event.kind)
                 return []
 
-    def _keep_partial(self, reference: ItemReference, partial: PartialAnswer) -> None:
+    def _save_partial(self, reference: ItemReference, partial: PartialAnswer) -> None:
         if partial.position == 0:
             return
         self._partials[reference] = partial
         if len(self._partials) > PARTIALS_KEPT:
             self._partials.popitem(last=False)
 
-    def _record(self, reference: ItemReference, state: ItemState, body: str) -> list[Effect]:
+    def _record_result(self, reference: ItemReference, state: ItemState, body: str) -> list[Effect]:
         self._recording.add(reference)
         record = ItemFinished(
             self.epoch, reference.job_id, reference.index, state.name.lower(), body
         )
         return self._writer.append(self.stream, [record])
 
-    def _put_back(
+    def _requeue(
         self, now: float, progress: JobProgress, index: int, kind: AttemptOutcome
     ) -> None:
-        progress.out.discard(index)
+        progress.dispatched.discard(index)
         if kind is AttemptOutcome.CANCELLED:
             heapq.heappush(progress.retries, (now, index))
             return
@@ -370,9 +370,9 @@
 
     def renew(self, now: float) -> list[Effect]:
         """Shows that the owner is alive while the shard has work."""
-        if now < self._renew_at or not self.has_work():
+        if now < self._next_renewal_at or not self.has_work():
             return []
-        self._renew_at = now + RENEW_SECONDS
+        self._next_renewal_at = now + RENEW_SECONDS
         return self._writer.append(self.stream, [EpochRenewed(self.epoch)])
 
     def release(self) -> list[Effect]:
@@ -380,7 +380,7 @@
         return self._writer.append(self.stream, [EpochReleased(self.epoch)])
 
 
-def chunk_items(answer: LogRead, job_id: str, chunk_index: int) -> list[BatchItem] | None:
+def find_chunk_items(answer: LogRead, job_id: str, chunk_index: int) -> list[BatchItem] | None:
     """Finds a chunk in the first entry of a read, or returns None."""
     if not answer.entries:
         return None
--- a/src/troutswitch/standalone/decisions/batch/ownership.py
+++ b/src/troutswitch/standalone/decisions/batch/ownership.py
@@ -54,11 +54,11 @@
         self._on_owner_lost = on_owner_lost
         self._on_job_stopped: Callable[[int, str], list[Effect]] = lambda shard, job_id: []
         self._change_hooks: list[Callable[[float, int], list[Effect]]] = []
-        self._claiming: dict[int, int] = {}
-        self._released: dict[int, int] = {}
-        self._handover_by: dict[int, float] = {}
+        self._pending_claims: dict[int, int] = {}
+        self._pending_releases: dict[int, int] = {}
+        self._handover_deadlines: dict[int, float] = {}
         self._used_at: dict[int, float] = {}
-        self._check_at = float("-inf")
+        self._next_check_at = float("-inf")
 
     @property
     def identity(self) -> str:
@@ -76,9 +76,9 @@
     def replica(self, now: float, shard: int) -> tuple[ShardReplica, list[Effect]]:
         """Returns a shard's replica, following it from now on if it was not."""
         self._used_at[shard] = now
-        held = self.replicas.get(shard)
-        if held is not None:
-            return held, []
+        existing = self.replicas.get(shard)
+        if existing is not None:
+            return existing, []
 
         def on_changes(at: float, changes: list[FoldChange]) -> list[Effect]:
             if self.replicas.get(shard) is not replica:
@@ -94,26 +94,26 @@
     def next_due(self) -> float:
         """Returns when something is due."""
         polls = (replica.next_due() for replica in self.replicas.values())
-        return min(self._check_at, min(polls, default=float("inf")))
+        return min(self._next_check_at, min(polls, default=float("inf")))
 
     def on_timer(self, now: float) -> list[Effect]:
         """Polls streams, claims, renews and hands over."""
         effects: list[Effect] = []
         for replica in list(self.replicas.values()):
             effects.extend(replica.on_timer(now))
-        if now >= self._check_at:
-            self._check_at = now + CLAIM_RETRY_SECONDS
-            effects.extend(self._check(now))
+        if now >= self._next_check_at:
+            self._next_check_at = now + CLAIM_RETRY_SECONDS
+            effects.extend(self._check_shards(now))
         return effects
 
-    def _check(self, now: float) -> list[Effect]:
+    def _check_shards(self, now: float) -> list[Effect]:
         effects: list[Effect] = []
         for shard in self._followed_shards():
-            replica, loading = self.replica(now, shard)
-            effects.extend(loading)
+            replica, reads = self.replica(now, shard)
+            effects.extend(reads)
             effects.extend(self._consider_claim(now, replica, self.followers(shard)))
         for owner in list(self.owners.values()):
-            effects.extend(self._tend(now, owner))
+            effects.extend(self._maintain_owner(now, owner))
         self._unload_idle(now)
         return effects
 
@@ -150,31 +150,31 @@
         fold = replica.fold
         if shard in self.owners or now - replica.fresh_as_of > LEASE_SECONDS:
             return []
-        if self._claiming.get(shard) == fold.epoch:
+        if self._pending_claims.get(shard) == fold.epoch:
             return []  # our claim on this epoch is still on its way
         is_preferred = followers[0] == self._membership.name
         if self._may_claim(now, replica, is_preferred):
-            self._claiming[shard] = fold.epoch
+            self._pending_claims[shard] = fold.epoch
             claim = EpochClaimed(self.identity, fold.epoch)
             return self._writer.append(replica.stream, [claim])
         if is_preferred and fold.owner:
-            return self._ask_owner(shard, fold.owner)
+            return self._request_handover(shard, fold.owner)
         return []
 
     def _may_claim(self, now: float, replica: ShardReplica, is_preferred: bool) -> bool:
         fold = replica.fold
-        silent_for = now - replica.owner_seen_at
-        lapsed = silent_for > LEASE_SECONDS
+        silent_seconds = now - replica.owner_seen_at
+        lease_expired = silent_seconds > LEASE_SECONDS
         if not fold.owner:
-            return is_preferred or lapsed
+            return is_preferred or lease_expired
         if fold.owner == self.identity:
             return False
         if not self._membership.is_alive_incarnation(fold.owner):
-            return is_preferred or lapsed
+            return is_preferred or lease_expired
         # Alive for its peers, yet it records nothing although it has work.
-        return lapsed and bool(fold.open_jobs)
+        return lease_expired and bool(fold.open_jobs)
 
-    def _ask_owner(self, shard: int, owner: str) -> list[Effect]:
+    def _request_handover(self, shard: int, owner: str) -> list[Effect]:
         address = self._membership.address_of(owner.partition("#")[0])
         if address is None:
             return []
@@ -209,7 +209,7 @@
             for change in changes:
                 if isinstance(change, JobStopped):
                     effects.extend(self._on_job_stopped(shard, change.job_id))
-        effects.extend(self._snapshot(owner))
+        effects.extend(self._append_snapshot(owner))
         effects.extend(self._on_ready(now))
         return effects
 
@@ -218,7 +218,7 @@
         fold = replica.fold
         if fold.owner != self.identity or shard in self.owners:
             return []
-        if self._released.get(shard) == fold.epoch:
+        if self._pending_releases.get(shard) == fold.epoch:
             return []  # our release is still on its way
         owner = ShardOwner(replica, fold.epoch, self._writer, self._reader, self._on_ready)
         self.owners[shard] = owner
@@ -227,13 +227,13 @@
 
     def _end_ownership(self, now: float, shard: int) -> list[Effect]:
         owner = self.owners.pop(shard, None)
-        self._handover_by.pop(shard, None)
+        self._handover_deadlines.pop(shard, None)
         if owner is None:
             return []
         line = LogEvent("shard lost", {"shard": shard, "epoch": owner.epoch})
         return [line, *self._on_owner_lost(now, owner)]
 
-    def _snapshot(self, owner: ShardOwner) -> list[Effect]:
+    def _append_snapshot(self, owner: ShardOwner) -> list[Effect]:
         if not owner.snapshot_due:
             return []
         owner.snapshot_due = False
@@ -241,39 +241,39 @@
 
     # Handing over.
 
-    def _tend(self, now: float, owner: ShardOwner) -> list[Effect]:
+    def _maintain_owner(self, now: float, owner: ShardOwner) -> list[Effect]:
         if self.is_draining:
             self._start_handover(now, owner)
         if not owner.is_releasing:
             return owner.renew(now)
-        if owner.running_items() == 0 or now >= self._handover_by[owner.shard]:
+        if owner.running_items() == 0 or now >= self._handover_deadlines[owner.shard]:
             return self._release(now, owner)
         return owner.renew(now)
 
     def _start_handover(self, now: float, owner: ShardOwner) -> None:
         owner.is_releasing = True
-        self._handover_by.setdefault(owner.shard, now + HANDOVER_SECONDS)
+        self._handover_deadlines.setdefault(owner.shard, now + HANDOVER_SECONDS)
 
     def _release(self, now: float, owner: ShardOwner) -> list[Effect]:
         self.owners.pop(owner.shard, None)
-        self._handover_by.pop(owner.shard, None)
-        self._released[owner.shard] = owner.epoch
+        self._handover_deadlines.pop(owner.shard, None)
+        self._pending_releases[owner.shard] = owner.epoch
         line = LogEvent("shard released", {"shard": owner.shard, "epoch": owner.epoch})
         return [line, *owner.release(), *self._on_owner_lost(now, owner)]
 
-    def on_wanted(self, now: float, message: ShardWanted) -> list[Effect]:
+    def on_shard_wanted(self, now: float, message: ShardWanted) -> list[Effect]:
         """The preferred owner asks for a shard of ours."""
         owner = self.owners.get(message.shard)
         if owner is not None and self.followers(message.shard)[:1] == [message.sender]:
             self._start_handover(now, owner)
         return []
 
-    def on_touched(self, now: float, message: ShardTouched) -> list[Effect]:
+    def on_stream_grown(self, now: float, message: ShardTouched) -> list[Effect]:
         """A stream has grown."""
         replica = self.replicas.get(message.shard)
         return replica.read_now(now) if replica is not None else []
 
-    def touch(self, shard: int) -> list[Effect]:
+    def notify_owner(self, shard: int) -> list[Effect]:
         """Tells the shard's owner that its stream has grown."""
         address = self._membership.address_of(self.owner_name(shard))
         if address is None:
@@ -287,7 +287,7 @@
                 return replica.read_now(now)
         return []
 
-    def is_released(self) -> bool:
+    def has_released_all(self) -> bool:
         """Returns whether nothing is owned."""
         return not self.owners
 
--- a/src/troutswitch/standalone/decisions/batch/placement.py
+++ b/src/troutswitch/standalone/decisions/batch/placement.py
@@ -17,35 +17,35 @@
         self._count = count
         self._top: list[list[Weight]] = [[] for _ in range(shard_count)]
         self._names: set[str] = set()
-        self._seen: list[str] | None = None
+        self._last_names: list[str] | None = None
         self._followed: dict[str, list[int]] = {}
 
     def update(self, names: list[str]) -> None:
         """Takes in the serving daemons; the same list object means that nothing changed."""
-        if names is self._seen:
+        if names is self._last_names:
             return
-        self._seen = names
+        self._last_names = names
         self._followed.clear()
         wanted = set(names)
-        gone = self._names - wanted
-        come = sorted(wanted - self._names)
+        departed = self._names - wanted
+        joined = sorted(wanted - self._names)
         self._names = wanted
-        if gone:
-            self._recount(gone)
-        for name in come:
+        if departed:
+            self._recompute(departed)
+        for name in joined:
             self._insert(name)
 
-    def _recount(self, gone: set[str]) -> None:
+    def _recompute(self, departed: set[str]) -> None:
         for shard, top in enumerate(self._top):
-            if any(name in gone for _, name in top):
+            if any(name in departed for _, name in top):
                 weights = (weight_of(shard, name) for name in self._names)
                 self._top[shard] = sorted(weights, reverse=True)[: self._count]
 
     def _insert(self, name: str) -> None:
         for shard, top in enumerate(self._top):
             weight = weight_of(shard, name)
-            has_room = len(top) < self._count or weight > top[-1]
-            if has_room and weight not in top:
+            qualifies = len(top) < self._count or weight > top[-1]
+            if qualifies and weight not in top:
                 top.append(weight)
                 top.sort(reverse=True)
                 del top[self._count :]
@@ -56,11 +56,11 @@
 
     def followed_by(self, name: str) -> list[int]:
         """Returns the shards that a daemon follows."""
-        held = self._followed.get(name)
-        if held is None:
-            held = [n for n, top in enumerate(self._top) if any(name == o for _, o in top)]
-            self._followed[name] = held
-        return held
+        shards = self._followed.get(name)
+        if shards is None:
+            shards = [n for n, top in enumerate(self._top) if any(name == o for _, o in top)]
+            self._followed[name] = shards
+        return shards
 
 
 def weight_of(shard: int, name: str) -> Weight:
--- a/src/troutswitch/standalone/decisions/batch/replica.py
+++ b/src/troutswitch/standalone/decisions/batch/replica.py
@@ -50,7 +50,7 @@
         self._is_reading = False
         self._read_again = False
         self._read_started_at = float("-inf")
-        self._poll_at = float("-inf")
+        self._next_poll_at = float("-inf")
         self._failures = 0
 
     @property
@@ -60,7 +60,7 @@
 
     def next_due(self) -> float:
         """Returns when the next poll is due."""
-        return float("inf") if self._is_reading or self.is_stopped else self._poll_at
+        return float("inf") if self._is_reading or self.is_stopped else self._next_poll_at
 
     def on_timer(self, now: float) -> list[Effect]:
         """Polls the stream if it is time."""
@@ -86,10 +86,10 @@
             return self._back_off(now)
         self._is_loaded = True
         if answer.entries:
-            self._load(answer.entries[-1])
+            self._load_snapshot(answer.entries[-1])
         return self.read_now(now)
 
-    def _load(self, payload: bytes) -> None:
+    def _load_snapshot(self, payload: bytes) -> None:
         try:
             self.fold = decode_snapshot(payload)
         except UnreadableEntry:
@@ -101,11 +101,11 @@
         if isinstance(answer, LogReadFailed):
             return self._back_off(now)
         self._failures = 0
-        self._poll_at = now + SHARD_POLL_SECONDS
+        self._next_poll_at = now + SHARD_POLL_SECONDS
         owner_offset = self.fold.last_owner_offset
         changes = self._apply(answer)
-        has_news = any(isinstance(change, JobOpened) for change in changes)
-        if self.fold.last_owner_offset != owner_offset or has_news or not self.is_caught_up:
+        has_new_jobs = any(isinstance(change, JobOpened) for change in changes)
+        if self.fold.last_owner_offset != owner_offset or has_new_jobs or not self.is_caught_up:
             self.owner_seen_at = now
         reached_tail = self.fold.next_offset >= answer.tail
         if reached_tail:
@@ -132,5 +132,5 @@
     def _back_off(self, now: float) -> list[Effect]:
         self._failures += 1
         delay = LOG_RETRY_FIRST_SECONDS * 2 ** min(self._failures, 10)
-        self._poll_at = now + min(delay, LOG_RETRY_MOST_SECONDS)
+        self._next_poll_at = now + min(delay, LOG_RETRY_MOST_SECONDS)
         return []
--- a/src/troutswitch/standalone/decisions/batch/results.py
+++ b/src/troutswitch/standalone/decisions/batch/results.py
@@ -9,10 +9,10 @@
     CallContext,
     JobCall,
     Progress,
-    log_silent,
+    log_unavailable_refusal,
 )
 from troutswitch.standalone.decisions.batch.jobs import Job
-from troutswitch.standalone.decisions.batch.owner import chunk_items
+from troutswitch.standalone.decisions.batch.owner import find_chunk_items
 from troutswitch.standalone.decisions.batch.replica import ShardReplica
 from troutswitch.standalone.decisions.effects import (
     AnswerCall,
@@ -34,7 +34,7 @@
 
 MAX_RESULTS_PER_ANSWER = 256
 """Most results in one answer."""
-RUN_ENTRIES_MOST = 64
+MAX_ENTRIES_PER_READ = 64
 """Most entries asked for in one read."""
 
 
@@ -57,30 +57,30 @@
         self._first = first
         self._limit = max(1, min(limit, MAX_RESULTS_PER_ANSWER))
         self._is_started = False
-        self._is_over = False
+        self._is_answered = False
         self._stream = ""
         self._job: Job | None = None
         self._offsets: array[int] = array("Q")
         self._entries: dict[int, bytes] = {}
-        self._reads_open = 0
+        self._pending_reads = 0
 
     def on_found(self, now: float, replica: ShardReplica, job: Job) -> Progress:
         """Starts the reads once."""
         if self._is_started:
-            return Progress(True) if self._is_over else STILL_WAITING
+            return Progress(True) if self._is_answered else STILL_WAITING
         self._is_started = True
         self._stream = replica.stream
         self._job = job
-        last = min(self._first + self._limit, job.item_count)
+        end = min(self._first + self._limit, job.item_count)
         if self._first >= job.item_count:
-            return Progress(True, [self._answer([])])
+            return Progress(True, [self._results_answer([])])
         if job.is_closed:
             read = self._context.reader.read(
                 replica.stream, job.close_offset, self._on_close_entry, limit=1
             )
             return Progress(False, read)
-        self._offsets = job.result_offsets[self._first : last]
-        states = job.item_states[self._first : last]
+        self._offsets = job.result_offsets[self._first : end]
+        states = job.item_states[self._first : end]
         wanted = [
             offset
             for offset, state in zip(self._offsets, states, strict=True)
@@ -102,27 +102,27 @@
         last_chunk = (self._first + len(self._offsets) - 1) // CHUNK_ITEMS
         chunks = job.chunk_offsets[first_chunk : last_chunk + 1]
         effects: list[Effect] = []
-        for start, count in _runs(sorted({*results, *chunks})):
-            self._reads_open += 1
+        for start, count in _contiguous_ranges(sorted({*results, *chunks})):
+            self._pending_reads += 1
             effects.extend(
                 self._context.reader.read(self._stream, start, self._on_entries, limit=count)
             )
         return effects
 
     def _on_entries(self, now: float, answer: LogRead | LogReadFailed) -> list[Effect]:
-        self._reads_open -= 1
-        if self._is_over:
+        self._pending_reads -= 1
+        if self._is_answered:
             return []
         if isinstance(answer, LogReadFailed):
             return self._fail()
         for position, payload in enumerate(answer.entries):
             self._entries[answer.offset + position] = payload
-        if self._reads_open > 0:
+        if self._pending_reads > 0:
             return []
-        return self._succeed()
+        return self._answer_with_results()
 
-    def _succeed(self) -> list[Effect]:
-        self._is_over = True
+    def _answer_with_results(self) -> list[Effect]:
+        self._is_answered = True
         assert self._job is not None
         results = []
         for position, offset in enumerate(self._offsets):
@@ -131,7 +131,7 @@
             if record is not None:
                 name = self._custom_id(index)
                 results.append(ItemResult(index, name, record.outcome, record.body))
-        return [self._answer(results)]
+        return [self._results_answer(results)]
 
     def _custom_id(self, index: int) -> str:
         assert self._job is not None
@@ -141,20 +141,20 @@
         if payload is None:
             return ""
         answer = LogRead(0, self._stream, offset, (payload,), offset + 1)
-        items: list[BatchItem] = chunk_items(answer, self.job_id, chunk_index) or []
+        items: list[BatchItem] = find_chunk_items(answer, self.job_id, chunk_index) or []
         return items[index % CHUNK_ITEMS].custom_id if items else ""
 
-    def _answer(self, results: list[ItemResult]) -> AnswerCall:
+    def _results_answer(self, results: list[ItemResult]) -> AnswerCall:
         assert self._job is not None
-        following = self._first + self._limit
-        more = following if following < self._job.item_count else None
-        return AnswerCall(self.token, JobResults(self.job_id, tuple(results), more))
+        end = self._first + self._limit
+        next_index = end if end < self._job.item_count else None
+        return AnswerCall(self.token, JobResults(self.job_id, tuple(results), next_index))
 
     def _fail(self) -> list[Effect]:
-        if self._is_over:
+        if self._is_answered:
             return []
-        self._is_over = True
-        refusal: CallRefused = log_silent(Step.READ)
+        self._is_answered = True
+        refusal: CallRefused = log_unavailable_refusal(Step.READ)
         return [AnswerCall(self.token, refusal)]
 
     def expire(self) -> list[Effect]:
@@ -168,7 +168,7 @@
     If one writer recorded the item under two epochs in one entry, the later epoch
     had begun before the entry was written, so only its record is valid.
     """
-    entry = _decode(payload)
+    entry = _decode_or_none(payload)
     if entry is None:
         return None
     found: ItemFinished | None = None
@@ -183,7 +183,7 @@
 
 
 def _find_close(answer: LogRead, job_id: str) -> bytes | None:
-    entry = _decode(answer.entries[0] if answer.entries else None)
+    entry = _decode_or_none(answer.entries[0] if answer.entries else None)
     if entry is None:
         return None
     for record in entry.records:
@@ -192,7 +192,7 @@
     return None
 
 
-def _decode(payload: bytes | None) -> Entry | None:
+def _decode_or_none(payload: bytes | None) -> Entry | None:
     if payload is None:
         return None
     try:
@@ -201,12 +201,16 @@
         return None
 
 
-def _runs(offsets: list[int]) -> list[tuple[int, int]]:
+def _contiguous_ranges(offsets: list[int]) -> list[tuple[int, int]]:
     """Joins sorted offsets into runs of (start, count)."""
-    runs: list[tuple[int, int]] = []
+    ranges: list[tuple[int, int]] = []
     for offset in offsets:
-        if runs and offset == runs[-1][0] + runs[-1][1] and runs[-1][1] < RUN_ENTRIES_MOST:
-            runs[-1] = (runs[-1][0], runs[-1][1] + 1)
+        if (
+            ranges
+            and offset == ranges[-1][0] + ranges[-1][1]
+            and ranges[-1][1] < MAX_ENTRIES_PER_READ
+        ):
+            ranges[-1] = (ranges[-1][0], ranges[-1][1] + 1)
         else:
-            runs.append((offset, 1))
-    return runs
+            ranges.append((offset, 1))
+    return ranges
--- a/src/troutswitch/standalone/decisions/batch/snapshot.py
+++ b/src/troutswitch/standalone/decisions/batch/snapshot.py
@@ -22,7 +22,7 @@
 from troutswitch.standalone.log_service.records import UnreadableEntry
 
 
-class _JobImage(msgspec.Struct, frozen=True, array_like=True):
+class _JobSnapshot(msgspec.Struct, frozen=True, array_like=True):
     """A job as kept in a snapshot; the arrays are raw bytes."""
 
     job_id: str
@@ -44,7 +44,7 @@
     result_offsets: bytes
 
 
-class _ShardImage(msgspec.Struct, frozen=True, array_like=True):
+class _ShardSnapshot(msgspec.Struct, frozen=True, array_like=True):
     """A shard fold as kept in a snapshot."""
 
     schema_version: int
@@ -53,32 +53,32 @@
     owner: str
     last_owner_offset: int
     void_records: int
-    jobs: list[_JobImage]
+    jobs: list[_JobSnapshot]
     verdicts: list[tuple[str, str, str]]
-    staged: list[tuple[str, list[tuple[int, int, int]]]]
-    once: list[tuple[str, str, float]]
+    staged_chunks: list[tuple[str, list[tuple[int, int, int]]]]
+    once_claims: list[tuple[str, str, float]]
     sequences: list[tuple[str, int]]
 
 
 def encode_snapshot(fold: ShardFold) -> bytes:
     """Encodes the fold's whole state."""
-    image = _ShardImage(
+    snapshot = _ShardSnapshot(
         ENTRY_SCHEMA_VERSION,
         fold.next_offset,
         fold.epoch,
         fold.owner,
         fold.last_owner_offset,
         fold.void_records,
-        [_image_of(job) for job in fold.jobs.values()],
-        [_verdict_image(job_id, verdict) for job_id, verdict in fold.verdicts.items()],
+        [_job_to_snapshot(job) for job in fold.jobs.values()],
+        [_verdict_to_tuple(job_id, verdict) for job_id, verdict in fold.verdicts.items()],
         [
             (job_id, [(index, offset, count) for index, (offset, count) in chunks.items()])
-            for job_id, chunks in fold.staged.items()
+            for job_id, chunks in fold.staged_chunks.items()
         ],
-        [(key, claim.request_id, claim.expires_at) for key, claim in fold.once.items()],
+        [(key, claim.request_id, claim.expires_at) for key, claim in fold.once_claims.items()],
         fold.sequences.export(),
     )
-    return zlib.compress(cbor2.dumps(msgspec.to_builtins(image, builtin_types=(bytes,))), 1)
+    return zlib.compress(cbor2.dumps(msgspec.to_builtins(snapshot, builtin_types=(bytes,))), 1)
 
 
 def decode_snapshot(payload: bytes) -> ShardFold:
@@ -88,40 +88,40 @@
         UnreadableEntry: the payload is malformed or of a newer schema version.
     """
     try:
-        image = msgspec.convert(cbor2.loads(zlib.decompress(payload)), _ShardImage)
+        snapshot = msgspec.convert(cbor2.loads(zlib.decompress(payload)), _ShardSnapshot)
     except (zlib.error, cbor2.CBORDecodeError, msgspec.ValidationError, ValueError) as error:
         raise UnreadableEntry(str(error)) from error
-    if image.schema_version > ENTRY_SCHEMA_VERSION:
-        raise UnreadableEntry(f"snapshot schema {image.schema_version} is newer than ours")
-    return _fold_of(image)
+    if snapshot.schema_version > ENTRY_SCHEMA_VERSION:
+        raise UnreadableEntry(f"snapshot schema {snapshot.schema_version} is newer than ours")
+    return _fold_from_snapshot(snapshot)
 
 
-def _fold_of(image: _ShardImage) -> ShardFold:
+def _fold_from_snapshot(snapshot: _ShardSnapshot) -> ShardFold:
     fold = ShardFold()
-    fold.next_offset = image.next_offset
-    fold.epoch = image.epoch
-    fold.owner = image.owner
-    fold.last_owner_offset = image.last_owner_offset
-    fold.void_records = image.void_records
-    for job_image in image.jobs:
-        job = _job_of(job_image)
+    fold.next_offset = snapshot.next_offset
+    fold.epoch = snapshot.epoch
+    fold.owner = snapshot.owner
+    fold.last_owner_offset = snapshot.last_owner_offset
+    fold.void_records = snapshot.void_records
+    for job_snapshot in snapshot.jobs:
+        job = _job_from_snapshot(job_snapshot)
         fold.jobs[job.job_id] = job
         fold.job_of_identity[job.identity] = job.job_id
         if job.is_running and not job.is_closed:
             fold.open_jobs[job.job_id] = job
-    for job_id, kind, other in image.verdicts:
-        fold.verdicts[job_id] = _verdict_of(kind, other)
-    for job_id, chunks in image.staged:
-        fold.staged[job_id] = {index: (offset, count) for index, offset, count in chunks}
-    fold.once = OrderedDict(
-        (key, OnceClaim(request_id, expires)) for key, request_id, expires in image.once
+    for job_id, name, original_id in snapshot.verdicts:
+        fold.verdicts[job_id] = _verdict_from_tuple(name, original_id)
+    for job_id, chunks in snapshot.staged_chunks:
+        fold.staged_chunks[job_id] = {index: (offset, count) for index, offset, count in chunks}
+    fold.once_claims = OrderedDict(
+        (key, OnceClaim(request_id, expires)) for key, request_id, expires in snapshot.once_claims
     )
-    fold.sequences = WriterSequences(dict(image.sequences))
+    fold.sequences = WriterSequences(dict(snapshot.sequences))
     return fold
 
 
-def _image_of(job: Job) -> _JobImage:
-    return _JobImage(
+def _job_to_snapshot(job: Job) -> _JobSnapshot:
+    return _JobSnapshot(
         job.job_id,
         job.identity,
         job.content_digest,
@@ -142,25 +142,25 @@
     )
 
 
-def _job_of(image: _JobImage) -> Job:
+def _job_from_snapshot(snapshot: _JobSnapshot) -> Job:
     return Job(
-        image.job_id,
-        image.identity,
-        image.content_digest,
-        image.tenant,
-        image.service,
-        image.item_count,
-        image.repeatable,
-        image.committed_at,
-        image.deadline,
-        image.identity_window,
-        _offsets(image.chunk_offsets),
-        JobStatus(image.status),
-        image.completed,
-        image.failed,
-        image.close_offset,
-        bytearray(image.item_states),
-        _offsets(image.result_offsets),
+        snapshot.job_id,
+        snapshot.identity,
+        snapshot.content_digest,
+        snapshot.tenant,
+        snapshot.service,
+        snapshot.item_count,
+        snapshot.repeatable,
+        snapshot.committed_at,
+        snapshot.deadline,
+        snapshot.identity_window,
+        _offsets(snapshot.chunk_offsets),
+        JobStatus(snapshot.status),
+        snapshot.completed,
+        snapshot.failed,
+        snapshot.close_offset,
+        bytearray(snapshot.item_states),
+        _offsets(snapshot.result_offsets),
     )
 
 
@@ -170,25 +170,25 @@
     return offsets
 
 
-def _verdict_image(job_id: str, verdict: SubmissionVerdict) -> tuple[str, str, str]:
+def _verdict_to_tuple(job_id: str, verdict: SubmissionVerdict) -> tuple[str, str, str]:
     match verdict:
         case Accepted():
             return (job_id, "accepted", "")
-        case Duplicate(other):
-            return (job_id, "duplicate", other)
-        case Conflict(other):
-            return (job_id, "conflict", other)
+        case Duplicate(original_id):
+            return (job_id, "duplicate", original_id)
+        case Conflict(original_id):
+            return (job_id, "conflict", original_id)
         case Incomplete():
             return (job_id, "incomplete", "")
 
 
-def _verdict_of(kind: str, other: str) -> SubmissionVerdict:
-    match kind:
+def _verdict_from_tuple(name: str, original_id: str) -> SubmissionVerdict:
+    match name:
         case "accepted":
             return Accepted()
         case "duplicate":
-            return Duplicate(other)
+            return Duplicate(original_id)
         case "conflict":
-            return Conflict(other)
+            return Conflict(original_id)
         case _:
             return Incomplete()
--- a/src/troutswitch/standalone/decisions/batch/submission.py
+++ b/src/troutswitch/standalone/decisions/batch/submission.py
@@ -16,8 +16,8 @@
     JobCall,
     Progress,
     ShardCall,
-    log_silent,
-    view_of,
+    job_view,
+    log_unavailable_refusal,
 )
 from troutswitch.standalone.decisions.batch.fold import (
     Accepted,
@@ -41,7 +41,7 @@
 JOB_ID_PREFIX = "batch_"
 
 
-def job_id_of(shard: int, unique: int) -> str:
+def make_job_id(shard: int, unique: int) -> str:
     """Returns a job id; it names the job's shard, so that any daemon finds it."""
     return f"{JOB_ID_PREFIX}{shard:04x}{unique:016x}"
 
@@ -64,22 +64,22 @@
     def __init__(self, context: CallContext, configuration: ConfigurationFollower) -> None:
         self._context = context
         self._configuration = configuration
-        self._numbers = itertools.count(1)
+        self._job_numbers = itertools.count(1)
 
-    def why_refused(self, call: JobSubmitted) -> CallRefused | None:
+    def refusal_for(self, call: JobSubmitted) -> CallRefused | None:
         """Returns why nothing may be submitted now, or None."""
         writer = self._context.writer
         if self._context.ownership.is_draining:
-            return _refused("daemon is stopping", Step.DRAIN)
+            return _unavailable("daemon is stopping", Step.DRAIN)
         if not self._configuration.is_ready:
-            return _refused("no configuration yet", Step.ADMIT)
-        most = self._configuration.policy(call.service, call.tenant).tenant_open_items
-        if len(call.items) > most:
-            return CallRefused(f"more than {most} items", Step.ADMIT, 413, True)
+            return _unavailable("no configuration yet", Step.ADMIT)
+        max_items = self._configuration.policy(call.service, call.tenant).tenant_open_items
+        if len(call.items) > max_items:
+            return CallRefused(f"more than {max_items} items", Step.ADMIT, 413, True)
         if writer.is_failing_anywhere():
-            return log_silent(Step.SUBMIT)
+            return log_unavailable_refusal(Step.SUBMIT)
         if writer.queued_records() > WRITER_QUEUE_MOST_RECORDS:
-            return _refused("too many records wait for the log service", Step.SUBMIT)
+            return _unavailable("too many records wait for the log service", Step.SUBMIT)
         return None
 
     def prepare(self, now: float, call: JobSubmitted) -> "Submission":
@@ -89,10 +89,10 @@
             f"{call.tenant}/key/{call.key}" if call.key else f"{call.tenant}/content/{digest}"
         )
         shard = stable_hash(identity) % self._context.ownership.shard_count
-        unique = stable_hash(self._context.writer.writer, str(next(self._numbers)))
+        unique = stable_hash(self._context.writer.writer, str(next(self._job_numbers)))
         policy = self._configuration.policy(call.service, call.tenant)
         commit = JobCommitted(
-            job_id_of(shard, unique),
+            make_job_id(shard, unique),
             identity,
             digest,
             call.tenant,
@@ -121,18 +121,18 @@
         self._context = context
         self._call = call
         self._commit = commit
-        self._since = now
+        self._started_at = now
         self._is_appended = False
 
     def poll(self, now: float, replica: ShardReplica) -> Progress:
         """Appends once the fold is fresh, then waits for the verdict."""
         if self._is_appended:
             return self._look_for_verdict(replica.fold)
-        if replica.fresh_as_of < self._since:
+        if replica.fresh_as_of < self._started_at:
             return STILL_WAITING
         earlier = self._earlier_job(replica.fold)
         if earlier is not None:
-            answer = _told_earlier(earlier, self._commit.content_digest)
+            answer = _earlier_job_answer(earlier, self._commit.content_digest)
             return Progress(True, [AnswerCall(self._call.token, answer)])
         self._is_appended = True
         return Progress(False, self._context.append(replica, self._records()))
@@ -162,18 +162,18 @@
             case None:
                 return STILL_WAITING
             case Accepted():
-                answer: CallAnswer = view_of(fold.jobs[self._commit.job_id])
+                answer: CallAnswer = job_view(fold.jobs[self._commit.job_id])
             case Duplicate(job_id) | Conflict(job_id):
-                answer = _told_earlier(fold.jobs[job_id], digest)
+                answer = _earlier_job_answer(fold.jobs[job_id], digest)
             case Incomplete():
-                answer = _refused("chunks were dropped before the commit", Step.SUBMIT)
-        touch = self._context.ownership.touch(self.shard)
-        return Progress(True, [*touch, AnswerCall(self._call.token, answer)])
+                answer = _unavailable("chunks were dropped before the commit", Step.SUBMIT)
+        notify_owner = self._context.ownership.notify_owner(self.shard)
+        return Progress(True, [*notify_owner, AnswerCall(self._call.token, answer)])
 
     def expire(self) -> list[Effect]:
         """Refuses truly: nothing was sent, or it may have been accepted."""
         if not self._is_appended:
-            return [AnswerCall(self._call.token, log_silent(Step.SUBMIT))]
+            return [AnswerCall(self._call.token, log_unavailable_refusal(Step.SUBMIT))]
         reason = (
             "not read back in time; the job may have been accepted: send it again, "
             "it will not be doubled"
@@ -201,8 +201,8 @@
     def on_found(self, now: float, replica: ShardReplica, job: Job) -> Progress:
         """Appends the record, then waits until the fold shows the job stopped."""
         if not job.is_running or job.finished == job.item_count:
-            touch = self._context.ownership.touch(self.shard)
-            return Progress(True, [*touch, AnswerCall(self.token, view_of(job))])
+            notify_owner = self._context.ownership.notify_owner(self.shard)
+            return Progress(True, [*notify_owner, AnswerCall(self.token, job_view(job))])
         if self._is_appended:
             return STILL_WAITING
         self._is_appended = True
@@ -217,13 +217,13 @@
         return [AnswerCall(self.token, refusal)]
 
 
-def _told_earlier(job: Job, content: str) -> CallAnswer:
+def _earlier_job_answer(job: Job, content_digest: str) -> CallAnswer:
     """Returns what a resend is told: the earlier job, or a conflict."""
-    if job.content_digest == content:
-        return view_of(job, duplicate=True)
+    if job.content_digest == content_digest:
+        return job_view(job, duplicate=True)
     reason = f"the key belongs to job {job.job_id}, which has other content"
     return CallRefused(reason, Step.SUBMIT, 409, True)
 
 
-def _refused(reason: str, step: Step) -> CallRefused:
+def _unavailable(reason: str, step: Step) -> CallRefused:
     return CallRefused(reason, step, 503, True, "", RETRY_AFTER_SECONDS)
--- a/src/troutswitch/standalone/decisions/configuration/fold.py
+++ b/src/troutswitch/standalone/decisions/configuration/fold.py
@@ -34,7 +34,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class HistoryLine:
+class HistoryEntry:
     """One accepted publication."""
 
     version: int
@@ -50,7 +50,7 @@
     version: int = 0
     tree: ConfigurationTree = field(default_factory=ConfigurationTree)
     changed_at: dict[tuple[str, str], int] = field(default_factory=dict)
-    history: list[HistoryLine] = field(default_factory=list)
+    history: list[HistoryEntry] = field(default_factory=list)
     verdicts: "OrderedDict[str, Verdict]" = field(default_factory=OrderedDict)
     sequences: WriterSequences = field(default_factory=WriterSequences)
 
@@ -70,18 +70,18 @@
     def _publish(self, offset: int, publication: ConfigurationPublished) -> None:
         if publication.publication_id in self.verdicts:
             return
-        reason = self._why_rejected(publication)
+        reason = self._rejection_reason(publication)
         if reason is not None:
-            self._remember(publication, PublicationRejected(self.version, reason))
+            self._record_verdict(publication, PublicationRejected(self.version, reason))
             return
         self.version += 1
         for change in publication.changes:
             self.tree.apply(change)
             self.changed_at[change.path, change.key] = self.version
-        self.history.append(HistoryLine(self.version, offset, publication))
-        self._remember(publication, PublicationAccepted(self.version))
+        self.history.append(HistoryEntry(self.version, offset, publication))
+        self._record_verdict(publication, PublicationAccepted(self.version))
 
-    def _why_rejected(self, publication: ConfigurationPublished) -> str | None:
+    def _rejection_reason(self, publication: ConfigurationPublished) -> str | None:
         if not publication.changes:
             return "no changes"
         if len(publication.changes) > CONFIGURATION_CHANGES_MOST:
@@ -100,7 +100,7 @@
                 )
         return None
 
-    def _remember(self, publication: ConfigurationPublished, verdict: Verdict) -> None:
+    def _record_verdict(self, publication: ConfigurationPublished, verdict: Verdict) -> None:
         self.verdicts[publication.publication_id] = verdict
         if len(self.verdicts) > VERDICTS_KEPT:
             self.verdicts.popitem(last=False)
--- a/src/troutswitch/standalone/decisions/configuration/follower.py
+++ b/src/troutswitch/standalone/decisions/configuration/follower.py
@@ -68,10 +68,10 @@
         self._writer = writer
         self._reader = reader
         self._entries: dict[int, bytes] = {}
-        self.reported: dict[str, int] = {}
+        self.reported_offsets: dict[str, int] = {}
         self._pending: list[_PendingPublication] = []
-        self._poll_at = float("-inf")
-        self._request_at = float("-inf")
+        self._next_poll_at = float("-inf")
+        self._next_request_at = float("-inf")
         self._is_reading = False
         self._read_again = False
         self._expected_peers: int | None = None
@@ -81,11 +81,11 @@
     def policy(self, service: str, tenant: str = "", zone: str | None = None) -> ServingPolicy:
         """Returns the policy in force for a service and tenant, in this zone by default."""
         key = (self._membership.zone if zone is None else zone, service, tenant)
-        held = self._policies.get(key)
-        if held is None:
-            held = self.fold.tree.policy(*key)
-            self._policies[key] = held
-        return held
+        policy = self._policies.get(key)
+        if policy is None:
+            policy = self.fold.tree.policy(*key)
+            self._policies[key] = policy
+        return policy
 
     def add_change_hook(self, hook: Callable[[float], list[Effect]]) -> None:
         """Adds a function called after the tree has changed."""
@@ -100,13 +100,13 @@
     def next_due(self) -> float:
         """Returns when something is due."""
         deadlines = (pending.deadline for pending in self._pending)
-        poll_at = float("inf") if self._is_reading else self._poll_at
+        poll_at = float("inf") if self._is_reading else self._next_poll_at
         return min(poll_at, min(deadlines, default=float("inf")))
 
     def on_timer(self, now: float) -> list[Effect]:
         """Polls the log and ends calls that ran out of time."""
         effects = self._expire_pending(now)
-        if now >= self._poll_at and not self._is_reading:
+        if now >= self._next_poll_at and not self._is_reading:
             effects.extend(self._read(now))
         return effects
 
@@ -115,14 +115,14 @@
             self._read_again = True
             return []
         self._is_reading = True
-        self._poll_at = now + CONFIGURATION_POLL_SECONDS
+        self._next_poll_at = now + CONFIGURATION_POLL_SECONDS
         return self._reader.read(CONFIGURATION_STREAM, self.fold.next_offset, self._on_log_answer)
 
     def _on_log_answer(self, now: float, answer: LogRead | LogReadFailed) -> list[Effect]:
         self._is_reading = False
         if isinstance(answer, LogReadFailed):
             return []
-        effects = self._take(now, answer.offset, answer.entries)
+        effects = self._apply_entries(now, answer.offset, answer.entries)
         if self.fold.next_offset >= answer.tail and not self.is_ready:
             effects.extend(self._become_ready("log"))
         if self.fold.next_offset < answer.tail or self._read_again:
@@ -136,7 +136,7 @@
 
     # Applying.
 
-    def _take(self, now: float, first: int, entries: tuple[bytes, ...]) -> list[Effect]:
+    def _apply_entries(self, now: float, first: int, entries: tuple[bytes, ...]) -> list[Effect]:
         """Applies the entries that join on; returns pushes to peers and answers."""
         start = self.fold.next_offset
         changed = False
@@ -152,10 +152,10 @@
                 self.is_stopped = True  # written by a newer version: stop rather than guess
                 break
             changed = self.fold.apply(offset, entry) or changed
-            self._keep(offset, payload)
+            self._cache_entry(offset, payload)
         if self.fold.next_offset == start:
             return []
-        self._tell_offset()
+        self._announce_offset()
         effects = self._push(start)
         effects.extend(self._answer_pending())
         if changed:
@@ -165,13 +165,13 @@
                 effects.extend(hook(now))
         return effects
 
-    def _keep(self, offset: int, payload: bytes) -> None:
+    def _cache_entry(self, offset: int, payload: bytes) -> None:
         self._entries[offset] = payload
         self._entries.pop(offset - CONFIGURATION_ENTRIES_KEPT, None)
 
     def _become_ready(self, source: str) -> list[Effect]:
         self.is_ready = True
-        self._tell_offset()
+        self._announce_offset()
         fields: dict[str, str | int | float | bool] = {
             "version": self.fold.version,
             "source": source,
@@ -180,7 +180,7 @@
 
     # Peers.
 
-    def _tell_offset(self) -> None:
+    def _announce_offset(self) -> None:
         if self.is_ready:
             self._membership.configuration_offset = self.fold.next_offset
 
@@ -209,15 +209,15 @@
         """A probe tells how far a peer is."""
         if offset == NOT_READY:
             return []
-        self.reported[peer] = max(offset, self.reported.get(peer, 0))
+        self.reported_offsets[peer] = max(offset, self.reported_offsets.get(peer, 0))
         if offset > self.fold.next_offset:
             return self._request(now, sender)
         return self._ready_from_peers()
 
     def _request(self, now: float, sender: Address) -> list[Effect]:
-        if now < self._request_at:
+        if now < self._next_request_at:
             return []
-        self._request_at = now + CONFIGURATION_REQUEST_SECONDS
+        self._next_request_at = now + CONFIGURATION_REQUEST_SECONDS
         request = ConfigurationRequest(self._membership.name, self.fold.next_offset)
         return [SendDatagram(sender, request)]
 
@@ -229,9 +229,9 @@
         """
         if self.is_ready or self._expected_peers is None:
             return []
-        if not self.reported or len(self.reported) * 2 <= self._expected_peers:
+        if not self.reported_offsets or len(self.reported_offsets) * 2 <= self._expected_peers:
             return []
-        if self.fold.next_offset < max(self.reported.values()):
+        if self.fold.next_offset < max(self.reported_offsets.values()):
             return []
         return self._become_ready("peers")
 
@@ -249,10 +249,10 @@
         if message.offset > self.fold.next_offset:
             return self._request(now, sender)
         before = self.fold.next_offset
-        effects = self._take(now, message.offset, tuple(message.entries))
+        effects = self._apply_entries(now, message.offset, tuple(message.entries))
         if self.fold.next_offset > before:
-            self._request_at = float("-inf")
-        behind = max(self.reported.values(), default=0) > self.fold.next_offset
+            self._next_request_at = float("-inf")
+        behind = max(self.reported_offsets.values(), default=0) > self.fold.next_offset
         if behind and self.fold.next_offset > before:
             effects.extend(self._request(now, sender))
         effects.extend(self._ready_from_peers())
@@ -286,7 +286,7 @@
             verdict = self.fold.verdicts.get(pending.publication_id)
             if verdict is not None:
                 self._pending.remove(pending)
-                effects.append(AnswerCall(pending.token, _told(verdict)))
+                effects.append(AnswerCall(pending.token, _publication_verdict(verdict)))
         return effects
 
     def _expire_pending(self, now: float) -> list[Effect]:
@@ -306,7 +306,7 @@
         return effects
 
 
-def _told(verdict: Verdict) -> PublicationVerdict:
+def _publication_verdict(verdict: Verdict) -> PublicationVerdict:
     if isinstance(verdict, PublicationAccepted):
         return PublicationVerdict(True, verdict.version)
     return PublicationVerdict(False, verdict.version, verdict.reason)
--- a/src/troutswitch/standalone/decisions/configuration/keys.py
+++ b/src/troutswitch/standalone/decisions/configuration/keys.py
@@ -69,6 +69,6 @@
     return None
 
 
-def policy_of(values: dict[str, Value]) -> ServingPolicy:
+def make_policy(values: dict[str, Value]) -> ServingPolicy:
     """Builds the typed policy from checked values; keys not named take defaults."""
     return msgspec.convert(values, ServingPolicy)
--- a/src/troutswitch/standalone/decisions/configuration/tree.py
+++ b/src/troutswitch/standalone/decisions/configuration/tree.py
@@ -8,7 +8,7 @@
     ServingPolicy,
     Value,
     check_value,
-    policy_of,
+    make_policy,
 )
 from troutswitch.standalone.log_service.records import ConfigurationChange
 
@@ -27,7 +27,7 @@
     source: str
 
 
-def inheritance(zone: str, service: str, tenant: str) -> list[str]:
+def applicable_paths(zone: str, service: str, tenant: str) -> list[str]:
     """Returns the paths that apply, from the most general to the most specific."""
     paths = [ROOT]
     if zone:
@@ -67,18 +67,18 @@
 
     def apply(self, change: ConfigurationChange) -> None:
         """Applies one checked change."""
-        branch = self.overrides.setdefault(change.path, {})
+        keys = self.overrides.setdefault(change.path, {})
         if change.value is None:
-            branch.pop(change.key, None)
+            keys.pop(change.key, None)
         else:
-            branch[change.key] = change.value
-        if not branch:
+            keys[change.key] = change.value
+        if not keys:
             del self.overrides[change.path]
 
     def effective(self, zone: str, service: str, tenant: str) -> dict[str, EffectiveValue]:
         """Returns every key's value in force and where it comes from."""
         values = {key: EffectiveValue(value, "default") for key, value in DEFAULTS.items()}
-        for path in inheritance(zone, service, tenant):
+        for path in applicable_paths(zone, service, tenant):
             for key, value in self.overrides.get(path, {}).items():
                 values[key] = EffectiveValue(value, path)
         return values
@@ -86,7 +86,7 @@
     def policy(self, zone: str, service: str, tenant: str) -> ServingPolicy:
         """Returns the typed policy in force."""
         values = self.effective(zone, service, tenant)
-        return policy_of({key: held.value for key, held in values.items()})
+        return make_policy({key: effective.value for key, effective in values.items()})
 
     def copy(self) -> "ConfigurationTree":
         """Returns an independent copy."""
--- a/src/troutswitch/standalone/decisions/daemon.py
+++ b/src/troutswitch/standalone/decisions/daemon.py
@@ -17,9 +17,9 @@
 from troutswitch.standalone.decisions.batch.calls import (
     CallContext,
     JobCall,
-    JobQuestion,
-    WaitingCalls,
-    unknown_job,
+    JobStatusCall,
+    PendingCalls,
+    unknown_job_refusal,
 )
 from troutswitch.standalone.decisions.batch.claims import ClaimOutcome, OnceClaimCall
 from troutswitch.standalone.decisions.batch.dispatcher import BatchDispatcher
@@ -132,7 +132,7 @@
         )
         self.dispatcher.set_ownership(self.ownership)
         self.ownership.set_job_stopped_hook(self.dispatcher.cancel_job)
-        self.calls = WaitingCalls(self.ownership)
+        self.calls = PendingCalls(self.ownership)
         self._context = CallContext(self.ownership, self.writer, self.reader)
         self._submissions = Submissions(self._context, self.configuration)
         self.online = OnlineRequests(
@@ -148,7 +148,7 @@
         self._drain_check_at = float("inf")
         self._directory: Directory | None = None
         self.configuration.add_change_hook(lambda now: self._publish_directory())
-        self._timed: list[Any] = [
+        self._timed_modules: list[Any] = [
             self.machine_list,
             self.membership,
             self.configuration,
@@ -177,7 +177,7 @@
 
     def next_due(self) -> float:
         """Returns the time at which `step` must be called with `TimerFired`."""
-        due: float = min(module.next_due() for module in self._timed)
+        due: float = min(module.next_due() for module in self._timed_modules)
         return min(due, self._drain_check_at)
 
     @property
@@ -201,13 +201,13 @@
             OnlineAbandoned: self.online.on_abandoned,
             BatchAttemptEnded: self.dispatcher.on_attempt_ended,
             JobSubmitted: self._on_job_submitted,
-            JobStatusRequested: self._on_job_asked,
-            JobCancelRequested: self._on_job_cancel_asked,
-            JobResultsRequested: self._on_job_results_asked,
+            JobStatusRequested: self._on_job_status_requested,
+            JobCancelRequested: self._on_job_cancel_requested,
+            JobResultsRequested: self._on_job_results_requested,
             ConfigurationSubmitted: self.configuration.submit,
-            DrainRequested: self._on_drain_asked,
+            DrainRequested: self._on_drain_requested,
             StatusRequested: lambda now, event: [AnswerCall(event.token, self.status())],
-            EffectiveConfigurationRequested: self._on_effective_asked,
+            EffectiveConfigurationRequested: self._on_effective_requested,
             ConfigurationTreeRequested: lambda now, event: [
                 AnswerCall(event.token, view_tree(self.configuration))
             ],
@@ -226,19 +226,19 @@
             messages.SyncReply: membership.on_sync_reply,
             messages.ConfigurationRequest: configuration.on_request,
             messages.ConfigurationEntries: configuration.on_entries,
-            messages.SlotAsk: lambda now, sender, m: self.stewardship.on_ask(now, m),
+            messages.SlotAsk: lambda now, sender, m: self.stewardship.on_slot_request(now, m),
             messages.SlotGrant: lambda now, sender, m: self.dispatcher.on_grant(now, m),
-            messages.OnlineNotice: lambda now, sender, m: self.stewardship.on_notice(now, m),
+            messages.OnlineNotice: lambda now, sender, m: self.stewardship.on_online_notice(now, m),
             messages.EngineLeaving: self._on_engine_leaving,
-            messages.ShardTouched: lambda now, sender, m: self.ownership.on_touched(now, m),
-            messages.ShardWanted: lambda now, sender, m: self.ownership.on_wanted(now, m),
+            messages.ShardTouched: lambda now, sender, m: self.ownership.on_stream_grown(now, m),
+            messages.ShardWanted: lambda now, sender, m: self.ownership.on_shard_wanted(now, m),
         }
 
     # Events.
 
     def _on_timer(self, now: float, event: TimerFired) -> list[Effect]:
         effects: list[Effect] = []
-        for module in self._timed:
+        for module in self._timed_modules:
             if module.next_due() <= now:
                 effects.extend(module.on_timer(now))
         if self._directory is None or self._directory.is_ready != self.is_ready:
@@ -297,22 +297,22 @@
         return self.online.on_claim_failed(now, request_id, outcome)
 
     def _on_job_submitted(self, now: float, event: JobSubmitted) -> list[Effect]:
-        refusal = self._submissions.why_refused(event)
+        refusal = self._submissions.refusal_for(event)
         if refusal is not None:
             return [AnswerCall(event.token, refusal)]
         return self.calls.start(now, self._submissions.prepare(now, event))
 
-    def _on_job_asked(self, now: float, event: JobStatusRequested) -> list[Effect]:
-        return self._about_job(
+    def _on_job_status_requested(self, now: float, event: JobStatusRequested) -> list[Effect]:
+        return self._start_job_call(
             now,
             event,
-            lambda shard: JobQuestion(
+            lambda shard: JobStatusCall(
                 event.token, event.tenant, event.job_id, shard, event.call_deadline
             ),
         )
 
-    def _on_job_cancel_asked(self, now: float, event: JobCancelRequested) -> list[Effect]:
-        return self._about_job(
+    def _on_job_cancel_requested(self, now: float, event: JobCancelRequested) -> list[Effect]:
+        return self._start_job_call(
             now,
             event,
             lambda shard: Cancellation(
@@ -325,8 +325,8 @@
             ),
         )
 
-    def _on_job_results_asked(self, now: float, event: JobResultsRequested) -> list[Effect]:
-        return self._about_job(
+    def _on_job_results_requested(self, now: float, event: JobResultsRequested) -> list[Effect]:
+        return self._start_job_call(
             now,
             event,
             lambda shard: ResultsRead(
@@ -341,7 +341,7 @@
             ),
         )
 
-    def _about_job(
+    def _start_job_call(
         self,
         now: float,
         event: JobStatusRequested | JobCancelRequested | JobResultsRequested,
@@ -350,12 +350,12 @@
         """Starts a call about a job on the shard that the job's id names."""
         shard = shard_of_job(event.job_id, self.identity.shard_count)
         if shard is None:
-            return [AnswerCall(event.token, unknown_job(event.job_id))]
-        return self.calls.start(now, make_call(shard).started_at(now))
+            return [AnswerCall(event.token, unknown_job_refusal(event.job_id))]
+        return self.calls.start(now, make_call(shard).with_start_time(now))
 
     # Operators.
 
-    def _on_effective_asked(
+    def _on_effective_requested(
         self, now: float, event: EffectiveConfigurationRequested
     ) -> list[Effect]:
         view = view_effective(self.configuration, event.zone, event.service, event.tenant)
@@ -376,14 +376,14 @@
             self.dispatcher.running_count(),
             self.writer.queued_records(),
             self.writer.is_failing_anywhere(),
-            view_members(self.membership, self.configuration.reported, fold.next_offset),
+            view_members(self.membership, self.configuration.reported_offsets, fold.next_offset),
             view_engines(self.engines, self.stewardship),
             view_shards(self.ownership),
         )
 
     # Planned stop.
 
-    def _on_drain_asked(self, now: float, event: DrainRequested) -> list[Effect]:
+    def _on_drain_requested(self, now: float, event: DrainRequested) -> list[Effect]:
         if self.is_draining:
             return []
         self.is_draining = True
@@ -396,7 +396,7 @@
     def _check_drained(self, now: float) -> list[Effect]:
         idle = (
             not self.online.requests
-            and self.ownership.is_released()
+            and self.ownership.has_released_all()
             and self.dispatcher.running_count() == 0
             and self.calls.is_idle()
             and self.writer.is_idle()
--- a/src/troutswitch/standalone/decisions/engines.py
+++ b/src/troutswitch/standalone/decisions/engines.py
@@ -31,7 +31,7 @@
 
 ENGINE_TICK_SECONDS = 0.1
 """Interval between looks at which engines are to be polled."""
-ACTIVE_SECONDS = 1.0
+ENGINE_SELECTION_SECONDS = 1.0
 """Interval between choices of the engines that are polled at all."""
 
 EngineHook = Callable[[float, str], list[Effect]]
@@ -41,7 +41,7 @@
 class Engine:
     """One engine as this daemon sees it.
 
-    `online_in_flight` counts this daemon's own online requests on it; `sends` are the
+    `online_in_flight` counts this daemon's own online requests on it; `unreported` are the
     times of those that the last load report cannot show yet, as it lags.
     """
 
@@ -52,11 +52,11 @@
     incarnation: str = ""
     load: EngineLoad | None = None
     confirmed_at: float = float("-inf")
-    poll_at: float = float("-inf")
-    asked_at: float = float("-inf")
+    next_poll_at: float = float("-inf")
+    polled_at: float = float("-inf")
     is_polling: bool = False
     online_in_flight: int = 0
-    sends: deque[float] = field(default_factory=deque)
+    unreported: deque[float] = field(default_factory=deque)
     failures: int = 0
     ejected_until: float = float("-inf")
     listed: bool = True
@@ -71,7 +71,7 @@
         """Online requests on the engine, as far as known."""
         if self.load is None:
             return self.online_in_flight
-        return max(self.reported_online + len(self.sends), self.online_in_flight)
+        return max(self.reported_online + len(self.unreported), self.online_in_flight)
 
     @property
     def reported_online(self) -> int:
@@ -80,7 +80,7 @@
 
     def expected_load(self, gateways: int) -> int:
         """Returns online requests on the engine if other gateways send as this one does."""
-        return max(self.reported_online + gateways * len(self.sends), self.online_in_flight)
+        return max(self.reported_online + gateways * len(self.unreported), self.online_in_flight)
 
 
 class EngineRegistry:
@@ -91,14 +91,14 @@
         self._membership = membership
         self._leaving: dict[tuple[str, str], None] = {}
         self._load_hooks: list[EngineHook] = []
-        self._stewarded: Callable[[str], bool] = lambda name: False
+        self._is_stewarded: Callable[[str], bool] = lambda name: False
         self._subsets: dict[str, list[str]] = {}
         self._names_by_zone: dict[str, list[str]] = {}
         self._service_used_at: dict[str, float] = {}
         self._poll_interval = ENGINE_POLL_SECONDS
-        self._active: list[Engine] = []
-        self._active_until = float("-inf")
-        self._tick_at = float("-inf")
+        self._polled: list[Engine] = []
+        self._next_selection_at = float("-inf")
+        self._next_tick_at = float("-inf")
 
     def add_load_hook(self, hook: EngineHook) -> None:
         """Adds a function called with the engine's name after a poll was answered or not."""
@@ -106,7 +106,7 @@
 
     def set_steward_test(self, is_stewarded: Callable[[str], bool]) -> None:
         """Sets the test for engines that are polled although no work goes there."""
-        self._stewarded = is_stewarded
+        self._is_stewarded = is_stewarded
 
     # The machine list.
 
@@ -117,7 +117,7 @@
         for engine in self.engines.values():
             engine.listed = engine.name in listed
         for machine in machines:
-            effects.extend(self._take_machine(now, machine))
+            effects.extend(self._update_machine(now, machine))
         for engine in list(self.engines.values()):
             if not engine.listed and engine.online_in_flight == 0:
                 del self.engines[engine.name]
@@ -127,7 +127,7 @@
             self._names_by_zone.setdefault(engine.zone, []).append(engine.name)
         return effects
 
-    def _take_machine(self, now: float, machine: Machine) -> list[Effect]:
+    def _update_machine(self, now: float, machine: Machine) -> list[Effect]:
         engine = self.engines.get(machine.name)
         if engine is None:
             engine = Engine(machine.name, machine.address, machine.zone, machine.service)
@@ -163,46 +163,46 @@
 
     def next_due(self) -> float:
         """Returns when polls are to be considered next."""
-        return self._tick_at
+        return self._next_tick_at
 
     def on_timer(self, now: float) -> list[Effect]:
         """Polls the engines that are in use or stewarded."""
-        if now < self._tick_at:
+        if now < self._next_tick_at:
             return []
-        self._tick_at = now + ENGINE_TICK_SECONDS
-        if now >= self._active_until:
-            self._active_until = now + ACTIVE_SECONDS
-            self._choose_active(now)
+        self._next_tick_at = now + ENGINE_TICK_SECONDS
+        if now >= self._next_selection_at:
+            self._next_selection_at = now + ENGINE_SELECTION_SECONDS
+            self._select_active(now)
         effects: list[Effect] = []
-        for engine in self._active:
-            if engine.poll_at <= now:
-                engine.poll_at = now + self._poll_interval
+        for engine in self._polled:
+            if engine.next_poll_at <= now:
+                engine.next_poll_at = now + self._poll_interval
                 effects.extend(self.poll(now, engine))
         return effects
 
-    def _choose_active(self, now: float) -> None:
+    def _select_active(self, now: float) -> None:
         """Chooses the engines to poll: those stewarded, and all of a service in use.
 
         All of them, not only those that get work: a gateway that knew few engines as
         fresh sent everything to these, and so never heard of the others.
         """
-        names = set(self._stewarded_engines())
+        names = set(self._stewarded_engine_names())
         for service, used_at in self._service_used_at.items():
             if now - used_at < ENGINE_IN_USE_SECONDS:
                 names.update(self._subset(service))
-        self._active = [self.engines[name] for name in sorted(names) if name in self.engines]
-        self._poll_interval = max(ENGINE_POLL_SECONDS, len(self._active) / POLLS_PER_SECOND)
+        self._polled = [self.engines[name] for name in sorted(names) if name in self.engines]
+        self._poll_interval = max(ENGINE_POLL_SECONDS, len(self._polled) / POLLS_PER_SECOND)
 
-    def _stewarded_engines(self) -> Iterator[str]:
+    def _stewarded_engine_names(self) -> Iterator[str]:
         """Yields the engines this daemon is steward of; only some zones can have any."""
         for zone, names in self._names_by_zone.items():
             if zone == self._membership.zone or not self._membership.serving_in_zone(zone):
-                yield from (name for name in names if self._stewarded(name))
+                yield from (name for name in names if self._is_stewarded(name))
 
     def on_service_used(self, now: float, service: str) -> None:
         """Work for a service arrived here; its engines are polled from now on."""
         if now - self._service_used_at.get(service, float("-inf")) >= ENGINE_IN_USE_SECONDS:
-            self._active_until = now
+            self._next_selection_at = now
         self._service_used_at[service] = now
 
     def poll(self, now: float, engine: Engine) -> list[Effect]:
@@ -210,7 +210,7 @@
         if engine.is_polling:
             return []
         engine.is_polling = True
-        engine.asked_at = now
+        engine.polled_at = now
         return [PollEngine(engine.name, engine.address)]
 
     def on_load(self, now: float, event: EngineLoadRead) -> list[Effect]:
@@ -219,23 +219,23 @@
         if engine is None:
             return []
         engine.is_polling = False
-        engine.poll_at = now + self._poll_interval
+        engine.next_poll_at = now + self._poll_interval
         effects: list[Effect] = []
         if event.load is None:
             self._record_failure(now, engine)
         else:
-            effects.extend(self._take_load(now, engine, event.load))
+            effects.extend(self._apply_load(now, engine, event.load))
         for hook in self._load_hooks:
             effects.extend(hook(now, engine.name))
         return effects
 
-    def _take_load(self, now: float, engine: Engine, load: EngineLoad) -> list[Effect]:
+    def _apply_load(self, now: float, engine: Engine, load: EngineLoad) -> list[Effect]:
         engine.incarnation = load.incarnation
         engine.load = load
-        while engine.sends and engine.sends[0] < engine.asked_at - LOAD_LAG_SECONDS:
-            engine.sends.popleft()
+        while engine.unreported and engine.unreported[0] < engine.polled_at - LOAD_LAG_SECONDS:
+            engine.unreported.popleft()
         self._record_success(engine)
-        engine.confirmed_at = max(engine.confirmed_at, engine.asked_at)
+        engine.confirmed_at = max(engine.confirmed_at, engine.polled_at)
         if load.leaving:
             return self.mark_leaving(now, engine.name, load.incarnation)
         return []
@@ -245,9 +245,9 @@
     def on_sent(self, now: float, engine: Engine) -> None:
         """An online request was sent to the engine."""
         engine.online_in_flight += 1
-        engine.sends.append(now)
+        engine.unreported.append(now)
 
-    def on_answered(self, now: float, engine: Engine, succeeded: bool) -> None:
+    def on_attempt_ended(self, now: float, engine: Engine, succeeded: bool) -> None:
         """An attempt on the engine ended."""
         engine.online_in_flight = max(0, engine.online_in_flight - 1)
         if succeeded:
@@ -255,14 +255,14 @@
         else:
             self._record_failure(now, engine)
 
-    def on_answer_begun(
-        self, now: float, engine: Engine, asked_at: float, leaving: bool
+    def on_response_started(
+        self, now: float, engine: Engine, sent_at: float, leaving: bool
     ) -> list[Effect]:
-        """The engine began to answer a request that was sent at `asked_at`."""
+        """The engine began to answer a request that was sent at `sent_at`."""
         self._record_success(engine)
         if leaving:
             return self.mark_leaving(now, engine.name, engine.incarnation)
-        engine.confirmed_at = max(engine.confirmed_at, asked_at)
+        engine.confirmed_at = max(engine.confirmed_at, sent_at)
         return []
 
     def _record_success(self, engine: Engine) -> None:
@@ -295,17 +295,17 @@
         return sorted({engine.service for engine in self.engines.values()})
 
     def _subset(self, service: str) -> list[str]:
-        held = self._subsets.get(service)
-        if held is None:
-            held = self._choose_subset(service)
-            self._subsets[service] = held
-        return held
+        subset = self._subsets.get(service)
+        if subset is None:
+            subset = self._select_subset(service)
+            self._subsets[service] = subset
+        return subset
 
-    def _choose_subset(self, service: str) -> list[str]:
+    def _select_subset(self, service: str) -> list[str]:
         """Returns at most `ENGINE_SUBSET` engines, those of this zone before others."""
-        mine = [e for e in self.engines.values() if e.service == service]
-        near = [e.name for e in mine if e.zone == self._membership.zone]
-        far = [e.name for e in mine if e.zone != self._membership.zone]
-        order = rendezvous_order(self._membership.name, near)
-        order += rendezvous_order(self._membership.name, far)
+        service_engines = [e for e in self.engines.values() if e.service == service]
+        same_zone = [e.name for e in service_engines if e.zone == self._membership.zone]
+        other_zones = [e.name for e in service_engines if e.zone != self._membership.zone]
+        order = rendezvous_order(self._membership.name, same_zone)
+        order += rendezvous_order(self._membership.name, other_zones)
         return order[:ENGINE_SUBSET]
--- a/src/troutswitch/standalone/decisions/fleet.py
+++ b/src/troutswitch/standalone/decisions/fleet.py
@@ -22,22 +22,22 @@
         engines: EngineRegistry,
         seeds: list[Address],
     ) -> None:
-        self.is_read = False
+        self.has_read_list = False
         self._membership = membership
         self._configuration = configuration
         self._engines = engines
         self._seeds = seeds
         self._known_seeds = list(seeds)
-        self._read_at = float("-inf")
+        self._next_read_at = float("-inf")
         self._is_reading = False
 
     def next_due(self) -> float:
         """Returns when the list is to be read."""
-        return float("inf") if self._is_reading else self._read_at
+        return float("inf") if self._is_reading else self._next_read_at
 
     def on_timer(self, now: float) -> list[Effect]:
         """Reads the list if it is time."""
-        if self._is_reading or now < self._read_at:
+        if self._is_reading or now < self._next_read_at:
             return []
         self._is_reading = True
         return [ReadMachineList()]
@@ -45,17 +45,17 @@
     def on_read(self, now: float, event: MachineListRead) -> list[Effect]:
         """Takes in the list, or keeps the last one if it could not be read."""
         self._is_reading = False
-        self._read_at = now + MACHINE_LIST_SECONDS
+        self._next_read_at = now + MACHINE_LIST_SECONDS
         if event.machines is None:
             self._membership.set_seeds(self._known_seeds)
             return []
-        self.is_read = True
+        self.has_read_list = True
         daemons = [machine for machine in event.machines if machine.kind == DAEMON_KIND]
         engines = [machine for machine in event.machines if machine.kind == ENGINE_KIND]
-        self._seed_peers(daemons)
+        self._update_seeds(daemons)
         return self._engines.on_machine_list(now, engines)
 
-    def _seed_peers(self, daemons: list[Machine]) -> None:
+    def _update_seeds(self, daemons: list[Machine]) -> None:
         others = [machine for machine in daemons if machine.name != self._membership.name]
         self._configuration.expect_peers(len(others))
         addresses = [machine.address for machine in others]
--- a/src/troutswitch/standalone/decisions/gossip.py
+++ b/src/troutswitch/standalone/decisions/gossip.py
@@ -15,28 +15,30 @@
     """News about members; each piece is told a number of times that grows with the fleet."""
 
     def __init__(self) -> None:
-        self._left: dict[str, int] = {}
+        self._remaining: dict[str, int] = {}
 
     def put(self, name: str, members: int) -> None:
         """Has the news about a member told, in a fleet of some members."""
         count = GOSSIP_RETRANSMIT_FACTOR * math.ceil(math.log2(members + 1))
-        self._left[name] = max(count, GOSSIP_RETRANSMIT_FACTOR)
+        self._remaining[name] = max(count, GOSSIP_RETRANSMIT_FACTOR)
 
     def drop(self, name: str) -> None:
         """Tells nothing more about a member."""
-        self._left.pop(name, None)
+        self._remaining.pop(name, None)
 
     def take(self) -> list[str]:
         """Returns the names to be told next, those told least first."""
-        names = heapq.nlargest(GOSSIP_UPDATES_MOST, self._left, key=self._left.__getitem__)
+        names = heapq.nlargest(
+            GOSSIP_UPDATES_MOST, self._remaining, key=self._remaining.__getitem__
+        )
         for name in names:
-            self._left[name] -= 1
-            if self._left[name] <= 0:
-                del self._left[name]
+            self._remaining[name] -= 1
+            if self._remaining[name] <= 0:
+                del self._remaining[name]
         return names
 
 
-class SyncCredit:
+class SyncRateLimiter:
     """Bounds the tables sent a second, so that a fleet that starts at once gets through."""
 
     def __init__(self) -> None:
--- a/src/troutswitch/standalone/decisions/log_writer.py
+++ b/src/troutswitch/standalone/decisions/log_writer.py
@@ -20,7 +20,7 @@
     sequence: int = 0
     payload: bytes | None = None
     records_in_flight: int = 0
-    is_calling: bool = False
+    is_appending: bool = False
     retry_at: float = float("inf")
     failures: int = 0
 
@@ -69,7 +69,7 @@
             return []
         queue.payload = None
         queue.records_in_flight = 0
-        queue.is_calling = False
+        queue.is_appending = False
         queue.failures = 0
         return self._send(stream, queue)
 
@@ -78,7 +78,7 @@
         queue = self._queues.get(stream)
         if queue is None:
             return []
-        queue.is_calling = False
+        queue.is_appending = False
         queue.failures += 1
         delay = LOG_RETRY_FIRST_SECONDS * 2 ** min(queue.failures - 1, 10)
         queue.retry_at = now + min(delay, LOG_RETRY_MOST_SECONDS)
@@ -98,20 +98,20 @@
         return effects
 
     def _send(self, stream: str, queue: _StreamQueue) -> list[Effect]:
-        if queue.is_calling or queue.retry_at != float("inf"):
+        if queue.is_appending or queue.retry_at != float("inf"):
             return []
         if queue.payload is None:
             if not queue.waiting:
                 return []
-            records = _take_entry(queue.waiting)
+            records = _pop_entry_records(queue.waiting)
             queue.sequence += 1
             queue.payload = encode_entry(self.writer, queue.sequence, records)
             queue.records_in_flight = len(records)
-        queue.is_calling = True
+        queue.is_appending = True
         return [AppendToLog(stream, queue.payload)]
 
 
-def _take_entry(waiting: deque[Record]) -> list[Record]:
+def _pop_entry_records(waiting: deque[Record]) -> list[Record]:
     """Takes the records of the next entry off the queue; at least one."""
     records = [waiting.popleft()]
     weight = _weight(records[0])
--- a/src/troutswitch/standalone/decisions/members.py
+++ b/src/troutswitch/standalone/decisions/members.py
@@ -13,7 +13,7 @@
 """Incarnations are `started * INCARNATION_STEP + refutations`."""
 
 
-def started_part(incarnation: int) -> int:
+def process_start_of(incarnation: int) -> int:
     """Returns the part of an incarnation that tells one process start from another."""
     return incarnation // INCARNATION_STEP
 
@@ -89,20 +89,20 @@
         if held is not None:
             forward = (member.incarnation, member.state) > (held.incarnation, held.state)
             ensure(forward, "a member went back to an earlier state")
-            self._toggle(held)
+            self._toggle_digest(held)
         self.members[member.name] = member
-        self._toggle(member)
-        if held is None or _serves_alike(held, member) is False:
+        self._toggle_digest(member)
+        if held is None or _have_equal_service(held, member) is False:
             self._serving = None
             self._serving_by_zone.clear()
 
     def forget(self, name: str) -> None:
         """Drops a member."""
-        self._toggle(self.members.pop(name))
+        self._toggle_digest(self.members.pop(name))
         self._serving = None
         self._serving_by_zone.clear()
 
-    def _toggle(self, member: Member) -> None:
+    def _toggle_digest(self, member: Member) -> None:
         text = f"{member.name}/{member.incarnation}/{int(member.state)}"
         self.digests[bucket_of(member.name)] ^= stable_hash(text) >> 1
 
@@ -143,7 +143,7 @@
     return stable_hash("bucket", name) % DIGEST_BUCKETS
 
 
-def _serves_alike(one: Member, other: Member) -> bool:
+def _have_equal_service(one: Member, other: Member) -> bool:
     return one.is_serving == other.is_serving and one.zone == other.zone
 
 
--- a/src/troutswitch/standalone/decisions/membership.py
+++ b/src/troutswitch/standalone/decisions/membership.py
@@ -31,14 +31,14 @@
     SyncRequest,
 )
 from troutswitch.standalone.decisions.effects import Effect, LogEvent, SendDatagram
-from troutswitch.standalone.decisions.gossip import GossipQueue, SyncCredit
+from troutswitch.standalone.decisions.gossip import GossipQueue, SyncRateLimiter
 from troutswitch.standalone.decisions.members import (
     Member,
     MemberState,
     MemberTable,
     Probe,
     make_member,
-    started_part,
+    process_start_of,
 )
 
 
@@ -55,18 +55,18 @@
         self._rng = rng
         self.table.put(make_member(0.0, name, incarnation, MemberState.ALIVE, address, zone))
         self._gossip = GossipQueue()
-        self._ring: list[str] = []
+        self._probe_order: list[str] = []
         self._probe: Probe | None = None
-        self._relayed: dict[int, tuple[Address, int]] = {}
+        self._relayed_probes: dict[int, tuple[Address, int]] = {}
         self._sequence = 0
-        self._probe_at = float("-inf")
-        self._ticked_at = float("-inf")
-        self._sync_at = float("-inf")
-        self._seed_at = float("inf")
-        self._suspect_until: dict[str, float] = {}
-        self._dead: dict[str, float] = {}
+        self._next_probe_at = float("-inf")
+        self._last_timer_at = float("-inf")
+        self._next_sync_at = float("-inf")
+        self._next_seed_at = float("inf")
+        self._suspicion_deadlines: dict[str, float] = {}
+        self._died_at: dict[str, float] = {}
         self._seeds: list[Address] = []
-        self._sync_credit = SyncCredit()
+        self._sync_limiter = SyncRateLimiter()
 
     # What other modules ask.
 
@@ -76,7 +76,7 @@
         return self.table.members
 
     @property
-    def _me(self) -> Member:
+    def _own_member(self) -> Member:
         return self.table.members[self.name]
 
     def serving_names(self) -> list[str]:
@@ -101,7 +101,7 @@
         member = self.members.get(name)
         if member is None or member.is_dead:
             return False
-        return str(started_part(member.incarnation)) == started
+        return str(process_start_of(member.incarnation)) == started
 
     def live_count(self) -> int:
         """Returns the members not known dead, this one included."""
@@ -115,8 +115,8 @@
 
     def set_seeds(self, seeds: list[Address]) -> None:
         """Learns addresses from the machine list; those not known are contacted."""
-        self._seeds = [seed for seed in seeds if seed != self._me.address]
-        self._seed_at = float("-inf")
+        self._seeds = [seed for seed in seeds if seed != self._own_member.address]
+        self._next_seed_at = float("-inf")
 
     def _contact_seeds(self) -> list[Effect]:
         """Contacts seeds that are unknown or dead to us: the way out of a healed cut."""
@@ -130,52 +130,52 @@
 
     def leave(self, now: float) -> list[Effect]:
         """Tells everyone that this daemon takes on no more work."""
-        self._change(now, self._me, self._me.incarnation, MemberState.LEAVING)
+        self._set_state(now, self._own_member, self._own_member.incarnation, MemberState.LEAVING)
         return [SendDatagram(peer.address, self._ping(0)) for peer in self.random_peers(8)]
 
     # Timers.
 
     def next_due(self) -> float:
         """Returns when something is due."""
-        due = min(self._probe_at, self._sync_at, self._seed_at)
+        due = min(self._next_probe_at, self._next_sync_at, self._next_seed_at)
         if self._probe is not None:
             probe = self._probe
             due = min(due, probe.fail_at if probe.indirect_sent else probe.indirect_at)
-        return min(due, min(self._suspect_until.values(), default=float("inf")))
+        return min(due, min(self._suspicion_deadlines.values(), default=float("inf")))
 
     def on_timer(self, now: float) -> list[Effect]:
         """Probes, suspects, declares dead and reconciles."""
-        if self._was_starved(now):
-            self._forgive(now)
-        self._ticked_at = now
+        if self._was_paused(now):
+            self._discount_pause(now)
+        self._last_timer_at = now
         effects = self._expire_suspects(now)
-        effects.extend(self._tend_probe(now))
-        if now >= self._probe_at:
-            self._probe_at = now + PROBE_PERIOD_SECONDS
+        effects.extend(self._advance_probe(now))
+        if now >= self._next_probe_at:
+            self._next_probe_at = now + PROBE_PERIOD_SECONDS
             effects.extend(self._start_probe(now))
-            self._forget_long_dead(now)
-        if now >= self._seed_at:
-            self._seed_at = now + SEED_SECONDS if self._seeds else float("inf")
+            self._remove_expired_dead(now)
+        if now >= self._next_seed_at:
+            self._next_seed_at = now + SEED_SECONDS if self._seeds else float("inf")
             effects.extend(self._contact_seeds())
-        if now >= self._sync_at:
-            self._sync_at = now + SYNC_SECONDS * self._rng.uniform(0.75, 1.25)
+        if now >= self._next_sync_at:
+            self._next_sync_at = now + SYNC_SECONDS * self._rng.uniform(0.75, 1.25)
             effects.extend(self._start_sync())
         return effects
 
-    def _was_starved(self, now: float) -> bool:
-        has_ticked = self._ticked_at > float("-inf")
-        return has_ticked and now - self._ticked_at > STARVED_SECONDS
+    def _was_paused(self, now: float) -> bool:
+        has_run = self._last_timer_at > float("-inf")
+        return has_run and now - self._last_timer_at > STARVED_SECONDS
 
-    def _forgive(self, now: float) -> None:
+    def _discount_pause(self, now: float) -> None:
         """Accuses nobody after this machine was paused or starved itself.
 
         What looks like silence of others is its own; their answers still wait in its
         socket.
         """
-        missed = now - self._ticked_at
+        missed = now - self._last_timer_at
         self._probe = None
-        for name in self._suspect_until:
-            self._suspect_until[name] += missed
+        for name in self._suspicion_deadlines:
+            self._suspicion_deadlines[name] += missed
 
     def _start_probe(self, now: float) -> list[Effect]:
         subject = self._next_subject()
@@ -192,17 +192,17 @@
 
     def _next_subject(self) -> Member | None:
         for _ in range(len(self.members) + 1):
-            if not self._ring:
-                self._ring = [name for name in self.members if name != self.name]
-                self._rng.shuffle(self._ring)
-            if not self._ring:
+            if not self._probe_order:
+                self._probe_order = [name for name in self.members if name != self.name]
+                self._rng.shuffle(self._probe_order)
+            if not self._probe_order:
                 return None
-            member = self.members.get(self._ring.pop())
+            member = self.members.get(self._probe_order.pop())
             if member is not None and not member.is_dead:
                 return member
         return None
 
-    def _tend_probe(self, now: float) -> list[Effect]:
+    def _advance_probe(self, now: float) -> list[Effect]:
         probe = self._probe
         if probe is None:
             return []
@@ -226,21 +226,21 @@
         member = self.members.get(name)
         if member is None or member.state >= MemberState.SUSPECT:
             return []
-        return self._change(now, member, member.incarnation, MemberState.SUSPECT)
+        return self._set_state(now, member, member.incarnation, MemberState.SUSPECT)
 
     def _expire_suspects(self, now: float) -> list[Effect]:
         effects: list[Effect] = []
-        for name, until in list(self._suspect_until.items()):
-            if now >= until:
+        for name, deadline in list(self._suspicion_deadlines.items()):
+            if now >= deadline:
                 member = self.members[name]
-                effects.extend(self._change(now, member, member.incarnation, MemberState.DEAD))
+                effects.extend(self._set_state(now, member, member.incarnation, MemberState.DEAD))
         return effects
 
-    def _forget_long_dead(self, now: float) -> None:
-        for name, died_at in list(self._dead.items()):
+    def _remove_expired_dead(self, now: float) -> None:
+        for name, died_at in list(self._died_at.items()):
             if now - died_at <= DEAD_KEPT_SECONDS:
                 return  # kept in order of death
-            del self._dead[name]
+            del self._died_at[name]
             if self.members[name].is_dead:
                 self.table.forget(name)
                 self._gossip.drop(name)
@@ -250,23 +250,23 @@
         return [SendDatagram(peer.address, self._sync_request()) for peer in peers]
 
     def _sync_request(self) -> SyncRequest:
-        return SyncRequest(self.name, list(self.table.digests), [self._me.update])
+        return SyncRequest(self.name, list(self.table.digests), [self._own_member.update])
 
     # Messages.
 
     def on_ping(self, now: float, sender: Address, message: Ping) -> list[Effect]:
         """Answers a probe."""
-        effects = self._merge_all(now, message.updates)
+        effects = self._merge_updates(now, message.updates)
         if message.sequence > 0:
-            updates = self._take_gossip(message.sender)
+            updates = self._next_updates(message.sender)
             ack = Ack(message.sequence, self.name, self.configuration_offset, updates)
             effects.append(SendDatagram(sender, ack))
         return effects
 
     def on_ack(self, now: float, message: Ack) -> list[Effect]:
         """Ends a probe, or passes the answer on to whoever asked for it."""
-        effects = self._merge_all(now, message.updates)
-        relayed = self._relayed.pop(message.sequence, None)
+        effects = self._merge_updates(now, message.updates)
+        relayed = self._relayed_probes.pop(message.sequence, None)
         if relayed is not None:
             asker, sequence = relayed
             passed_on = Ack(sequence, message.subject, message.configuration_offset, [])
@@ -278,19 +278,19 @@
     def on_indirect_ping(self, now: float, sender: Address, message: IndirectPing) -> list[Effect]:
         """Probes a member on another's behalf."""
         self._sequence += 1
-        self._relayed[self._sequence] = (sender, message.sequence)
-        if len(self._relayed) > 256:
-            del self._relayed[next(iter(self._relayed))]
+        self._relayed_probes[self._sequence] = (sender, message.sequence)
+        if len(self._relayed_probes) > 256:
+            del self._relayed_probes[next(iter(self._relayed_probes))]
         address = Address.parse(message.subject_address)
         return [SendDatagram(address, self._ping(self._sequence))]
 
     def on_sync_request(self, now: float, sender: Address, message: SyncRequest) -> list[Effect]:
         """Sends the part of the member table in which the sender's differs."""
-        effects = self._merge_all(now, message.members)
+        effects = self._merge_updates(now, message.members)
         updates = self.table.updates_where_digests_differ(message.digests)
         size = SYNC_MEMBERS_PER_DATAGRAM
         for first in range(0, len(updates), size):
-            if not self._sync_credit.take(now):
+            if not self._sync_limiter.take(now):
                 break  # the sender asks again, others too
             reply = SyncReply(self.name, updates[first : first + size])
             effects.append(SendDatagram(sender, reply))
@@ -298,14 +298,14 @@
 
     def on_sync_reply(self, now: float, sender: Address, message: SyncReply) -> list[Effect]:
         """Takes in part of another's table."""
-        return self._merge_all(now, message.members)
+        return self._merge_updates(now, message.members)
 
     def _ping(self, sequence: int) -> Ping:
-        return Ping(sequence, self.name, self.configuration_offset, self._take_gossip())
+        return Ping(sequence, self.name, self.configuration_offset, self._next_updates())
 
     # Merging.
 
-    def _merge_all(self, now: float, updates: list[MemberUpdate]) -> list[Effect]:
+    def _merge_updates(self, now: float, updates: list[MemberUpdate]) -> list[Effect]:
         effects: list[Effect] = []
         for update in updates:
             effects.extend(self._merge(now, update))
@@ -320,7 +320,7 @@
         if member is None:
             if state is MemberState.DEAD:
                 return []
-            return self._set(
+            return self._store_member(
                 now,
                 make_member(now, update.name, update.incarnation, state, address, update.zone),
                 None,
@@ -328,23 +328,23 @@
         # Legal only forward: a higher incarnation, or a worse state of the same one.
         if (update.incarnation, state) <= (member.incarnation, member.state):
             return []
-        is_same_start = started_part(update.incarnation) == started_part(member.incarnation)
+        is_same_start = process_start_of(update.incarnation) == process_start_of(member.incarnation)
         was_leaving = member.was_leaving and is_same_start
         changed = make_member(
             now, update.name, update.incarnation, state, address, update.zone, was_leaving
         )
-        return self._set(now, changed, member)
+        return self._store_member(now, changed, member)
 
     def _refute(self, now: float, incarnation: int, state: MemberState) -> list[Effect]:
-        me = self._me
-        if (incarnation, state) <= (me.incarnation, me.state):
+        own = self._own_member
+        if (incarnation, state) <= (own.incarnation, own.state):
             return []
-        higher = max(incarnation, me.incarnation) + 1
-        self._change(now, me, higher, me.state)
+        higher = max(incarnation, own.incarnation) + 1
+        self._set_state(now, own, higher, own.state)
         line = LogEvent("suspicion refuted", {"incarnation": higher})
-        return [line, *self._tell_eagerly(True)]
+        return [line, *self._send_eagerly(True)]
 
-    def _change(
+    def _set_state(
         self, now: float, member: Member, incarnation: int, state: MemberState
     ) -> list[Effect]:
         changed = make_member(
@@ -356,16 +356,16 @@
             member.zone,
             member.was_leaving,
         )
-        return self._set(now, changed, member)
+        return self._store_member(now, changed, member)
 
-    def _set(self, now: float, member: Member, previous: Member | None) -> list[Effect]:
+    def _store_member(self, now: float, member: Member, previous: Member | None) -> list[Effect]:
         self.table.put(member)
-        self._suspect_until.pop(member.name, None)
+        self._suspicion_deadlines.pop(member.name, None)
         if member.state is MemberState.SUSPECT:
-            self._suspect_until[member.name] = now + SUSPICION_SECONDS
+            self._suspicion_deadlines[member.name] = now + SUSPICION_SECONDS
         if member.is_dead:
-            self._dead.pop(member.name, None)
-            self._dead[member.name] = now
+            self._died_at.pop(member.name, None)
+            self._died_at[member.name] = now
         self._queue_gossip(member.name)
         if previous is not None and previous.state is member.state:
             return []
@@ -374,9 +374,9 @@
             "state": member.state.name.lower(),
         }
         line = LogEvent("member changed", fields)
-        return [line, *self._tell_eagerly(member.state >= MemberState.SUSPECT)]
+        return [line, *self._send_eagerly(member.state >= MemberState.SUSPECT)]
 
-    def _tell_eagerly(self, is_urgent: bool) -> list[Effect]:
+    def _send_eagerly(self, is_urgent: bool) -> list[Effect]:
         """Tells a few members at once, so that a death is known well before gossip ends."""
         if not is_urgent:
             return []
@@ -388,7 +388,7 @@
     def _queue_gossip(self, name: str) -> None:
         self._gossip.put(name, len(self.members))
 
-    def _take_gossip(self, about: str = "") -> list[MemberUpdate]:
+    def _next_updates(self, about: str = "") -> list[MemberUpdate]:
         names = self._gossip.take()
         suspected = self.members.get(about)
         if suspected is not None and suspected.state is MemberState.SUSPECT:
--- a/src/troutswitch/standalone/decisions/online.py
+++ b/src/troutswitch/standalone/decisions/online.py
@@ -53,7 +53,7 @@
     OnlineCounts,
     OnlineRequest,
     RequestState,
-    line_of_end,
+    end_log_event,
 )
 from troutswitch.standalone.decisions.routing import Router
 
@@ -91,7 +91,7 @@
         self._budget = RetryBudget()
         self._attempt_count = 0
         self._wakeups: list[tuple[float, str]] = []
-        self._probing: dict[str, None] = {}
+        self._awaiting_probes: dict[str, None] = {}
         engines.add_load_hook(self._on_engine_polled)
 
     # Arrival.
@@ -100,7 +100,7 @@
         """Admits a request and starts it, or refuses it at once."""
         self.counts.arrived += 1
         self._engines.on_service_used(now, event.service)
-        refusal = self._why_refused(now, event)
+        refusal = self._refusal_for(now, event)
         if refusal is not None:
             self.counts.refused += 1
             return [FinishOnline(event.request_id, refusal)]
@@ -114,7 +114,7 @@
             return self._claim(now, event, policy)
         return self._dispatch(now, request)
 
-    def _why_refused(self, now: float, event: OnlineArrived) -> NotRun | None:
+    def _refusal_for(self, now: float, event: OnlineArrived) -> NotRun | None:
         if self.is_draining:
             return NotRun("daemon is stopping", Step.DRAIN, "", RETRY_AFTER_SECONDS)
         if not self._configuration.is_ready:
@@ -149,29 +149,29 @@
             return self._give_up(now, request, "deadline passed", Step.ROUTE)
         candidates = self._candidates(now, request)
         fresh = [engine for engine in candidates if self._engines.is_fresh(now, engine)]
-        resumed = self._resume_target(fresh, request)
+        resume_engine = self._resume_target(fresh, request)
         gateways = len(self._membership.serving_names())
-        engine = resumed or self._router.choose(
+        engine = resume_engine or self._router.choose(
             request.policy.routing_policy, event.prefix, fresh, gateways
         )
         if engine is not None:
-            return self._start(now, request, engine)
+            return self._start_attempt(now, request, engine)
         if candidates and not request.probes_sent:
             return self._probe(now, request, candidates)
-        if now < request.probe_until and any(engine.is_polling for engine in candidates):
-            self._probing[event.request_id] = None
+        if now < request.probe_deadline and any(engine.is_polling for engine in candidates):
+            self._awaiting_probes[event.request_id] = None
             return []  # another engine's answer came first; the others are still awaited
         reason = "no engine can take the request now"
         return self._wait_or_give_up(now, request, reason, Step.ROUTE)
 
     def _candidates(self, now: float, request: OnlineRequest) -> list[Engine]:
         usable = self._engines.usable(now, request.arrival.service)
-        queue_most = request.policy.engine_queue_most
+        max_queue = request.policy.engine_queue_most
         return [
             engine
             for engine in usable
             if engine.name not in request.refused_by
-            and engine.online_load < engine.slots + queue_most
+            and engine.online_load < engine.slots + max_queue
         ]
 
     def _resume_target(self, fresh: list[Engine], request: OnlineRequest) -> Engine | None:
@@ -183,9 +183,9 @@
     def _probe(self, now: float, request: OnlineRequest, candidates: list[Engine]) -> list[Effect]:
         """Asks engines that were not heard from lately before work is sent to them."""
         request.probes_sent = True
-        self._probing[request.arrival.request_id] = None
-        request.probe_until = min(request.arrival.deadline, now + PROBE_SECONDS)
-        self._wake_up_at(request, request.probe_until)
+        self._awaiting_probes[request.arrival.request_id] = None
+        request.probe_deadline = min(request.arrival.deadline, now + PROBE_SECONDS)
+        self._wake_up_at(request, request.probe_deadline)
         effects: list[Effect] = []
         for engine in candidates[:4]:
             effects.extend(self._engines.poll(now, engine))
@@ -197,16 +197,16 @@
         if engine is None or not self._engines.is_fresh(now, engine):
             return []
         effects: list[Effect] = []
-        for request_id in list(self._probing):
+        for request_id in list(self._awaiting_probes):
             request = self.requests.get(request_id)
             if request is None or request.state is not RequestState.WAITING:
-                del self._probing[request_id]
+                del self._awaiting_probes[request_id]
             elif request.arrival.service == engine.service:
-                del self._probing[request_id]
+                del self._awaiting_probes[request_id]
                 effects.extend(self._dispatch(now, request))
         return effects
 
-    def _start(self, now: float, request: OnlineRequest, engine: Engine) -> list[Effect]:
+    def _start_attempt(self, now: float, request: OnlineRequest, engine: Engine) -> list[Effect]:
         event = request.arrival
         ensure(request.may_be_sent, "a request not to be repeated is sent again")
         self._attempt_count += 1
@@ -246,14 +246,14 @@
         engine = self._engines.engines.get(request.engine)
         if engine is None:
             return []
-        return self._engines.on_answer_begun(now, engine, request.sent_at, event.leaving)
+        return self._engines.on_response_started(now, engine, request.sent_at, event.leaving)
 
     def on_attempt_ended(self, now: float, event: OnlineAttemptEnded) -> list[Effect]:
         """Finishes the request, or tries again where that is allowed."""
         request = self.requests.get(event.request_id)
         if request is None or request.attempt_id != event.attempt_id:
             return []  # a late end of an attempt that was given up
-        effects = self._account(now, request, event)
+        effects = self._update_engine(now, request, event)
         request.attempts.append(event.kind)
         request.position = event.position
         request.last_engine = request.engine
@@ -269,14 +269,14 @@
             request.retry_after = event.retry_after
         return effects + self._retry(now, request, event.reason)
 
-    def _account(
+    def _update_engine(
         self, now: float, request: OnlineRequest, event: OnlineAttemptEnded
     ) -> list[Effect]:
         engine = self._engines.engines.get(request.engine)
         if engine is None:
             return []
         answered = event.kind not in (AttemptOutcome.CUT, AttemptOutcome.UNREACHABLE)
-        self._engines.on_answered(now, engine, answered)
+        self._engines.on_attempt_ended(now, engine, answered)
         if event.leaving:
             return self._engines.mark_leaving(now, engine.name, engine.incarnation)
         return []
@@ -287,10 +287,10 @@
         if request.runs >= request.policy.attempts_most:
             return self._give_up(now, request, reason, Step.DISPATCH)
         last = request.attempts[-1]
-        request.owes_retry |= last not in NOT_EXECUTED_OUTCOMES or request.runs == 0
+        request.needs_retry_credit |= last not in NOT_EXECUTED_OUTCOMES or request.runs == 0
         if len(request.attempts) >= request.policy.attempts_most:
             return self._wait_or_give_up(now, request, reason, Step.DISPATCH)
-        if not self._take_retry(request):
+        if not self._spend_retry_credit(request):
             reason = f"{reason}; retry budget spent"
             return self._wait_or_give_up(now, request, reason, Step.DISPATCH)
         request.state = RequestState.WAITING
@@ -301,13 +301,13 @@
             return self._dispatch(now, request)
         return []
 
-    def _take_retry(self, request: OnlineRequest) -> bool:
+    def _spend_retry_credit(self, request: OnlineRequest) -> bool:
         """Takes the next attempt from the retry budget, if it is owed and there is credit."""
-        if not request.owes_retry:
+        if not request.needs_retry_credit:
             return True
         if not self._budget.take(request.arrival.service):
             return False
-        request.owes_retry = False
+        request.needs_retry_credit = False
         self.counts.retries += 1
         return True
 
@@ -320,8 +320,8 @@
         run, or was delivered in part, could only be cut, although engines that are full have
         a free slot a moment later: it is offered again until its deadline.
         """
-        is_over = now >= request.arrival.deadline
-        if is_over or request.runs == 0 or not request.may_be_sent:
+        is_expired = now >= request.arrival.deadline
+        if is_expired or request.runs == 0 or not request.may_be_sent:
             return self._give_up(now, request, reason, step)
         request.state = RequestState.WAITING
         request.probes_sent = False
@@ -360,16 +360,16 @@
             at, request_id = heapq.heappop(self._wakeups)
             request = self.requests.get(request_id)
             if request is not None and request.wake_at == at:
-                effects.extend(self._wake(now, request))
+                effects.extend(self._on_wakeup(now, request))
         return effects
 
     def _wake_up_at(self, request: OnlineRequest, at: float) -> None:
         request.wake_at = at
         heapq.heappush(self._wakeups, (at, request.arrival.request_id))
 
-    def _wake(self, now: float, request: OnlineRequest) -> list[Effect]:
+    def _on_wakeup(self, now: float, request: OnlineRequest) -> list[Effect]:
         match request.state:
-            case RequestState.WAITING if self._take_retry(request):
+            case RequestState.WAITING if self._spend_retry_credit(request):
                 return self._dispatch(now, request)
             case RequestState.WAITING:
                 reason = "retry budget spent"
@@ -403,4 +403,4 @@
             self.counts.completed += 1
         del self.requests[request.arrival.request_id]
         self._admission.release(request.arrival.tenant)
-        return [FinishOnline(request.arrival.request_id, outcome), line_of_end(request, outcome)]
+        return [FinishOnline(request.arrival.request_id, outcome), end_log_event(request, outcome)]
--- a/src/troutswitch/standalone/decisions/online_request.py
+++ b/src/troutswitch/standalone/decisions/online_request.py
@@ -34,9 +34,9 @@
     position: int = 0
     wake_at: float = float("inf")
     probes_sent: bool = False
-    probe_until: float = float("-inf")
+    probe_deadline: float = float("-inf")
     retry_after: float = RETRY_AFTER_SECONDS
-    owes_retry: bool = False
+    needs_retry_credit: bool = False
     """Whether the next attempt must first be taken from the retry budget."""
 
     @property
@@ -61,7 +61,7 @@
     retries: int = 0
 
 
-def line_of_end(request: OnlineRequest, outcome: OnlineOutcome) -> LogEvent:
+def end_log_event(request: OnlineRequest, outcome: OnlineOutcome) -> LogEvent:
     """Returns the log line of a request's end."""
     fields: dict[str, str | int | float | bool] = {
         "request_id": request.arrival.request_id,
--- a/src/troutswitch/standalone/decisions/routing.py
+++ b/src/troutswitch/standalone/decisions/routing.py
@@ -15,7 +15,7 @@
 PREFIX_SLOT_SLACK = 0.25
 """Share of an engine's slots by which a prefix's home may be above the least loaded."""
 
-GATEWAYS_MOST = 8
+MAX_EXPECTED_GATEWAYS = 8
 """Most gateways that are taken to send alike within the lag of a load report."""
 
 CROSS_ZONE_COST = 0.15
@@ -88,23 +88,23 @@
         """Chooses the prefix's home unless it is loaded well above the least loaded."""
         if not prefix:
             return self._fallback.choose(prefix, candidates, zone, gateways, rng)
-        least = min(engine.online_load for engine in candidates)
+        min_load = min(engine.online_load for engine in candidates)
         slots = candidates[0].slots
-        bound = PREFIX_LOAD_SLACK * least + 1 + slots * PREFIX_SLOT_SLACK
+        max_load = PREFIX_LOAD_SLACK * min_load + 1 + slots * PREFIX_SLOT_SLACK
         # Batch items that cannot yield may hold the rest of the slots.
-        bound = min(bound, slots * (1.0 - FIRM_SHARE) - 1)
+        max_load = min(max_load, slots * (1.0 - FIRM_SHARE) - 1)
         ordered = sorted(
             candidates, key=lambda engine: stable_hash(prefix, engine.name), reverse=True
         )
         for engine in ordered:
-            if engine.expected_load(gateways) <= bound:
+            if engine.expected_load(gateways) <= max_load:
                 return engine
         return self._fallback.choose(prefix, candidates, zone, gateways, rng)
 
 
 def _cost(engine: Engine, zone: str) -> float:
-    away = CROSS_ZONE_COST if engine.zone != zone else 0.0
-    return load_share(engine) + away
+    zone_cost = CROSS_ZONE_COST if engine.zone != zone else 0.0
+    return load_share(engine) + zone_cost
 
 
 class Router:
@@ -125,5 +125,5 @@
         """Chooses by the named policy, or None if there is no candidate."""
         if not candidates:
             return None
-        alike = min(gateways, GATEWAYS_MOST)
-        return self._policies[name].choose(prefix, candidates, self._zone, alike, self._rng)
+        gateway_count = min(gateways, MAX_EXPECTED_GATEWAYS)
+        return self._policies[name].choose(prefix, candidates, self._zone, gateway_count, self._rng)
--- a/src/troutswitch/standalone/decisions/sharing.py
+++ b/src/troutswitch/standalone/decisions/sharing.py
@@ -76,8 +76,8 @@
     def batch_slots(self, use: EngineUse, policy: ServingPolicy) -> int:
         """Returns the slots above the online peak and the reserve."""
         reserve = max(1, round(use.slots * policy.batch_reserve_share))
-        room = use.slots - max(use.online_now, use.online_peak) - reserve
-        return max(0, min(room, policy.batch_slots_most))
+        available = use.slots - max(use.online_now, use.online_peak) - reserve
+        return max(0, min(available, policy.batch_slots_most))
 
 
 SHARING_POLICIES: dict[BatchPolicyName, SharingPolicy] = {
--- a/src/troutswitch/standalone/decisions/status.py
+++ b/src/troutswitch/standalone/decisions/status.py
@@ -34,7 +34,7 @@
 
 
 def view_members(
-    membership: Membership, reported: dict[str, int], own_offset: int
+    membership: Membership, reported_offsets: dict[str, int], own_offset: int
 ) -> tuple[MemberView, ...]:
     """Builds the views of all members."""
     return tuple(
@@ -43,7 +43,7 @@
             member.state.name.lower(),
             member.zone,
             str(member.address),
-            own_offset if member.name == membership.name else reported.get(member.name, -1),
+            own_offset if member.name == membership.name else reported_offsets.get(member.name, -1),
         )
         for member in sorted(membership.members.values(), key=lambda member: member.name)
     )
@@ -54,7 +54,7 @@
 ) -> EffectiveView:
     """Builds the effective configuration of a zone, service and tenant."""
     values = configuration.fold.tree.effective(zone, service, tenant)
-    rows = tuple((key, held.value, held.source) for key, held in sorted(values.items()))
+    rows = tuple((key, entry.value, entry.source) for key, entry in sorted(values.items()))
     return EffectiveView(configuration.fold.version, rows)
 
 
--- a/src/troutswitch/standalone/decisions/stewardship.py
+++ b/src/troutswitch/standalone/decisions/stewardship.py
@@ -30,17 +30,17 @@
 class Grant:
     """Slots granted to one daemon; `wanted` is what it last asked for.
 
-    Of the slots at most `firm` may hold items that cannot be cancelled.
+    Of the slots at most `non_preemptible` may hold items that cannot be cancelled.
     """
 
     slots: int
-    firm: int
+    non_preemptible: int
     wanted: int
     expires_at: float
 
 
 @dataclass(slots=True)
-class EngineShare:
+class EngineAllocation:
     """What the steward keeps for one engine.
 
     `online_samples` are (time, online requests) over the last window, kept with
@@ -65,7 +65,7 @@
         self._membership = membership
         self._configuration = configuration
         self._engines = engines
-        self._shares: dict[str, EngineShare] = {}
+        self._allocations: dict[str, EngineAllocation] = {}
         self._stewards: dict[str, tuple[tuple[str, ...], str | None]] = {}
         engines.set_steward_test(self.is_steward)
         engines.add_load_hook(self._on_load)
@@ -78,75 +78,75 @@
         candidates = self._membership.serving_in_zone(engine.zone)
         if not candidates:
             candidates = tuple(self._membership.serving_names())
-        held = self._stewards.get(engine_name)
-        if held is None or held[0] != candidates:
-            held = (candidates, rendezvous_choice(engine_name, list(candidates)))
-            self._stewards[engine_name] = held
-        return held[1]
+        cached = self._stewards.get(engine_name)
+        if cached is None or cached[0] != candidates:
+            cached = (candidates, rendezvous_choice(engine_name, list(candidates)))
+            self._stewards[engine_name] = cached
+        return cached[1]
 
     def is_steward(self, engine_name: str) -> bool:
         """Returns whether this daemon is the engine's steward."""
         engine = self._engines.engines.get(engine_name)
-        is_foreign = engine is not None and engine.zone != self._membership.zone
-        if engine is not None and is_foreign and self._membership.serving_in_zone(engine.zone):
+        is_other_zone = engine is not None and engine.zone != self._membership.zone
+        if engine is not None and is_other_zone and self._membership.serving_in_zone(engine.zone):
             return False
         return self.steward_of(engine_name) == self._membership.name
 
     # Messages.
 
-    def on_ask(self, now: float, message: SlotAsk) -> list[Effect]:
+    def on_slot_request(self, now: float, message: SlotAsk) -> list[Effect]:
         """Grants slots to a daemon, or renews its grant."""
         engine = self._engines.engines.get(message.engine)
         if engine is None or not self.is_steward(message.engine):
             return []
-        share = self._shares.setdefault(message.engine, EngineShare())
-        self._drop_expired(now, share)
+        allocation = self._allocations.setdefault(message.engine, EngineAllocation())
+        self._drop_expired(now, allocation)
         wanted = message.held + message.wanted
-        grant = share.grants.setdefault(message.sender, Grant(0, 0, 0, 0.0))
+        grant = allocation.grants.setdefault(message.sender, Grant(0, 0, 0, 0.0))
         grant.wanted = wanted
         grant.expires_at = now + GRANT_SECONDS
-        self._divide(now, engine, share)
-        return self._tell(engine, message.sender, grant)
+        self._divide_slots(now, engine, allocation)
+        return self._send_grant(engine, message.sender, grant)
 
-    def on_notice(self, now: float, message: OnlineNotice) -> list[Effect]:
+    def on_online_notice(self, now: float, message: OnlineNotice) -> list[Effect]:
         """Online requests were sent to an engine: cut grants if room is short."""
         engine = self._engines.engines.get(message.engine)
-        share = self._shares.get(message.engine)
-        if engine is None or share is None:
+        allocation = self._allocations.get(message.engine)
+        if engine is None or allocation is None:
             return []
-        share.notices.append((now, message.count))
-        return self._cut(now, engine, share)
+        allocation.notices.append((now, message.count))
+        return self._reduce_grants(now, engine, allocation)
 
     def _on_load(self, now: float, engine_name: str) -> list[Effect]:
         engine = self._engines.engines[engine_name]
-        share = self._shares.get(engine_name)
-        if share is None or not self.is_steward(engine_name):
-            self._shares.pop(engine_name, None)
+        allocation = self._allocations.get(engine_name)
+        if allocation is None or not self.is_steward(engine_name):
+            self._allocations.pop(engine_name, None)
             return []
-        while share.notices and share.notices[0][0] < engine.asked_at - LOAD_LAG_SECONDS:
-            share.notices.popleft()
-        return self._cut(now, engine, share)
+        while allocation.notices and allocation.notices[0][0] < engine.polled_at - LOAD_LAG_SECONDS:
+            allocation.notices.popleft()
+        return self._reduce_grants(now, engine, allocation)
 
     # Dividing.
 
-    def _allowed(self, now: float, engine: Engine, share: EngineShare) -> int:
+    def _allowed_slots(self, now: float, engine: Engine, allocation: EngineAllocation) -> int:
         if engine.load is None or self._engines.is_leaving(engine):
             return 0
         if not self._engines.is_fresh(now, engine):
             return 0
         policy = self._configuration.policy(engine.service, "", engine.zone)
-        use = self._use(now, engine, share)
+        use = self._engine_use(now, engine, allocation)
         allowed = SHARING_POLICIES[policy.batch_policy].batch_slots(use, policy)
         ensure(0 <= allowed <= max(use.slots, 0), "more batch slots than the engine has")
         return allowed
 
-    def _use(self, now: float, engine: Engine, share: EngineShare) -> EngineUse:
+    def _engine_use(self, now: float, engine: Engine, allocation: EngineAllocation) -> EngineUse:
         load = engine.load
         ensure(load is not None, "a share is computed without a load report")
         assert load is not None
-        noticed = sum(count for _, count in share.notices)
-        online_now = load.running_online + load.waiting_online + noticed
-        samples = share.online_samples
+        unreported = sum(count for _, count in allocation.notices)
+        online_now = load.running_online + load.waiting_online + unreported
+        samples = allocation.online_samples
         while samples and samples[0][0] < now - ONLINE_WINDOW_SECONDS:
             samples.popleft()
         while samples and samples[-1][1] <= online_now:
@@ -154,44 +154,46 @@
         samples.append((now, online_now))
         return EngineUse(load.slots, online_now, samples[0][1])
 
-    def _divide(self, now: float, engine: Engine, share: EngineShare) -> None:
+    def _divide_slots(self, now: float, engine: Engine, allocation: EngineAllocation) -> None:
         """Divides what is allowed among the askers: equal shares, unused ones passed on."""
-        left = self._allowed(now, engine, share)
-        askers = sorted(share.grants.items(), key=lambda pair: (pair[1].wanted, pair[0]))
-        for position, (_, grant) in enumerate(askers):
-            fair = left // (len(askers) - position)
-            grant.slots = min(grant.wanted, fair)
-            left -= grant.slots
-        ensure(left >= 0, "more batch slots are granted than allowed")
-        self._divide_firm(engine, share)
-
-    def _divide_firm(self, engine: Engine, share: EngineShare) -> None:
+        remaining = self._allowed_slots(now, engine, allocation)
+        requests = sorted(allocation.grants.items(), key=lambda pair: (pair[1].wanted, pair[0]))
+        for position, (_, grant) in enumerate(requests):
+            equal_share = remaining // (len(requests) - position)
+            grant.slots = min(grant.wanted, equal_share)
+            remaining -= grant.slots
+        ensure(remaining >= 0, "more batch slots are granted than allowed")
+        self._divide_non_preemptible(engine, allocation)
+
+    def _divide_non_preemptible(self, engine: Engine, allocation: EngineAllocation) -> None:
         """Limits the items that cannot be cancelled, so that online can take the rest."""
-        left = int(engine.slots * FIRM_SHARE)
-        ordered = rendezvous_order(engine.name, list(share.grants))
-        each = 1 + left // max(1, len(ordered))
+        remaining = int(engine.slots * FIRM_SHARE)
+        ordered = rendezvous_order(engine.name, list(allocation.grants))
+        equal_share = 1 + remaining // max(1, len(ordered))
         for name in ordered:
-            grant = share.grants[name]
-            grant.firm = min(grant.slots, each, left)
-            left -= grant.firm
+            grant = allocation.grants[name]
+            grant.non_preemptible = min(grant.slots, equal_share, remaining)
+            remaining -= grant.non_preemptible
 
-    def _cut(self, now: float, engine: Engine, share: EngineShare) -> list[Effect]:
+    def _reduce_grants(
+        self, now: float, engine: Engine, allocation: EngineAllocation
+    ) -> list[Effect]:
         """Divides anew and tells the daemons whose grant became smaller."""
-        self._drop_expired(now, share)
-        before = {name: grant.slots for name, grant in share.grants.items()}
-        self._divide(now, engine, share)
+        self._drop_expired(now, allocation)
+        before = {name: grant.slots for name, grant in allocation.grants.items()}
+        self._divide_slots(now, engine, allocation)
         effects: list[Effect] = []
-        for name, grant in share.grants.items():
+        for name, grant in allocation.grants.items():
             if grant.slots < before[name]:
-                effects.extend(self._tell(engine, name, grant))
+                effects.extend(self._send_grant(engine, name, grant))
         return effects
 
-    def _drop_expired(self, now: float, share: EngineShare) -> None:
-        expired = [name for name, grant in share.grants.items() if grant.expires_at <= now]
+    def _drop_expired(self, now: float, allocation: EngineAllocation) -> None:
+        expired = [name for name, grant in allocation.grants.items() if grant.expires_at <= now]
         for name in expired:
-            del share.grants[name]
+            del allocation.grants[name]
 
-    def _tell(self, engine: Engine, holder: str, grant: Grant) -> list[Effect]:
+    def _send_grant(self, engine: Engine, holder: str, grant: Grant) -> list[Effect]:
         address = self._membership.address_of(holder)
         if address is None:
             return []
@@ -201,7 +203,7 @@
             engine.name,
             engine.incarnation,
             grant.slots,
-            grant.firm,
+            grant.non_preemptible,
             GRANT_SECONDS,
             SHARING_POLICIES[policy.batch_policy].priority,
         )
--- a/tests/standalone/decisions/batch/test_fold_machine.py
+++ b/tests/standalone/decisions/batch/test_fold_machine.py
@@ -72,7 +72,7 @@
     def commit_without_chunks(self, writer: str, job: str, key: str) -> None:
         commit = JobCommitted(job, key, "c", "t", "s", ITEMS, True, 0.0, 1e9, 100.0)
         known = job in self.fold.jobs
-        staged = job in self.fold.staged
+        staged = job in self.fold.staged_chunks
         self.append(writer, [commit])
         assert known or staged or job not in self.fold.jobs
 
--- a/tests/standalone/decisions/test_engines.py
+++ b/tests/standalone/decisions/test_engines.py
@@ -37,14 +37,14 @@
 
 
 def test_counted_from_the_answer_it_would_pass_for_new(monkeypatch: pytest.MonkeyPatch) -> None:
-    original = EngineRegistry._take_load
+    original = EngineRegistry._apply_load
 
-    def take_load(self: EngineRegistry, now: float, engine: Engine, load: EngineLoad) -> object:
+    def apply_load(self: EngineRegistry, now: float, engine: Engine, load: EngineLoad) -> object:
         effects = original(self, now, engine, load)
         engine.confirmed_at = now
         return effects
 
-    monkeypatch.setattr(EngineRegistry, "_take_load", take_load)
+    monkeypatch.setattr(EngineRegistry, "_apply_load", apply_load)
     assert is_fresh_after_a_pause()
 
 
--- a/tests/standalone/decisions/test_membership.py
+++ b/tests/standalone/decisions/test_membership.py
@@ -172,5 +172,5 @@
 
 
 def test_without_forgiveness_it_condemns_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(Membership, "_forgive", lambda self, now: None)
+    monkeypatch.setattr(Membership, "_discount_pause", lambda self, now: None)
     assert judge_after_a_pause() is MemberState.DEAD
