--- a/src/troutswitch/standalone/decisions/__init__.py
+++ b/src/troutswitch/standalone/decisions/__init__.py
@@ -1,1 +1,1 @@
-"""Decisions of the standalone daemon: typed events in, typed effects out."""
+"""Decision logic of the standalone daemon: typed events in, typed effects out."""
--- a/src/troutswitch/standalone/decisions/admission_control.py
+++ b/src/troutswitch/standalone/decisions/admission_control.py
@@ -1,6 +1,6 @@
 """Limits on the online requests that one standalone daemon admits.
 
-Owns the counts of requests in flight and the rate of each tenant, on this daemon alone.
+Tracks the requests in flight and the request rate of each tenant on this daemon only.
 """
 
 from collections import OrderedDict
@@ -12,14 +12,14 @@
 from troutswitch.standalone.decisions.configuration.keys import ServingPolicy
 
 MAX_REMEMBERED_TENANTS = 10_000
-"""Idle tenants whose rate is remembered."""
+"""Maximum tenants whose token buckets are kept."""
 
 
 class AdmissionControl:
     """Admits online requests on one daemon.
 
-    A tenant's limits hold for the fleet; each daemon enforces its equal share, but
-    at least one, so the sum may exceed a small limit by the number of daemons.
+    A tenant's limits apply to the fleet. Each daemon enforces an equal share of at
+    least one, so the total may exceed a small limit by the number of daemons.
     """
 
     def __init__(self) -> None:
@@ -28,7 +28,7 @@
         self._buckets: OrderedDict[str, TokenBucket] = OrderedDict()
 
     def admit(self, now: float, tenant: str, policy: ServingPolicy, daemons: int) -> NotRun | None:
-        """Admits a request, or returns the refusal."""
+        """Admits a request and returns None, or returns the refusal."""
         if self.in_flight >= policy.online_concurrency:
             return NotRun("daemon is full", Step.ADMIT, "", RETRY_AFTER_SECONDS, 503)
         concurrency = max(1, policy.tenant_concurrency // max(1, daemons))
@@ -43,7 +43,7 @@
         return None
 
     def release(self, tenant: str) -> None:
-        """Ends an admitted request."""
+        """Releases the capacity of an admitted request that ended."""
         self.in_flight -= 1
         remaining = self._tenant_in_flight[tenant] - 1
         ensure(self.in_flight >= 0 and remaining >= 0, "more requests ended than admitted")
--- a/src/troutswitch/standalone/decisions/batch/__init__.py
+++ b/src/troutswitch/standalone/decisions/batch/__init__.py
@@ -1,1 +1,1 @@
-"""Batch jobs: the fold over a shard stream, its owner and its dispatcher."""
+"""Batch jobs: the fold over a shard stream, its owner and the item dispatcher."""
--- a/src/troutswitch/standalone/decisions/batch/calls.py
+++ b/src/troutswitch/standalone/decisions/batch/calls.py
@@ -1,7 +1,7 @@
-"""Calls by callers that wait for a shard's fold.
+"""Calls that wait for the fold of a shard.
 
-The answer is read from the fold, so it is the same whichever daemon is asked. A
-call that runs out of time is told truly whether anything may have been changed.
+Answers are read from the fold, so all daemons give the same answer. The refusal of a
+call whose deadline passes states whether the call may have changed anything.
 """
 
 import itertools
@@ -25,7 +25,7 @@
 
 @dataclass
 class Progress:
-    """What a look at the fold brought: effects, and whether the call is over."""
+    """Result of polling a call: its effects, and whether the call is done."""
 
     is_done: bool
     effects: list[Effect] = field(default_factory=list)
@@ -35,7 +35,7 @@
 
 
 class ShardCall(ABC):
-    """A call that waits for one shard's fold until `deadline`."""
+    """A call that waits for the fold of one shard until `deadline`."""
 
     def __init__(self, shard: int, deadline: float) -> None:
         self.shard = shard
@@ -43,7 +43,7 @@
 
     @abstractmethod
     def poll(self, now: float, replica: ShardReplica) -> Progress:
-        """Looks at the fold after it was read on."""
+        """Checks the fold after each read of the shard."""
 
     @abstractmethod
     def expire(self) -> list[Effect]:
@@ -52,7 +52,7 @@
 
 @dataclass(frozen=True)
 class CallContext:
-    """What calls need of the daemon."""
+    """The parts of the daemon that calls use."""
 
     ownership: Ownership
     writer: LogWriter
@@ -77,17 +77,17 @@
         return not self._calls
 
     def start(self, now: float, call: ShardCall) -> list[Effect]:
-        """Starts a call: its shard is read now, and it is polled after each read."""
+        """Starts a call: reads its shard now and polls the call after each read."""
         replica, effects = self._ownership.replica(now, call.shard)
         self._calls[next(self._ids)] = call
         return effects + replica.read_now(now)
 
     def next_due(self) -> float:
-        """Returns when the next call runs out of time."""
+        """Returns the earliest deadline of a call."""
         return min((call.deadline for call in self._calls.values()), default=float("inf"))
 
     def on_timer(self, now: float) -> list[Effect]:
-        """Ends the calls that ran out of time."""
+        """Ends the calls whose deadline has passed."""
         effects: list[Effect] = []
         for call_id, call in list(self._calls.items()):
             if call.deadline <= now:
@@ -108,7 +108,7 @@
 
 
 class JobCall(ShardCall):
-    """A call about one job, answered from a fold as fresh as the call."""
+    """A call about one job, answered from a fold that is at least as recent as the call."""
 
     def __init__(self, token: str, tenant: str, job_id: str, shard: int, deadline: float) -> None:
         super().__init__(shard, deadline)
@@ -118,12 +118,12 @@
         self._started_at = float("nan")
 
     def with_start_time(self, now: float) -> "JobCall":
-        """Sets the time as of which the fold must be fresh."""
+        """Sets the start time of the call, as of which the fold must be fresh."""
         self._started_at = now
         return self
 
     def poll(self, now: float, replica: ShardReplica) -> Progress:
-        """Finds the job once the fold is fresh."""
+        """Finds the job once the fold is fresh; refuses the call if there is none."""
         if replica.fresh_as_of < self._started_at:
             return STILL_WAITING
         job = find_job(replica.fold, self._tenant, self.job_id)
@@ -133,7 +133,7 @@
 
     @abstractmethod
     def on_found(self, now: float, replica: ShardReplica, job: Job) -> Progress:
-        """Goes on with the job."""
+        """Continues the call with its job."""
 
     def expire(self) -> list[Effect]:
         """Refuses the call: nothing was read and nothing was changed."""
@@ -141,7 +141,7 @@
 
 
 class JobStatusCall(JobCall):
-    """Asks for a job's state."""
+    """Requests the state of a job."""
 
     def on_found(self, now: float, replica: ShardReplica, job: Job) -> Progress:
         """Answers with the job's state."""
@@ -149,13 +149,13 @@
 
 
 def find_job(fold: ShardFold, tenant: str, job_id: str) -> Job | None:
-    """Returns a tenant's job, or None; another tenant's job is as good as unknown."""
+    """Returns a tenant's job; returns None if it is unknown or of another tenant."""
     job = fold.jobs.get(job_id)
     return job if job is not None and job.tenant == tenant else None
 
 
 def job_view(job: Job, duplicate: bool = False) -> JobView:
-    """Returns a job's state as told to callers."""
+    """Returns a job's state as reported to callers."""
     status = job.status.name.lower()
     if job.status is JobStatus.RUNNING and job.finished == job.item_count:
         status = JobStatus.COMPLETED.name.lower()
@@ -173,11 +173,11 @@
 
 
 def unknown_job_refusal(job_id: str) -> CallRefused:
-    """Returns the refusal of a call about a job that is not there."""
+    """Returns the refusal of a call about an unknown job."""
     return CallRefused(f"no job {job_id}", Step.READ, 404, True)
 
 
 def log_unavailable_refusal(step: Step) -> CallRefused:
-    """Returns the refusal of a call that changed nothing because the log is silent."""
+    """Returns the refusal of a call that changed nothing because the log is unavailable."""
     reason = "the log service does not answer"
     return CallRefused(reason, step, 503, True, LOG_PEER, RETRY_AFTER_SECONDS)
--- a/src/troutswitch/standalone/decisions/batch/claims.py
+++ b/src/troutswitch/standalone/decisions/batch/claims.py
@@ -1,4 +1,4 @@
-"""Claims of online requests that must not be repeated."""
+"""Claims of keys for online requests that must not be repeated."""
 
 from collections.abc import Callable
 
@@ -22,11 +22,11 @@
 ClaimHandler = Callable[[float, str, ClaimOutcome], list[Effect]]
 
 CLAIM_SECONDS = 10.0
-"""Longest time a claim may take to be read back."""
+"""Maximum time for a claim to be read back."""
 
 
 class OnceClaimCall(ShardCall):
-    """Appends a claim of a key and waits until the fold tells whose it is."""
+    """Appends a claim of a key and waits until the fold shows which request owns it."""
 
     def __init__(
         self,
@@ -47,7 +47,7 @@
         self._on_ended = on_ended
 
     def poll(self, now: float, replica: ShardReplica) -> Progress:
-        """Appends once the fold is fresh and the key is free, then reads it back."""
+        """Appends the claim once the fold is fresh and the key is free, then reads it back."""
         claim = replica.fold.once_claims.get(self._key)
         is_key_claimed = claim is not None and now < claim.expires_at
         if claim is not None and claim.request_id == self._request_id:
@@ -64,7 +64,7 @@
         return MayHaveRun(reason, Step.CLAIM, LOG_PEER, None, 409)
 
     def expire(self) -> list[Effect]:
-        """Refuses: the claim may stand, but this request was never sent to an engine."""
+        """Refuses the request: its claim may be on the log, but no engine received it."""
         reason = "the claim was not read back in time"
         outcome = NotRun(reason, Step.CLAIM, LOG_PEER, RETRY_AFTER_SECONDS)
         return self._on_ended(self.deadline, self._request_id, outcome)
--- a/src/troutswitch/standalone/decisions/batch/dispatcher.py
+++ b/src/troutswitch/standalone/decisions/batch/dispatcher.py
@@ -1,4 +1,4 @@
-"""Places the items of all owned shards on engine slots granted by stewards."""
+"""Dispatches the items of all owned shards to engine slots granted by stewards."""
 
 import random
 from collections.abc import Callable
@@ -30,8 +30,11 @@
 
 @dataclass(slots=True)
 class HeldGrant:
-    """Slots held on one engine until `expires_at`, `non_preemptible` of them for items not to be
-    repeated."""
+    """Slots granted to this daemon on one engine until `expires_at`.
+
+    At most `non_preemptible` items on them may be non-repeatable, which cannot be
+    cancelled.
+    """
 
     slots: int
     non_preemptible: int
@@ -42,7 +45,7 @@
 
 @dataclass(slots=True)
 class RunningItem:
-    """A batch attempt in flight."""
+    """A batch attempt in flight, with the epoch in which it was dispatched."""
 
     attempt_id: str
     shard: int
@@ -69,7 +72,7 @@
 
 
 class BatchDispatcher:
-    """Asks stewards for slots and fills them, earliest deadline first."""
+    """Requests slots from stewards and fills them, earliest deadline first."""
 
     def __init__(
         self,
@@ -94,7 +97,7 @@
         engines.add_load_hook(self._on_engine_polled)
 
     def set_ownership(self, ownership: Ownership) -> None:
-        """Sets the shards whose items are placed."""
+        """Sets the shards whose items are dispatched."""
         self._ownership = ownership
 
     @property
@@ -104,17 +107,17 @@
         return self._ownership
 
     def running_count(self) -> int:
-        """Returns the batch attempts in flight."""
+        """Returns the number of batch attempts in flight."""
         return len(self._running)
 
-    # Asking for slots.
+    # Slot requests.
 
     def next_due(self) -> float:
-        """Returns when slots are to be asked for."""
+        """Returns the time of the next slot requests, if there may be work for slots."""
         return self._next_request_at if self._shards.owners or self._running else float("inf")
 
     def on_timer(self, now: float) -> list[Effect]:
-        """Asks for slots if there is work, and renews what is held."""
+        """Requests slots for waiting items and renews grants with running items."""
         if now < self._next_request_at:
             return []
         self._next_request_at = now + SLOT_ASK_SECONDS
@@ -129,7 +132,7 @@
 
     def _request_slots(self, now: float) -> list[Effect]:
         if self._writer.queued_records() > WRITER_QUEUE_MOST_RECORDS:
-            return []  # results pile up while the log is away: take on no more
+            return []  # the log is unavailable and results accumulate: request no more work
         effects: list[Effect] = []
         requested: set[str] = set()
         for service, waiting in self._demand(now).items():
@@ -161,7 +164,7 @@
         return [SendDatagram(address, SlotAsk(self._membership.name, name, running_count, wanted))]
 
     def on_grant(self, now: float, message: SlotGrant) -> list[Effect]:
-        """Takes in a grant: fills new slots, or cancels what is above it."""
+        """Applies a grant: fills new slots, or cancels the items that exceed it."""
         self.grants[message.engine] = HeldGrant(
             message.slots,
             message.firm,
@@ -173,7 +176,7 @@
         return effects + self.fill(now)
 
     def _yield_excess(self, engine_name: str, slots: int) -> list[Effect]:
-        """Cancels the youngest repeatable items above the grant; they go back to waiting."""
+        """Cancels the newest repeatable items beyond the grant; they are queued again."""
         engine = self._engines.engines.get(engine_name)
         work = self._by_engine.get(engine_name)
         if engine is None or work is None:
@@ -194,7 +197,7 @@
     # Filling slots.
 
     def fill(self, now: float) -> list[Effect]:
-        """Starts items on free slots."""
+        """Starts items on free slots; polls engines that are not fresh."""
         effects: list[Effect] = []
         for name, grant in self.grants.items():
             engine = self._engines.engines.get(name)
@@ -212,7 +215,7 @@
         return effects
 
     def _on_engine_polled(self, now: float, name: str) -> list[Effect]:
-        """Fills the slots of an engine that had to be asked first."""
+        """Fills slots after a poll of an engine on which this daemon has a grant."""
         return self.fill(now) if name in self.grants else []
 
     def _fill_engine(
@@ -271,10 +274,10 @@
             ready_item.partial.text,
         )
 
-    # The end of an attempt.
+    # End of an attempt.
 
     def on_attempt_ended(self, now: float, event: BatchAttemptEnded) -> list[Effect]:
-        """Hands the end of an attempt to the owner under whose epoch it ran."""
+        """Passes the end of an attempt to the owner if its epoch has not changed."""
         item = self._running.pop(event.attempt_id, None)
         if item is None:
             return []
@@ -304,11 +307,11 @@
         return []
 
     def on_owner_lost(self, now: float, owner: ShardOwner) -> list[Effect]:
-        """Cancels what still runs under an epoch that has ended."""
+        """Cancels the running items of a shard that is no longer owned."""
         return self._cancel(lambda item: item.shard == owner.shard)
 
     def cancel_job(self, shard: int, job_id: str) -> list[Effect]:
-        """Cancels what still runs of a cancelled job."""
+        """Cancels the running items of a cancelled job."""
         return self._cancel(lambda item: item.shard == shard and item.reference.job_id == job_id)
 
     def _cancel(self, matches: Callable[[RunningItem], bool]) -> list[Effect]:
--- a/src/troutswitch/standalone/decisions/batch/fold.py
+++ b/src/troutswitch/standalone/decisions/batch/fold.py
@@ -1,9 +1,9 @@
-"""The fold over one shard stream: the only source of truth about its jobs.
+"""The fold over one shard stream, which is the only source of truth about its jobs.
 
-Order on the log decides every race. Owner records carry the epoch under which
-they were written and are void unless it is the shard's current epoch, so a
-paused holder that still believes in its lease changes nothing, whatever its
-clock says. Records of submitters (chunk, commit, cancel, once) carry none.
+The order on the log decides every race. Owner records carry the epoch in which they
+were written and are void unless it is the shard's current epoch. A paused owner that
+still assumes that its lease is valid therefore changes nothing, regardless of its
+clock. Records of submitters (chunk, commit, cancel, once) carry no epoch.
 """
 
 from array import array
@@ -40,7 +40,7 @@
 
 @dataclass(frozen=True, slots=True)
 class JobOpened:
-    """A job became real."""
+    """A submission was accepted as a job."""
 
     job_id: str
 
@@ -54,14 +54,14 @@
 
 @dataclass(frozen=True, slots=True)
 class JobCompleted:
-    """The last item of a job got its result."""
+    """All items of a job have a result."""
 
     job_id: str
 
 
 @dataclass(frozen=True, slots=True)
 class AttemptRecorded:
-    """An attempt at an item not to be repeated is valid."""
+    """An attempt at an item was recorded for the first time."""
 
     job_id: str
     item_index: int
@@ -69,7 +69,7 @@
 
 @dataclass(frozen=True, slots=True)
 class OwnerChanged:
-    """The shard has a new epoch; `owner` is empty after a release."""
+    """The shard has a new epoch, or was released, in which case `owner` is empty."""
 
     epoch: int
     owner: str
@@ -80,26 +80,26 @@
 
 @dataclass(frozen=True, slots=True)
 class Accepted:
-    """The submission became the job of the same id."""
+    """The submission was accepted as the job with the same id."""
 
 
 @dataclass(frozen=True, slots=True)
 class Duplicate:
-    """An earlier submission with the same identity and content is the job."""
+    """The submission repeats an earlier job with the same identity and content."""
 
     job_id: str
 
 
 @dataclass(frozen=True, slots=True)
 class Conflict:
-    """The key belongs to a job with other content."""
+    """The key belongs to a job with different content."""
 
     job_id: str
 
 
 @dataclass(frozen=True, slots=True)
 class Incomplete:
-    """Chunks are missing before the commit; nothing was accepted."""
+    """Chunks were missing at the commit; nothing was accepted."""
 
 
 SubmissionVerdict = Accepted | Duplicate | Conflict | Incomplete
@@ -107,7 +107,7 @@
 
 @dataclass(slots=True)
 class OnceClaim:
-    """The claim that holds a key, until `expires_at` (seconds since the epoch)."""
+    """The claim that owns a key until `expires_at`, in seconds since the epoch."""
 
     request_id: str
     expires_at: float
@@ -131,9 +131,9 @@
         self.void_records = 0
 
     def apply(self, offset: int, entry: Entry) -> list[FoldChange]:
-        """Folds one entry and returns what it changed.
+        """Applies one entry and returns its changes.
 
-        An entry whose (writer, sequence) was seen before changes nothing.
+        A duplicate of an earlier entry by (writer, sequence) changes nothing.
         """
         self.next_offset = offset + 1
         if not self.sequences.accept(entry.writer, entry.sequence):
@@ -144,7 +144,7 @@
         return changes
 
     def skip(self, offset: int) -> None:
-        """Passes over an entry that no writer of ours can have made."""
+        """Skips an entry that no writer of this fleet can have written."""
         self.next_offset = offset + 1
 
     def _apply_record(self, offset: int, record: Record) -> list[FoldChange]:
@@ -197,11 +197,11 @@
         if earlier is not None:
             age = record.committed_at - earlier.committed_at
             if age < earlier.identity_window:
-                same = earlier.content_digest == record.content_digest
-                return Duplicate(earlier.job_id) if same else Conflict(earlier.job_id)
+                is_same_content = earlier.content_digest == record.content_digest
+                return Duplicate(earlier.job_id) if is_same_content else Conflict(earlier.job_id)
         expected = set(range(chunk_count(record.item_count)))
-        held = sum(count for _, count in chunks.values())
-        if set(chunks) != expected or held != record.item_count:
+        staged_items = sum(count for _, count in chunks.values())
+        if set(chunks) != expected or staged_items != record.item_count:
             return Incomplete()
         return Accepted()
 
@@ -219,8 +219,8 @@
         return [JobStopped(job.job_id)]
 
     def _on_once_claim(self, offset: int, record: OnceClaimed) -> list[FoldChange]:
-        held = self.once_claims.get(record.key)
-        if held is not None and record.claimed_at < held.expires_at:
+        current = self.once_claims.get(record.key)
+        if current is not None and record.claimed_at < current.expires_at:
             return []
         self.once_claims.pop(record.key, None)
         self.once_claims[record.key] = OnceClaim(
@@ -239,7 +239,7 @@
     # Records of owners.
 
     def _on_epoch_claim(self, offset: int, record: EpochClaimed) -> list[FoldChange]:
-        # Legal only on top of the epoch the claimant had seen: the first claim wins.
+        # Valid only if the claimant had read the current epoch: the first claim wins.
         if record.previous_epoch != self.epoch:
             self.void_records += 1
             return []
@@ -292,7 +292,7 @@
         return True
 
     def _running_job(self, offset: int, epoch: int, job_id: str) -> Job | None:
-        """Returns the job if an owner's record about it may count."""
+        """Returns the running job of an owner's record, or None if the record is void."""
         if not self._is_current(offset, epoch):
             return None
         job = self.jobs.get(job_id)
--- a/src/troutswitch/standalone/decisions/batch/jobs.py
+++ b/src/troutswitch/standalone/decisions/batch/jobs.py
@@ -1,4 +1,4 @@
-"""State of one batch job as folded from its shard's stream."""
+"""State of one batch job, derived from its shard's stream."""
 
 from array import array
 from dataclasses import dataclass, field
@@ -9,17 +9,17 @@
 
 
 class ItemState(IntEnum):
-    """State of one item; its lower-case name is the outcome kept on the log."""
+    """State of one item; the lower-case name of a final state is its outcome on the log."""
 
     OPEN = 0
-    ATTEMPTED = 1  # of a job not to be repeated: an attempt is on record
+    ATTEMPTED = 1  # non-repeatable job: an attempt is on record
     COMPLETED = 2
     FAILED = 3
     MAY_HAVE_RUN = 4
 
     @property
     def is_final(self) -> bool:
-        """Whether a result stands for the item."""
+        """Whether the item has a result."""
         return self >= ItemState.COMPLETED
 
 
@@ -27,7 +27,7 @@
 
 
 class JobStatus(IntEnum):
-    """State of a job; its lower-case name is told to callers."""
+    """State of a job; its lower-case name is reported to callers."""
 
     RUNNING = 0
     CANCELLED = 1
@@ -36,12 +36,12 @@
 
 @dataclass(slots=True)
 class Job:
-    """One committed job. An open item takes 9 bytes: one of state, eight of offset.
+    """One committed job; an open item takes 9 bytes, one for state and eight for offset.
 
-    `chunk_offsets[i]` is the log offset of the entry that holds chunk `i`, and
-    `result_offsets[i]` that of the entry with item `i`'s result; bodies stay on
-    the log. When the job is closed both item arrays are dropped and
-    `close_offset` names the entry that lists the result offsets.
+    `chunk_offsets[i]` is the log offset of the entry with chunk `i`, and
+    `result_offsets[i]` that of the entry with the result of item `i`; the bodies are
+    only on the log. When the job is closed, both item arrays are released and
+    `close_offset` is the offset of the entry that lists the result offsets.
     """
 
     job_id: str
@@ -63,13 +63,13 @@
     result_offsets: "array[int]" = field(default_factory=lambda: array("Q"))
 
     def open_items(self) -> None:
-        """Allocates the item arrays of a job just committed."""
+        """Allocates the item arrays of a newly committed job."""
         self.item_states = bytearray(self.item_count)
         self.result_offsets = array("Q", bytes(8 * self.item_count))
 
     @property
     def finished(self) -> int:
-        """Items with a result."""
+        """Number of items with a result."""
         return self.completed + self.failed
 
     @property
@@ -79,7 +79,7 @@
 
     @property
     def is_closed(self) -> bool:
-        """Whether the result offsets have moved to the log."""
+        """Whether the result offsets are on the log."""
         return self.close_offset >= 0
 
     def state_of(self, index: int) -> ItemState:
@@ -87,7 +87,7 @@
         return ItemState(self.item_states[index])
 
     def finish(self, index: int, state: ItemState, offset: int) -> None:
-        """Records the first valid result of an item."""
+        """Sets the state and result offset of an item by its first valid result."""
         ensure(not self.state_of(index).is_final, "an item is finished twice")
         self.item_states[index] = state
         self.result_offsets[index] = offset
@@ -98,7 +98,7 @@
         ensure(self.finished <= self.item_count, "more results than items")
 
     def close(self, offset: int) -> None:
-        """Drops the item arrays once the result offsets stand on the log."""
+        """Releases the item arrays after the result offsets were written to the log."""
         ensure(self.finished == self.item_count, "a job is closed with items open")
         self.close_offset = offset
         self.status = JobStatus.COMPLETED
--- a/src/troutswitch/standalone/decisions/batch/owner.py
+++ b/src/troutswitch/standalone/decisions/batch/owner.py
@@ -1,7 +1,7 @@
-"""The owner of one shard: which items run, and what is recorded of them.
+"""The owner of one shard, which selects the items to run and records their results.
 
-It acts only while the fold shows its own epoch. Results are recorded under that
-epoch; the fold voids them if another epoch has begun.
+An owner acts only while its epoch is current in the fold. Its records carry that
+epoch, and the fold ignores them if another epoch has begun.
 """
 
 import heapq
@@ -50,7 +50,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ItemReference:
-    """Names one item of one job."""
+    """Identifies one item of a job."""
 
     job_id: str
     index: int
@@ -58,7 +58,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PartialAnswer:
-    """What an attempt that was cancelled or cut had generated: `position` tokens."""
+    """The `position` tokens that a cancelled or cut attempt generated, as text."""
 
     position: int
     text: str
@@ -69,7 +69,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReadyItem:
-    """An item that may run now, going on from an earlier attempt's partial answer."""
+    """An item that may run now, continuing the partial answer of an earlier attempt."""
 
     reference: ItemReference
     item: BatchItem
@@ -78,11 +78,14 @@
 
 @dataclass(slots=True)
 class JobProgress:
-    """What the owner knows of a job beyond the fold.
-
-    Items below `cursor` have been handed out at least once; those that came back
-    wait in `retries` as (ready time, index). `dispatched` are the items handed out or being
-    recorded; `attempted_in_epoch` those whose attempt this epoch has on record.
+    """The owner's state of a job that is not in the fold.
+
+    Attributes:
+        cursor: Index of the first item that has not been considered for dispatch.
+        retries: Items below `cursor` to dispatch again, as (ready time, index).
+        failures: Number of failed attempts by item index.
+        dispatched: Items that are dispatched or whose attempt or result is being recorded.
+        attempted_in_epoch: Items with an attempt on record in the current epoch.
     """
 
     cursor: int = 0
@@ -93,7 +96,7 @@
 
 
 class ShardOwner:
-    """Hands out the items of one shard's jobs and records what became of them."""
+    """Selects the items of one shard's jobs for dispatch and records their results."""
 
     def __init__(
         self,
@@ -121,24 +124,24 @@
 
     @property
     def fold(self) -> ShardFold:
-        """The shard's fold."""
+        """The fold of the shard."""
         return self._replica.fold
 
     @property
     def stream(self) -> str:
-        """The shard's stream."""
+        """The name of the shard's stream."""
         return shard_stream(self.shard)
 
     def has_work(self) -> bool:
-        """Returns whether any job has items without a result."""
+        """Returns whether any job of the shard is open."""
         return bool(self._progress)
 
     def running_items(self) -> int:
-        """Returns the items handed out and not yet recorded."""
+        """Returns the number of items that are dispatched or being recorded."""
         return sum(len(progress.dispatched) for progress in self._progress.values())
 
     def take_over(self, now: float) -> list[Effect]:
-        """Begins the epoch: settles attempts that earlier epochs left open."""
+        """Begins the epoch and records results for attempts that earlier epochs left open."""
         effects: list[Effect] = []
         for job in self.fold.open_jobs.values():
             effects.extend(self._open_job(job))
@@ -150,7 +153,7 @@
             return self._close_job(job)
         if job.repeatable:
             return []
-        # An attempt on record without a result may have run: it is never dispatched again.
+        # Items with an attempt on record but no result may have run: never dispatch them again.
         orphans = [
             ItemFinished(self.epoch, job.job_id, index, "may_have_run", "owner lost during attempt")
             for index in range(job.item_count)
@@ -159,7 +162,7 @@
         return self._writer.append(self.stream, list(orphans)) if orphans else []
 
     def on_changes(self, now: float, changes: list[FoldChange]) -> list[Effect]:
-        """Follows the fold: new jobs, cancelled jobs, recorded attempts and results."""
+        """Applies fold changes: new jobs, cancelled jobs, recorded attempts and results."""
         effects: list[Effect] = []
         for change in changes:
             match change:
@@ -221,41 +224,41 @@
 
     def _close_job(self, job: Job) -> list[Effect]:
         self._forget_job(job.job_id)
-        packed = pack_offsets(job.result_offsets)
-        return self._writer.append(self.stream, [JobClosed(self.epoch, job.job_id, packed)])
+        result_offsets = pack_offsets(job.result_offsets)
+        return self._writer.append(self.stream, [JobClosed(self.epoch, job.job_id, result_offsets)])
 
     def _forget_job(self, job_id: str) -> None:
         self._progress.pop(job_id, None)
         for key in [key for key in self._chunks if key[0] == job_id]:
             del self._chunks[key]
 
-    # Handing out.
+    # Dispatch.
 
     def demand(self, now: float) -> dict[str, int]:
-        """Returns the items ready to run by service, roughly."""
+        """Returns the approximate number of items that are ready to run, by service."""
         demand: dict[str, int] = {}
         if self.is_releasing:
             return demand
         for job_id, progress in self._progress.items():
             job = self.fold.jobs[job_id]
-            ready = sum(1 for at, _ in progress.retries if at <= now)
-            waiting = job.item_count - progress.cursor + ready
+            ready_retries = sum(1 for at, _ in progress.retries if at <= now)
+            waiting = job.item_count - progress.cursor + ready_retries
             if waiting > 0:
                 demand[job.service] = demand.get(job.service, 0) + waiting
         return demand
 
     def open_jobs(self, service: str) -> Iterator[Job]:
-        """Yields the jobs of a service that have work."""
+        """Yields the open jobs of a service."""
         for job_id in self._progress:
             job = self.fold.jobs[job_id]
             if job.service == service:
                 yield job
 
     def next_item(self, now: float, job: Job) -> tuple[ReadyItem | None, list[Effect]]:
-        """Hands out the next item of a job, or None if none can run yet.
+        """Returns the next item of a job, or None if no item can run yet, and effects.
 
-        The first call for an item of a job not to be repeated records an attempt;
-        the item is handed out once that record was read back.
+        For a non-repeatable job the first call for an item records an attempt. The item
+        is returned by a later call, after that record was read back.
         """
         progress = self._progress.get(job.job_id)
         index = self._next_index(now, job, progress) if progress else None
@@ -318,16 +321,16 @@
         if len(self._chunks) > CHUNK_CACHE_ENTRIES:
             self._chunks.popitem(last=False)
 
-    # What became of an item.
+    # End of an attempt.
 
     def on_attempt_ended(
         self, now: float, reference: ItemReference, event: BatchAttemptEnded
     ) -> list[Effect]:
-        """Records a result, or puts the item back with what it had generated."""
+        """Records the result, or queues the item again with its partial answer."""
         job = self.fold.jobs.get(reference.job_id)
         progress = self._progress.get(reference.job_id)
         if job is None or progress is None:
-            return []  # cancelled or closed meanwhile: late results are not counted
+            return []  # the job was cancelled or closed: ignore late results
         match event.kind:
             case AttemptOutcome.COMPLETED:
                 return self._record_result(reference, ItemState.COMPLETED, event.body)
@@ -369,19 +372,19 @@
     # Lease.
 
     def renew(self, now: float) -> list[Effect]:
-        """Shows that the owner is alive while the shard has work."""
+        """Appends a renewal if one is due and the shard has work, as a sign of life."""
         if now < self._next_renewal_at or not self.has_work():
             return []
         self._next_renewal_at = now + RENEW_SECONDS
         return self._writer.append(self.stream, [EpochRenewed(self.epoch)])
 
     def release(self) -> list[Effect]:
-        """Gives the shard up."""
+        """Releases the shard."""
         return self._writer.append(self.stream, [EpochReleased(self.epoch)])
 
 
 def find_chunk_items(answer: LogRead, job_id: str, chunk_index: int) -> list[BatchItem] | None:
-    """Finds a chunk in the first entry of a read, or returns None."""
+    """Returns the items of a chunk in the first entry of a read, or None."""
     if not answer.entries:
         return None
     try:
--- a/src/troutswitch/standalone/decisions/batch/ownership.py
+++ b/src/troutswitch/standalone/decisions/batch/ownership.py
@@ -1,8 +1,8 @@
-"""Which shards this daemon follows, claims, owns and hands over.
+"""Shards that this daemon follows, claims, owns and hands over.
 
-The preferred owner of a shard is the first, its standby the second, of the live
-daemons in rendezvous order. Both follow the shard. Membership and lease expiry
-are hints for when to claim; safety rests on the epoch in the fold alone.
+The first serving daemon in a shard's rendezvous order is its preferred owner and the
+second is its standby; both follow the shard. Membership and lease expiry only decide
+when to claim a shard. Safety depends on the epoch in the fold alone.
 """
 
 from collections.abc import Callable, Iterator
@@ -31,7 +31,7 @@
 
 
 class Ownership:
-    """All shard replicas of this daemon and the owners among them."""
+    """All shard replicas of this daemon, and the owners of the shards that it owns."""
 
     def __init__(
         self,
@@ -62,19 +62,19 @@
 
     @property
     def identity(self) -> str:
-        """This daemon's name as an owner: name and incarnation."""
+        """This daemon's identity as an owner, `name#started`."""
         return self._writer.writer
 
     def set_job_stopped_hook(self, hook: Callable[[int, str], list[Effect]]) -> None:
-        """Sets the function called with shard and job when an owned job is cancelled."""
+        """Sets the function to call with shard and job id when an owned job is cancelled."""
         self._on_job_stopped = hook
 
     def add_change_hook(self, hook: Callable[[float, int], list[Effect]]) -> None:
-        """Adds a function called with the shard after each read of its stream."""
+        """Adds a function to call with the shard after each read of its stream."""
         self._change_hooks.append(hook)
 
     def replica(self, now: float, shard: int) -> tuple[ShardReplica, list[Effect]]:
-        """Returns a shard's replica, following it from now on if it was not."""
+        """Returns a shard's replica and effects; starts following the shard if necessary."""
         self._used_at[shard] = now
         existing = self.replicas.get(shard)
         if existing is not None:
@@ -82,7 +82,7 @@
 
         def on_changes(at: float, changes: list[FoldChange]) -> list[Effect]:
             if self.replicas.get(shard) is not replica:
-                return []  # unloaded while this read was on its way
+                return []  # unloaded during this read
             return self._on_changes(at, shard, changes)
 
         replica = ShardReplica(shard, self._reader, on_changes)
@@ -92,12 +92,12 @@
     # Timers.
 
     def next_due(self) -> float:
-        """Returns when something is due."""
+        """Returns the time of the next check or poll."""
         polls = (replica.next_due() for replica in self.replicas.values())
         return min(self._next_check_at, min(polls, default=float("inf")))
 
     def on_timer(self, now: float) -> list[Effect]:
-        """Polls streams, claims, renews and hands over."""
+        """Polls streams, and claims, renews and hands over shards."""
         effects: list[Effect] = []
         for replica in list(self.replicas.values()):
             effects.extend(replica.on_timer(now))
@@ -129,7 +129,7 @@
         return self._placement.followed_by(self._membership.name)
 
     def owner_name(self, shard: int) -> str:
-        """Returns the name of the shard's owner as far as known, else its preferred owner."""
+        """Returns the shard's owner if known, otherwise its preferred owner."""
         replica = self.replicas.get(shard)
         if replica is not None and replica.fold.owner:
             return replica.fold.owner.partition("#")[0]
@@ -151,7 +151,7 @@
         if shard in self.owners or now - replica.fresh_as_of > LEASE_SECONDS:
             return []
         if self._pending_claims.get(shard) == fold.epoch:
-            return []  # our claim on this epoch is still on its way
+            return []  # the claim on this epoch has not been read back yet
         is_preferred = followers[0] == self._membership.name
         if self._may_claim(now, replica, is_preferred):
             self._pending_claims[shard] = fold.epoch
@@ -171,7 +171,7 @@
             return False
         if not self._membership.is_alive_incarnation(fold.owner):
             return is_preferred or lease_expired
-        # Alive for its peers, yet it records nothing although it has work.
+        # The owner is alive for its peers, but records nothing although it has work.
         return lease_expired and bool(fold.open_jobs)
 
     def _request_handover(self, shard: int, owner: str) -> list[Effect]:
@@ -180,7 +180,7 @@
             return []
         return [SendDatagram(address, ShardWanted(self._membership.name, shard))]
 
-    # Following the fold.
+    # Fold changes.
 
     def _on_changes(self, now: float, shard: int, changes: list[FoldChange]) -> list[Effect]:
         effects: list[Effect] = []
@@ -193,10 +193,10 @@
         return effects
 
     def _follow_owner(self, now: float, shard: int, changes: list[FoldChange]) -> list[Effect]:
-        """Hands changes to the owner; one that begins now takes the fold as it stands.
+        """Passes changes to the owner; a new owner starts from the current fold instead.
 
-        Changes read together with the claim may come from earlier epochs: an attempt
-        of a former owner must not pass for one of ours.
+        Changes read together with the claim may belong to earlier epochs, and an attempt
+        of a previous owner must not be treated as one of the new owner.
         """
         was_owner = shard in self.owners
         effects = self._begin_ownership(now, shard)
@@ -219,7 +219,7 @@
         if fold.owner != self.identity or shard in self.owners:
             return []
         if self._pending_releases.get(shard) == fold.epoch:
-            return []  # our release is still on its way
+            return []  # the release has not been read back yet
         owner = ShardOwner(replica, fold.epoch, self._writer, self._reader, self._on_ready)
         self.owners[shard] = owner
         line = LogEvent("shard owned", {"shard": shard, "epoch": fold.epoch})
@@ -239,7 +239,7 @@
         owner.snapshot_due = False
         return [AppendToLog(snapshot_stream(owner.shard), encode_snapshot(owner.fold))]
 
-    # Handing over.
+    # Handover.
 
     def _maintain_owner(self, now: float, owner: ShardOwner) -> list[Effect]:
         if self.is_draining:
@@ -262,37 +262,37 @@
         return [line, *owner.release(), *self._on_owner_lost(now, owner)]
 
     def on_shard_wanted(self, now: float, message: ShardWanted) -> list[Effect]:
-        """The preferred owner asks for a shard of ours."""
+        """Starts the handover of an owned shard if its preferred owner requests it."""
         owner = self.owners.get(message.shard)
         if owner is not None and self.followers(message.shard)[:1] == [message.sender]:
             self._start_handover(now, owner)
         return []
 
     def on_stream_grown(self, now: float, message: ShardTouched) -> list[Effect]:
-        """A stream has grown."""
+        """Reads a followed shard whose stream has grown."""
         replica = self.replicas.get(message.shard)
         return replica.read_now(now) if replica is not None else []
 
     def notify_owner(self, shard: int) -> list[Effect]:
-        """Tells the shard's owner that its stream has grown."""
+        """Notifies the shard's owner that its stream has grown."""
         address = self._membership.address_of(self.owner_name(shard))
         if address is None:
             return []
         return [SendDatagram(address, ShardTouched(self._membership.name, shard))]
 
     def on_appended(self, now: float, stream: str) -> list[Effect]:
-        """An append of ours was confirmed; read it back."""
+        """Reads the stream after a confirmed append of this daemon."""
         for replica in self.replicas.values():
             if replica.stream == stream:
                 return replica.read_now(now)
         return []
 
     def has_released_all(self) -> bool:
-        """Returns whether nothing is owned."""
+        """Returns whether this daemon owns no shard."""
         return not self.owners
 
     def open_owners(self) -> Iterator[ShardOwner]:
-        """Yields the owners that still hand out items."""
+        """Yields the owners that still dispatch items."""
         for owner in self.owners.values():
             if not owner.is_releasing:
                 yield owner
--- a/src/troutswitch/standalone/decisions/batch/placement.py
+++ b/src/troutswitch/standalone/decisions/batch/placement.py
@@ -1,8 +1,8 @@
-"""Which daemons follow which shard, kept up as members come and go.
+"""Assignment of followers to shards, updated incrementally as members join and leave.
 
-Rendezvous order: the daemons with the highest hashes for a shard follow it. A member
-that joins costs one hash a shard; one that goes costs a recount of its shards alone.
-Counting all shards anew at each look would cost 2,048 x 700 hashes.
+The daemons with the highest rendezvous hashes for a shard follow it. A joining member
+costs one hash per shard, and a departing member requires a recomputation of only its
+own shards. A full recomputation would cost 2,048 x 700 hashes each time.
 """
 
 from troutswitch.common import stable_hash
@@ -21,15 +21,15 @@
         self._followed: dict[str, list[int]] = {}
 
     def update(self, names: list[str]) -> None:
-        """Takes in the serving daemons; the same list object means that nothing changed."""
+        """Applies the serving daemons; returns immediately if the list object is the same."""
         if names is self._last_names:
             return
         self._last_names = names
         self._followed.clear()
-        wanted = set(names)
-        departed = self._names - wanted
-        joined = sorted(wanted - self._names)
-        self._names = wanted
+        current = set(names)
+        departed = self._names - current
+        joined = sorted(current - self._names)
+        self._names = current
         if departed:
             self._recompute(departed)
         for name in joined:
@@ -58,11 +58,15 @@
         """Returns the shards that a daemon follows."""
         shards = self._followed.get(name)
         if shards is None:
-            shards = [n for n, top in enumerate(self._top) if any(name == o for _, o in top)]
+            shards = [
+                shard
+                for shard, top in enumerate(self._top)
+                if any(name == follower for _, follower in top)
+            ]
             self._followed[name] = shards
         return shards
 
 
 def weight_of(shard: int, name: str) -> Weight:
-    """Returns a daemon's weight for a shard; equal hashes are told apart by name."""
+    """Returns a daemon's weight for a shard; the name breaks ties between equal hashes."""
     return stable_hash(f"shard-{shard}", name), name
--- a/src/troutswitch/standalone/decisions/batch/replica.py
+++ b/src/troutswitch/standalone/decisions/batch/replica.py
@@ -1,4 +1,4 @@
-"""A daemon's copy of one shard fold, kept up to the tail of its stream."""
+"""A daemon's replica of one shard fold, which follows the tail of its stream."""
 
 from collections.abc import Callable
 
@@ -25,16 +25,17 @@
 
 
 def snapshot_stream(shard: int) -> str:
-    """Returns the name of the stream that keeps a shard's snapshots."""
+    """Returns the name of the stream with a shard's snapshots."""
     return f"snapshot-{shard:04d}"
 
 
 class ShardReplica:
-    """Follows one shard: last snapshot, then every entry from there to the tail.
+    """Follows one shard: loads the last snapshot, then applies all later entries.
 
-    `fresh_as_of` is the start time of the newest read that reached the tail: the
-    fold holds everything confirmed before that time. `owner_seen_at` is when the
-    owner last showed a sign of life, or last got new work.
+    `fresh_as_of` is the start time of the latest read that reached the tail, so the
+    fold includes everything confirmed before that time. `owner_seen_at` is the
+    time of the last read that had a record of the owner or a new job, or that preceded
+    the first read of the tail.
     """
 
     def __init__(self, shard: int, reader: LogReader, on_changes: ChangeHandler) -> None:
@@ -59,15 +60,15 @@
         return self.fresh_as_of > float("-inf")
 
     def next_due(self) -> float:
-        """Returns when the next poll is due."""
+        """Returns the time of the next poll."""
         return float("inf") if self._is_reading or self.is_stopped else self._next_poll_at
 
     def on_timer(self, now: float) -> list[Effect]:
-        """Polls the stream if it is time."""
+        """Polls the stream if a poll is due."""
         return self.read_now(now) if self.next_due() <= now else []
 
     def read_now(self, now: float) -> list[Effect]:
-        """Reads on at once, or right after the read in progress."""
+        """Reads the stream immediately, or directly after the read in progress."""
         if self.is_stopped:
             return []
         if self._is_reading:
@@ -93,7 +94,7 @@
         try:
             self.fold = decode_snapshot(payload)
         except UnreadableEntry:
-            # The stream itself still tells everything; only more slowly.
+            # The stream has the complete state; reading it only takes longer.
             self.fold = ShardFold()
 
     def _on_entries(self, now: float, answer: LogRead | LogReadFailed) -> list[Effect]:
@@ -123,7 +124,7 @@
             try:
                 entry = decode_entry(payload)
             except UnreadableEntry:
-                # Written by a newer version: stop here rather than guess.
+                # Written by a newer version: stop, because its effect is unknown.
                 self.is_stopped = True
                 return changes
             changes.extend(self.fold.apply(answer.offset + position, entry))
--- a/src/troutswitch/standalone/decisions/batch/results.py
+++ b/src/troutswitch/standalone/decisions/batch/results.py
@@ -33,13 +33,13 @@
 )
 
 MAX_RESULTS_PER_ANSWER = 256
-"""Most results in one answer."""
+"""Maximum results in one answer."""
 MAX_ENTRIES_PER_READ = 64
-"""Most entries asked for in one read."""
+"""Maximum entries requested in one read."""
 
 
 class ResultsRead(JobCall):
-    """Reads results from item `first` on; items without a result are left out."""
+    """Reads results starting at item `first`; items without a result are omitted."""
 
     def __init__(
         self,
@@ -65,7 +65,7 @@
         self._pending_reads = 0
 
     def on_found(self, now: float, replica: ShardReplica, job: Job) -> Progress:
-        """Starts the reads once."""
+        """Starts the reads on the first call, then waits for their answers."""
         if self._is_started:
             return Progress(True) if self._is_answered else STILL_WAITING
         self._is_started = True
@@ -84,7 +84,7 @@
         wanted = [
             offset
             for offset, state in zip(self._offsets, states, strict=True)
-            if state >= 2  # a result stands; see ItemState
+            if state >= 2  # final; see ItemState
         ]
         return Progress(False, self._read_entries(job, wanted))
 
@@ -158,15 +158,15 @@
         return [AnswerCall(self.token, refusal)]
 
     def expire(self) -> list[Effect]:
-        """Refuses the call unless it was answered already."""
+        """Refuses the call unless it has been answered."""
         return self._fail()
 
 
 def find_result(payload: bytes | None, job_id: str, index: int) -> ItemFinished | None:
-    """Finds the valid result of an item in the entry that the fold names for it.
+    """Returns the valid result of an item in the entry at its result offset, or None.
 
-    If one writer recorded the item under two epochs in one entry, the later epoch
-    had begun before the entry was written, so only its record is valid.
+    If one writer recorded the item under two epochs in one entry, the later epoch had
+    begun before the entry was written, so only the record of the later epoch is valid.
     """
     entry = _decode_or_none(payload)
     if entry is None:
@@ -202,7 +202,7 @@
 
 
 def _contiguous_ranges(offsets: list[int]) -> list[tuple[int, int]]:
-    """Joins sorted offsets into runs of (start, count)."""
+    """Groups sorted offsets into contiguous ranges of (start, count)."""
     ranges: list[tuple[int, int]] = []
     for offset in offsets:
         if (
--- a/src/troutswitch/standalone/decisions/batch/snapshot.py
+++ b/src/troutswitch/standalone/decisions/batch/snapshot.py
@@ -1,4 +1,4 @@
-"""Snapshots of a shard fold: the same bytes for the same prefix of the stream."""
+"""Snapshots of a shard fold; equal prefixes of a stream give equal bytes."""
 
 import zlib
 from array import array
@@ -23,7 +23,7 @@
 
 
 class _JobSnapshot(msgspec.Struct, frozen=True, array_like=True):
-    """A job as kept in a snapshot; the arrays are raw bytes."""
+    """Encoded form of a job; the arrays are raw bytes."""
 
     job_id: str
     identity: str
@@ -45,7 +45,7 @@
 
 
 class _ShardSnapshot(msgspec.Struct, frozen=True, array_like=True):
-    """A shard fold as kept in a snapshot."""
+    """Encoded form of a shard fold."""
 
     schema_version: int
     next_offset: int
@@ -61,7 +61,7 @@
 
 
 def encode_snapshot(fold: ShardFold) -> bytes:
-    """Encodes the fold's whole state."""
+    """Encodes the complete state of a fold."""
     snapshot = _ShardSnapshot(
         ENTRY_SCHEMA_VERSION,
         fold.next_offset,
@@ -82,10 +82,10 @@
 
 
 def decode_snapshot(payload: bytes) -> ShardFold:
-    """Rebuilds a fold.
+    """Decodes a fold.
 
     Raises:
-        UnreadableEntry: the payload is malformed or of a newer schema version.
+        UnreadableEntry: The payload is malformed or has a newer schema version.
     """
     try:
         snapshot = msgspec.convert(cbor2.loads(zlib.decompress(payload)), _ShardSnapshot)
--- a/src/troutswitch/standalone/decisions/batch/submission.py
+++ b/src/troutswitch/standalone/decisions/batch/submission.py
@@ -42,12 +42,12 @@
 
 
 def make_job_id(shard: int, unique: int) -> str:
-    """Returns a job id; it names the job's shard, so that any daemon finds it."""
+    """Returns a job id that encodes the job's shard, so that any daemon can find the job."""
     return f"{JOB_ID_PREFIX}{shard:04x}{unique:016x}"
 
 
 def shard_of_job(job_id: str, shard_count: int) -> int | None:
-    """Returns the shard that a job id names, or None if this fleet cannot have made it."""
+    """Returns the shard encoded in a job id, or None if the id is not valid in this fleet."""
     if not job_id.startswith(JOB_ID_PREFIX):
         return None
     digits = job_id.removeprefix(JOB_ID_PREFIX)[:4]
@@ -59,7 +59,7 @@
 
 
 class Submissions:
-    """Makes submissions of this daemon."""
+    """Checks and prepares the job submissions that this daemon receives."""
 
     def __init__(self, context: CallContext, configuration: ConfigurationFollower) -> None:
         self._context = context
@@ -67,7 +67,7 @@
         self._job_numbers = itertools.count(1)
 
     def refusal_for(self, call: JobSubmitted) -> CallRefused | None:
-        """Returns why nothing may be submitted now, or None."""
+        """Returns the refusal if the job cannot be submitted now, otherwise None."""
         writer = self._context.writer
         if self._context.ownership.is_draining:
             return _unavailable("daemon is stopping", Step.DRAIN)
@@ -107,7 +107,7 @@
 
 
 class Submission(ShardCall):
-    """A submission in progress: look for a resend, append, read the verdict back."""
+    """A submission in progress: checks for a resend, appends, and reads the verdict back."""
 
     def __init__(
         self,
@@ -125,7 +125,7 @@
         self._is_appended = False
 
     def poll(self, now: float, replica: ShardReplica) -> Progress:
-        """Appends once the fold is fresh, then waits for the verdict."""
+        """Appends the job once the fold is fresh, then waits for the verdict."""
         if self._is_appended:
             return self._look_for_verdict(replica.fold)
         if replica.fresh_as_of < self._started_at:
@@ -171,7 +171,7 @@
         return Progress(True, [*notify_owner, AnswerCall(self._call.token, answer)])
 
     def expire(self) -> list[Effect]:
-        """Refuses truly: nothing was sent, or it may have been accepted."""
+        """Refuses the call, stating whether the job may have been accepted."""
         if not self._is_appended:
             return [AnswerCall(self._call.token, log_unavailable_refusal(Step.SUBMIT))]
         reason = (
@@ -183,7 +183,7 @@
 
 
 class Cancellation(JobCall):
-    """Cancels a job; answered once the record was read back."""
+    """Cancels a job; answered after the record was read back."""
 
     def __init__(
         self,
@@ -199,7 +199,7 @@
         self._is_appended = False
 
     def on_found(self, now: float, replica: ShardReplica, job: Job) -> Progress:
-        """Appends the record, then waits until the fold shows the job stopped."""
+        """Appends the record, then waits until the fold shows that the job has stopped."""
         if not job.is_running or job.finished == job.item_count:
             notify_owner = self._context.ownership.notify_owner(self.shard)
             return Progress(True, [*notify_owner, AnswerCall(self.token, job_view(job))])
@@ -209,7 +209,7 @@
         return Progress(False, self._context.append(replica, [JobCancelled(self.job_id)]))
 
     def expire(self) -> list[Effect]:
-        """Refuses truly: nothing was sent, or the job may still be cancelled."""
+        """Refuses the call, stating whether the job may still be cancelled."""
         if not self._is_appended:
             return super().expire()
         reason = "not read back in time; the job may still be cancelled"
@@ -218,7 +218,7 @@
 
 
 def _earlier_job_answer(job: Job, content_digest: str) -> CallAnswer:
-    """Returns what a resend is told: the earlier job, or a conflict."""
+    """Returns the answer to a resend: the earlier job, or a conflict."""
     if job.content_digest == content_digest:
         return job_view(job, duplicate=True)
     reason = f"the key belongs to job {job.job_id}, which has other content"
--- a/src/troutswitch/standalone/decisions/configuration/__init__.py
+++ b/src/troutswitch/standalone/decisions/configuration/__init__.py
@@ -1,1 +1,1 @@
-"""Configuration tree: keys, inheritance, publication and spread."""
+"""Configuration tree: keys, inheritance, publication and distribution."""
--- a/src/troutswitch/standalone/decisions/configuration/declarations.py
+++ b/src/troutswitch/standalone/decisions/configuration/declarations.py
@@ -1,6 +1,6 @@
-"""Declarations of the configuration tree, as TOML files kept in version control.
+"""Declarations of the configuration tree as TOML files, for use with version control.
 
-A directory holds any number of `*.toml` files. Each table is a path of the tree:
+A directory contains any number of `*.toml` files. Each table is a path of the tree:
 `[root]`, `["zone/a"]`, `["service/b"]`, `["zone/a/service/b"]`, `["tenant/t"]`.
 """
 
@@ -13,15 +13,15 @@
 
 
 class DeclarationError(Exception):
-    """A declaration that cannot be used; the text names file, key and reason."""
+    """An invalid declaration; the message names the file and the reason."""
 
 
 def read_declarations(directory: Path) -> ConfigurationTree:
     """Reads all declarations of a directory into one tree.
 
     Raises:
-        DeclarationError: no such directory, malformed TOML, an unknown path or key, a
-            bad value, or one key declared twice.
+        DeclarationError: The directory does not exist, a file is not valid TOML, a path,
+            key or value is invalid, or a key is declared twice.
     """
     if not directory.is_dir():
         raise DeclarationError(f"{directory}: not a directory")
@@ -54,7 +54,7 @@
 def changes_between(
     current: ConfigurationTree, wanted: ConfigurationTree
 ) -> list[ConfigurationChange]:
-    """Returns the changes that turn one tree into another, in order of path and key."""
+    """Returns the changes from `current` to `wanted`, in order of path and key."""
     changes = []
     for path in sorted({*current.overrides, *wanted.overrides}):
         before = current.overrides.get(path, {})
--- a/src/troutswitch/standalone/decisions/configuration/fold.py
+++ b/src/troutswitch/standalone/decisions/configuration/fold.py
@@ -1,7 +1,7 @@
 """The fold over the configuration stream.
 
-Whether a publication is accepted follows from the entries before it alone, so
-every daemon comes to the same verdict without talking.
+The verdict on a publication depends only on the entries before it, so all daemons
+reach the same verdict without communicating.
 """
 
 from collections import OrderedDict
@@ -17,14 +17,14 @@
 
 @dataclass(frozen=True, slots=True)
 class PublicationAccepted:
-    """The publication is in force as `version`."""
+    """The publication took effect as `version`."""
 
     version: int
 
 
 @dataclass(frozen=True, slots=True)
 class PublicationRejected:
-    """Nothing changed; `version` is the one in force."""
+    """The publication changed nothing; `version` stays in force."""
 
     version: int
     reason: str
@@ -44,7 +44,7 @@
 
 @dataclass
 class ConfigurationFold:
-    """The tree after the entries below `next_offset`, and how it came about."""
+    """The tree after the entries below `next_offset`, with its history and verdicts."""
 
     next_offset: int = 0
     version: int = 0
@@ -55,7 +55,7 @@
     sequences: WriterSequences = field(default_factory=WriterSequences)
 
     def apply(self, offset: int, entry: Entry) -> bool:
-        """Folds one entry and returns whether the tree changed."""
+        """Applies one entry and returns whether a publication was accepted."""
         ensure(offset == self.next_offset, "a configuration entry is applied out of order")
         self.next_offset = offset + 1
         if not self.sequences.accept(entry.writer, entry.sequence):
@@ -106,7 +106,7 @@
             self.verdicts.popitem(last=False)
 
     def digest(self) -> int:
-        """Returns a hash of the tree, the same on every daemon at the same version."""
+        """Returns a hash of the tree that is equal on all daemons at the same version."""
         lines = [
             f"{path}/{key}={value!r}"
             for path, keys in sorted(self.tree.overrides.items())
--- a/src/troutswitch/standalone/decisions/configuration/follower.py
+++ b/src/troutswitch/standalone/decisions/configuration/follower.py
@@ -1,9 +1,9 @@
 """Keeps one daemon's configuration up to date from the log and from peers.
 
-Entries are applied in offset order only, each once, so the configuration cannot
-revert. New entries are pushed to a few peers at once, and every probe carries
-the sender's offset, so a daemon that is cut off from the log learns of them from
-any peer that is not.
+Entries are applied only in offset order and only once, so the configuration cannot
+revert. New entries are pushed to a few peers immediately, and every probe carries
+the sender's offset. A daemon that cannot reach the log therefore receives them from
+any peer that can.
 """
 
 from collections.abc import Callable
@@ -45,12 +45,12 @@
 )
 
 NOT_READY = -1
-"""Offset on probes of a daemon that is not ready."""
+"""Offset in the probes of a daemon that is not ready."""
 
 
 @dataclass(frozen=True, slots=True)
 class _PendingPublication:
-    """An operator's call that waits for its own record to be read back."""
+    """An operator's call whose record has not been read back from the log yet."""
 
     token: str
     publication_id: str
@@ -58,7 +58,7 @@
 
 
 class ConfigurationFollower:
-    """The configuration of one daemon."""
+    """The configuration of one daemon and the state of its distribution."""
 
     def __init__(self, membership: Membership, writer: LogWriter, reader: LogReader) -> None:
         self.fold = ConfigurationFold()
@@ -79,7 +79,7 @@
         self._change_hooks: list[Callable[[float], list[Effect]]] = []
 
     def policy(self, service: str, tenant: str = "", zone: str | None = None) -> ServingPolicy:
-        """Returns the policy in force for a service and tenant, in this zone by default."""
+        """Returns the effective policy of a service and tenant, in this zone by default."""
         key = (self._membership.zone if zone is None else zone, service, tenant)
         policy = self._policies.get(key)
         if policy is None:
@@ -88,23 +88,23 @@
         return policy
 
     def add_change_hook(self, hook: Callable[[float], list[Effect]]) -> None:
-        """Adds a function called after the tree has changed."""
+        """Adds a function to call after each change of the tree."""
         self._change_hooks.append(hook)
 
     def expect_peers(self, count: int) -> None:
-        """Sets how many other daemons the machine list names."""
+        """Sets the number of other daemons that the machine list names."""
         self._expected_peers = count
 
     # Timers.
 
     def next_due(self) -> float:
-        """Returns when something is due."""
+        """Returns the time of the next poll or call deadline."""
         deadlines = (pending.deadline for pending in self._pending)
         poll_at = float("inf") if self._is_reading else self._next_poll_at
         return min(poll_at, min(deadlines, default=float("inf")))
 
     def on_timer(self, now: float) -> list[Effect]:
-        """Polls the log and ends calls that ran out of time."""
+        """Polls the log and ends the calls whose deadline has passed."""
         effects = self._expire_pending(now)
         if now >= self._next_poll_at and not self._is_reading:
             effects.extend(self._read(now))
@@ -131,13 +131,13 @@
         return effects
 
     def on_appended(self, now: float) -> list[Effect]:
-        """An append of ours to the stream was confirmed; read it back."""
+        """Reads the stream after a confirmed append of this daemon."""
         return self._read(now)
 
-    # Applying.
+    # Applying entries.
 
     def _apply_entries(self, now: float, first: int, entries: tuple[bytes, ...]) -> list[Effect]:
-        """Applies the entries that join on; returns pushes to peers and answers."""
+        """Applies the entries that follow the fold; returns pushes to peers and answers."""
         start = self.fold.next_offset
         changed = False
         for position, payload in enumerate(entries):
@@ -149,7 +149,8 @@
             try:
                 entry = decode_entry(payload)
             except UnreadableEntry:
-                self.is_stopped = True  # written by a newer version: stop rather than guess
+                # Written by a newer version: stop, because its effect is unknown.
+                self.is_stopped = True
                 break
             changed = self.fold.apply(offset, entry) or changed
             self._cache_entry(offset, payload)
@@ -206,7 +207,7 @@
         return ConfigurationEntries(self._membership.name, offset, entries)
 
     def on_peer_offset(self, now: float, sender: Address, peer: str, offset: int) -> list[Effect]:
-        """A probe tells how far a peer is."""
+        """Records the offset in a peer's probe; requests entries if the peer is ahead."""
         if offset == NOT_READY:
             return []
         self.reported_offsets[peer] = max(offset, self.reported_offsets.get(peer, 0))
@@ -222,10 +223,10 @@
         return [SendDatagram(sender, request)]
 
     def _ready_from_peers(self) -> list[Effect]:
-        """With the log away: ready at the highest offset that a majority has reported.
+        """Becomes ready without the log, at the highest offset reported by a majority.
 
-        Only peers that are ready themselves report an offset, so that daemons that
-        all start at once do not take an empty configuration from each other.
+        Only peers that are ready report an offset. Otherwise daemons that start
+        simultaneously would accept an empty configuration from each other.
         """
         if self.is_ready or self._expected_peers is None:
             return []
@@ -238,22 +239,22 @@
     def on_request(
         self, now: float, sender: Address, message: ConfigurationRequest
     ) -> list[Effect]:
-        """A peer asks for entries."""
+        """Sends the requested entries to a peer, if this daemon has them."""
         answer = self._entries_from(message.offset)
         return [SendDatagram(sender, answer)] if answer is not None else []
 
     def on_entries(
         self, now: float, sender: Address, message: ConfigurationEntries
     ) -> list[Effect]:
-        """A peer sends entries; those that join on are applied."""
+        """Applies the entries from a peer that follow the fold."""
         if message.offset > self.fold.next_offset:
             return self._request(now, sender)
         before = self.fold.next_offset
         effects = self._apply_entries(now, message.offset, tuple(message.entries))
         if self.fold.next_offset > before:
             self._next_request_at = float("-inf")
-        behind = max(self.reported_offsets.values(), default=0) > self.fold.next_offset
-        if behind and self.fold.next_offset > before:
+        is_behind = max(self.reported_offsets.values(), default=0) > self.fold.next_offset
+        if is_behind and self.fold.next_offset > before:
             effects.extend(self._request(now, sender))
         effects.extend(self._ready_from_peers())
         return effects
@@ -261,7 +262,7 @@
     # Publishing.
 
     def submit(self, now: float, call: ConfigurationSubmitted) -> list[Effect]:
-        """Publishes an operator's change set; answered once it was read back."""
+        """Publishes an operator's change set; the call is answered after reading it back."""
         if self._writer.is_failing(CONFIGURATION_STREAM) or not self.is_ready:
             refusal = CallRefused(
                 "the log service does not answer", Step.PUBLISH, 503, True, "log", 2.0
--- a/src/troutswitch/standalone/decisions/configuration/keys.py
+++ b/src/troutswitch/standalone/decisions/configuration/keys.py
@@ -1,4 +1,4 @@
-"""The keys of the configuration tree, with their types, ranges and defaults."""
+"""Keys of the configuration tree with their types, ranges and defaults."""
 
 from typing import Annotated, Any, Literal, get_type_hints
 
@@ -15,25 +15,28 @@
 
 
 class ServingPolicy(msgspec.Struct, frozen=True, kw_only=True):
-    """Effective values for one zone, service and tenant.
+    """Effective configuration values for one zone, service and tenant.
 
     Attributes:
-        routing_policy: how an online request is placed on an engine.
-        batch_policy: how batch work shares an engine with online work.
-        batch_fixed_share: share of an engine's slots under `fixed_share`.
-        batch_reserve_share: share of an engine's slots kept free under `stewarded`.
-        batch_slots_most: most batch items on one engine under `stewarded`.
-        online_concurrency: online requests in flight on one daemon.
-        engine_queue_most: online requests waiting on an engine above which it gets none.
-        attempts_most: attempts at one online request.
-        request_seconds: longest life of an online request.
-        identity_window_seconds: time in which an equal job submission is a resend.
-        once_window_seconds: time in which the key of a request not to be repeated is held.
-        tenant_requests_per_second: rate limit of a tenant over the fleet.
-        tenant_concurrency: online requests of a tenant in flight over the fleet.
-        tenant_open_items: items in one submission of a tenant.
-        api_key_digest: SHA-256, in hexadecimal, of the tenant's API key.
-        require_api_key: whether a caller without a known key is refused.
+        routing_policy: Policy that chooses an engine for an online request.
+        batch_policy: Policy that divides an engine between batch and online work.
+        batch_fixed_share: Share of an engine's slots for batch under `fixed_share`.
+        batch_reserve_share: Share of an engine's slots kept free under `stewarded`.
+        batch_slots_most: Maximum batch items on one engine under `stewarded`.
+        online_concurrency: Maximum online requests in flight on one daemon.
+        engine_queue_most: Number of online requests beyond an engine's slots at which the
+            engine receives no more.
+        attempts_most: Maximum attempts at one online request.
+        request_seconds: Maximum duration of an online request.
+        identity_window_seconds: Time during which an identical job submission counts as
+            a resend.
+        once_window_seconds: Time during which the key of a non-repeatable request is
+            reserved.
+        tenant_requests_per_second: Rate limit of a tenant over the fleet.
+        tenant_concurrency: Maximum online requests of a tenant in flight over the fleet.
+        tenant_open_items: Maximum items in one submission of a tenant.
+        api_key_digest: SHA-256 digest of the tenant's API key, in hexadecimal.
+        require_api_key: Whether callers without a known key are refused.
     """
 
     routing_policy: RoutingPolicyName = "prefix_aware"
@@ -61,7 +64,7 @@
 
 
 def check_value(key: str, value: object) -> str | None:
-    """Returns why a value is not allowed for a known key, or None if it is."""
+    """Returns the reason why a value is invalid for a known key, or None if it is valid."""
     try:
         msgspec.convert(value, _TYPES[key])
     except msgspec.ValidationError as error:
@@ -70,5 +73,5 @@
 
 
 def make_policy(values: dict[str, Value]) -> ServingPolicy:
-    """Builds the typed policy from checked values; keys not named take defaults."""
+    """Builds the typed policy from valid values; missing keys have their defaults."""
     return msgspec.convert(values, ServingPolicy)
--- a/src/troutswitch/standalone/decisions/configuration/tree.py
+++ b/src/troutswitch/standalone/decisions/configuration/tree.py
@@ -1,4 +1,4 @@
-"""The tree of settings: paths, overrides and inheritance."""
+"""The configuration tree: paths, overrides and inheritance."""
 
 import re
 from dataclasses import dataclass, field
@@ -21,7 +21,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EffectiveValue:
-    """A value in force and the path it comes from; "default" if nothing sets it."""
+    """An effective value and the path that sets it, or "default" if no path does."""
 
     value: Value
     source: str
@@ -42,13 +42,13 @@
 
 
 def scope_of_path(path: str) -> tuple[str, str, str]:
-    """Returns the zone, service and tenant that a valid path names; empty where it does not."""
-    names = dict(zip(path.split("/")[::2], path.split("/")[1::2], strict=False))
-    return names.get("zone", ""), names.get("service", ""), names.get("tenant", "")
+    """Returns the zone, service and tenant in a valid path; parts not named are empty."""
+    parts = dict(zip(path.split("/")[::2], path.split("/")[1::2], strict=False))
+    return parts.get("zone", ""), parts.get("service", ""), parts.get("tenant", "")
 
 
 def check_change(change: ConfigurationChange) -> str | None:
-    """Returns why a change is invalid, or None if it is valid."""
+    """Returns the reason why a change is invalid, or None if it is valid."""
     if not _PATH.fullmatch(change.path):
         return f"{change.path}: not a path of the tree"
     if change.key not in DEFAULTS:
@@ -61,12 +61,12 @@
 
 @dataclass
 class ConfigurationTree:
-    """Overrides by path and key; what is not overridden is inherited."""
+    """Overrides by path and key; other values are inherited."""
 
     overrides: dict[str, dict[str, Value]] = field(default_factory=dict)
 
     def apply(self, change: ConfigurationChange) -> None:
-        """Applies one checked change."""
+        """Applies one valid change."""
         keys = self.overrides.setdefault(change.path, {})
         if change.value is None:
             keys.pop(change.key, None)
@@ -76,7 +76,7 @@
             del self.overrides[change.path]
 
     def effective(self, zone: str, service: str, tenant: str) -> dict[str, EffectiveValue]:
-        """Returns every key's value in force and where it comes from."""
+        """Returns the effective value of every key, with its source."""
         values = {key: EffectiveValue(value, "default") for key, value in DEFAULTS.items()}
         for path in applicable_paths(zone, service, tenant):
             for key, value in self.overrides.get(path, {}).items():
@@ -84,7 +84,7 @@
         return values
 
     def policy(self, zone: str, service: str, tenant: str) -> ServingPolicy:
-        """Returns the typed policy in force."""
+        """Returns the effective policy as a typed structure."""
         values = self.effective(zone, service, tenant)
         return make_policy({key: effective.value for key, effective in values.items()})
 
--- a/src/troutswitch/standalone/decisions/daemon.py
+++ b/src/troutswitch/standalone/decisions/daemon.py
@@ -1,8 +1,8 @@
-"""One whole daemon as a pure state machine: `step(now, event)` returns effects.
+"""A complete daemon as a pure state machine: `step(now, event)` returns effects.
 
-It holds no clock, socket, thread or log. A runtime hands events in, carries the
-effects out, and calls `step` with `TimerFired` when `next_due` has come. The
-simulation drives the same class.
+It has no clock, socket, thread or log. A runtime passes events to `step`, executes the
+effects, and calls `step` with `TimerFired` at the time that `next_due` returns. The
+simulation uses the same class.
 """
 
 import random
@@ -85,12 +85,15 @@
 from troutswitch.standalone.decisions.views import Directory, StatusView
 
 DRAIN_CHECK_SECONDS = 0.1
-"""Interval between looks at whether a stopping daemon has finished."""
+"""Interval between checks whether a stopping daemon has finished."""
 
 
 @dataclass(frozen=True)
 class DaemonIdentity:
-    """Who a daemon is. `started` tells one start of a name from another and grows."""
+    """Identity of a daemon process.
+
+    `started` distinguishes the starts of a daemon of one name and increases with each.
+    """
 
     name: str
     zone: str
@@ -102,7 +105,7 @@
 
 
 class DaemonCore:
-    """All decisions of one daemon."""
+    """Combines all decision modules of one daemon and dispatches events to them."""
 
     def __init__(self, identity: DaemonIdentity) -> None:
         self.identity = identity
@@ -164,14 +167,14 @@
             self._message_table()
         )
 
-    # The machine.
+    # State machine.
 
     def step(self, now: float, event: Event) -> list[Effect]:
-        """Takes one event in and returns what is to be done.
+        """Handles one event and returns the effects to execute.
 
         Raises:
-            InvariantViolated: the daemon's state contradicts a promise; the process
-                must end, as its successor rebuilds all state from the log.
+            InvariantViolated: The daemon's state is inconsistent. The process must exit;
+                its successor rebuilds all state from the log.
         """
         return self._handlers[type(event)](now, event)
 
@@ -182,7 +185,7 @@
 
     @property
     def is_ready(self) -> bool:
-        """Whether this daemon takes on requests."""
+        """Whether this daemon accepts requests."""
         return self.configuration.is_ready and not self.is_draining
 
     def _event_table(self) -> dict[type, Callable[[float, Any], list[Effect]]]:
@@ -347,7 +350,7 @@
         event: JobStatusRequested | JobCancelRequested | JobResultsRequested,
         make_call: Callable[[int], JobCall],
     ) -> list[Effect]:
-        """Starts a call about a job on the shard that the job's id names."""
+        """Starts a call about a job on the shard that is encoded in the job id."""
         shard = shard_of_job(event.job_id, self.identity.shard_count)
         if shard is None:
             return [AnswerCall(event.token, unknown_job_refusal(event.job_id))]
@@ -362,7 +365,7 @@
         return [AnswerCall(event.token, view)]
 
     def status(self) -> StatusView:
-        """Returns the daemon's state as told to operators."""
+        """Returns the daemon's state as reported to operators."""
         fold = self.configuration.fold
         return StatusView(
             self.identity.name,
@@ -390,8 +393,8 @@
         self.online.is_draining = True
         self.ownership.is_draining = True
         self._drain_check_at = now
-        line = LogEvent("drain started")
-        return [line, *self._publish_directory(), *self.membership.leave(now)]
+        log_event = LogEvent("drain started")
+        return [log_event, *self._publish_directory(), *self.membership.leave(now)]
 
     def _check_drained(self, now: float) -> list[Effect]:
         idle = (
--- a/src/troutswitch/standalone/decisions/effects.py
+++ b/src/troutswitch/standalone/decisions/effects.py
@@ -1,4 +1,4 @@
-"""Typed effects that leave the decision modules; a runtime carries them out."""
+"""Typed effects that the decision modules emit and a runtime executes."""
 
 from dataclasses import dataclass, field
 
@@ -27,7 +27,7 @@
 class ReadLog:
     """Read entries; answered by `LogRead` or `LogReadFailed`.
 
-    `offset` -1 asks for the last entry of the stream.
+    `offset` -1 requests the last entry of the stream.
     """
 
     token: int
@@ -38,7 +38,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SendDatagram:
-    """Send a message to a peer; it may be lost."""
+    """Send a message to a peer; delivery is not guaranteed."""
 
     address: Address
     message: Message
@@ -51,7 +51,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PollEngine:
-    """Ask an engine for its load; answered by `EngineLoadRead`."""
+    """Request an engine's load; answered by `EngineLoadRead`."""
 
     engine: str
     address: Address
@@ -59,7 +59,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StartOnlineAttempt:
-    """Send an online request to an engine, continuing at token `position`."""
+    """Send an online request to an engine, which continues at token `position`."""
 
     request_id: str
     attempt_id: str
@@ -72,7 +72,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FinishOnline:
-    """The request is over; the caller gets its final answer now."""
+    """Give the caller the final answer of a request that has ended."""
 
     request_id: str
     outcome: OnlineOutcome
@@ -80,9 +80,10 @@
 
 @dataclass(frozen=True, slots=True)
 class StartBatchAttempt:
-    """Run a batch item; answered by `BatchAttemptEnded`. Lower `priority` runs first.
+    """Run a batch item; answered by `BatchAttemptEnded`.
 
-    The engine goes on at token `position`, after `text_so_far` of an earlier attempt.
+    A lower `priority` runs first. The engine continues at token `position`, after the
+    `text_so_far` of an earlier attempt.
     """
 
     attempt_id: str
@@ -98,7 +99,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CancelAttempt:
-    """Cancel an attempt on an engine; the attempt's own end is still reported."""
+    """Cancel an attempt on an engine; the end of the attempt is still reported."""
 
     attempt_id: str
     address: Address
@@ -106,7 +107,7 @@
 
 @dataclass(frozen=True, slots=True)
 class JobView:
-    """State of a job as told to callers. Times are in seconds since the epoch."""
+    """State of a job as reported to callers; times are in seconds since the epoch."""
 
     job_id: str
     status: str
@@ -121,7 +122,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ItemResult:
-    """Result of one item as told to callers."""
+    """Result of one item as reported to callers."""
 
     index: int
     custom_id: str
@@ -131,7 +132,7 @@
 
 @dataclass(frozen=True, slots=True)
 class JobResults:
-    """Results in item order; `next_index` is where the next read goes on, None at the end."""
+    """Results in item order; the next read starts at `next_index`, None at the end."""
 
     job_id: str
     results: tuple[ItemResult, ...]
@@ -140,7 +141,10 @@
 
 @dataclass(frozen=True, slots=True)
 class PublicationVerdict:
-    """Whether a publication was accepted, and as which version."""
+    """Verdict on a publication.
+
+    `version` is the version of an accepted publication, or the one that stays in force.
+    """
 
     accepted: bool
     version: int
@@ -149,7 +153,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CallRefused:
-    """A call by a caller or operator failed. `not_run` True means nothing was changed."""
+    """Failure of a call by a caller or operator; if `not_run` is True, nothing changed."""
 
     reason: str
     step: Step
@@ -173,7 +177,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AnswerCall:
-    """Answers the call named by `token`."""
+    """Answer the call identified by `token`."""
 
     token: str
     answer: CallAnswer
@@ -181,7 +185,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LogEvent:
-    """One line for the daemon's own log, for lifecycle events only."""
+    """One line for the daemon's own log, used for lifecycle events only."""
 
     event: str
     fields: dict[str, str | int | float | bool] = field(default_factory=dict)
@@ -189,14 +193,14 @@
 
 @dataclass(frozen=True, slots=True)
 class DirectoryChanged:
-    """The callers' threads must use this directory from now on."""
+    """Replace the directory that the callers' threads use."""
 
     directory: Directory
 
 
 @dataclass(frozen=True, slots=True)
 class Drained:
-    """Every request and lease is settled; the process may end."""
+    """All work has ended and all shards are released; the process may exit."""
 
 
 Effect = (
--- a/src/troutswitch/standalone/decisions/engines.py
+++ b/src/troutswitch/standalone/decisions/engines.py
@@ -1,11 +1,11 @@
-"""What one daemon knows of the engines: load, freshness, failures and leaving.
-
-An engine is used only if it was asked something less than `ENGINE_FRESH_SECONDS`
-ago and has answered without saying "leaving": a load poll, or the beginning of an
-answer. The age counts from the asking, as an answer may wait for long at a machine
-that was paused. So a leaving engine gets no new work soon after it says so, although
-the machine list lags and peers are cut off. "Leaving" is sticky for an incarnation
-and told to peers.
+"""One daemon's view of the engines: load, freshness, failures and leaving marks.
+
+An engine receives work only if it has answered, without reporting "leaving", a load
+poll or request that was sent at most `ENGINE_FRESH_SECONDS` ago. The age counts from
+the time of sending, because an answer may wait for a long time on a machine that was
+paused. A leaving engine therefore stops receiving work soon after it reports
+"leaving", even if the machine list lags and peers are unreachable. The leaving mark
+lasts for the engine's incarnation and is sent to peers.
 """
 
 from collections import deque
@@ -30,19 +30,20 @@
 from troutswitch.standalone.decisions.membership import Membership
 
 ENGINE_TICK_SECONDS = 0.1
-"""Interval between looks at which engines are to be polled."""
+"""Interval between checks for engines that are due for a poll."""
 ENGINE_SELECTION_SECONDS = 1.0
-"""Interval between choices of the engines that are polled at all."""
+"""Interval between selections of the engines to poll."""
 
 EngineHook = Callable[[float, str], list[Effect]]
 
 
 @dataclass(slots=True)
 class Engine:
-    """One engine as this daemon sees it.
+    """This daemon's view of one engine.
 
-    `online_in_flight` counts this daemon's own online requests on it; `unreported` are the
-    times of those that the last load report cannot show yet, as it lags.
+    `online_in_flight` counts this daemon's own online requests on the engine.
+    `unreported` holds the times at which it sent requests that the last load report,
+    which lags, cannot include yet.
     """
 
     name: str
@@ -63,28 +64,31 @@
 
     @property
     def slots(self) -> int:
-        """Sequences that the engine runs at once, as far as known."""
+        """Sequences that the engine can run concurrently; 1 before the first load report."""
         return self.load.slots if self.load is not None else 1
 
     @property
     def online_load(self) -> int:
-        """Online requests on the engine, as far as known."""
+        """Estimated online requests on the engine."""
         if self.load is None:
             return self.online_in_flight
         return max(self.reported_online + len(self.unreported), self.online_in_flight)
 
     @property
     def reported_online(self) -> int:
-        """Online requests that the engine reported."""
+        """Online requests that the engine reported last."""
         return self.load.running_online + self.load.waiting_online if self.load else 0
 
     def expected_load(self, gateways: int) -> int:
-        """Returns online requests on the engine if other gateways send as this one does."""
+        """Returns the estimated online requests if `gateways` gateways send like this one."""
         return max(self.reported_online + gateways * len(self.unreported), self.online_in_flight)
 
 
 class EngineRegistry:
-    """All engines named by the machine list."""
+    """All engines named by the machine list.
+
+    An engine that the list no longer names is kept until its online requests end.
+    """
 
     def __init__(self, membership: Membership) -> None:
         self.engines: dict[str, Engine] = {}
@@ -101,17 +105,17 @@
         self._next_tick_at = float("-inf")
 
     def add_load_hook(self, hook: EngineHook) -> None:
-        """Adds a function called with the engine's name after a poll was answered or not."""
+        """Adds a function to call with the engine's name after each poll, answered or not."""
         self._load_hooks.append(hook)
 
     def set_steward_test(self, is_stewarded: Callable[[str], bool]) -> None:
-        """Sets the test for engines that are polled although no work goes there."""
+        """Sets the test for engines to poll as their steward, even without work for them."""
         self._is_stewarded = is_stewarded
 
     # The machine list.
 
     def on_machine_list(self, now: float, machines: list[Machine]) -> list[Effect]:
-        """Takes in the list: new engines, new incarnations, leaving marks."""
+        """Applies the list: adds and removes engines, and updates addresses and marks."""
         effects: list[Effect] = []
         listed = {machine.name for machine in machines}
         for engine in self.engines.values():
@@ -146,7 +150,7 @@
         return (engine.name, engine.incarnation) in self._leaving
 
     def mark_leaving(self, now: float, name: str, incarnation: str) -> list[Effect]:
-        """Marks an incarnation as leaving and tells peers, once."""
+        """Marks an incarnation as leaving and notifies peers, once per incarnation."""
         if not incarnation or (name, incarnation) in self._leaving:
             return []
         self._leaving[name, incarnation] = None
@@ -162,11 +166,11 @@
     # Polling.
 
     def next_due(self) -> float:
-        """Returns when polls are to be considered next."""
+        """Returns the time of the next check for due polls."""
         return self._next_tick_at
 
     def on_timer(self, now: float) -> list[Effect]:
-        """Polls the engines that are in use or stewarded."""
+        """Polls the selected engines that are due."""
         if now < self._next_tick_at:
             return []
         self._next_tick_at = now + ENGINE_TICK_SECONDS
@@ -181,10 +185,11 @@
         return effects
 
     def _select_active(self, now: float) -> None:
-        """Chooses the engines to poll: those stewarded, and all of a service in use.
+        """Selects the engines to poll: stewarded ones and the subsets of services in use.
 
-        All of them, not only those that get work: a gateway that knew few engines as
-        fresh sent everything to these, and so never heard of the others.
+        The whole subset is polled, not only the engines that receive work. Otherwise a
+        gateway with few fresh engines sends all requests to these and never learns the
+        state of the others.
         """
         names = set(self._stewarded_engine_names())
         for service, used_at in self._service_used_at.items():
@@ -194,19 +199,22 @@
         self._poll_interval = max(ENGINE_POLL_SECONDS, len(self._polled) / POLLS_PER_SECOND)
 
     def _stewarded_engine_names(self) -> Iterator[str]:
-        """Yields the engines this daemon is steward of; only some zones can have any."""
+        """Yields the engines of which this daemon is steward.
+
+        Only this zone and zones without a serving daemon can have such engines.
+        """
         for zone, names in self._names_by_zone.items():
             if zone == self._membership.zone or not self._membership.serving_in_zone(zone):
                 yield from (name for name in names if self._is_stewarded(name))
 
     def on_service_used(self, now: float, service: str) -> None:
-        """Work for a service arrived here; its engines are polled from now on."""
+        """Records that work for a service arrived, so that its engines are polled."""
         if now - self._service_used_at.get(service, float("-inf")) >= ENGINE_IN_USE_SECONDS:
             self._next_selection_at = now
         self._service_used_at[service] = now
 
     def poll(self, now: float, engine: Engine) -> list[Effect]:
-        """Asks an engine for its load, unless it is being asked."""
+        """Polls an engine's load unless a poll is in progress."""
         if engine.is_polling:
             return []
         engine.is_polling = True
@@ -214,7 +222,7 @@
         return [PollEngine(engine.name, engine.address)]
 
     def on_load(self, now: float, event: EngineLoadRead) -> list[Effect]:
-        """Takes in the answer to a poll."""
+        """Applies the answer to a poll."""
         engine = self.engines.get(event.engine)
         if engine is None:
             return []
@@ -240,15 +248,15 @@
             return self.mark_leaving(now, engine.name, load.incarnation)
         return []
 
-    # Results of work.
+    # Outcomes of requests.
 
     def on_sent(self, now: float, engine: Engine) -> None:
-        """An online request was sent to the engine."""
+        """Records that an online request was sent to the engine."""
         engine.online_in_flight += 1
         engine.unreported.append(now)
 
     def on_attempt_ended(self, now: float, engine: Engine, succeeded: bool) -> None:
-        """An attempt on the engine ended."""
+        """Records that an online attempt on the engine ended."""
         engine.online_in_flight = max(0, engine.online_in_flight - 1)
         if succeeded:
             self._record_success(engine)
@@ -258,7 +266,7 @@
     def on_response_started(
         self, now: float, engine: Engine, sent_at: float, leaving: bool
     ) -> list[Effect]:
-        """The engine began to answer a request that was sent at `sent_at`."""
+        """Records the start of a response to a request that was sent at `sent_at`."""
         self._record_success(engine)
         if leaving:
             return self.mark_leaving(now, engine.name, engine.incarnation)
@@ -275,14 +283,17 @@
             doubling = min(engine.failures - EJECT_AFTER_FAILURES, 10)
             engine.ejected_until = now + min(EJECT_FIRST_SECONDS * 2**doubling, EJECT_MOST_SECONDS)
 
-    # Choosing.
+    # Selection.
 
     def is_fresh(self, now: float, engine: Engine) -> bool:
-        """Returns whether the engine may be sent work without asking it first."""
+        """Returns whether the engine may receive work without being polled first."""
         return now - engine.confirmed_at <= ENGINE_FRESH_SECONDS
 
     def usable(self, now: float, service: str) -> Iterator[Engine]:
-        """Yields the engines of a service that this daemon may send work to."""
+        """Yields the engines of a service to which this daemon may send work.
+
+        Engines that are unlisted, leaving or ejected are left out; freshness is not checked.
+        """
         for name in self._subset(service):
             engine = self.engines.get(name)
             if engine is None or not engine.listed or self.is_leaving(engine):
@@ -291,7 +302,7 @@
                 yield engine
 
     def services(self) -> list[str]:
-        """Returns the services that some engine offers."""
+        """Returns the services offered by at least one engine, in name order."""
         return sorted({engine.service for engine in self.engines.values()})
 
     def _subset(self, service: str) -> list[str]:
@@ -302,7 +313,7 @@
         return subset
 
     def _select_subset(self, service: str) -> list[str]:
-        """Returns at most `ENGINE_SUBSET` engines, those of this zone before others."""
+        """Returns at most `ENGINE_SUBSET` engine names, engines of this zone first."""
         service_engines = [e for e in self.engines.values() if e.service == service]
         same_zone = [e.name for e in service_engines if e.zone == self._membership.zone]
         other_zones = [e.name for e in service_engines if e.zone != self._membership.zone]
--- a/src/troutswitch/standalone/decisions/events.py
+++ b/src/troutswitch/standalone/decisions/events.py
@@ -1,6 +1,6 @@
-"""Typed events that enter the decision modules.
+"""Typed events that the decision modules handle.
 
-Times are in seconds on the clock that is handed in with each step.
+Times are in seconds on the clock whose value is passed to each step.
 """
 
 from dataclasses import dataclass, field
@@ -13,7 +13,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LogAppended:
-    """An append was confirmed; the entry stands at `offset`."""
+    """An append was confirmed; the entry is at `offset`."""
 
     stream: str
     offset: int
@@ -21,7 +21,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LogAppendFailed:
-    """An append was not confirmed; it may have taken effect all the same."""
+    """An append was not confirmed; it may nevertheless have taken effect."""
 
     stream: str
     reason: str
@@ -29,7 +29,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LogRead:
-    """Entries from `offset` on, in order, and the tail offset of the stream."""
+    """Consecutive entries starting at `offset`, and the tail offset of the stream."""
 
     token: int
     stream: str
@@ -40,7 +40,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LogReadFailed:
-    """A read was not answered."""
+    """A log read failed."""
 
     token: int
     stream: str
@@ -49,7 +49,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DatagramReceived:
-    """An authenticated message from a peer."""
+    """An authenticated message from a peer was received."""
 
     sender: Address
     message: Message
@@ -70,14 +70,14 @@
 
 @dataclass(frozen=True, slots=True)
 class MachineListRead:
-    """The machine list, or None if it could not be read."""
+    """The machine list; `machines` is None if it could not be read."""
 
     machines: tuple[Machine, ...] | None
 
 
 @dataclass(frozen=True, slots=True)
 class EngineLoad:
-    """Load that an engine reports of itself; it lags."""
+    """Load reported by an engine; it lags behind the actual load."""
 
     incarnation: str
     slots: int
@@ -91,7 +91,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EngineLoadRead:
-    """Answer to a load poll, or None if the engine did not answer."""
+    """The answer to a load poll; `load` is None if the engine did not answer."""
 
     engine: str
     load: EngineLoad | None
@@ -99,7 +99,7 @@
 
 @dataclass(frozen=True, slots=True)
 class OnlineArrived:
-    """A caller's online request. `deadline` is absolute; `once_key` may be empty."""
+    """An online request arrived; `deadline` is absolute and `once_key` may be empty."""
 
     request_id: str
     tenant: str
@@ -114,7 +114,10 @@
 
 @dataclass(frozen=True, slots=True)
 class OnlineFirstToken:
-    """The first token of an attempt reached the relay; `leaving` as the engine said."""
+    """The first token of an attempt reached the relay.
+
+    `leaving` is whether the engine reported that it is leaving.
+    """
 
     request_id: str
     attempt_id: str
@@ -123,7 +126,7 @@
 
 @dataclass(frozen=True, slots=True)
 class OnlineAttemptEnded:
-    """An online attempt ended; `position` tokens have been delivered in all."""
+    """An online attempt ended; `position` counts the tokens delivered in total."""
 
     request_id: str
     attempt_id: str
@@ -136,14 +139,14 @@
 
 @dataclass(frozen=True, slots=True)
 class OnlineAbandoned:
-    """The caller went away."""
+    """The caller closed its connection."""
 
     request_id: str
 
 
 @dataclass(frozen=True, slots=True)
 class BatchAttemptEnded:
-    """A batch attempt ended; `body` is the answer if it completed, else the reason.
+    """A batch attempt ended; `body` is the answer if it completed, otherwise the reason.
 
     If it did not complete, `partial` is the answer's text up to token `position`.
     """
@@ -158,9 +161,9 @@
 
 @dataclass(frozen=True, slots=True)
 class JobSubmitted:
-    """A caller submits a batch job. `token` names the call; `key` may be empty.
+    """A caller submits a batch job; `token` identifies the call and `key` may be empty.
 
-    `content_digest` is made on the caller's thread, as it takes long for a large job.
+    The caller's thread computes `content_digest`, because it takes long for a large job.
     """
 
     token: str
@@ -176,7 +179,7 @@
 
 @dataclass(frozen=True, slots=True)
 class JobStatusRequested:
-    """A caller asks for a job's state."""
+    """A caller requests the state of a job."""
 
     token: str
     tenant: str
@@ -186,7 +189,7 @@
 
 @dataclass(frozen=True, slots=True)
 class JobCancelRequested:
-    """A caller cancels a job."""
+    """A caller requests the cancellation of a job."""
 
     token: str
     tenant: str
@@ -196,7 +199,7 @@
 
 @dataclass(frozen=True, slots=True)
 class JobResultsRequested:
-    """A caller reads up to `limit` results from item index `first` on."""
+    """A caller requests up to `limit` results, starting at item index `first`."""
 
     token: str
     tenant: str
@@ -221,14 +224,14 @@
 
 @dataclass(frozen=True, slots=True)
 class StatusRequested:
-    """An operator asks for the daemon's state."""
+    """An operator requests the state of the daemon."""
 
     token: str
 
 
 @dataclass(frozen=True, slots=True)
 class EffectiveConfigurationRequested:
-    """An operator asks for the effective configuration."""
+    """An operator requests the effective configuration."""
 
     token: str
     zone: str
@@ -238,14 +241,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ConfigurationTreeRequested:
-    """An operator asks for all overrides."""
+    """An operator requests all overrides."""
 
     token: str
 
 
 @dataclass(frozen=True, slots=True)
 class PublicationHistoryRequested:
-    """An operator asks for the newest `limit` publications."""
+    """An operator requests the newest `limit` publications."""
 
     token: str
     limit: int
@@ -253,12 +256,12 @@
 
 @dataclass(frozen=True, slots=True)
 class DrainRequested:
-    """The daemon is to stop as planned."""
+    """A planned stop of the daemon was requested."""
 
 
 @dataclass(frozen=True, slots=True)
 class TimerFired:
-    """A time that `next_due` named has come."""
+    """The time that `next_due` returned has been reached."""
 
 
 Event = (
--- a/src/troutswitch/standalone/decisions/fleet.py
+++ b/src/troutswitch/standalone/decisions/fleet.py
@@ -1,4 +1,4 @@
-"""What this daemon takes from the machine list: peers to contact and engines."""
+"""Follows the machine list, which names the peers to contact and the engines."""
 
 from troutswitch.common import Address
 from troutswitch.standalone.constants import MACHINE_LIST_SECONDS
@@ -13,7 +13,7 @@
 
 
 class MachineListFollower:
-    """Reads the machine list now and then; it lags, and may be away."""
+    """Reads the machine list periodically; the list lags and may be unavailable."""
 
     def __init__(
         self,
@@ -32,18 +32,18 @@
         self._is_reading = False
 
     def next_due(self) -> float:
-        """Returns when the list is to be read."""
+        """Returns the time of the next read."""
         return float("inf") if self._is_reading else self._next_read_at
 
     def on_timer(self, now: float) -> list[Effect]:
-        """Reads the list if it is time."""
+        """Reads the list if a read is due."""
         if self._is_reading or now < self._next_read_at:
             return []
         self._is_reading = True
         return [ReadMachineList()]
 
     def on_read(self, now: float, event: MachineListRead) -> list[Effect]:
-        """Takes in the list, or keeps the last one if it could not be read."""
+        """Applies the list, or keeps the previous one if the read failed."""
         self._is_reading = False
         self._next_read_at = now + MACHINE_LIST_SECONDS
         if event.machines is None:
--- a/src/troutswitch/standalone/decisions/gossip.py
+++ b/src/troutswitch/standalone/decisions/gossip.py
@@ -1,4 +1,4 @@
-"""What bounds gossip: how often each piece of news is told, and how many tables are sent."""
+"""Bounds on gossip: retransmissions of each update and the rate of table transfers."""
 
 import heapq
 import math
@@ -12,22 +12,22 @@
 
 
 class GossipQueue:
-    """News about members; each piece is told a number of times that grows with the fleet."""
+    """Member updates to send; each is sent a number of times logarithmic in the fleet size."""
 
     def __init__(self) -> None:
         self._remaining: dict[str, int] = {}
 
     def put(self, name: str, members: int) -> None:
-        """Has the news about a member told, in a fleet of some members."""
+        """Queues a member's update in a fleet of `members` members."""
         count = GOSSIP_RETRANSMIT_FACTOR * math.ceil(math.log2(members + 1))
         self._remaining[name] = max(count, GOSSIP_RETRANSMIT_FACTOR)
 
     def drop(self, name: str) -> None:
-        """Tells nothing more about a member."""
+        """Stops sending updates of a member."""
         self._remaining.pop(name, None)
 
     def take(self) -> list[str]:
-        """Returns the names to be told next, those told least first."""
+        """Returns the members whose updates to send next, most remaining sends first."""
         names = heapq.nlargest(
             GOSSIP_UPDATES_MOST, self._remaining, key=self._remaining.__getitem__
         )
@@ -39,14 +39,14 @@
 
 
 class SyncRateLimiter:
-    """Bounds the tables sent a second, so that a fleet that starts at once gets through."""
+    """Limits the table datagrams per second, so that a simultaneous fleet start succeeds."""
 
     def __init__(self) -> None:
         self._credit = float(SYNC_BURST_DATAGRAMS)
         self._credited_at = 0.0
 
     def take(self, now: float) -> bool:
-        """Takes one datagram's credit; returns False if none is left."""
+        """Consumes the credit for one datagram; returns False if there is none."""
         credit = self._credit + (now - self._credited_at) * SYNC_DATAGRAMS_PER_SECOND
         self._credited_at = now
         self._credit = min(credit, float(SYNC_BURST_DATAGRAMS))
--- a/src/troutswitch/standalone/decisions/log_reader.py
+++ b/src/troutswitch/standalone/decisions/log_reader.py
@@ -1,4 +1,4 @@
-"""Reads of the log: names each read and hands its answer to whoever asked."""
+"""Log reads: assigns a token to each read and passes the answer to its handler."""
 
 from collections.abc import Callable
 
@@ -10,7 +10,7 @@
 
 
 class LogReader:
-    """Issues read tokens and routes the answers."""
+    """Issues read tokens and dispatches each answer to the handler of its token."""
 
     def __init__(self) -> None:
         self._handlers: dict[int, ReadHandler] = {}
@@ -19,12 +19,12 @@
     def read(
         self, stream: str, offset: int, handler: ReadHandler, limit: int = LOG_READ_LIMIT_ENTRIES
     ) -> list[Effect]:
-        """Reads up to `limit` entries from `offset` on; `handler` gets the answer."""
+        """Reads up to `limit` entries from `offset` and calls `handler` with the answer."""
         self._last_token += 1
         self._handlers[self._last_token] = handler
         return [ReadLog(self._last_token, stream, offset, limit)]
 
     def on_answer(self, now: float, event: LogRead | LogReadFailed) -> list[Effect]:
-        """Hands an answer on; an answer to a forgotten read is dropped."""
+        """Calls the handler of a read; ignores an answer with an unknown token."""
         handler = self._handlers.pop(event.token, None)
         return handler(now, event) if handler else []
--- a/src/troutswitch/standalone/decisions/log_writer.py
+++ b/src/troutswitch/standalone/decisions/log_writer.py
@@ -1,4 +1,4 @@
-"""Appends to the log: one in flight per stream, repeated until confirmed."""
+"""Appends to the log: one append in flight per stream, retried until confirmed."""
 
 from collections import deque
 from dataclasses import dataclass, field
@@ -14,7 +14,7 @@
 
 @dataclass
 class _StreamQueue:
-    """Records waiting for one stream, and the entry in flight."""
+    """Queued records of one stream and the entry in flight."""
 
     waiting: deque[Record] = field(default_factory=deque)
     sequence: int = 0
@@ -26,10 +26,10 @@
 
 
 class LogWriter:
-    """Queues records by stream and appends them, joined, in order.
+    """Queues records by stream and appends them in order, several to an entry.
 
-    An append that was not confirmed is repeated with the same bytes; folds drop
-    the repeat by its sequence number.
+    An append that was not confirmed is retried with the same bytes; folds discard
+    the duplicate by its sequence number.
     """
 
     def __init__(self, writer: str) -> None:
@@ -37,7 +37,7 @@
         self._queues: dict[str, _StreamQueue] = {}
 
     def queued_records(self) -> int:
-        """Returns the records not yet confirmed, over all streams."""
+        """Returns the number of unconfirmed records over all streams."""
         return sum(len(q.waiting) + q.records_in_flight for q in self._queues.values())
 
     def is_failing(self, stream: str) -> bool:
@@ -50,7 +50,7 @@
         return any(queue.failures > 0 for queue in self._queues.values())
 
     def is_idle(self) -> bool:
-        """Returns whether everything queued has been confirmed."""
+        """Returns whether all queued records have been confirmed."""
         return all(q.payload is None and not q.waiting for q in self._queues.values())
 
     def append(self, stream: str, records: list[Record]) -> list[Effect]:
@@ -60,9 +60,10 @@
         return self._send(stream, queue)
 
     def on_appended(self, stream: str) -> list[Effect]:
-        """The entry in flight was confirmed.
+        """Handles the confirmation of the entry in flight and sends the next one.
 
-        Snapshots are appended without this queue: one that is lost is not missed.
+        Snapshots bypass this queue, because a lost snapshot need not be retried;
+        confirmations for their streams are ignored.
         """
         queue = self._queues.get(stream)
         if queue is None:
@@ -74,7 +75,7 @@
         return self._send(stream, queue)
 
     def on_failed(self, now: float, stream: str) -> list[Effect]:
-        """The entry in flight was not confirmed; it is repeated after a delay."""
+        """Handles a failed append; the entry is retried after a delay."""
         queue = self._queues.get(stream)
         if queue is None:
             return []
@@ -89,7 +90,7 @@
         return min((q.retry_at for q in self._queues.values()), default=float("inf"))
 
     def on_timer(self, now: float) -> list[Effect]:
-        """Repeats the appends that are due."""
+        """Retries the appends that are due."""
         effects: list[Effect] = []
         for stream, queue in self._queues.items():
             if queue.retry_at <= now:
@@ -112,7 +113,7 @@
 
 
 def _pop_entry_records(waiting: deque[Record]) -> list[Record]:
-    """Takes the records of the next entry off the queue; at least one."""
+    """Removes the records of the next entry from the queue; at least one."""
     records = [waiting.popleft()]
     weight = _weight(records[0])
     while waiting and weight + _weight(waiting[0]) <= ENTRY_WEIGHT_MOST:
@@ -122,5 +123,5 @@
 
 
 def _weight(record: Record) -> int:
-    """Returns a record's share of an entry; a chunk weighs as many as its items."""
+    """Returns a record's weight in an entry; a chunk weighs as much as its items."""
     return len(record.items) if isinstance(record, ChunkSubmitted) else 1
--- a/src/troutswitch/standalone/decisions/membership.py
+++ b/src/troutswitch/standalone/decisions/membership.py
@@ -1,9 +1,9 @@
 """Membership by gossip: probing, suspicion and dissemination.
 
-After SWIM (Das, Gupta, Motivala 2002) with incarnations and suspicion. Each
-member probes one other in turn every period, so its messages a second do not
-grow with the number of members. An update rides on probes a bounded number of
-times. Anti-entropy with one random member closes what gossip missed.
+Implements SWIM (Das, Gupta, Motivala 2002) with incarnations and suspicion. Each
+member probes one other member per period, in turn, so its message rate does not
+grow with the number of members. Updates are piggybacked on probes a bounded number
+of times. Anti-entropy with one random member repairs what gossip missed.
 """
 
 import random
@@ -43,7 +43,7 @@
 
 
 class Membership:
-    """The member table of one daemon and the protocol that keeps it."""
+    """The member table of one daemon and the protocol that maintains it."""
 
     def __init__(
         self, name: str, incarnation: int, address: Address, zone: str, rng: random.Random
@@ -68,7 +68,7 @@
         self._seeds: list[Address] = []
         self._sync_limiter = SyncRateLimiter()
 
-    # What other modules ask.
+    # Queries by other modules.
 
     @property
     def members(self) -> dict[str, Member]:
@@ -80,11 +80,11 @@
         return self.table.members[self.name]
 
     def serving_names(self) -> list[str]:
-        """Returns the members that take on work, in name order."""
+        """Returns the names of the members that accept work, in name order."""
         return self.table.serving_names()
 
     def serving_in_zone(self, zone: str) -> tuple[str, ...]:
-        """Returns the serving members of a zone; the same object while nothing changes."""
+        """Returns the serving members of a zone; the same tuple object until one changes."""
         return self.table.serving_in_zone(zone)
 
     def address_of(self, name: str) -> Address | None:
@@ -93,9 +93,10 @@
         return None if member is None or member.is_dead else member.address
 
     def is_alive_incarnation(self, identity: str) -> bool:
-        """Returns whether `name#started` names a member that still runs as such.
+        """Returns whether `name#started` identifies the running process of a member.
 
-        Refuting a suspicion raises the low part of an incarnation only.
+        Refuting a suspicion increases only the low part of an incarnation, so it does
+        not change this identity.
         """
         name, _, started = identity.partition("#")
         member = self.members.get(name)
@@ -104,7 +105,7 @@
         return str(process_start_of(member.incarnation)) == started
 
     def live_count(self) -> int:
-        """Returns the members not known dead, this one included."""
+        """Returns the number of members that are not dead, including this one."""
         return sum(1 for member in self.members.values() if not member.is_dead)
 
     def random_peers(self, count: int, zone: str | None = None) -> list[Member]:
@@ -114,12 +115,12 @@
     # Joining and leaving.
 
     def set_seeds(self, seeds: list[Address]) -> None:
-        """Learns addresses from the machine list; those not known are contacted."""
+        """Sets the addresses from the machine list; unknown ones are contacted."""
         self._seeds = [seed for seed in seeds if seed != self._own_member.address]
         self._next_seed_at = float("-inf")
 
     def _contact_seeds(self) -> list[Effect]:
-        """Contacts seeds that are unknown or dead to us: the way out of a healed cut."""
+        """Contacts seeds that are unknown or marked dead, which rejoins a healed partition."""
         unknown = self._unknown_seeds()
         chosen = self._rng.sample(unknown, min(SEEDS_AT_ONCE, len(unknown)))
         return [SendDatagram(seed, self._sync_request()) for seed in chosen]
@@ -129,14 +130,14 @@
         return [seed for seed in self._seeds if seed not in known]
 
     def leave(self, now: float) -> list[Effect]:
-        """Tells everyone that this daemon takes on no more work."""
+        """Announces that this daemon accepts no more work."""
         self._set_state(now, self._own_member, self._own_member.incarnation, MemberState.LEAVING)
         return [SendDatagram(peer.address, self._ping(0)) for peer in self.random_peers(8)]
 
     # Timers.
 
     def next_due(self) -> float:
-        """Returns when something is due."""
+        """Returns the time at which the next probe, sync, contact or suspicion is due."""
         due = min(self._next_probe_at, self._next_sync_at, self._next_seed_at)
         if self._probe is not None:
             probe = self._probe
@@ -144,7 +145,7 @@
         return min(due, min(self._suspicion_deadlines.values(), default=float("inf")))
 
     def on_timer(self, now: float) -> list[Effect]:
-        """Probes, suspects, declares dead and reconciles."""
+        """Runs the probes, suspicion timeouts, contacts of seeds and syncs that are due."""
         if self._was_paused(now):
             self._discount_pause(now)
         self._last_timer_at = now
@@ -167,15 +168,15 @@
         return has_run and now - self._last_timer_at > STARVED_SECONDS
 
     def _discount_pause(self, now: float) -> None:
-        """Accuses nobody after this machine was paused or starved itself.
+        """Drops the probe and extends all suspicions after this process was paused.
 
-        What looks like silence of others is its own; their answers still wait in its
-        socket.
+        Other members seem silent only because this process did not run: their answers
+        still wait in its socket.
         """
-        missed = now - self._last_timer_at
+        pause_seconds = now - self._last_timer_at
         self._probe = None
         for name in self._suspicion_deadlines:
-            self._suspicion_deadlines[name] += missed
+            self._suspicion_deadlines[name] += pause_seconds
 
     def _start_probe(self, now: float) -> list[Effect]:
         subject = self._next_subject()
@@ -239,7 +240,7 @@
     def _remove_expired_dead(self, now: float) -> None:
         for name, died_at in list(self._died_at.items()):
             if now - died_at <= DEAD_KEPT_SECONDS:
-                return  # kept in order of death
+                return  # in order of death
             del self._died_at[name]
             if self.members[name].is_dead:
                 self.table.forget(name)
@@ -264,19 +265,19 @@
         return effects
 
     def on_ack(self, now: float, message: Ack) -> list[Effect]:
-        """Ends a probe, or passes the answer on to whoever asked for it."""
+        """Ends a probe, or relays the answer to the member that requested it."""
         effects = self._merge_updates(now, message.updates)
         relayed = self._relayed_probes.pop(message.sequence, None)
         if relayed is not None:
-            asker, sequence = relayed
-            passed_on = Ack(sequence, message.subject, message.configuration_offset, [])
-            effects.append(SendDatagram(asker, passed_on))
+            requester, sequence = relayed
+            relayed_ack = Ack(sequence, message.subject, message.configuration_offset, [])
+            effects.append(SendDatagram(requester, relayed_ack))
         elif self._probe is not None and self._probe.sequence == message.sequence:
             self._probe = None
         return effects
 
     def on_indirect_ping(self, now: float, sender: Address, message: IndirectPing) -> list[Effect]:
-        """Probes a member on another's behalf."""
+        """Probes a member on behalf of another."""
         self._sequence += 1
         self._relayed_probes[self._sequence] = (sender, message.sequence)
         if len(self._relayed_probes) > 256:
@@ -285,19 +286,19 @@
         return [SendDatagram(address, self._ping(self._sequence))]
 
     def on_sync_request(self, now: float, sender: Address, message: SyncRequest) -> list[Effect]:
-        """Sends the part of the member table in which the sender's differs."""
+        """Sends the members in the buckets whose digests differ from the sender's."""
         effects = self._merge_updates(now, message.members)
         updates = self.table.updates_where_digests_differ(message.digests)
         size = SYNC_MEMBERS_PER_DATAGRAM
         for first in range(0, len(updates), size):
             if not self._sync_limiter.take(now):
-                break  # the sender asks again, others too
+                break  # the sender repeats its request, also to other members
             reply = SyncReply(self.name, updates[first : first + size])
             effects.append(SendDatagram(sender, reply))
         return effects
 
     def on_sync_reply(self, now: float, sender: Address, message: SyncReply) -> list[Effect]:
-        """Takes in part of another's table."""
+        """Merges part of another member's table."""
         return self._merge_updates(now, message.members)
 
     def _ping(self, sequence: int) -> Ping:
@@ -325,7 +326,7 @@
                 make_member(now, update.name, update.incarnation, state, address, update.zone),
                 None,
             )
-        # Legal only forward: a higher incarnation, or a worse state of the same one.
+        # Only a higher incarnation, or a higher state of the same one, is applied.
         if (update.incarnation, state) <= (member.incarnation, member.state):
             return []
         is_same_start = process_start_of(update.incarnation) == process_start_of(member.incarnation)
@@ -341,8 +342,8 @@
             return []
         higher = max(incarnation, own.incarnation) + 1
         self._set_state(now, own, higher, own.state)
-        line = LogEvent("suspicion refuted", {"incarnation": higher})
-        return [line, *self._send_eagerly(True)]
+        log_event = LogEvent("suspicion refuted", {"incarnation": higher})
+        return [log_event, *self._send_eagerly(True)]
 
     def _set_state(
         self, now: float, member: Member, incarnation: int, state: MemberState
@@ -373,11 +374,11 @@
             "member": member.name,
             "state": member.state.name.lower(),
         }
-        line = LogEvent("member changed", fields)
-        return [line, *self._send_eagerly(member.state >= MemberState.SUSPECT)]
+        log_event = LogEvent("member changed", fields)
+        return [log_event, *self._send_eagerly(member.state >= MemberState.SUSPECT)]
 
     def _send_eagerly(self, is_urgent: bool) -> list[Effect]:
-        """Tells a few members at once, so that a death is known well before gossip ends."""
+        """Sends an urgent update to a few members immediately, before gossip spreads it."""
         if not is_urgent:
             return []
         ping = self._ping(0)
@@ -388,9 +389,9 @@
     def _queue_gossip(self, name: str) -> None:
         self._gossip.put(name, len(self.members))
 
-    def _next_updates(self, about: str = "") -> list[MemberUpdate]:
+    def _next_updates(self, recipient: str = "") -> list[MemberUpdate]:
         names = self._gossip.take()
-        suspected = self.members.get(about)
+        suspected = self.members.get(recipient)
         if suspected is not None and suspected.state is MemberState.SUSPECT:
-            names.append(about)  # a suspect hears of it first, so that it can refute
+            names.append(recipient)  # so that a suspected member can refute immediately
         return [self.members[name].update for name in dict.fromkeys(names)]
--- a/src/troutswitch/standalone/decisions/online.py
+++ b/src/troutswitch/standalone/decisions/online.py
@@ -1,12 +1,12 @@
 """Online requests: admission, claims, attempts, resumption and the final answer.
 
-A request's states and the moves between them:
+The states of a request and the transitions between them:
 
-    CLAIMING -> WAITING   its claim was read back as the first of its key
+    CLAIMING -> WAITING   the claim was read back as the first of its key
     WAITING  -> RUNNING   an engine was chosen and an attempt started
     RUNNING  -> WAITING   the attempt failed and may be repeated
-    WAITING  -> WAITING   no engine can take it now, and it can't be refused any more
-    any      -> finished  exactly one `FinishOnline` is emitted, and the request forgotten
+    WAITING  -> WAITING   no engine can accept the request, which can no longer be refused
+    any      -> finished  exactly one `FinishOnline` is emitted and the request is removed
 """
 
 import heapq
@@ -58,7 +58,7 @@
 from troutswitch.standalone.decisions.routing import Router
 
 PROBE_SECONDS = 2.0
-"""Longest time a request waits for engines that had to be asked first."""
+"""Maximum time a request waits for the answers of polled engines."""
 
 
 ClaimFunction = Callable[[float, OnlineArrived, ServingPolicy], list[Effect]]
@@ -97,7 +97,7 @@
     # Arrival.
 
     def on_arrived(self, now: float, event: OnlineArrived) -> list[Effect]:
-        """Admits a request and starts it, or refuses it at once."""
+        """Admits and starts a request, or refuses it immediately."""
         self.counts.arrived += 1
         self._engines.on_service_used(now, event.service)
         refusal = self._refusal_for(now, event)
@@ -124,7 +124,7 @@
         return self._admission.admit(now, event.tenant, policy, daemons)
 
     def on_claimed(self, now: float, request_id: str) -> list[Effect]:
-        """The request's claim is the first of its key."""
+        """Dispatches a request whose claim is the first of its key."""
         request = self.requests.get(request_id)
         if request is None or request.state is not RequestState.CLAIMING:
             return []
@@ -134,7 +134,7 @@
     def on_claim_failed(
         self, now: float, request_id: str, outcome: NotRun | MayHaveRun
     ) -> list[Effect]:
-        """The request's claim was refused or not read back in time."""
+        """Finishes a request whose claim was refused or not read back in time."""
         request = self.requests.get(request_id)
         if request is None or request.state is not RequestState.CLAIMING:
             return []
@@ -160,7 +160,7 @@
             return self._probe(now, request, candidates)
         if now < request.probe_deadline and any(engine.is_polling for engine in candidates):
             self._awaiting_probes[event.request_id] = None
-            return []  # another engine's answer came first; the others are still awaited
+            return []  # other polled engines may still answer
         reason = "no engine can take the request now"
         return self._wait_or_give_up(now, request, reason, Step.ROUTE)
 
@@ -175,13 +175,13 @@
         ]
 
     def _resume_target(self, fresh: list[Engine], request: OnlineRequest) -> Engine | None:
-        """Returns the engine that was cut off midway, if it may be asked to go on."""
+        """Returns the engine whose first attempt was cut, if it can resume the answer."""
         if request.position == 0 or len(request.attempts) != 1:
             return None
         return next((e for e in fresh if e.name == request.last_engine), None)
 
     def _probe(self, now: float, request: OnlineRequest, candidates: list[Engine]) -> list[Effect]:
-        """Asks engines that were not heard from lately before work is sent to them."""
+        """Polls candidate engines that are not fresh before sending work to one of them."""
         request.probes_sent = True
         self._awaiting_probes[request.arrival.request_id] = None
         request.probe_deadline = min(request.arrival.deadline, now + PROBE_SECONDS)
@@ -192,7 +192,7 @@
         return effects
 
     def _on_engine_polled(self, now: float, name: str) -> list[Effect]:
-        """Goes on with the requests that waited for the answer of an engine."""
+        """Dispatches the requests that waited for the answer of an engine."""
         engine = self._engines.engines.get(name)
         if engine is None or not self._engines.is_fresh(now, engine):
             return []
@@ -236,10 +236,10 @@
         notice = OnlineNotice(self._membership.name, engine.name, 1)
         return [SendDatagram(address, notice)]
 
-    # The end of an attempt.
+    # End of an attempt.
 
     def on_first_token(self, now: float, event: OnlineFirstToken) -> list[Effect]:
-        """The engine answers, which is a sign of life."""
+        """Records that the engine has started to answer, which shows that it is alive."""
         request = self.requests.get(event.request_id)
         if request is None or request.attempt_id != event.attempt_id:
             return []
@@ -249,10 +249,10 @@
         return self._engines.on_response_started(now, engine, request.sent_at, event.leaving)
 
     def on_attempt_ended(self, now: float, event: OnlineAttemptEnded) -> list[Effect]:
-        """Finishes the request, or tries again where that is allowed."""
+        """Finishes the request, or retries it if that is allowed."""
         request = self.requests.get(event.request_id)
         if request is None or request.attempt_id != event.attempt_id:
-            return []  # a late end of an attempt that was given up
+            return []  # late end of an attempt that was abandoned
         effects = self._update_engine(now, request, event)
         request.attempts.append(event.kind)
         request.position = event.position
@@ -302,7 +302,7 @@
         return []
 
     def _spend_retry_credit(self, request: OnlineRequest) -> bool:
-        """Takes the next attempt from the retry budget, if it is owed and there is credit."""
+        """Spends retry credit if the next attempt needs it; returns False if there is none."""
         if not request.needs_retry_credit:
             return True
         if not self._budget.take(request.arrival.service):
@@ -314,11 +314,11 @@
     def _wait_or_give_up(
         self, now: float, request: OnlineRequest, reason: str, step: Step
     ) -> list[Effect]:
-        """No engine can take the request now.
+        """Schedules another dispatch, or finishes the request, if no engine can accept it.
 
-        One that ran nowhere is refused at once, with a time to come back. One that may have
-        run, or was delivered in part, could only be cut, although engines that are full have
-        a free slot a moment later: it is offered again until its deadline.
+        A request that has not run is refused immediately with a retry time. A request that
+        may have run, or was partly delivered, could only be cut, although full engines often
+        have a free slot shortly after. It is dispatched again until its deadline.
         """
         is_expired = now >= request.arrival.deadline
         if is_expired or request.runs == 0 or not request.may_be_sent:
@@ -330,7 +330,7 @@
         return []
 
     def on_abandoned(self, now: float, event: OnlineAbandoned) -> list[Effect]:
-        """The caller went away: its work on the engine is cancelled."""
+        """Cancels the attempt and finishes a request whose caller disconnected."""
         request = self.requests.get(event.request_id)
         if request is None:
             return []
@@ -350,11 +350,11 @@
     # Timers.
 
     def next_due(self) -> float:
-        """Returns when the next request is due for something."""
+        """Returns the time of the next wakeup."""
         return self._wakeups[0][0] if self._wakeups else float("inf")
 
     def on_timer(self, now: float) -> list[Effect]:
-        """Retries what is due and ends what has run out of time."""
+        """Retries the requests that are due and ends those whose deadline has passed."""
         effects: list[Effect] = []
         while self._wakeups and self._wakeups[0][0] <= now:
             at, request_id = heapq.heappop(self._wakeups)
@@ -381,7 +381,7 @@
                 outcome = MayHaveRun("claim not read back in time", Step.CLAIM, "log")
                 return self._finish(now, request, outcome)
 
-    # The final answer.
+    # Final answer.
 
     def _give_up(self, now: float, request: OnlineRequest, reason: str, step: Step) -> list[Effect]:
         outcome = failure_outcome(
--- a/src/troutswitch/standalone/decisions/online_request.py
+++ b/src/troutswitch/standalone/decisions/online_request.py
@@ -1,4 +1,4 @@
-"""One online request in flight, its states, and the log line of its end."""
+"""One online request in flight, its states, and the log event for its end."""
 
 from dataclasses import dataclass, field
 from enum import Enum
@@ -11,7 +11,7 @@
 
 
 class RequestState(Enum):
-    """State of an online request that is not finished."""
+    """State of an unfinished online request."""
 
     CLAIMING = "claiming"
     WAITING = "waiting"
@@ -37,11 +37,11 @@
     probe_deadline: float = float("-inf")
     retry_after: float = RETRY_AFTER_SECONDS
     needs_retry_credit: bool = False
-    """Whether the next attempt must first be taken from the retry budget."""
+    """Whether the next attempt requires credit from the retry budget."""
 
     @property
     def runs(self) -> int:
-        """Attempts that may have run at an engine."""
+        """Number of attempts that may have run on an engine."""
         return sum(kind not in NOT_EXECUTED_OUTCOMES for kind in self.attempts)
 
     @property
@@ -62,7 +62,7 @@
 
 
 def end_log_event(request: OnlineRequest, outcome: OnlineOutcome) -> LogEvent:
-    """Returns the log line of a request's end."""
+    """Returns the log event for the end of a request."""
     fields: dict[str, str | int | float | bool] = {
         "request_id": request.arrival.request_id,
         "tenant": request.arrival.tenant,
--- a/src/troutswitch/standalone/decisions/routing.py
+++ b/src/troutswitch/standalone/decisions/routing.py
@@ -1,4 +1,4 @@
-"""Routing policies: which engine an online request goes to."""
+"""Routing policies that choose an engine for an online request."""
 
 import random
 from abc import ABC, abstractmethod
@@ -9,21 +9,21 @@
 from troutswitch.standalone.decisions.engines import Engine
 
 PREFIX_LOAD_SLACK = 1.25
-"""A prefix stays on its engine while that engine's load is within this factor of the
-least loaded one's, plus one request and a share of its slots."""
+"""A prefix stays on its engine while that engine's load is at most the minimum load
+times this factor, plus one request and a share of the slots."""
 
 PREFIX_SLOT_SLACK = 0.25
-"""Share of an engine's slots by which a prefix's home may be above the least loaded."""
+"""Share of an engine's slots by which its load may exceed the minimum load."""
 
 MAX_EXPECTED_GATEWAYS = 8
-"""Most gateways that are taken to send alike within the lag of a load report."""
+"""Maximum gateways assumed to send like this one within the lag of a load report."""
 
 CROSS_ZONE_COST = 0.15
-"""Cost of leaving the zone, in shares of an engine's slots."""
+"""Cost of an engine in another zone, as a share of its slots."""
 
 
 class RoutingPolicy(ABC):
-    """Chooses an engine for a request."""
+    """Strategy that chooses an engine for a request."""
 
     @abstractmethod
     def choose(
@@ -32,21 +32,21 @@
         """Chooses one of the candidates.
 
         Args:
-            prefix: identity of the prompt's beginning, or empty.
-            candidates: engines that may take the request; at least one.
-            zone: the gateway's zone.
-            gateways: daemons that send requests to the same engines.
-            rng: seeded source of randomness.
+            prefix: Identity of the prompt's prefix, or empty.
+            candidates: Engines that can accept the request; at least one.
+            zone: Zone of this gateway.
+            gateways: Number of daemons that send requests to the same engines.
+            rng: Seeded source of randomness.
         """
 
 
 def load_share(engine: Engine) -> float:
-    """Returns online requests on the engine per slot."""
+    """Returns the online requests per slot of the engine."""
     return engine.online_load / max(1, engine.slots)
 
 
 class RoundRobin(RoutingPolicy):
-    """Each engine in turn, whatever its load; a baseline."""
+    """Uses the engines in turn, regardless of load; a baseline."""
 
     def __init__(self) -> None:
         self._next = 0
@@ -61,22 +61,22 @@
 
 
 class LeastLoaded(RoutingPolicy):
-    """The better of two random engines by load; a baseline."""
+    """Uses the less loaded of two random engines; a baseline."""
 
     def choose(
         self, prefix: str, candidates: list[Engine], zone: str, gateways: int, rng: random.Random
     ) -> Engine:
-        """Chooses by known load, own zone preferred a little."""
+        """Chooses by known load, with a small preference for this zone."""
         pair = rng.sample(candidates, min(2, len(candidates)))
         return min(pair, key=lambda engine: _cost(engine, zone))
 
 
 class PrefixAware(RoutingPolicy):
-    """Keeps a prefix on the engine that holds it, within a bound on load.
+    """Sends requests with the same prefix to the same engine, within a load bound.
 
-    Rendezvous hashing with bounded load: all gateways agree on an engine for a
-    prefix without talking, so cache events, which come late and with gaps, are
-    not needed to find it.
+    Uses rendezvous hashing with bounded load. All gateways choose the same engine for
+    a prefix without communicating, so the choice does not depend on cache events,
+    which arrive late and incompletely.
     """
 
     def __init__(self) -> None:
@@ -85,13 +85,13 @@
     def choose(
         self, prefix: str, candidates: list[Engine], zone: str, gateways: int, rng: random.Random
     ) -> Engine:
-        """Chooses the prefix's home unless it is loaded well above the least loaded."""
+        """Chooses the first engine in the prefix's rendezvous order below the load bound."""
         if not prefix:
             return self._fallback.choose(prefix, candidates, zone, gateways, rng)
         min_load = min(engine.online_load for engine in candidates)
         slots = candidates[0].slots
         max_load = PREFIX_LOAD_SLACK * min_load + 1 + slots * PREFIX_SLOT_SLACK
-        # Batch items that cannot yield may hold the rest of the slots.
+        # Non-preemptible batch items may occupy the remaining slots.
         max_load = min(max_load, slots * (1.0 - FIRM_SHARE) - 1)
         ordered = sorted(
             candidates, key=lambda engine: stable_hash(prefix, engine.name), reverse=True
@@ -108,7 +108,7 @@
 
 
 class Router:
-    """Holds one instance of each policy, as some keep state."""
+    """Holds one instance of each policy, because some policies keep state."""
 
     def __init__(self, zone: str, rng: random.Random) -> None:
         self._zone = zone
@@ -122,7 +122,7 @@
     def choose(
         self, name: RoutingPolicyName, prefix: str, candidates: list[Engine], gateways: int
     ) -> Engine | None:
-        """Chooses by the named policy, or None if there is no candidate."""
+        """Chooses by the named policy; returns None if there is no candidate."""
         if not candidates:
             return None
         gateway_count = min(gateways, MAX_EXPECTED_GATEWAYS)
--- a/src/troutswitch/standalone/decisions/sequences.py
+++ b/src/troutswitch/standalone/decisions/sequences.py
@@ -1,21 +1,21 @@
-"""Duplicate detection for log entries: the last sequence number of each writer."""
+"""Duplicate detection for log entries by the last sequence number of each writer."""
 
 from troutswitch.standalone.constants import WRITERS_KEPT
 
 
 class WriterSequences:
-    """Remembers the last sequence of the writers seen most recently on one stream.
+    """Last sequence numbers of the most recent writers of one stream.
 
-    A writer keeps at most one append in flight to a stream, so an entry whose
-    sequence is not above the last one is a repeat. The table is a function of the
-    stream alone, also in what it forgets.
+    A writer has at most one append in flight per stream, so an entry whose sequence
+    number does not exceed the last one is a duplicate. The table, including its
+    evictions, depends on the stream alone, so all readers agree on it.
     """
 
     def __init__(self, last: dict[str, int] | None = None) -> None:
         self._last = dict(last or {})
 
     def accept(self, writer: str, sequence: int) -> bool:
-        """Returns whether the entry is new, and remembers it."""
+        """Records the entry and returns whether it is new."""
         if sequence <= self._last.get(writer, 0):
             return False
         self._last.pop(writer, None)
--- a/src/troutswitch/standalone/decisions/sharing.py
+++ b/src/troutswitch/standalone/decisions/sharing.py
@@ -1,4 +1,4 @@
-"""Policies by which batch work shares an engine with online work."""
+"""Policies that divide an engine's slots between batch and online work."""
 
 from abc import ABC, abstractmethod
 from dataclasses import dataclass
@@ -6,19 +6,19 @@
 from troutswitch.standalone.decisions.configuration.keys import BatchPolicyName, ServingPolicy
 
 ONLINE_PRIORITY = 0
-"""Engine priority of online requests; lower runs first."""
+"""Engine priority of online requests; a lower value runs first."""
 BATCH_PRIORITY = 10
 """Engine priority of batch items that must wait for online requests."""
 
 
 @dataclass(frozen=True, slots=True)
 class EngineUse:
-    """What a steward knows of its engine.
+    """A steward's view of the use of its engine.
 
     Attributes:
-        slots: sequences that the engine runs at once.
-        online_now: online requests on it at this moment, as far as known.
-        online_peak: most online requests on it over the last window.
+        slots: Sequences that the engine can run concurrently.
+        online_now: Online requests on the engine now, as far as known.
+        online_peak: Maximum online requests on the engine over the last window.
     """
 
     slots: int
@@ -27,17 +27,17 @@
 
 
 class SharingPolicy(ABC):
-    """Says how many batch items an engine may hold, and at which priority."""
+    """Determines how many batch items an engine may run, and at which priority."""
 
     priority = BATCH_PRIORITY
 
     @abstractmethod
     def batch_slots(self, use: EngineUse, policy: ServingPolicy) -> int:
-        """Returns the batch items that the engine may hold now."""
+        """Returns the number of batch items that the engine may run now."""
 
 
 class NoBatch(SharingPolicy):
-    """No batch work at all; the yardstick for harm."""
+    """Runs no batch work; the reference for measuring harm to online requests."""
 
     def batch_slots(self, use: EngineUse, policy: ServingPolicy) -> int:
         """Returns 0."""
@@ -45,7 +45,7 @@
 
 
 class FirstCome(SharingPolicy):
-    """Batch fills every slot and competes as an equal; a baseline."""
+    """Batch uses every slot at the priority of online requests; a baseline."""
 
     priority = ONLINE_PRIORITY
 
@@ -55,7 +55,7 @@
 
 
 class EnginePriority(SharingPolicy):
-    """Batch fills every slot; only the engine's queue order favours online; a baseline."""
+    """Batch uses every slot; only the engine's priority queue favours online; a baseline."""
 
     def batch_slots(self, use: EngineUse, policy: ServingPolicy) -> int:
         """Returns all slots."""
@@ -63,7 +63,7 @@
 
 
 class FixedShare(SharingPolicy):
-    """Batch has a fixed share of the slots; a baseline."""
+    """Batch uses a fixed share of the slots; a baseline."""
 
     def batch_slots(self, use: EngineUse, policy: ServingPolicy) -> int:
         """Returns the configured share of the slots."""
@@ -71,10 +71,10 @@
 
 
 class Stewarded(SharingPolicy):
-    """Batch fills what online leaves, less a reserve for the next burst."""
+    """Batch uses the slots that online does not, less a reserve for the next burst."""
 
     def batch_slots(self, use: EngineUse, policy: ServingPolicy) -> int:
-        """Returns the slots above the online peak and the reserve."""
+        """Returns the slots that remain after the online peak and the reserve."""
         reserve = max(1, round(use.slots * policy.batch_reserve_share))
         available = use.slots - max(use.online_now, use.online_peak) - reserve
         return max(0, min(available, policy.batch_slots_most))
--- a/src/troutswitch/standalone/decisions/status.py
+++ b/src/troutswitch/standalone/decisions/status.py
@@ -1,4 +1,4 @@
-"""Builds the views of a daemon's state."""
+"""Builds the views of a daemon's state for operators and callers' threads."""
 
 from troutswitch.standalone.decisions.batch.ownership import Ownership
 from troutswitch.standalone.decisions.configuration.follower import ConfigurationFollower
@@ -20,7 +20,7 @@
 def build_directory(
     configuration: ConfigurationFollower, engines: EngineRegistry, is_ready: bool
 ) -> Directory:
-    """Builds the callers' directory."""
+    """Builds the directory that callers' threads use."""
     overrides = configuration.fold.tree.overrides
     keys = [
         (str(values["api_key_digest"]).lower(), path.removeprefix("tenant/"))
@@ -52,7 +52,7 @@
 def view_effective(
     configuration: ConfigurationFollower, zone: str, service: str, tenant: str
 ) -> EffectiveView:
-    """Builds the effective configuration of a zone, service and tenant."""
+    """Builds the view of the effective configuration of a zone, service and tenant."""
     values = configuration.fold.tree.effective(zone, service, tenant)
     rows = tuple((key, entry.value, entry.source) for key, entry in sorted(values.items()))
     return EffectiveView(configuration.fold.version, rows)
@@ -69,7 +69,7 @@
 
 
 def view_history(configuration: ConfigurationFollower, limit: int) -> HistoryView:
-    """Builds the view of the newest publications."""
+    """Builds the view of the newest `limit` publications, newest first."""
     lines = configuration.fold.history[-limit:][::-1]
     return HistoryView(
         configuration.fold.version,
--- a/src/troutswitch/standalone/decisions/stewardship.py
+++ b/src/troutswitch/standalone/decisions/stewardship.py
@@ -1,10 +1,10 @@
-"""Stewardship: each engine's batch slots are granted by one daemon.
+"""Stewardship: one daemon, the steward, grants the batch slots of an engine.
 
 The steward of an engine is the first of its zone's serving daemons in rendezvous
-order. Grants live for a short time and are renewed by asking again, so a steward
-that is lost is replaced without any hand-over. Gateways tell the steward of each
-online request they send; if that leaves too little room the grants are cut at
-once, and their holders cancel batch items.
+order. Grants are short-lived and renewed by repeated requests, so another daemon can
+replace a lost steward without a handover. Gateways notify the steward of each online
+request that they send. If too few slots remain for online work, the steward reduces
+the grants immediately and their holders cancel batch items.
 """
 
 from collections import deque
@@ -28,9 +28,14 @@
 
 @dataclass(slots=True)
 class Grant:
-    """Slots granted to one daemon; `wanted` is what it last asked for.
-
-    Of the slots at most `non_preemptible` may hold items that cannot be cancelled.
+    """Slots granted to one daemon.
+
+    Attributes:
+        slots: Slots that the daemon may use until `expires_at`.
+        non_preemptible: Maximum number of items on these slots that must not be repeated
+            and therefore cannot be cancelled.
+        wanted: Slots that the daemon requested last, including those in use.
+        expires_at: Time at which the grant expires.
     """
 
     slots: int
@@ -41,11 +46,11 @@
 
 @dataclass(slots=True)
 class EngineAllocation:
-    """What the steward keeps for one engine.
+    """The steward's state for one engine.
 
-    `online_samples` are (time, online requests) over the last window, kept with
-    decreasing counts so that the first is the peak. `notices` are (time, requests)
-    that the engine's load report, which lags, cannot show yet.
+    `online_samples` holds (time, online requests) pairs of the last window with
+    decreasing counts, so that the first is the peak. `notices` holds (time, requests)
+    pairs that the engine's load report, which lags, cannot include yet.
     """
 
     grants: dict[str, Grant] = field(default_factory=dict)
@@ -54,7 +59,7 @@
 
 
 class Stewardship:
-    """The engines this daemon is steward of."""
+    """The slot allocations of the engines whose steward is this daemon."""
 
     def __init__(
         self,
@@ -71,7 +76,10 @@
         engines.add_load_hook(self._on_load)
 
     def steward_of(self, engine_name: str) -> str | None:
-        """Returns the name of the engine's steward, as far as this daemon knows."""
+        """Returns the steward of an engine according to this daemon's member table.
+
+        If the engine's zone has no serving daemon, all serving daemons are candidates.
+        """
         engine = self._engines.engines.get(engine_name)
         if engine is None:
             return None
@@ -95,7 +103,7 @@
     # Messages.
 
     def on_slot_request(self, now: float, message: SlotAsk) -> list[Effect]:
-        """Grants slots to a daemon, or renews its grant."""
+        """Grants slots to a daemon or renews its grant."""
         engine = self._engines.engines.get(message.engine)
         if engine is None or not self.is_steward(message.engine):
             return []
@@ -109,7 +117,7 @@
         return self._send_grant(engine, message.sender, grant)
 
     def on_online_notice(self, now: float, message: OnlineNotice) -> list[Effect]:
-        """Online requests were sent to an engine: cut grants if room is short."""
+        """Records online requests sent to an engine and reduces grants if necessary."""
         engine = self._engines.engines.get(message.engine)
         allocation = self._allocations.get(message.engine)
         if engine is None or allocation is None:
@@ -127,7 +135,7 @@
             allocation.notices.popleft()
         return self._reduce_grants(now, engine, allocation)
 
-    # Dividing.
+    # Division of slots.
 
     def _allowed_slots(self, now: float, engine: Engine, allocation: EngineAllocation) -> int:
         if engine.load is None or self._engines.is_leaving(engine):
@@ -155,18 +163,18 @@
         return EngineUse(load.slots, online_now, samples[0][1])
 
     def _divide_slots(self, now: float, engine: Engine, allocation: EngineAllocation) -> None:
-        """Divides what is allowed among the askers: equal shares, unused ones passed on."""
+        """Divides the allowed slots equally and redistributes the unused part of a share."""
         remaining = self._allowed_slots(now, engine, allocation)
-        requests = sorted(allocation.grants.items(), key=lambda pair: (pair[1].wanted, pair[0]))
-        for position, (_, grant) in enumerate(requests):
-            equal_share = remaining // (len(requests) - position)
+        by_wanted = sorted(allocation.grants.items(), key=lambda pair: (pair[1].wanted, pair[0]))
+        for position, (_, grant) in enumerate(by_wanted):
+            equal_share = remaining // (len(by_wanted) - position)
             grant.slots = min(grant.wanted, equal_share)
             remaining -= grant.slots
         ensure(remaining >= 0, "more batch slots are granted than allowed")
         self._divide_non_preemptible(engine, allocation)
 
     def _divide_non_preemptible(self, engine: Engine, allocation: EngineAllocation) -> None:
-        """Limits the items that cannot be cancelled, so that online can take the rest."""
+        """Limits non-preemptible items, so that online work can use the remaining slots."""
         remaining = int(engine.slots * FIRM_SHARE)
         ordered = rendezvous_order(engine.name, list(allocation.grants))
         equal_share = 1 + remaining // max(1, len(ordered))
@@ -178,7 +186,7 @@
     def _reduce_grants(
         self, now: float, engine: Engine, allocation: EngineAllocation
     ) -> list[Effect]:
-        """Divides anew and tells the daemons whose grant became smaller."""
+        """Divides the slots again and notifies the daemons whose grants became smaller."""
         self._drop_expired(now, allocation)
         before = {name: grant.slots for name, grant in allocation.grants.items()}
         self._divide_slots(now, engine, allocation)
--- a/src/troutswitch/standalone/decisions/views.py
+++ b/src/troutswitch/standalone/decisions/views.py
@@ -1,4 +1,4 @@
-"""Views of a daemon's state for operators and for the threads of callers."""
+"""Views of a daemon's state for operators and for the threads that serve callers."""
 
 from dataclasses import dataclass
 
@@ -7,7 +7,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Directory:
-    """What callers' threads need to know; replaced as a whole when it changes.
+    """State that the callers' threads need; a change replaces the whole object.
 
     `tenant_of_key` maps the SHA-256 of an API key to its tenant.
     """
@@ -20,7 +20,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MemberView:
-    """One member as told to operators."""
+    """One member as reported to operators."""
 
     name: str
     state: str
@@ -31,7 +31,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EngineView:
-    """One engine as told to operators; counts are online requests and batch items."""
+    """One engine as reported to operators; `online` and `batch` count requests and items."""
 
     name: str
     service: str
@@ -46,7 +46,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ShardView:
-    """One shard followed by the daemon."""
+    """One shard that the daemon follows."""
 
     shard: int
     owner: str
@@ -77,7 +77,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EffectiveView:
-    """Effective configuration: (key, value, source path)."""
+    """Effective configuration as (key, value, source path) rows."""
 
     version: int
     values: tuple[tuple[str, Value, str], ...]
@@ -85,7 +85,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TreeView:
-    """All overrides: (path, key, value)."""
+    """All overrides as (path, key, value) rows."""
 
     version: int
     overrides: tuple[tuple[str, str, Value], ...]
@@ -93,7 +93,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PublicationView:
-    """One accepted publication: who changed what, when (seconds since the epoch)."""
+    """One accepted publication; `published_at` is in seconds since the epoch."""
 
     version: int
     publication_id: str
