--- a/tests/standalone/decisions/batch/test_fencing.py
+++ b/tests/standalone/decisions/batch/test_fencing.py
@@ -1,4 +1,4 @@
-"""A holder that was paused past its lease changes nothing."""
+"""Records of an owner that was paused beyond its lease have no effect."""
 
 import pytest
 
@@ -19,7 +19,7 @@
 
 
 class Stream:
-    """A shard stream with one fold."""
+    """A shard stream and its fold."""
 
     def __init__(self) -> None:
         self.fold = ShardFold()
@@ -36,8 +36,8 @@
         self.append(ChunkSubmitted(job_id, 0, items), commit)
 
 
-def play_stale_holder() -> ShardFold:
-    """Owner a is paused, b takes over, then a's queued records reach the log."""
+def fold_with_records_of_a_previous_owner() -> ShardFold:
+    """Returns the fold after owner b took over and queued records of paused owner a arrived."""
     stream = Stream()
     stream.submit("job")
     first = stream.append(EpochClaimed("a#1", -1))
@@ -48,28 +48,30 @@
     return stream.fold
 
 
-def test_records_of_a_stale_epoch_are_void() -> None:
-    fold = play_stale_holder()
+def test_records_of_a_previous_epoch_are_void() -> None:
+    fold = fold_with_records_of_a_previous_owner()
     assert fold.jobs["job"].state_of(0) is ItemState.OPEN
     assert fold.jobs["job"].state_of(1) is ItemState.OPEN
     assert fold.owner == "b#1"
 
 
-def test_without_the_fence_a_stale_holder_changes_items(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_previous_owner_changes_items_without_the_epoch_check(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     monkeypatch.setattr(ShardFold, "_is_current", lambda self, offset, epoch: True)
-    fold = play_stale_holder()
+    fold = fold_with_records_of_a_previous_owner()
     assert fold.jobs["job"].state_of(0) is ItemState.ATTEMPTED
     assert fold.jobs["job"].state_of(1) is ItemState.COMPLETED
 
 
-def test_two_owners_that_both_claim_one_wins() -> None:
+def test_first_of_two_concurrent_claims_wins() -> None:
     stream = Stream()
     first = stream.append(EpochClaimed("a#1", -1))
     stream.append(EpochClaimed("b#1", -1))
     assert (stream.fold.epoch, stream.fold.owner) == (first, "a#1")
 
 
-def test_results_after_a_cancel_are_void() -> None:
+def test_results_after_a_cancellation_are_void() -> None:
     stream = Stream()
     stream.submit("job")
     epoch = stream.append(EpochClaimed("a#1", -1))
--- a/tests/standalone/decisions/batch/test_fold_machine.py
+++ b/tests/standalone/decisions/batch/test_fold_machine.py
@@ -1,4 +1,4 @@
-"""A state machine over the shard fold: owners, submitters and cancels in any order."""
+"""State machine test of the shard fold with records of owners and submitters in any order."""
 
 from array import array
 
@@ -33,7 +33,7 @@
 
 
 class ShardFoldMachine(RuleBasedStateMachine):
-    """Two writers append records, also stale and repeated ones."""
+    """Two writers append records, including stale and duplicate ones."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -94,19 +94,19 @@
     @rule(writer=writers, choice=epoch_choices, job=jobs, index=indexes, body=st.text(max_size=3))
     def finish(self, writer: str, choice: int, job: str, index: int, body: str) -> None:
         epoch = self.epoch(choice)
-        held = self.fold.jobs.get(job)
+        known_job = self.fold.jobs.get(job)
         is_open = (
-            held is not None
-            and held.is_running
-            and not held.is_closed
-            and not held.state_of(index).is_final
+            known_job is not None
+            and known_job.is_running
+            and not known_job.is_closed
+            and not known_job.state_of(index).is_final
         )
-        may_count = is_open and epoch == self.fold.epoch and bool(self.fold.owner)
-        done = held.finished if held is not None else 0
+        is_valid = is_open and epoch == self.fold.epoch and bool(self.fold.owner)
+        finished_before = known_job.finished if known_job is not None else 0
         offset = self.append(writer, [ItemFinished(epoch, job, index, "completed", body)])
-        if held is not None and not held.is_closed:
-            assert held.finished == done + may_count
-        if may_count:
+        if known_job is not None and not known_job.is_closed:
+            assert known_job.finished == finished_before + is_valid
+        if is_valid:
             assert (job, index) not in self.first_results
             self.first_results[job, index] = (offset, body)
 
@@ -134,14 +134,14 @@
         self.fold = decode_snapshot(encode_snapshot(self.fold))
 
     @invariant()
-    def every_reader_agrees(self) -> None:
-        other = ShardFold()
+    def all_readers_agree(self) -> None:
+        replica = ShardFold()
         for offset, entry in enumerate(self.log):
-            other.apply(offset, entry)
-        assert encode_snapshot(other) == encode_snapshot(self.fold)
+            replica.apply(offset, entry)
+        assert encode_snapshot(replica) == encode_snapshot(self.fold)
 
     @invariant()
-    def one_job_for_an_identity_in_its_window(self) -> None:
+    def identity_has_one_job_within_its_window(self) -> None:
         latest: dict[str, Job] = {}
         for job_id, verdict in self.fold.verdicts.items():
             if verdict != Accepted():
@@ -153,18 +153,18 @@
             latest[job.identity] = job
 
     @invariant()
-    def a_duplicate_names_a_job_that_is_there(self) -> None:
+    def duplicate_verdict_names_an_existing_job(self) -> None:
         for verdict in self.fold.verdicts.values():
             if isinstance(verdict, Duplicate):
                 assert verdict.job_id in self.fold.jobs
 
     @invariant()
-    def first_results_stay(self) -> None:
+    def first_results_are_kept(self) -> None:
         for (job, index), (offset, _) in self.first_results.items():
-            held = self.fold.jobs[job]
-            if not held.is_closed:
-                assert held.result_offsets[index] == offset
-                assert held.state_of(index).is_final
+            known_job = self.fold.jobs[job]
+            if not known_job.is_closed:
+                assert known_job.result_offsets[index] == offset
+                assert known_job.state_of(index).is_final
 
 
 TestShardFold = ShardFoldMachine.TestCase
--- a/tests/standalone/decisions/batch/test_owner.py
+++ b/tests/standalone/decisions/batch/test_owner.py
@@ -1,4 +1,4 @@
-"""Causes found by simulation, as tests of the shard owner and its surroundings."""
+"""Shard owner and log writer: regressions for faults that were found by simulation."""
 
 import random
 
@@ -28,8 +28,8 @@
 NOW = 100.0
 
 
-class Shard:
-    """One daemon's ownership of one shard over a log kept in a list."""
+class ShardFixture:
+    """One daemon's ownership of one shard, with an in-memory log."""
 
     def __init__(self) -> None:
         rng = random.Random(1)
@@ -45,87 +45,90 @@
         self.log.append(encode_entry(writer, sequence, list(records)))
         return len(self.log) - 1
 
-    def carry_out(self, effects: list[Effect]) -> None:
-        """Answers reads and appends until nothing is left."""
-        waiting = list(effects)
-        while waiting:
-            effect = waiting.pop(0)
+    def execute(self, effects: list[Effect]) -> None:
+        """Executes the reads and appends among the effects and among those that follow."""
+        pending = list(effects)
+        while pending:
+            effect = pending.pop(0)
             if isinstance(effect, AppendToLog) and effect.stream == shard_stream(0):
                 self.log.append(effect.payload)
-                waiting.extend(self.writer.on_appended(effect.stream))
-                waiting.extend(self.ownership.on_appended(NOW, effect.stream))
+                pending.extend(self.writer.on_appended(effect.stream))
+                pending.extend(self.ownership.on_appended(NOW, effect.stream))
             elif isinstance(effect, ReadLog):
-                waiting.extend(self.reader.on_answer(NOW, self.answer(effect)))
+                pending.extend(self.reader.on_answer(NOW, self.answer(effect)))
 
     def answer(self, effect: ReadLog) -> LogRead:
         entries = self.log if effect.stream == shard_stream(0) else []
-        found = tuple(entries[effect.offset : effect.offset + effect.limit])
-        return LogRead(effect.token, effect.stream, effect.offset, found, len(entries))
+        entries_read = tuple(entries[effect.offset : effect.offset + effect.limit])
+        return LogRead(effect.token, effect.stream, effect.offset, entries_read, len(entries))
 
     def start(self) -> ShardOwner:
         replica, effects = self.ownership.replica(NOW, 0)
         assert isinstance(replica, ShardReplica)
-        self.carry_out(effects)
-        self.carry_out(self.ownership.on_timer(NOW))
-        self.carry_out(self.ownership.on_timer(NOW + 1.1))
+        self.execute(effects)
+        self.execute(self.ownership.on_timer(NOW))
+        self.execute(self.ownership.on_timer(NOW + 1.1))
         return self.ownership.owners[0]
 
     def records(self) -> list[Record]:
         return [record for entry in self.log for record in decode_entry(entry).records]
 
 
-def submit(shard: Shard, repeatable: bool) -> None:
+def submit(shard: ShardFixture, repeatable: bool) -> None:
     items = [BatchItem("one", "p", 1), BatchItem("two", "p", 1)]
     commit = JobCommitted("job", "id", "c", "t", "s", 2, repeatable, 0.0, 9e9, 1.0)
     shard.write("other#1", 1, ChunkSubmitted("job", 0, items), commit)
 
 
-def test_an_attempt_of_an_earlier_epoch_is_never_dispatched_again() -> None:
-    """Quetzal seed 1: the attempt was read together with our own claim."""
-    shard = Shard()
+def test_item_attempted_in_an_earlier_epoch_is_not_dispatched_again() -> None:
+    """Guards against an attempt that is read together with the new owner's claim.
+
+    The failure was found by simulation (quetzal, seed 1).
+    """
+    shard = ShardFixture()
     submit(shard, repeatable=False)
     epoch = shard.write("other#1", 2, EpochClaimed("other#1", -1))
     shard.write("other#1", 3, AttemptStarted(epoch, "job", 0))
     claim = shard.write("me#7", 1, EpochClaimed("me#7", epoch))
     shard.writer.append("elsewhere", [])
     replica, effects = shard.ownership.replica(NOW, 0)
-    shard.carry_out(effects)
+    shard.execute(effects)
     owner = shard.ownership.owners[0]
     assert owner.epoch == claim
     finished = [r for r in shard.records() if isinstance(r, ItemFinished)]
     assert [(r.item_index, r.outcome) for r in finished] == [(0, "may_have_run")]
     job = replica.fold.jobs["job"]
-    handouts = []
+    dispatched = []
     for _ in range(6):
-        handout, more = owner.next_item(NOW, job)
-        shard.carry_out(more)
-        handouts.extend([handout.reference.index] if handout is not None else [])
-    assert handouts == [1]
+        ready_item, effects_of_item = owner.next_item(NOW, job)
+        shard.execute(effects_of_item)
+        dispatched.extend([ready_item.reference.index] if ready_item is not None else [])
+    assert dispatched == [1]
 
 
-def test_a_cancelled_attempt_goes_back_and_a_result_is_recorded_once() -> None:
-    shard = Shard()
+def test_cancelled_item_is_requeued_and_its_result_is_recorded_once() -> None:
+    shard = ShardFixture()
     submit(shard, repeatable=True)
     owner = shard.start()
     job = owner.fold.jobs["job"]
     _, fetch = owner.next_item(NOW, job)
-    shard.carry_out(fetch)
+    shard.execute(fetch)
     first, _ = owner.next_item(NOW, job)
     assert first is not None
-    cut = BatchAttemptEnded("a", AttemptOutcome.CANCELLED, "yielded", False, 7, "half an")
-    owner.on_attempt_ended(NOW, first.reference, cut)
-    again, _ = owner.next_item(NOW, job)
-    assert again is not None and again.reference == first.reference
-    assert (again.partial.position, again.partial.text) == (7, "half an")
-    done = BatchAttemptEnded("b", AttemptOutcome.COMPLETED, "half an answer")
+    cancelled = BatchAttemptEnded("a", AttemptOutcome.CANCELLED, "yielded", False, 7, "half an")
+    owner.on_attempt_ended(NOW, first.reference, cancelled)
+    second, _ = owner.next_item(NOW, job)
+    assert second is not None and second.reference == first.reference
+    assert (second.partial.position, second.partial.text) == (7, "half an")
+    completed = BatchAttemptEnded("b", AttemptOutcome.COMPLETED, "half an answer")
     late = BatchAttemptEnded("c", AttemptOutcome.COMPLETED, "late")
-    shard.carry_out(owner.on_attempt_ended(NOW, again.reference, done))
-    shard.carry_out(owner.on_attempt_ended(NOW, ItemReference("job", 0), late))
+    shard.execute(owner.on_attempt_ended(NOW, second.reference, completed))
+    shard.execute(owner.on_attempt_ended(NOW, ItemReference("job", 0), late))
     assert job.completed == 1
 
 
-def test_a_snapshot_append_does_not_disturb_the_writer() -> None:
-    """A confirmed append that the writer had not queued ended the loop with a KeyError."""
+def test_writer_ignores_confirmations_of_snapshot_appends() -> None:
+    """Guards against a KeyError at the confirmation of an append that was not queued."""
     writer = LogWriter("me#7")
     assert writer.on_appended("snapshot-0000") == []
     assert writer.on_failed(NOW, "snapshot-0000") == []
--- a/tests/standalone/decisions/batch/test_placement.py
+++ b/tests/standalone/decisions/batch/test_placement.py
@@ -1,4 +1,4 @@
-"""Placement kept up by steps equals placement counted anew."""
+"""Incremental shard placement equals a full computation."""
 
 import hypothesis.strategies as st
 from hypothesis import given, settings
@@ -12,9 +12,9 @@
 
 @settings(max_examples=100, derandomize=True, deadline=None, database=None)
 @given(st.lists(names, min_size=1, max_size=6))
-def test_steps_lead_to_the_rendezvous_order(steps: list[list[str]]) -> None:
+def test_incremental_updates_give_the_rendezvous_order(updates: list[list[str]]) -> None:
     placement = ShardPlacement(SHARDS, 2)
-    for serving in steps:
+    for serving in updates:
         placement.update(serving)
         for shard in range(SHARDS):
             expected = rendezvous_order(f"shard-{shard}", serving)[:2]
--- a/tests/standalone/decisions/configuration/test_declarations.py
+++ b/tests/standalone/decisions/configuration/test_declarations.py
@@ -1,4 +1,4 @@
-"""Declarations kept in version control."""
+"""Configuration declarations: valid examples, errors and differences between trees."""
 
 from pathlib import Path
 
@@ -16,7 +16,7 @@
 
 
 @pytest.mark.parametrize("name", ["quetzal", "ndiaye"])
-def test_the_examples_are_valid(name: str) -> None:
+def test_example_declarations_are_valid(name: str) -> None:
     tree = read_declarations(EXAMPLES / name / "configuration")
     assert changes_between(ConfigurationTree(), tree)
     assert changes_between(tree, tree) == []
@@ -33,7 +33,7 @@
         ("[root\n", "Expected"),
     ],
 )
-def test_bad_declarations_name_the_file_and_the_reason(
+def test_invalid_declaration_error_names_the_file_and_the_reason(
     tmp_path: Path, text: str, reason: str
 ) -> None:
     file = tmp_path / "bad.toml"
@@ -43,9 +43,9 @@
     assert str(file) in str(caught.value)
 
 
-def test_what_is_taken_out_is_unset_and_places_are_read_from_paths() -> None:
-    before = read_declarations(EXAMPLES / "quetzal" / "configuration")
-    changes = changes_between(before, ConfigurationTree())
+def test_removed_declarations_are_unset_and_paths_give_their_scope() -> None:
+    current = read_declarations(EXAMPLES / "quetzal" / "configuration")
+    changes = changes_between(current, ConfigurationTree())
     assert all(change.value is None for change in changes)
     assert scope_of_path("zone/a/service/b") == ("a", "b", "")
     assert scope_of_path("root") == ("", "", "")
--- a/tests/standalone/decisions/configuration/test_fold.py
+++ b/tests/standalone/decisions/configuration/test_fold.py
@@ -1,4 +1,4 @@
-"""Races, inheritance and refusals of the configuration."""
+"""Conflicts, inheritance and rejections of configuration publications."""
 
 import hypothesis.strategies as st
 from hypothesis import settings
@@ -27,7 +27,7 @@
     return ConfigurationChange(path, key, value)
 
 
-def test_the_most_specific_override_wins_and_unsetting_inherits_again() -> None:
+def test_most_specific_override_applies_and_an_unset_value_is_inherited() -> None:
     fold = ConfigurationFold()
     for number, path in enumerate(PATHS):
         publish(fold, path, fold.version, change(path, "batch_slots_most", number))
@@ -38,7 +38,7 @@
     assert fold.tree.effective("b", "s", "t")["batch_slots_most"].value == 2
 
 
-def test_operators_that_race_on_one_key_one_wins_and_other_branches_pass() -> None:
+def test_first_of_two_concurrent_changes_to_one_key_wins_and_other_paths_are_unaffected() -> None:
     fold = ConfigurationFold()
     publish(fold, "one", 0, change("zone/a", "routing_policy", "round_robin"))
     publish(fold, "two", 0, change("zone/a", "routing_policy", "least_loaded"))
@@ -48,26 +48,26 @@
     assert fold.verdicts["three"] == PublicationAccepted(2)
 
 
-def test_invalid_changes_are_refused_with_path_key_and_reason() -> None:
+def test_publication_with_an_invalid_change_is_rejected_with_its_path() -> None:
     fold = ConfigurationFold()
-    bad = [
+    invalid_changes = [
         change("zone/", "batch_policy", "none"),
         change("root", "no_such_key", 1),
         change("root", "batch_fixed_share", 1.5),
         change("root", "batch_policy", "magic"),
         change("root", "online_concurrency", "many"),
     ]
-    for number, wrong in enumerate(bad):
-        good = change("root", "attempts_most", 2)
-        publish(fold, f"p{number}", 0, good, wrong)
+    for number, invalid in enumerate(invalid_changes):
+        valid = change("root", "attempts_most", 2)
+        publish(fold, f"p{number}", 0, valid, invalid)
         verdict = fold.verdicts[f"p{number}"]
         assert isinstance(verdict, PublicationRejected)
-        assert wrong.path in verdict.reason
+        assert invalid.path in verdict.reason
     assert (fold.version, fold.tree.overrides) == (0, {})
 
 
 class ConfigurationMachine(RuleBasedStateMachine):
-    """Publications against old and new versions, repeated and invalid ones."""
+    """Publications against old and new versions, including duplicate and invalid ones."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -102,12 +102,12 @@
         self.versions.append(self.fold.version)
 
     @invariant()
-    def versions_never_go_back_and_every_reader_agrees(self) -> None:
+    def versions_never_decrease_and_all_readers_agree(self) -> None:
         assert self.versions == sorted(self.versions)
-        other = ConfigurationFold()
+        replica = ConfigurationFold()
         for offset, entry in enumerate(self.log):
-            other.apply(offset, entry)
-        assert other.digest() == self.fold.digest()
+            replica.apply(offset, entry)
+        assert replica.digest() == self.fold.digest()
         assert len(self.fold.history) == self.fold.version
 
 
--- a/tests/standalone/decisions/test_engines.py
+++ b/tests/standalone/decisions/test_engines.py
@@ -1,4 +1,4 @@
-"""Freshness of what is known of engines."""
+"""Freshness and leaving marks of engines."""
 
 import random
 
@@ -11,7 +11,7 @@
 from troutswitch.standalone.decisions.membership import Membership
 
 
-def registry() -> tuple[EngineRegistry, Engine]:
+def registry_with_one_engine() -> tuple[EngineRegistry, Engine]:
     membership = Membership("me", INCARNATION_STEP, Address("10.0.0.1", 1), "z", random.Random(1))
     engines = EngineRegistry(membership)
     machine = Machine("e", "engine", Address("10.0.0.2", 1), "z", "m", "e-1")
@@ -19,24 +19,29 @@
     return engines, engines.engines["e"]
 
 
-def is_fresh_after_a_pause() -> bool:
-    """Quetzal seeds 12 and 26: an answer waited at a paused machine and passed for new."""
-    engines, engine = registry()
+def is_delayed_answer_fresh() -> bool:
+    """Returns whether an answer that waited 10 s on a paused machine counts as fresh.
+
+    This failure was found by simulation (quetzal, seeds 12 and 26).
+    """
+    engines, engine = registry_with_one_engine()
     engines.poll(100.0, engine)
     engines.on_load(110.0, EngineLoadRead("e", EngineLoad("e-1", 8, 0, 0, 0, 0)))
     return engines.is_fresh(110.0, engine)
 
 
-def test_an_answer_is_as_old_as_its_question() -> None:
-    assert not is_fresh_after_a_pause()
-    engines, engine = registry()
+def test_freshness_counts_from_the_time_of_the_poll() -> None:
+    assert not is_delayed_answer_fresh()
+    engines, engine = registry_with_one_engine()
     engines.poll(100.0, engine)
     engines.on_load(100.1, EngineLoadRead("e", EngineLoad("e-1", 8, 0, 0, 0, 0)))
     assert engines.is_fresh(101.0, engine)
     assert not engines.is_fresh(102.0, engine)
 
 
-def test_counted_from_the_answer_it_would_pass_for_new(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_late_answer_would_count_as_fresh_from_the_time_of_the_answer(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     original = EngineRegistry._apply_load
 
     def apply_load(self: EngineRegistry, now: float, engine: Engine, load: EngineLoad) -> object:
@@ -45,11 +50,11 @@
         return effects
 
     monkeypatch.setattr(EngineRegistry, "_apply_load", apply_load)
-    assert is_fresh_after_a_pause()
+    assert is_delayed_answer_fresh()
 
 
-def test_leaving_is_of_one_incarnation_and_a_new_one_is_not_mistaken_for_it() -> None:
-    engines, engine = registry()
+def test_leaving_mark_does_not_apply_to_a_new_incarnation() -> None:
+    engines, engine = registry_with_one_engine()
     engines.poll(100.0, engine)
     leaving = EngineLoad("e-1", 8, 0, 0, 0, 0, leaving=True)
     engines.on_load(100.1, EngineLoadRead("e", leaving))
--- a/tests/standalone/decisions/test_membership.py
+++ b/tests/standalone/decisions/test_membership.py
@@ -1,4 +1,4 @@
-"""Membership under pauses, deaths and cuts, on virtual time."""
+"""Membership under pauses, crashes and network partitions, in virtual time."""
 
 import heapq
 import itertools
@@ -13,20 +13,20 @@
 from troutswitch.standalone.decisions.members import INCARNATION_STEP, MemberState
 from troutswitch.standalone.decisions.membership import Membership
 
-STEP = 0.05
+STEP_SECONDS = 0.05
 
 
-class Net:
-    """Members that exchange datagrams with a small delay."""
+class SimulatedNetwork:
+    """Members that exchange datagrams with a delay of at most 20 ms."""
 
     def __init__(self, count: int) -> None:
         self.now = 100.0
         self.rng = random.Random(7)
-        self.order = itertools.count()
-        self.flying: list[tuple[float, int, Address, Address, messages.Message]] = []
+        self.sequence_numbers = itertools.count()
+        self.in_flight: list[tuple[float, int, Address, Address, messages.Message]] = []
         self.members: dict[Address, Membership] = {}
-        self.down: set[str] = set()
-        self.may_talk: Callable[[str, str], bool] = lambda one, other: True
+        self.stopped: set[str] = set()
+        self.can_reach: Callable[[str, str], bool] = lambda one, other: True
         addresses = [Address("10.0.0.1", n) for n in range(count)]
         for number, address in enumerate(addresses):
             member = Membership(f"m{number}", INCARNATION_STEP, address, "z", random.Random(number))
@@ -36,24 +36,24 @@
     def run(self, seconds: float) -> None:
         until = self.now + seconds
         while self.now < until:
-            self.now += STEP
-            while self.flying and self.flying[0][0] <= self.now:
-                _, _, sender, to, message = heapq.heappop(self.flying)
+            self.now += STEP_SECONDS
+            while self.in_flight and self.in_flight[0][0] <= self.now:
+                _, _, sender, to, message = heapq.heappop(self.in_flight)
                 self.deliver(sender, to, message)
             for address, member in self.members.items():
-                if member.name not in self.down and member.next_due() <= self.now:
+                if member.name not in self.stopped and member.next_due() <= self.now:
                     self.send(address, member.on_timer(self.now))
 
     def send(self, sender: Address, effects: Sequence[object]) -> None:
         for effect in effects:
             if isinstance(effect, SendDatagram):
                 at = self.now + self.rng.uniform(0.0, 0.02)
-                entry = (at, next(self.order), sender, effect.address, effect.message)
-                heapq.heappush(self.flying, entry)
+                entry = (at, next(self.sequence_numbers), sender, effect.address, effect.message)
+                heapq.heappush(self.in_flight, entry)
 
     def deliver(self, sender: Address, to: Address, message: messages.Message) -> None:
         one, other = self.members[sender].name, self.members[to].name
-        if other in self.down or not self.may_talk(one, other):
+        if other in self.stopped or not self.can_reach(one, other):
             return
         member = self.members[to]
         match message:
@@ -75,88 +75,88 @@
         return {
             member.members[name].state
             for member in self.members.values()
-            if member.name not in self.down and name in member.members
+            if member.name not in self.stopped and name in member.members
         }
 
-    def everyone_knows(self, count: int) -> bool:
-        up = [m for m in self.members.values() if m.name not in self.down]
-        return all(member.live_count() == count for member in up)
+    def all_have_live_count(self, count: int) -> bool:
+        running = [m for m in self.members.values() if m.name not in self.stopped]
+        return all(member.live_count() == count for member in running)
 
 
-def settled(count: int) -> Net:
-    net = Net(count)
-    net.run(8.0)
-    assert net.everyone_knows(count)
-    return net
+def converged_network(count: int) -> SimulatedNetwork:
+    network = SimulatedNetwork(count)
+    network.run(8.0)
+    assert network.all_have_live_count(count)
+    return network
 
 
 @pytest.mark.parametrize("count", [3, 20, 60])
-def test_a_dead_member_is_known_everywhere_within_ten_periods(count: int) -> None:
-    net = settled(count)
-    net.down.add("m1")
-    net.run(5.0)
-    assert net.states_of("m1") == {MemberState.DEAD}
+def test_dead_member_is_known_to_all_members_within_ten_periods(count: int) -> None:
+    network = converged_network(count)
+    network.stopped.add("m1")
+    network.run(5.0)
+    assert network.states_of("m1") == {MemberState.DEAD}
 
 
-def pause_and_resume(net: Net) -> None:
-    net.down.add("m1")
-    net.run(1.6)
-    assert MemberState.SUSPECT in net.states_of("m1")
-    net.down.discard("m1")
-    net.run(6.0)
+def pause_and_resume(network: SimulatedNetwork) -> None:
+    network.stopped.add("m1")
+    network.run(1.6)
+    assert MemberState.SUSPECT in network.states_of("m1")
+    network.stopped.discard("m1")
+    network.run(6.0)
 
 
-def test_a_false_suspicion_is_refuted() -> None:
-    net = settled(20)
-    pause_and_resume(net)
-    assert net.states_of("m1") == {MemberState.ALIVE}
+def test_false_suspicion_is_refuted() -> None:
+    network = converged_network(20)
+    pause_and_resume(network)
+    assert network.states_of("m1") == {MemberState.ALIVE}
 
 
-def test_without_refutation_a_paused_member_is_declared_dead(
+def test_paused_member_is_declared_dead_without_refutation(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    net = settled(20)
+    network = converged_network(20)
     monkeypatch.setattr(Membership, "_refute", lambda self, now, incarnation, state: [])
-    pause_and_resume(net)
-    assert MemberState.DEAD in net.states_of("m1")
+    pause_and_resume(network)
+    assert MemberState.DEAD in network.states_of("m1")
 
 
-def cut_and_heal(net: Net) -> None:
-    net.may_talk = lambda one, other: (int(one[1:]) < 5) == (int(other[1:]) < 5)
-    net.run(10.0)
-    assert not net.everyone_knows(20)
-    net.may_talk = lambda one, other: True
-    net.run(8.0)
+def partition_and_heal(network: SimulatedNetwork) -> None:
+    network.can_reach = lambda one, other: (int(one[1:]) < 5) == (int(other[1:]) < 5)
+    network.run(10.0)
+    assert not network.all_have_live_count(20)
+    network.can_reach = lambda one, other: True
+    network.run(8.0)
 
 
-def test_a_healed_cut_converges() -> None:
-    net = settled(20)
-    cut_and_heal(net)
-    assert net.everyone_knows(20)
+def test_members_converge_after_a_healed_partition() -> None:
+    network = converged_network(20)
+    partition_and_heal(network)
+    assert network.all_have_live_count(20)
 
 
-def test_without_seeds_a_healed_cut_stays_open(monkeypatch: pytest.MonkeyPatch) -> None:
-    """An unreadable machine list once wiped the seeds."""
-    net = settled(20)
-    for member in net.members.values():
+def test_members_stay_partitioned_without_seeds(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Guards against an unreadable machine list that removes the seeds."""
+    network = converged_network(20)
+    for member in network.members.values():
         member.set_seeds([])
-    cut_and_heal(net)
-    assert not net.everyone_knows(20)
+    partition_and_heal(network)
+    assert not network.all_have_live_count(20)
 
 
-def test_a_restarted_member_is_not_its_former_self() -> None:
-    net = settled(5)
-    member = next(iter(net.members.values()))
+def test_restarted_member_has_a_different_identity() -> None:
+    network = converged_network(5)
+    member = next(iter(network.members.values()))
     assert member.is_alive_incarnation("m1#1")
     assert not member.is_alive_incarnation("m1#2")
     update = messages.MemberUpdate("m1", 2 * INCARNATION_STEP, "alive", "10.0.0.1:1", "z")
-    member.on_sync_reply(net.now, Address("10.0.0.1", 1), messages.SyncReply("m1", [update]))
+    member.on_sync_reply(network.now, Address("10.0.0.1", 1), messages.SyncReply("m1", [update]))
     assert not member.is_alive_incarnation("m1#1")
     assert member.is_alive_incarnation("m1#2")
 
 
-def judge_after_a_pause() -> MemberState:
-    """A member hears a suspicion, gets no turn for five seconds, then goes on."""
+def state_after_observer_pause() -> MemberState:
+    """Returns the state of a suspected member after a pause of five seconds of the observer."""
     rng = random.Random(1)
     me, other = Address("10.0.0.1", 1), Address("10.0.0.1", 2)
     member = Membership("me", INCARNATION_STEP, me, "z", rng)
@@ -167,10 +167,12 @@
     return member.members["other"].state
 
 
-def test_a_member_that_was_starved_itself_condemns_nobody() -> None:
-    assert judge_after_a_pause() is MemberState.SUSPECT
+def test_paused_member_does_not_declare_others_dead() -> None:
+    assert state_after_observer_pause() is MemberState.SUSPECT
 
 
-def test_without_forgiveness_it_condemns_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_paused_member_declares_others_dead_without_discounting_the_pause(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     monkeypatch.setattr(Membership, "_discount_pause", lambda self, now: None)
-    assert judge_after_a_pause() is MemberState.DEAD
+    assert state_after_observer_pause() is MemberState.DEAD
--- a/tests/standalone/decisions/test_online.py
+++ b/tests/standalone/decisions/test_online.py
@@ -1,10 +1,9 @@
-"""A request that may have run waits for room until its deadline; one that ran nowhere does not.
+"""A request that may have run waits for capacity until its deadline; others are refused.
 
-What users saw: a stream was closed in the middle, seconds before its deadline.
-Order of events: its engine broke off; the next ones rejected it as full; it was ended at once.
-Cause: a request ended at the first moment at which no engine was left to try, although one that
-was delivered in part can only be cut, and engines that are full have room a moment later.
-Evidence: below, each way to that end cut the request long before its deadline.
+Guards against a stream that is closed seconds before its deadline: its engine failed midway,
+the other engines rejected the request as full, and the daemon ended it as soon as no engine
+was left to try. A partly delivered request can only be cut, and full engines have capacity
+again shortly after. The tests cover each path to that premature end.
 """
 
 import random
@@ -31,11 +30,11 @@
 
 START_SECONDS = 100.0
 DEADLINE_SECONDS = 110.0
-SOON_SECONDS = 1.0
+MAX_WAIT_SECONDS = 1.0
 
 
-class World:
-    """One daemon's online requests before engines that always told their load lately."""
+class OnlineFixture:
+    """Online requests of one daemon whose engines are always fresh."""
 
     def __init__(self, engines: int) -> None:
         membership = Membership(
@@ -69,82 +68,82 @@
     def arrive(self) -> object:
         self.refresh()
         event = OnlineArrived("r", "t", "m", 10, 10, "", DEADLINE_SECONDS)
-        return self.directive(self.requests.on_arrived(self.now, event))
+        return self.next_effect(self.requests.on_arrived(self.now, event))
 
     def end(self, started: object, kind: AttemptOutcome, position: int = 0) -> object:
-        """Ends an attempt; lets time pass until the next directive, `SOON_SECONDS` at most."""
+        """Ends an attempt and returns the next effect within `MAX_WAIT_SECONDS`, or None."""
         assert isinstance(started, StartOnlineAttempt), started
         self.now += 0.01
         ended = OnlineAttemptEnded("r", started.attempt_id, kind, position)
-        return self.directive(self.requests.on_attempt_ended(self.now, ended)) or self.wait()
+        return self.next_effect(self.requests.on_attempt_ended(self.now, ended)) or self.wait()
 
     def wait(self) -> object:
-        until = self.now + SOON_SECONDS
-        while self.now < until:
-            self.now = max(self.now + 0.001, min(until, self.requests.next_due()))
+        end = self.now + MAX_WAIT_SECONDS
+        while self.now < end:
+            self.now = max(self.now + 0.001, min(end, self.requests.next_due()))
             self.refresh()
-            directive = self.directive(self.requests.on_timer(self.now))
-            if directive is not None:
-                return directive
+            next_effect = self.next_effect(self.requests.on_timer(self.now))
+            if next_effect is not None:
+                return next_effect
         return None
 
     @staticmethod
-    def directive(effects: list[Any]) -> object:
+    def next_effect(effects: list[Any]) -> object:
         found = [e for e in effects if isinstance(e, StartOnlineAttempt | FinishOnline)]
         return found[0] if found else None
 
 
 @pytest.mark.parametrize("engines", [1, 3])
-def test_a_cut_request_outlasts_engines_that_reject_it(engines: int) -> None:
-    world = World(engines)
-    started = world.end(world.arrive(), AttemptOutcome.CUT, 4)
+def test_cut_request_survives_repeated_rejections(engines: int) -> None:
+    fixture = OnlineFixture(engines)
+    started = fixture.end(fixture.arrive(), AttemptOutcome.CUT, 4)
     for _ in range(12):
-        started = world.end(started, AttemptOutcome.REFUSED, 4)
+        started = fixture.end(started, AttemptOutcome.REFUSED, 4)
     assert isinstance(started, StartOnlineAttempt)
     assert started.position == 4
 
 
-def test_attempts_that_may_have_run_are_bounded() -> None:
-    world = World(5)
-    started = world.end(world.arrive(), AttemptOutcome.CUT, 1)
-    started = world.end(started, AttemptOutcome.CUT, 2)
-    ended = world.end(started, AttemptOutcome.CUT, 3)
+def test_attempts_that_may_have_run_are_limited() -> None:
+    fixture = OnlineFixture(5)
+    started = fixture.end(fixture.arrive(), AttemptOutcome.CUT, 1)
+    started = fixture.end(started, AttemptOutcome.CUT, 2)
+    ended = fixture.end(started, AttemptOutcome.CUT, 3)
     assert isinstance(ended, FinishOnline)
     assert isinstance(ended.outcome, Cut)
 
 
-def test_a_spent_retry_budget_makes_a_cut_request_wait() -> None:
-    world = World(3)
-    world.requests._budget._credit["m"] = 0.0
-    assert world.end(world.arrive(), AttemptOutcome.CUT, 4) is None
-    world.requests._budget._credit["m"] = 1.0
-    assert isinstance(world.wait(), StartOnlineAttempt)
+def test_cut_request_waits_while_the_retry_budget_is_exhausted() -> None:
+    fixture = OnlineFixture(3)
+    fixture.requests._budget._credit["m"] = 0.0
+    assert fixture.end(fixture.arrive(), AttemptOutcome.CUT, 4) is None
+    fixture.requests._budget._credit["m"] = 1.0
+    assert isinstance(fixture.wait(), StartOnlineAttempt)
 
 
-def test_with_a_budget_that_stays_spent_a_cut_request_ends_at_its_deadline() -> None:
-    """Without a look at the deadline the daemon's loop woke it again and again, for ever."""
-    world = World(3)
-    world.requests._budget._credit["m"] = 0.0
-    directive = world.end(world.arrive(), AttemptOutcome.CUT, 4)
-    while directive is None and world.now < DEADLINE_SECONDS + SOON_SECONDS:
-        directive = world.wait()
-    assert isinstance(directive, FinishOnline)
-    assert isinstance(directive.outcome, Cut)
-    assert world.now >= DEADLINE_SECONDS
+def test_cut_request_ends_at_its_deadline_if_the_retry_budget_stays_exhausted() -> None:
+    """Guards against endless wakeups of a request whose deadline is not checked."""
+    fixture = OnlineFixture(3)
+    fixture.requests._budget._credit["m"] = 0.0
+    next_effect = fixture.end(fixture.arrive(), AttemptOutcome.CUT, 4)
+    while next_effect is None and fixture.now < DEADLINE_SECONDS + MAX_WAIT_SECONDS:
+        next_effect = fixture.wait()
+    assert isinstance(next_effect, FinishOnline)
+    assert isinstance(next_effect.outcome, Cut)
+    assert fixture.now >= DEADLINE_SECONDS
 
 
-def test_without_room_a_cut_request_ends_at_its_deadline() -> None:
-    world = World(1)
-    directive = world.end(world.arrive(), AttemptOutcome.CUT, 4)
-    while not isinstance(directive, FinishOnline):
-        directive = world.end(directive, AttemptOutcome.REFUSED, 4) or world.wait()
-    assert isinstance(directive.outcome, Cut)
-    assert world.now >= DEADLINE_SECONDS
+def test_cut_request_ends_at_its_deadline_if_no_engine_has_capacity() -> None:
+    fixture = OnlineFixture(1)
+    next_effect = fixture.end(fixture.arrive(), AttemptOutcome.CUT, 4)
+    while not isinstance(next_effect, FinishOnline):
+        next_effect = fixture.end(next_effect, AttemptOutcome.REFUSED, 4) or fixture.wait()
+    assert isinstance(next_effect.outcome, Cut)
+    assert fixture.now >= DEADLINE_SECONDS
 
 
-def test_a_request_that_ran_nowhere_is_refused_at_once() -> None:
-    world = World(1)
-    ended = world.end(world.arrive(), AttemptOutcome.REFUSED)
+def test_request_that_has_not_run_is_refused_immediately() -> None:
+    fixture = OnlineFixture(1)
+    ended = fixture.end(fixture.arrive(), AttemptOutcome.REFUSED)
     assert isinstance(ended, FinishOnline)
     assert isinstance(ended.outcome, NotRun)
-    assert world.now < START_SECONDS + SOON_SECONDS
+    assert fixture.now < START_SECONDS + MAX_WAIT_SECONDS
--- a/tests/standalone/decisions/test_online_rejections.py
+++ b/tests/standalone/decisions/test_online_rejections.py
@@ -1,7 +1,7 @@
-"""An online answer that was delivered in part outlasts engines that are full for a moment.
+"""A partly delivered online answer survives rejections by engines that are full briefly.
 
-The rejections are no work done twice, and nothing but a cut can follow them: they count neither
-as attempts nor against the retry budget while time is left.
+A rejection repeats no work, and ending the request would cut its answer. Until the deadline,
+rejections therefore count neither as attempts nor against the retry budget.
 """
 
 import random
@@ -31,8 +31,8 @@
 DEADLINE = 5.0
 
 
-class OnlineWorld:
-    """Online requests of one daemon before engines that are all known as fresh."""
+class OnlineFixture:
+    """Online requests of one daemon whose engines are all fresh."""
 
     def __init__(self, engines: int, attempts_most: int) -> None:
         membership = Membership(
@@ -41,8 +41,8 @@
         self.engines = EngineRegistry(membership)
         self.names = [f"e{number}" for number in range(engines)]
         machines = [
-            Machine(name, "engine", Address("10.0.0.2", 1 + at), "z", SERVICE, f"{name}-1")
-            for at, name in enumerate(self.names)
+            Machine(name, "engine", Address("10.0.0.2", 1 + index), "z", SERVICE, f"{name}-1")
+            for index, name in enumerate(self.names)
         ]
         self.engines.on_machine_list(0.0, machines)
         policy = ServingPolicy(attempts_most=attempts_most)
@@ -64,32 +64,34 @@
             self.engines.on_load(now, EngineLoadRead(name, load))
 
     @staticmethod
-    def directive(effects: Sequence[Effect]) -> StartOnlineAttempt | FinishOnline | None:
+    def next_effect(effects: Sequence[Effect]) -> StartOnlineAttempt | FinishOnline | None:
         found = [e for e in effects if isinstance(e, StartOnlineAttempt | FinishOnline)]
         return found[0] if found else None
 
     def end(
         self, now: float, started: StartOnlineAttempt, kind: AttemptOutcome
     ) -> StartOnlineAttempt | FinishOnline | None:
-        """Ends an attempt, and plays on to what follows."""
+        """Ends an attempt and returns the next effect, advancing time to at most 1 s."""
         event = OnlineAttemptEnded("r", started.attempt_id, kind, 3, "full")
-        directive = self.directive(self.requests.on_attempt_ended(now, event))
-        while directive is None and now < 1.0:
+        next_effect = self.next_effect(self.requests.on_attempt_ended(now, event))
+        while next_effect is None and now < 1.0:
             now += 0.05
             self.refresh(now)
-            directive = self.directive(self.requests.on_timer(now))
-        return directive
+            next_effect = self.next_effect(self.requests.on_timer(now))
+        return next_effect
 
 
 @pytest.mark.parametrize(("engines", "attempts_most"), [(2, 10), (3, 2), (3, 3)])
-def test_rejections_do_not_cut_an_answer_with_time_left(engines: int, attempts_most: int) -> None:
-    world = OnlineWorld(engines, attempts_most)
+def test_rejections_before_the_deadline_do_not_cut_an_answer(
+    engines: int, attempts_most: int
+) -> None:
+    fixture = OnlineFixture(engines, attempts_most)
     arrived = OnlineArrived("r", "t", SERVICE, 10, 10, "", DEADLINE)
-    directive = world.directive(world.requests.on_arrived(0.0, arrived))
-    assert isinstance(directive, StartOnlineAttempt)
-    directive = world.end(0.1, directive, AttemptOutcome.CUT)
+    next_effect = fixture.next_effect(fixture.requests.on_arrived(0.0, arrived))
+    assert isinstance(next_effect, StartOnlineAttempt)
+    next_effect = fixture.end(0.1, next_effect, AttemptOutcome.CUT)
     now = 0.2
-    while isinstance(directive, StartOnlineAttempt) and now < 0.6:
-        directive = world.end(now, directive, AttemptOutcome.REFUSED)
+    while isinstance(next_effect, StartOnlineAttempt) and now < 0.6:
+        next_effect = fixture.end(now, next_effect, AttemptOutcome.REFUSED)
         now += 0.02
-    assert not isinstance(directive, FinishOnline), f"{directive} after {now:.2f} s"
+    assert not isinstance(next_effect, FinishOnline), f"{next_effect} after {now:.2f} s"
