--- a/src/troutswitch/standalone/decisions/batch/owner.py
+++ b/src/troutswitch/standalone/decisions/batch/owner.py
@@ -78,14 +78,14 @@
 
 @dataclass(slots=True)
 class JobProgress:
-    """The owner's state of a job that is not in the fold.
+    """State of a job that the owner keeps outside the fold.
 
     Attributes:
         cursor: Index of the first item that has not been considered for dispatch.
         retries: Items below `cursor` to dispatch again, as (ready time, index).
         failures: Number of failed attempts by item index.
         dispatched: Items that are dispatched or whose attempt or result is being recorded.
-        attempted_in_epoch: Items with an attempt on record in the current epoch.
+        attempted_in_epoch: Unfinished items with an attempt on record in the current epoch.
     """
 
     cursor: int = 0
@@ -272,8 +272,8 @@
         if item is None:
             heapq.heappush(progress.retries, (now, index))
             return None, self._fetch_chunk(job, index // CHUNK_ITEMS)
-        ensure(not job.state_of(index).is_final, "a finished item is handed out")
-        ensure(index not in progress.dispatched, "an item is handed out twice at once")
+        ensure(not job.state_of(index).is_final, "a finished item is dispatched")
+        ensure(index not in progress.dispatched, "an item is dispatched while it is in flight")
         progress.dispatched.add(index)
         partial = self._partials.pop(ItemReference(job.job_id, index), NO_PARTIAL_ANSWER)
         return ReadyItem(ItemReference(job.job_id, index), item, partial), []
--- a/src/troutswitch/standalone/decisions/batch/ownership.py
+++ b/src/troutswitch/standalone/decisions/batch/ownership.py
@@ -203,7 +203,10 @@
         owner = self.owners.get(shard)
         if owner is None:
             return effects
-        ensure(owner.epoch == self.replicas[shard].fold.epoch, "owner of a past epoch")
+        ensure(
+            owner.epoch == self.replicas[shard].fold.epoch,
+            "the owner's epoch is not the current one",
+        )
         if was_owner:
             effects.extend(owner.on_changes(now, changes))
             for change in changes:
--- a/src/troutswitch/standalone/decisions/batch/replica.py
+++ b/src/troutswitch/standalone/decisions/batch/replica.py
@@ -119,7 +119,10 @@
 
     def _apply(self, answer: LogRead) -> list[FoldChange]:
         changes: list[FoldChange] = []
-        ensure(answer.offset == self.fold.next_offset, "a shard read does not join the fold")
+        ensure(
+            answer.offset == self.fold.next_offset,
+            "a shard read does not start at the next offset of the fold",
+        )
         for position, payload in enumerate(answer.entries):
             try:
                 entry = decode_entry(payload)
--- a/src/troutswitch/standalone/decisions/configuration/fold.py
+++ b/src/troutswitch/standalone/decisions/configuration/fold.py
@@ -64,7 +64,7 @@
         for record in entry.records:
             if isinstance(record, ConfigurationPublished):
                 self._publish(offset, record)
-        ensure(self.version >= before, "the configuration version went back")
+        ensure(self.version >= before, "the configuration version decreased")
         return self.version > before
 
     def _publish(self, offset: int, publication: ConfigurationPublished) -> None:
--- a/src/troutswitch/standalone/decisions/stewardship.py
+++ b/src/troutswitch/standalone/decisions/stewardship.py
@@ -150,7 +150,7 @@
 
     def _engine_use(self, now: float, engine: Engine, allocation: EngineAllocation) -> EngineUse:
         load = engine.load
-        ensure(load is not None, "a share is computed without a load report")
+        ensure(load is not None, "batch slots are computed without a load report")
         assert load is not None
         unreported = sum(count for _, count in allocation.notices)
         online_now = load.running_online + load.waiting_online + unreported
