--- a/src/troutswitch/standalone/decisions/batch/dispatcher.py
+++ b/src/troutswitch/standalone/decisions/batch/dispatcher.py
@@ -132,7 +132,7 @@
 
     def _request_slots(self, now: float) -> list[Effect]:
         if self._writer.queued_records() > WRITER_QUEUE_MOST_RECORDS:
-            return []  # the log is unavailable and results accumulate: request no more work
+            return []  # results accumulate while the log is unavailable
         effects: list[Effect] = []
         requested: set[str] = set()
         for service, waiting in self._demand(now).items():
@@ -226,10 +226,10 @@
             while free > 0 and (
                 job.repeatable or self._non_preemptible_count(name) < grant.non_preemptible
             ):
-                ready_item, reads = owner.next_item(now, job)
-                effects.extend(reads)
+                ready_item, preparation = owner.next_item(now, job)
+                effects.extend(preparation)
                 if ready_item is None:
-                    if not reads:
+                    if not preparation:
                         break
                     free -= 1
                     continue
--- a/src/troutswitch/standalone/decisions/membership.py
+++ b/src/troutswitch/standalone/decisions/membership.py
@@ -168,7 +168,7 @@
         return has_run and now - self._last_timer_at > STARVED_SECONDS
 
     def _discount_pause(self, now: float) -> None:
-        """Drops the probe and extends all suspicions after this process was paused.
+        """Drops the probe and extends all suspicions after this process was paused or starved.
 
         Other members seem silent only because this process did not run: their answers
         still wait in its socket.
@@ -240,7 +240,7 @@
     def _remove_expired_dead(self, now: float) -> None:
         for name, died_at in list(self._died_at.items()):
             if now - died_at <= DEAD_KEPT_SECONDS:
-                return  # in order of death
+                return  # entries are in order of death
             del self._died_at[name]
             if self.members[name].is_dead:
                 self.table.forget(name)
--- a/src/troutswitch/standalone/decisions/routing.py
+++ b/src/troutswitch/standalone/decisions/routing.py
@@ -85,7 +85,7 @@
     def choose(
         self, prefix: str, candidates: list[Engine], zone: str, gateways: int, rng: random.Random
     ) -> Engine:
-        """Chooses the first engine in the prefix's rendezvous order below the load bound."""
+        """Chooses the first engine in rendezvous order within the load bound, else by load."""
         if not prefix:
             return self._fallback.choose(prefix, candidates, zone, gateways, rng)
         min_load = min(engine.online_load for engine in candidates)
--- a/tests/standalone/decisions/test_membership.py
+++ b/tests/standalone/decisions/test_membership.py
@@ -26,7 +26,7 @@
         self.in_flight: list[tuple[float, int, Address, Address, messages.Message]] = []
         self.members: dict[Address, Membership] = {}
         self.stopped: set[str] = set()
-        self.can_reach: Callable[[str, str], bool] = lambda one, other: True
+        self.can_reach: Callable[[str, str], bool] = lambda sender, recipient: True
         addresses = [Address("10.0.0.1", n) for n in range(count)]
         for number, address in enumerate(addresses):
             member = Membership(f"m{number}", INCARNATION_STEP, address, "z", random.Random(number))
@@ -34,12 +34,12 @@
             self.members[address] = member
 
     def run(self, seconds: float) -> None:
-        until = self.now + seconds
-        while self.now < until:
+        end = self.now + seconds
+        while self.now < end:
             self.now += STEP_SECONDS
             while self.in_flight and self.in_flight[0][0] <= self.now:
-                _, _, sender, to, message = heapq.heappop(self.in_flight)
-                self.deliver(sender, to, message)
+                _, _, sender, recipient, message = heapq.heappop(self.in_flight)
+                self.deliver(sender, recipient, message)
             for address, member in self.members.items():
                 if member.name not in self.stopped and member.next_due() <= self.now:
                     self.send(address, member.on_timer(self.now))
@@ -47,15 +47,21 @@
     def send(self, sender: Address, effects: Sequence[object]) -> None:
         for effect in effects:
             if isinstance(effect, SendDatagram):
-                at = self.now + self.rng.uniform(0.0, 0.02)
-                entry = (at, next(self.sequence_numbers), sender, effect.address, effect.message)
+                arrival_time = self.now + self.rng.uniform(0.0, 0.02)
+                entry = (
+                    arrival_time,
+                    next(self.sequence_numbers),
+                    sender,
+                    effect.address,
+                    effect.message,
+                )
                 heapq.heappush(self.in_flight, entry)
 
-    def deliver(self, sender: Address, to: Address, message: messages.Message) -> None:
-        one, other = self.members[sender].name, self.members[to].name
-        if other in self.stopped or not self.can_reach(one, other):
+    def deliver(self, sender: Address, recipient: Address, message: messages.Message) -> None:
+        sender_name, recipient_name = self.members[sender].name, self.members[recipient].name
+        if recipient_name in self.stopped or not self.can_reach(sender_name, recipient_name):
             return
-        member = self.members[to]
+        member = self.members[recipient]
         match message:
             case messages.Ping():
                 effects = member.on_ping(self.now, sender, message)
@@ -69,7 +75,7 @@
                 effects = member.on_sync_reply(self.now, sender, message)
             case _:
                 raise AssertionError(message)
-        self.send(to, effects)
+        self.send(recipient, effects)
 
     def states_of(self, name: str) -> set[MemberState]:
         return {
@@ -122,10 +128,10 @@
 
 
 def partition_and_heal(network: SimulatedNetwork) -> None:
-    network.can_reach = lambda one, other: (int(one[1:]) < 5) == (int(other[1:]) < 5)
+    network.can_reach = lambda sender, recipient: (int(sender[1:]) < 5) == (int(recipient[1:]) < 5)
     network.run(10.0)
     assert not network.all_have_live_count(20)
-    network.can_reach = lambda one, other: True
+    network.can_reach = lambda sender, recipient: True
     network.run(8.0)
 
 
