--- a/src/troutswitch/standalone/decisions/batch/ownership.py
+++ b/src/troutswitch/standalone/decisions/batch/ownership.py
@@ -225,16 +225,16 @@
             return []  # the release has not been read back yet
         owner = ShardOwner(replica, fold.epoch, self._writer, self._reader, self._on_ready)
         self.owners[shard] = owner
-        line = LogEvent("shard owned", {"shard": shard, "epoch": fold.epoch})
-        return [line, *owner.take_over(now)]
+        log_event = LogEvent("shard owned", {"shard": shard, "epoch": fold.epoch})
+        return [log_event, *owner.take_over(now)]
 
     def _end_ownership(self, now: float, shard: int) -> list[Effect]:
         owner = self.owners.pop(shard, None)
         self._handover_deadlines.pop(shard, None)
         if owner is None:
             return []
-        line = LogEvent("shard lost", {"shard": shard, "epoch": owner.epoch})
-        return [line, *self._on_owner_lost(now, owner)]
+        log_event = LogEvent("shard lost", {"shard": shard, "epoch": owner.epoch})
+        return [log_event, *self._on_owner_lost(now, owner)]
 
     def _append_snapshot(self, owner: ShardOwner) -> list[Effect]:
         if not owner.snapshot_due:
@@ -261,8 +261,8 @@
         self.owners.pop(owner.shard, None)
         self._handover_deadlines.pop(owner.shard, None)
         self._pending_releases[owner.shard] = owner.epoch
-        line = LogEvent("shard released", {"shard": owner.shard, "epoch": owner.epoch})
-        return [line, *owner.release(), *self._on_owner_lost(now, owner)]
+        log_event = LogEvent("shard released", {"shard": owner.shard, "epoch": owner.epoch})
+        return [log_event, *owner.release(), *self._on_owner_lost(now, owner)]
 
     def on_shard_wanted(self, now: float, message: ShardWanted) -> list[Effect]:
         """Starts the handover of an owned shard if its preferred owner requests it."""
--- a/src/troutswitch/standalone/decisions/engines.py
+++ b/src/troutswitch/standalone/decisions/engines.py
@@ -87,7 +87,7 @@
 class EngineRegistry:
     """All engines named by the machine list.
 
-    An engine that the list no longer names is kept until its online requests end.
+    An engine that the list no longer names is kept while it has online requests.
     """
 
     def __init__(self, membership: Membership) -> None:
@@ -115,7 +115,7 @@
     # The machine list.
 
     def on_machine_list(self, now: float, machines: list[Machine]) -> list[Effect]:
-        """Applies the list: adds and removes engines, and updates addresses and marks."""
+        """Applies the list: adds and removes engines, updates addresses, marks leaving ones."""
         effects: list[Effect] = []
         listed = {machine.name for machine in machines}
         for engine in self.engines.values():
@@ -160,8 +160,8 @@
         engine = self.engines.get(name)
         zone = engine.zone if engine is not None else None
         peers = self._membership.random_peers(4, zone) + self._membership.random_peers(2)
-        line = LogEvent("engine leaving", {"engine": name, "incarnation": incarnation})
-        return [line, *(SendDatagram(peer.address, message) for peer in peers)]
+        log_event = LogEvent("engine leaving", {"engine": name, "incarnation": incarnation})
+        return [log_event, *(SendDatagram(peer.address, message) for peer in peers)]
 
     # Polling.
 
@@ -176,7 +176,7 @@
         self._next_tick_at = now + ENGINE_TICK_SECONDS
         if now >= self._next_selection_at:
             self._next_selection_at = now + ENGINE_SELECTION_SECONDS
-            self._select_active(now)
+            self._select_polled(now)
         effects: list[Effect] = []
         for engine in self._polled:
             if engine.next_poll_at <= now:
@@ -184,7 +184,7 @@
                 effects.extend(self.poll(now, engine))
         return effects
 
-    def _select_active(self, now: float) -> None:
+    def _select_polled(self, now: float) -> None:
         """Selects the engines to poll: stewarded ones and the subsets of services in use.
 
         The whole subset is polled, not only the engines that receive work. Otherwise a
--- a/src/troutswitch/standalone/decisions/status.py
+++ b/src/troutswitch/standalone/decisions/status.py
@@ -70,19 +70,19 @@
 
 def view_history(configuration: ConfigurationFollower, limit: int) -> HistoryView:
     """Builds the view of the newest `limit` publications, newest first."""
-    lines = configuration.fold.history[-limit:][::-1]
+    entries = configuration.fold.history[-limit:][::-1]
     return HistoryView(
         configuration.fold.version,
         tuple(
             PublicationView(
-                line.version,
-                line.publication.publication_id,
-                line.publication.author,
-                line.publication.message,
-                line.publication.published_at,
-                tuple((c.path, c.key, c.value) for c in line.publication.changes),
+                entry.version,
+                entry.publication.publication_id,
+                entry.publication.author,
+                entry.publication.message,
+                entry.publication.published_at,
+                tuple((c.path, c.key, c.value) for c in entry.publication.changes),
             )
-            for line in lines
+            for entry in entries
         ),
     )
 
