--- a/src/troutswitch/soak/fleet.py
+++ b/src/troutswitch/soak/fleet.py
@@ -236,7 +236,9 @@
 
     def _add_daemon(self, number: int) -> None:
         name = f"daemon-{number}"
-        caller_port, readiness_port, peer_port, metrics_port = (self.ports.reserve() for _ in range(4))
+        caller_port, readiness_port, peer_port, metrics_port = (
+            self.ports.reserve() for _ in range(4)
+        )
         store_link = self._add_link(self.store_address)
         settings = self.folder / f"{name}.toml"
         clock = self.folder / f"{name}.clock"
--- a/src/troutswitch/standalone/decisions/batch/owner.py
+++ b/src/troutswitch/standalone/decisions/batch/owner.py
@@ -357,9 +357,7 @@
         )
         return self._writer.append(self.stream, [record])
 
-    def _requeue(
-        self, now: float, progress: JobProgress, index: int, kind: AttemptOutcome
-    ) -> None:
+    def _requeue(self, now: float, progress: JobProgress, index: int, kind: AttemptOutcome) -> None:
         progress.dispatched.discard(index)
         if kind is AttemptOutcome.CANCELLED:
             heapq.heappush(progress.retries, (now, index))
