--- a/src/troutswitch/standalone/callers/batch_app.py
+++ b/src/troutswitch/standalone/callers/batch_app.py
@@ -69,18 +69,18 @@
                 token, tenant, service, key, digest, items, due, repeatable, deadline
             )
 
-        return _job_response(self._context.ask(make))
+        return _job_response(self._context.call(make))
 
     def _status(self, request: Request, job_id: str) -> Response:
         tenant = self._context.authenticate(request)
-        answer = self._context.ask(
+        answer = self._context.call(
             lambda token, deadline: JobStatusRequested(token, tenant, job_id, deadline)
         )
         return _job_response(answer)
 
     def _cancel(self, request: Request, job_id: str) -> Response:
         tenant = self._context.authenticate(request)
-        answer = self._context.ask(
+        answer = self._context.call(
             lambda token, deadline: JobCancelRequested(token, tenant, job_id, deadline)
         )
         return _job_response(answer)
@@ -108,7 +108,7 @@
         return Response(200, to_json_lines(rows), JSON_LINES_TYPE)
 
     def _read(self, tenant: str, job_id: str, first: int) -> JobResults | CallRefused:
-        answer = self._context.ask(
+        answer = self._context.call(
             lambda token, deadline: JobResultsRequested(
                 token, tenant, job_id, first, MAX_RESULTS_PER_ANSWER, deadline
             )
--- a/src/troutswitch/standalone/callers/context.py
+++ b/src/troutswitch/standalone/callers/context.py
@@ -73,7 +73,7 @@
         with self._lock:
             return f"{self.daemon}-{next(self._numbers)}"
 
-    def ask(self, make_event: Callable[[str, float], Event]) -> CallAnswer:
+    def call(self, make_event: Callable[[str, float], Event]) -> CallAnswer:
         """Posts the event built from a token and a deadline, and waits for its answer."""
         token = self.next_id()
         deadline = self.now() + CALL_SECONDS
--- a/src/troutswitch/standalone/constants.py
+++ b/src/troutswitch/standalone/constants.py
@@ -10,7 +10,7 @@
 CONFIGURATION_STREAM = "config"
 """Name of the stream that carries configuration publications."""
 LAST_ENTRY = -1
-"""Offset that asks for the last entry of a stream."""
+"""Offset that requests the last entry of a stream."""
 LOG_READ_LIMIT_ENTRIES = 256
 """Maximum number of entries requested in one read."""
 INITIAL_LOG_RETRY_SECONDS = 0.1
--- a/src/troutswitch/standalone/operators/app.py
+++ b/src/troutswitch/standalone/operators/app.py
@@ -49,14 +49,14 @@
         """Returns the response to a call."""
         match (request.method, request.path):
             case ("GET", "/status"):
-                return _call_response(self._context.ask(lambda token, _: StatusRequested(token)))
+                return _call_response(self._context.call(lambda token, _: StatusRequested(token)))
             case ("GET", "/configuration"):
-                return _call_response(self._context.ask(lambda token, _: ConfigurationTreeRequested(token)))
+                return _call_response(self._context.call(lambda token, _: ConfigurationTreeRequested(token)))
             case ("GET", "/configuration/effective"):
                 return self._effective(request)
             case ("GET", "/configuration/history"):
                 return _call_response(
-                    self._context.ask(
+                    self._context.call(
                         lambda token, _: PublicationHistoryRequested(token, HISTORY_LIMIT)
                     )
                 )
@@ -78,13 +78,13 @@
     ) -> Response:
         tenant = request.query("tenant", ANONYMOUS_TENANT)
         return _call_response(
-            self._context.ask(lambda token, deadline: kind(token, tenant, job_id, deadline))
+            self._context.call(lambda token, deadline: kind(token, tenant, job_id, deadline))
         )
 
     def _effective(self, request: Request) -> Response:
         zone, service, tenant = (request.query(key) for key in ("zone", "service", "tenant"))
         return _call_response(
-            self._context.ask(
+            self._context.call(
                 lambda token, _: EffectiveConfigurationRequested(token, zone, service, tenant)
             )
         )
@@ -98,7 +98,7 @@
             ConfigurationChange(change.path, change.key, change.value) for change in body.changes
         )
         return _call_response(
-            self._context.ask(
+            self._context.call(
                 lambda token, deadline: ConfigurationSubmitted(
                     token,
                     body.publication_id,
--- a/src/troutswitch/standalone/simulation/callers.py
+++ b/src/troutswitch/standalone/simulation/callers.py
@@ -44,14 +44,14 @@
         scenario: Scenario,
         clock: VirtualClock,
         observer: Observer,
-        choose: ChooseDaemon,
+        choose_daemon: ChooseDaemon,
         rng: random.Random,
         ends_at: float,
     ) -> None:
         self._scenario = scenario
         self._clock = clock
         self._observer = observer
-        self._choose = choose
+        self._choose_daemon = choose_daemon
         self._rng = rng
         self._ends_at = ends_at
         self._count = 0
@@ -110,7 +110,7 @@
         repeatable: bool,
         attempt: int,
     ) -> None:
-        daemon = self._choose()
+        daemon = self._choose_daemon()
         if daemon is None or request_id in self._observer.online:
             return
         now = self._clock.now()
@@ -147,7 +147,7 @@
         scenario: Scenario,
         clock: VirtualClock,
         observer: Observer,
-        choose: ChooseDaemon,
+        choose_daemon: ChooseDaemon,
         rng: random.Random,
         ends_at: float,
         resends: bool,
@@ -155,7 +155,7 @@
         self._scenario = scenario
         self._clock = clock
         self._observer = observer
-        self._choose = choose
+        self._choose_daemon = choose_daemon
         self._rng = rng
         self._ends_at = ends_at
         self._resends = resends
@@ -204,7 +204,7 @@
     def _submit(
         self, record: JobRecord, items: tuple[BatchItem, ...], key: str, attempt: int
     ) -> None:
-        daemon = self._choose()
+        daemon = self._choose_daemon()
         if daemon is None:
             self._maybe_resubmit(record, items, key, attempt)
             return
@@ -243,10 +243,10 @@
             self._clock.call_later(self._rng.uniform(0.0, 4.0), lambda: self._cancel(record))
 
     def _cancel(self, record: JobRecord) -> None:
-        daemon = self._choose()
+        daemon = self._choose_daemon()
         if daemon is None:
             return
-        record.cancel_asked = True
+        record.cancel_requested = True
         token = self._token()
         deadline = self._clock.now() + CALL_SECONDS
 
@@ -259,9 +259,9 @@
 
     # At the end.
 
-    def ask_status(self, record: JobRecord, on_view: Callable[[JobView], None]) -> None:
+    def request_status(self, record: JobRecord, on_view: Callable[[JobView], None]) -> None:
         """Requests a job's state from any daemon."""
-        daemon = self._choose()
+        daemon = self._choose_daemon()
         if daemon is None:
             return
         token = self._token()
@@ -282,7 +282,7 @@
 
         Several reads of one job may run concurrently; each collects its own pages.
         """
-        daemon = self._choose()
+        daemon = self._choose_daemon()
         if daemon is None:
             return
         token = self._token()
--- a/src/troutswitch/standalone/simulation/faults.py
+++ b/src/troutswitch/standalone/simulation/faults.py
@@ -44,10 +44,10 @@
 
         self._simulation.clock.call_later(self._rng.expovariate(1.0 / mean), inject)
 
-    def _later(self, low: float, high: float, action: Callable[[], None]) -> None:
+    def _call_later(self, low: float, high: float, action: Callable[[], None]) -> None:
         self._simulation.clock.call_later(self._rng.uniform(low, high), action)
 
-    def _live_daemon(self) -> "SimulatedDaemon | None":
+    def _random_live_daemon(self) -> "SimulatedDaemon | None":
         live = [daemon for daemon in self._simulation.daemons.values() if daemon.is_alive]
         return self._rng.choice(live) if len(live) > 1 else None
 
@@ -65,7 +65,7 @@
             engine.restart()
             self._simulation.platform.machines.put(self._simulation.clock.now(), engine.machine())
 
-        self._later(3.0, 25.0, restart)
+        self._call_later(3.0, 25.0, restart)
 
     def engine_leaving(self) -> None:
         """Makes an engine leave; the machine list lags. The engine restarts later."""
@@ -80,7 +80,7 @@
             engine.restart()
             self._simulation.platform.machines.put(self._simulation.clock.now(), engine.machine())
 
-        self._later(15.0, 40.0, restart)
+        self._call_later(15.0, 40.0, restart)
 
     def stream_cut(self) -> None:
         """Breaks connections to an engine, which keeps running."""
@@ -92,7 +92,7 @@
 
     def machine_loss(self) -> None:
         """Loses a daemon's machine and replaces it."""
-        daemon = self._live_daemon()
+        daemon = self._random_live_daemon()
         if daemon is not None:
             self.lose(daemon)
 
@@ -100,7 +100,7 @@
         """Loses one machine and replaces it under the same or another name."""
         daemon.kill()
         keeps_name = self._rng.random() < 0.5
-        self._later(
+        self._call_later(
             *REPLACEMENT_DELAY_SECONDS, lambda: self._simulation.replace_daemon(daemon, keeps_name)
         )
 
@@ -117,19 +117,19 @@
 
     def pause(self) -> None:
         """Pauses a machine, possibly for longer than a lease."""
-        daemon = self._live_daemon()
+        daemon = self._random_live_daemon()
         if daemon is not None and not daemon.is_paused:
             daemon.pause()
-            self._later(1.0, 25.0, daemon.resume)
+            self._call_later(1.0, 25.0, daemon.resume)
 
     def planned_stop(self) -> None:
         """Drains a daemon and replaces it."""
-        daemon = self._live_daemon()
+        daemon = self._random_live_daemon()
         if daemon is None or daemon.core.is_draining:
             return
         daemon.drain()
         self._simulation.observer.faults["planned_stop_begun"] += 1
-        self._later(30.0, 60.0, lambda: self._simulation.replace_daemon(daemon, True))
+        self._call_later(30.0, 60.0, lambda: self._simulation.replace_daemon(daemon, True))
 
     def all_replaced(self) -> None:
         """Loses every daemon at the same time and replaces them."""
@@ -142,19 +142,19 @@
         """Makes the log service unreachable."""
         platform = self._simulation.platform
         platform.begin_fault(down=1)
-        self._later(5.0, 90.0, lambda: platform.end_fault(down=1))
+        self._call_later(5.0, 90.0, lambda: platform.end_fault(down=1))
 
     def log_slow(self) -> None:
         """Delays answers of the log service."""
         platform = self._simulation.platform
         platform.begin_fault(slow=1)
-        self._later(10.0, 60.0, lambda: platform.end_fault(slow=1))
+        self._call_later(10.0, 60.0, lambda: platform.end_fault(slow=1))
 
     def answer_lost(self) -> None:
         """Loses answers of the log service; the appends take effect, some late."""
         platform = self._simulation.platform
         platform.lose_answers(0.3, 0.15)
-        self._later(5.0, 30.0, lambda: platform.lose_answers(0.0, 0.0))
+        self._call_later(5.0, 30.0, lambda: platform.lose_answers(0.0, 0.0))
 
     def zone_cut(self) -> None:
         """Partitions a zone from the platform, from the other zones, or from both."""
@@ -171,7 +171,7 @@
             for place in places:
                 simulation.network.heal(zone, place)
 
-        self._later(3.0, 60.0, heal)
+        self._call_later(3.0, 60.0, heal)
 
     def _cut_streams_between(self, first: str, second: str) -> None:
         for engine in self._simulation.engines.values():
@@ -188,7 +188,7 @@
         def heal() -> None:
             network.datagram_faults = DatagramFaults()
 
-        self._later(10.0, 40.0, heal)
+        self._call_later(10.0, 40.0, heal)
 
     def operator_race(self) -> None:
         """Makes several operators publish concurrently."""
--- a/src/troutswitch/standalone/simulation/fleet_simulation.py
+++ b/src/troutswitch/standalone/simulation/fleet_simulation.py
@@ -269,7 +269,7 @@
             if status != "running" and not record.is_read:
                 self.batch_callers.read_results(record)
 
-        self.batch_callers.ask_status(record, lambda view: read_when_finished(view.status))
+        self.batch_callers.request_status(record, lambda view: read_when_finished(view.status))
 
     def _is_network_unsettled(self) -> bool:
         """Returns whether a network cut lasts or healed too recently to check the daemons."""
@@ -321,7 +321,7 @@
             "",
             {
                 "online_outcomes": dict(sorted(counts.items())),
-                "batch_cancelled_jobs": sum(1 for job in jobs if job.cancel_asked),
+                "batch_cancelled_jobs": sum(1 for job in jobs if job.cancel_requested),
                 "log_entries": sum(len(e) for e in self.platform.log.streams.values()),
                 "log_bytes": self.platform.log.appended_bytes,
                 "batch_yielded": sum(
--- a/src/troutswitch/standalone/simulation/observer.py
+++ b/src/troutswitch/standalone/simulation/observer.py
@@ -52,7 +52,7 @@
     accepted_at: float = float("inf")
     may_exist: bool = False
     refusals: int = 0
-    cancel_asked: bool = False
+    cancel_requested: bool = False
     cancelled_at: float = float("inf")
     results: list[ItemResult] = field(default_factory=list)
     is_read: bool = False
@@ -84,9 +84,9 @@
 
     def on_work_sent(self, now: float, engine: str, leaving_since: float, work: str) -> None:
         """Records new work that reached an engine."""
-        late = now - leaving_since
-        if late > LEAVING_GRACE_SECONDS:
-            self.record_violation(f"{engine} got work {work} {late:.2f} s after it began to leave")
+        delay = now - leaving_since
+        if delay > LEAVING_GRACE_SECONDS:
+            self.record_violation(f"{engine} got work {work} {delay:.2f} s after it began to leave")
 
     def on_run(self, work: str, stream_id: str) -> None:
         """Records an attempt that an engine accepted."""
@@ -140,9 +140,11 @@
         record = self._job_by_id.get(effect.job_id)
         if record is None:
             return
-        late = now - max(record.cancelled_at, daemon.resumed_at)
-        if late > CANCEL_GRACE_SECONDS and daemon.has_fresh_replicas(now):
-            self.record_violation(f"{effect.job_id} dispatched {late:.2f} s after its cancellation")
+        delay = now - max(record.cancelled_at, daemon.resumed_at)
+        if delay > CANCEL_GRACE_SECONDS and daemon.has_fresh_replicas(now):
+            self.record_violation(
+                f"{effect.job_id} dispatched {delay:.2f} s after its cancellation"
+            )
 
     def on_job_accepted(self, now: float, record: JobRecord, view: JobView) -> None:
         """Records the acceptance of a job, which must have one id."""
@@ -200,7 +202,7 @@
         names = Counter(result.custom_id for result in record.results)
         if any(count > 1 for count in names.values()):
             self.record_violation(f"{record.key}: an item has two results")
-        if record.cancel_asked:
+        if record.cancel_requested:
             return
         missing = set(record.custom_ids) - set(names)
         if missing:
--- a/src/troutswitch/standalone/simulation/operators.py
+++ b/src/troutswitch/standalone/simulation/operators.py
@@ -22,14 +22,14 @@
         self,
         clock: VirtualClock,
         observer: Observer,
-        choose: ChooseDaemon,
+        choose_daemon: ChooseDaemon,
         rng: random.Random,
         ends_at: float,
     ) -> None:
         self.verdicts: dict[str, PublicationVerdict] = {}
         self._clock = clock
         self._observer = observer
-        self._choose = choose
+        self._choose_daemon = choose_daemon
         self._rng = rng
         self._ends_at = ends_at
         self._count = 0
@@ -51,7 +51,7 @@
 
     def publish(self) -> None:
         """Publishes one change against the configuration version of the chosen daemon."""
-        daemon = self._choose()
+        daemon = self._choose_daemon()
         if daemon is None:
             return
         self._count += 1
--- a/src/troutswitch/standalone/simulation/report.py
+++ b/src/troutswitch/standalone/simulation/report.py
@@ -34,8 +34,8 @@
     lines = [
         f"# {title}",
         "",
-        f"The ideal that knows all arrivals does {ideal:.2f} batch items a second. The harm",
-        "ratio is the larger of first token p99 and gap p99 against the run without batch.",
+        f"An ideal schedule that knows all arrivals completes {ideal:.2f} batch items per second.",
+        "The harm ratio is the larger of first token p99 and gap p99, relative to no batch.",
         "",
         table(runs),
         "",
--- a/src/troutswitch/standalone/simulation/scenarios.py
+++ b/src/troutswitch/standalone/simulation/scenarios.py
@@ -11,16 +11,18 @@
 
     Attributes:
         online_per_second: mean rate of online requests.
-        burst_every_seconds: mean time between bursts of online requests.
-        burst_requests: online requests in one burst.
-        heap_every_seconds: mean time between bursts of batch jobs.
-        jobs_per_heap: minimum and maximum number of jobs in one burst.
+        online_burst_interval_seconds: mean time between bursts of online requests.
+        requests_per_online_burst: online requests in one burst.
+        job_burst_interval_seconds: mean time between bursts of batch jobs.
+        jobs_per_burst: minimum and maximum number of jobs in one burst.
         items_per_job: minimum and maximum number of items in one job.
         online_tokens: minimum and maximum number of tokens of an online answer.
+        online_prompt: minimum and maximum number of tokens of an online prompt.
         batch_tokens: minimum and maximum number of tokens of a batch answer.
+        batch_prompt: minimum and maximum number of tokens of a batch prompt.
         prefixes: number of distinct shared prompt prefixes.
         cancel_share: share of jobs that are cancelled.
-        once_share: share of requests and jobs that must run at most once.
+        non_repeatable_share: share of requests and jobs that must run at most once.
     """
 
     online_per_second: float = 6.0
--- a/src/troutswitch/standalone/standins/__init__.py
+++ b/src/troutswitch/standalone/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins for what the standalone daemon talks to, and a load generator."""
+"""Stand-ins for the services that the standalone daemon calls, and a load generator."""
--- a/src/troutswitch/standalone/standins/engine.py
+++ b/src/troutswitch/standalone/standins/engine.py
@@ -94,13 +94,13 @@
                 now = time.monotonic()
                 self._model.advance(now)
                 self._model.take_changed()
-                self._loads.append((now, self._report()))
+                self._loads.append((now, self._load_report()))
                 while len(self._loads) > 1 and self._loads[1][0] <= now - LOAD_LAG_SECONDS:
                     self._loads.popleft()
                 if self._model.running or self._model.sequences:
                     self._advanced.notify_all()
 
-    def _report(self) -> LoadReport:
+    def _load_report(self) -> LoadReport:
         counts = self._model.counts()
         spec = self._model.spec
         events = len(self._model.cache_events)
@@ -151,7 +151,7 @@
 
     def _load_response(self) -> Response:
         with self._advanced:
-            report = self._loads[0][1] if self._loads else self._report()
+            report = self._loads[0][1] if self._loads else self._load_report()
         if self.is_leaving:
             report = msgspec.structs.replace(report, leaving=True)
         return Response(200, msgspec.json.encode(report))
--- a/src/troutswitch/standalone/standins/engine_model.py
+++ b/src/troutswitch/standalone/standins/engine_model.py
@@ -51,7 +51,7 @@
 
     stream_id: str
     priority: int
-    order: int
+    ordinal: int
     prompt_tokens: int
     max_tokens: int
     prefix: str = ""
@@ -114,7 +114,7 @@
         self.cache_events: list[CacheEvent] = []
         self._waiting: list[tuple[int, int, Sequence]] = []
         self._cache: OrderedDict[str, int] = OrderedDict()
-        self._orders = itertools.count()
+        self._ordinals = itertools.count()
         self._kv_used = 0
         self._changed: list[Sequence] = []
 
@@ -142,7 +142,7 @@
         sequence = Sequence(
             stream_id,
             priority,
-            next(self._orders),
+            next(self._ordinals),
             prompt_tokens,
             max(max_tokens, 1),
             prefix,
@@ -150,7 +150,7 @@
             min(resume_from, max_tokens),
         )
         self.sequences[stream_id] = sequence
-        heapq.heappush(self._waiting, (priority, sequence.order, sequence))
+        heapq.heappush(self._waiting, (priority, sequence.ordinal, sequence))
         return sequence
 
     def cancel(self, now: float, stream_id: str) -> bool:
@@ -205,10 +205,10 @@
                 self.time = now
                 return
             steps, duration, chunk = self._next_steps()
-            whole = min(steps, int((now - self.time) / duration + STEP_TOLERANCE))
-            if whole <= 0:
+            due_steps = min(steps, int((now - self.time) / duration + STEP_TOLERANCE))
+            if due_steps <= 0:
                 return
-            self._run(whole, duration, chunk)
+            self._run(due_steps, duration, chunk)
 
     def _close_step(self, now: float) -> None:
         """Completes the step in progress, so that a change takes effect with the next one."""
@@ -236,15 +236,15 @@
             )
             self.running.append(sequence)
 
-    def _prefilling(self) -> Sequence | None:
+    def _first_prefilling(self) -> Sequence | None:
         candidates = [s for s in self.running if s.prefill_remaining > 0]
-        return min(candidates, key=lambda s: (s.priority, s.order), default=None)
+        return min(candidates, key=lambda s: (s.priority, s.ordinal), default=None)
 
     def _next_steps(self) -> tuple[int, float, int]:
         """Returns the number of equal steps ahead, the time of one, and its prompt tokens."""
         spec = self.spec
         decoding = [s for s in self.running if s.prefill_remaining == 0]
-        prefilling = self._prefilling()
+        prefilling = self._first_prefilling()
         steps = min((s.max_tokens - s.generated for s in decoding), default=1 << 30)
         chunk = 0
         if prefilling is not None:
@@ -256,9 +256,9 @@
         return max(1, steps), duration, chunk
 
     def _run(self, steps: int, duration: float, chunk: int) -> None:
-        prefilling = self._prefilling()
+        prefilling = self._first_prefilling()
         online = 0
-        began = self.time
+        step_start = self.time
         self.time += steps * duration
         for sequence in list(self.running):
             if sequence.prefill_remaining > 0:
@@ -271,14 +271,16 @@
             prefilling.prefill_remaining -= chunk * steps
             if prefilling.prefill_remaining <= 0:
                 self._end_prefill(prefilling)
-        self._count(steps, duration, online, began)
+        self._record_statistics(steps, duration, online, step_start)
 
-    def _count(self, steps: int, duration: float, online: int, began: float) -> None:
+    def _record_statistics(
+        self, steps: int, duration: float, online: int, step_start: float
+    ) -> None:
         statistics = self.statistics
         if online:
             statistics.online_gaps[round(duration * 10_000)] += steps * online
-        statistics.busy_slot_seconds += len(self.running) * (self.time - began)
-        statistics.busy_seconds += self.time - began
+        statistics.busy_slot_seconds += len(self.running) * (self.time - step_start)
+        statistics.busy_seconds += self.time - step_start
 
     def _end_prefill(self, sequence: Sequence) -> None:
         sequence.prefill_remaining = 0
--- a/src/troutswitch/standalone/standins/load_generator.py
+++ b/src/troutswitch/standalone/standins/load_generator.py
@@ -81,8 +81,8 @@
 
 def _run_stream(plan: LoadPlan, number: int, report: LoadReport) -> None:
     time.sleep(plan.spread_seconds * number / max(1, plan.streams))
-    for turn in range(plan.requests):
-        _run_request(plan, f"{number}-{turn}", number, report)
+    for index in range(plan.requests):
+        _run_request(plan, f"{number}-{index}", number, report)
 
 
 def _run_request(plan: LoadPlan, name: str, number: int, report: LoadReport) -> None:
@@ -122,7 +122,7 @@
         connection.request("POST", "/v1/completions", json.dumps(body), headers)
         response = connection.getresponse()
         if response.status != 200:
-            return _refusal(response)
+            return _refusal_reason(response)
         return _read_stream(response, started, plan.is_direct, report)
     except (OSError, http.client.HTTPException) as error:
         return f"{type(error).__name__}: {error}"
@@ -130,7 +130,7 @@
         connection.close()
 
 
-def _refusal(response: http.client.HTTPResponse) -> str:
+def _refusal_reason(response: http.client.HTTPResponse) -> str:
     text = response.read().decode(errors="replace")
     try:
         error = json.loads(text).get("error", {})
--- a/tests/standalone/proofs/test_promises.py
+++ b/tests/standalone/proofs/test_promises.py
@@ -93,7 +93,7 @@
     patch.setattr(ownership.Ownership, "set_job_stopped_hook", lambda self, hook: None)
 
 
-def say_not_run_always(patch: pytest.MonkeyPatch) -> None:
+def always_report_not_run(patch: pytest.MonkeyPatch) -> None:
     def failure_outcome(
         attempts: Any, position: Any, reason: str, step: Any, peer: str, after: Any
     ) -> Any:
@@ -118,7 +118,7 @@
     patch.setattr(EngineRegistry, "mark_leaving", lambda self, now, name, incarnation: [])
 
 
-def stop_at_once(patch: pytest.MonkeyPatch) -> None:
+def stop_without_draining(patch: pytest.MonkeyPatch) -> None:
     def check_drained(self: Any, now: float) -> Any:
         self._drain_check_at = float("inf")
         return [Drained()]
@@ -188,7 +188,7 @@
     Proof(
         "not run is only said when true",
         ("stream_cut", "engine_death"),
-        say_not_run_always,
+        always_report_not_run,
         "not run",
         minutes=4.0,
         workload={"non_repeatable_share": 0.5, "online_per_second": 20.0},
@@ -217,7 +217,7 @@
     Proof(
         "a planned stop cuts no request",
         ("planned_stop",),
-        stop_at_once,
+        stop_without_draining,
         "planned stop",
         minutes=5.0,
     ),
--- a/tests/standalone/system/fleet.py
+++ b/tests/standalone/system/fleet.py
@@ -49,7 +49,7 @@
             return False
         return bool(models["data"])
 
-    def knows(self, engines: Iterable[str], daemons: Iterable[str]) -> bool:
+    def has_discovered(self, engines: Iterable[str], daemons: Iterable[str]) -> bool:
         status = json.loads(call(self.operators, "GET", "/status")[1])
         alive = {row["name"] for row in status["members"] if row["state"] == "alive"}
         return alive >= set(daemons) and {row["name"] for row in status["engines"]} >= set(engines)
@@ -81,9 +81,9 @@
     errors: IO[bytes] = field(default_factory=tempfile.TemporaryFile)
 
     def __post_init__(self) -> None:
-        self.platform = self.take_address()
+        self.platform = self.allocate_address()
 
-    def take_address(self) -> Address:
+    def allocate_address(self) -> Address:
         return Address(HOST, self.ports.reserve())
 
     def log_lines(self) -> list[dict[str, Any]]:
@@ -112,14 +112,14 @@
         return self
 
     def start_engine(self, name: str) -> None:
-        address = self.take_address()
+        address = self.allocate_address()
         self.engines[name] = address
         arguments = ["--address", str(address), "--name", name, "--zone", "north"]
         platform = ["--service", SERVICE, "--platform", str(self.platform)]
         self.spawn("standin", "engine", *arguments, *platform)
 
     def start_daemon(self, name: str) -> DaemonProcess:
-        callers, batch, operators, peers = (self.take_address() for _ in range(4))
+        callers, batch, operators, peers = (self.allocate_address() for _ in range(4))
         process = self.spawn(
             "daemon",
             *("--name", name, "--zone", "north", "--fleet-key", "test-fleet-key"),
@@ -139,7 +139,7 @@
         for daemon in self.daemons.values():
             wait_until(daemon.is_ready, f"{daemon.name} is ready")
         for daemon in self.daemons.values():
-            knows_all = partial(daemon.knows, self.engines, self.daemons)
+            knows_all = partial(daemon.has_discovered, self.engines, self.daemons)
             wait_until(knows_all, f"{daemon.name} knows all engines and daemons")
 
     def set_faults(self, address: Address, **plan: object) -> None:
