--- a/src/troutswitch/standalone/callers/relay.py
+++ b/src/troutswitch/standalone/callers/relay.py
@@ -65,7 +65,7 @@
         return self._work.arrival.request_id
 
     def texts(self) -> Iterator[str]:
-        """Yields the text of the answer in order; sets `outcome` before it ends."""
+        """Yields the text of the answer in order, and sets `outcome` when the answer ends."""
         request_id = self._work.arrival.request_id
         channel = self._runner.open_channel(request_id)
         try:
@@ -117,9 +117,9 @@
             return
         finally:
             stream.close()
-        is_complete_answer = self._assembler.is_complete
-        kind = AttemptOutcome.COMPLETED if is_complete_answer else AttemptOutcome.CUT
-        self._report_end(directive, kind, "" if is_complete_answer else "pieces are missing")
+        is_complete = self._assembler.is_complete
+        kind = AttemptOutcome.COMPLETED if is_complete else AttemptOutcome.CUT
+        self._report_end(directive, kind, "" if is_complete else "pieces are missing")
 
     def _completion_request(self, directive: StartOnlineAttempt) -> CompletionRequest:
         arrival = self._work.arrival
--- a/src/troutswitch/standalone/simulation/callers.py
+++ b/src/troutswitch/standalone/simulation/callers.py
@@ -121,7 +121,7 @@
             now + REQUEST_SECONDS, repeatable, key,
         )  # fmt: skip
 
-        def on_first() -> None:
+        def on_first_token() -> None:
             record.first_token_at = min(record.first_token_at, self._clock.now())
 
         def on_finish(outcome: OnlineOutcome | None) -> None:
@@ -136,7 +136,7 @@
                     ),
                 )
 
-        daemon.send_online(arrival, on_first, on_finish)
+        daemon.send_online(arrival, on_first_token, on_finish)
 
 
 class BatchCallers:
@@ -171,10 +171,10 @@
         if self._clock.now() >= self._ends_at:
             return
         for _ in range(self._rng.randint(*self._scenario.workload.jobs_per_burst)):
-            self._new_job()
+            self._create_job()
         self._schedule_job_burst()
 
-    def _new_job(self) -> None:
+    def _create_job(self) -> None:
         workload = self._scenario.workload
         self._count += 1
         name = f"job-{self._count}"
@@ -257,7 +257,7 @@
         event = JobCancelRequested(token, JOB_TENANT, record.accepted_id, deadline)
         daemon.call(token, event, on_answer)
 
-    # At the end.
+    # Reads after the load.
 
     def request_status(self, record: JobRecord, on_view: Callable[[JobView], None]) -> None:
         """Requests a job's state from any daemon."""
--- a/src/troutswitch/standalone/simulation/daemon.py
+++ b/src/troutswitch/standalone/simulation/daemon.py
@@ -62,11 +62,11 @@
 
     arrival: OnlineArrived
     on_finish: Callable[[OnlineOutcome | None], None]
-    on_first: Callable[[], None]
+    on_first_token: Callable[[], None]
     position: int = 0
     stream_id: str = ""
     engine: str = ""
-    has_first: bool = False
+    has_first_token: bool = False
 
 
 @dataclass(frozen=True)
@@ -166,14 +166,14 @@
     def send_online(
         self,
         arrival: OnlineArrived,
-        on_first: Callable[[], None],
+        on_first_token: Callable[[], None],
         on_finish: Callable[[OnlineOutcome | None], None],
     ) -> None:
         """Submits an online request; `on_finish` gets None if the machine is lost."""
         if not self.is_alive:
             on_finish(None)
             return
-        self._relays[arrival.request_id] = SimulatedRelay(arrival, on_finish, on_first)
+        self._relays[arrival.request_id] = SimulatedRelay(arrival, on_finish, on_first_token)
         self.post(arrival)
 
     def call(
@@ -282,12 +282,12 @@
         arrival = relay.arrival
         start = relay.position
 
-        def on_first(leaving: bool) -> None:
+        def on_first_token(leaving: bool) -> None:
             if not self.is_alive or relay.stream_id != effect.attempt_id:
                 return
-            if not relay.has_first:
-                relay.has_first = True
-                relay.on_first()
+            if not relay.has_first_token:
+                relay.has_first_token = True
+                relay.on_first_token()
             self.post(OnlineFirstToken(effect.request_id, effect.attempt_id, leaving))
 
         def on_end(end: StreamEnd) -> None:
@@ -296,7 +296,7 @@
         self._context.engines[effect.engine].submit(
             self.zone, effect.attempt_id, arrival.request_id, effect.incarnation, 0,
             arrival.prompt_tokens, arrival.max_tokens, arrival.prefix, relay.position,
-            on_first, on_end,
+            on_first_token, on_end,
         )  # fmt: skip
 
     def _end_online(
@@ -321,7 +321,7 @@
     def _finish_online(self, effect: FinishOnline) -> None:
         relay = self._relays.pop(effect.request_id)
         outcome = effect.outcome
-        if relay.has_first and isinstance(outcome, NotRun | MayHaveRun):
+        if relay.has_first_token and isinstance(outcome, NotRun | MayHaveRun):
             outcome = Cut(outcome.reason, relay.position, outcome.step, outcome.peer)
         relay.on_finish(outcome)
 
--- a/src/troutswitch/standalone/simulation/engine.py
+++ b/src/troutswitch/standalone/simulation/engine.py
@@ -39,7 +39,7 @@
 
     sequence: Sequence
     reader_zone: str
-    on_first: Callable[[bool], None]
+    on_first_token: Callable[[bool], None]
     on_end: Callable[[StreamEnd], None]
     work: str
     is_ended: bool = False
@@ -66,7 +66,7 @@
         self.address = address
         self.is_alive = True
         self.leaving_since = float("inf")
-        self.starts = 1
+        self.start_count = 1
         self.model = EngineModel(spec)
         self.model.time = clock.now()
         self.finished_models: list[EngineModel] = []
@@ -76,14 +76,14 @@
         self._observer = observer
         self._rng = rng
         self._streams: dict[str, OpenStream] = {}
-        self._wake_at = float("inf")
+        self._next_wake_at = float("inf")
         self._loads: deque[tuple[float, EngineLoad]] = deque()
         self._sample()
 
     @property
     def incarnation(self) -> str:
         """Name of the engine's current incarnation."""
-        return f"{self.name}-{self.starts}"
+        return f"{self.name}-{self.start_count}"
 
     @property
     def is_leaving(self) -> bool:
@@ -132,7 +132,7 @@
         max_tokens: int,
         prefix: str,
         position: int,
-        on_first: Callable[[bool], None],
+        on_first_token: Callable[[bool], None],
         on_end: Callable[[StreamEnd], None],
     ) -> None:
         """Receives a request from a daemon in `zone`; `work` is the id of the request or item."""
@@ -147,7 +147,7 @@
                 return
             self._admit(
                 zone, stream_id, work, priority, prompt_tokens, max_tokens, prefix, position,
-                on_first, on_end,
+                on_first_token, on_end,
             )  # fmt: skip
 
         self._clock.call_later(self._network.latency(zone, self.zone), arrive)
@@ -162,7 +162,7 @@
         max_tokens: int,
         prefix: str,
         position: int,
-        on_first: Callable[[bool], None],
+        on_first_token: Callable[[bool], None],
         on_end: Callable[[StreamEnd], None],
     ) -> None:
         now = self._clock.now()
@@ -177,7 +177,7 @@
         self._observer.on_run(work, stream_id)
         if sequence.is_online:
             self._watch_wait(now, sequence)
-        self._streams[stream_id] = OpenStream(sequence, zone, on_first, on_end, work)
+        self._streams[stream_id] = OpenStream(sequence, zone, on_first_token, on_end, work)
         self._advance_and_report()
 
     def _watch_wait(self, taken_at: float, sequence: Sequence) -> None:
@@ -218,13 +218,13 @@
         for sequence in self.model.take_changed():
             self._report(sequence)
         due = self.model.next_change()
-        if due < self._wake_at:
-            self._wake_at = due
+        if due < self._next_wake_at:
+            self._next_wake_at = due
             self._clock.call_at(due, lambda: self._wake(due))
 
     def _wake(self, due: float) -> None:
-        if self._wake_at == due:
-            self._wake_at = float("inf")
+        if self._next_wake_at == due:
+            self._next_wake_at = float("inf")
         self._advance_and_report()
 
     def _report(self, sequence: Sequence) -> None:
@@ -240,11 +240,13 @@
             )
         elif stream.sequence.first_token_at <= sequence.first_token_at:
             delay = self._network.latency(self.zone, stream.reader_zone)
-            self._clock.call_at(sequence.first_token_at + delay, lambda: self._first(stream))
+            self._clock.call_at(
+                sequence.first_token_at + delay, lambda: self._deliver_first_token(stream)
+            )
 
-    def _first(self, stream: OpenStream) -> None:
+    def _deliver_first_token(self, stream: OpenStream) -> None:
         if not stream.is_ended:
-            stream.on_first(self.is_leaving)
+            stream.on_first_token(self.is_leaving)
 
     def _finish(self, stream_id: str, stream: OpenStream) -> None:
         if not stream.is_ended and not self._network.is_connected(self.zone, stream.reader_zone):
@@ -298,12 +300,12 @@
         self.finished_models.append(self.model)
         self.model = EngineModel(self._spec)
         self.model.time = self._clock.now()
-        self.starts += 1
+        self.start_count += 1
         self.is_alive = True
         self.leaving_since = float("inf")
         self._loads.clear()
         self._loads.append((self._clock.now(), self._load_now()))
-        self._wake_at = float("inf")
+        self._next_wake_at = float("inf")
 
     def start_leaving(self) -> None:
         """Starts reporting that the engine is leaving; it still accepts requests."""
--- a/src/troutswitch/standalone/simulation/fleet_simulation.py
+++ b/src/troutswitch/standalone/simulation/fleet_simulation.py
@@ -253,11 +253,11 @@
 
     def _settle(self) -> None:
         """Waits until requests and accepted jobs are finished and all results were read."""
-        until = self.clock.now() + MAX_SETTLE_SECONDS
+        settle_deadline = self.clock.now() + MAX_SETTLE_SECONDS
         pending = self._accepted_jobs()
         while (
             pending or self._open_requests() or self._is_network_unsettled()
-        ) and self.clock.now() < until:
+        ) and self.clock.now() < settle_deadline:
             self.clock.run_until(self.clock.now() + SETTLE_STEP_SECONDS)
             for record in pending:
                 self._request_status(record)
--- a/src/troutswitch/standalone/simulation/observer.py
+++ b/src/troutswitch/standalone/simulation/observer.py
@@ -163,7 +163,7 @@
             self.record_violation(f"{machine} went from configuration {before} back to {version}")
         self._versions[machine] = max(before, version)
 
-    # At the end.
+    # Final checks.
 
     def check_online(self) -> None:
         """Checks all online requests after the simulation has settled."""
