--- a/src/troutswitch/standalone/decisions/batch/dispatcher.py
+++ b/src/troutswitch/standalone/decisions/batch/dispatcher.py
@@ -161,7 +161,11 @@
             return []
         work = self._by_engine.get(name)
         running_count = len(work.running) if work is not None else 0
-        return [SendDatagram(address, BatchSlotRequest(self._membership.name, name, running_count, wanted))]
+        return [
+            SendDatagram(
+                address, BatchSlotRequest(self._membership.name, name, running_count, wanted)
+            )
+        ]
 
     def on_grant(self, now: float, message: SlotGrant) -> list[Effect]:
         """Applies a grant: fills new slots, or cancels the items that exceed it."""
--- a/src/troutswitch/standalone/decisions/daemon.py
+++ b/src/troutswitch/standalone/decisions/daemon.py
@@ -229,12 +229,18 @@
             messages.SyncReply: membership.on_sync_reply,
             messages.ConfigurationRequest: configuration.on_request,
             messages.ConfigurationEntries: configuration.on_entries,
-            messages.BatchSlotRequest: lambda now, sender, m: self.stewardship.on_slot_request(now, m),
+            messages.BatchSlotRequest: lambda now, sender, m: self.stewardship.on_slot_request(
+                now, m
+            ),
             messages.SlotGrant: lambda now, sender, m: self.dispatcher.on_grant(now, m),
             messages.OnlineNotice: lambda now, sender, m: self.stewardship.on_online_notice(now, m),
             messages.EngineLeaving: self._on_engine_leaving,
-            messages.ShardStreamGrown: lambda now, sender, m: self.ownership.on_stream_grown(now, m),
-            messages.ShardHandoverRequest: lambda now, sender, m: self.ownership.on_shard_wanted(now, m),
+            messages.ShardStreamGrown: lambda now, sender, m: self.ownership.on_stream_grown(
+                now, m
+            ),
+            messages.ShardHandoverRequest: lambda now, sender, m: self.ownership.on_shard_wanted(
+                now, m
+            ),
         }
 
     # Events.
--- a/src/troutswitch/standalone/decisions/gossip.py
+++ b/src/troutswitch/standalone/decisions/gossip.py
@@ -28,9 +28,7 @@
 
     def take(self) -> list[str]:
         """Returns the members whose updates to send next, most remaining sends first."""
-        names = heapq.nlargest(
-            MAX_GOSSIP_UPDATES, self._remaining, key=self._remaining.__getitem__
-        )
+        names = heapq.nlargest(MAX_GOSSIP_UPDATES, self._remaining, key=self._remaining.__getitem__)
         for name in names:
             self._remaining[name] -= 1
             if self._remaining[name] <= 0:
--- a/src/troutswitch/standalone/operators/app.py
+++ b/src/troutswitch/standalone/operators/app.py
@@ -51,7 +51,9 @@
             case ("GET", "/status"):
                 return _call_response(self._context.call(lambda token, _: StatusRequested(token)))
             case ("GET", "/configuration"):
-                return _call_response(self._context.call(lambda token, _: ConfigurationTreeRequested(token)))
+                return _call_response(
+                    self._context.call(lambda token, _: ConfigurationTreeRequested(token))
+                )
             case ("GET", "/configuration/effective"):
                 return self._effective(request)
             case ("GET", "/configuration/history"):
