--- a/tests/decisions/forwarding/test_expired_entries.py
+++ b/tests/decisions/forwarding/test_expired_entries.py
@@ -9,8 +9,8 @@
 import pytest
 
 from tests.decisions.forwarding.harness import engine
-from tests.worlds.gateway_world import GatewayWorld
-from tests.worlds.plain_formats import SERVICE
+from tests.simulation.fleet import SimulatedFleet
+from tests.simulation.plain_formats import SERVICE
 from troutswitch.decisions.forwarding.engine_list import EngineListReader
 from troutswitch.decisions.forwarding.engines import EngineRegistry
 from troutswitch.decisions.storage.messages import CallFailed, NewestPage, ReadNewest
@@ -71,31 +71,31 @@
 
 def test_readings_without_any_outcome_count_as_an_outage() -> None:
     """All calls are lost for 8 s; an entry expires meanwhile and is not renewed immediately."""
-    world = GatewayWorld(1)
-    world.run(3.0)
-    call_store = world._call_store
-    world._call_store = lambda daemon, call: None  # type: ignore[method-assign]
-    world.run(8.0)
-    assert world.daemons["daemon-0"].core.membership.reader.attempts.failures
-    world.remove_engine("server-0")
-    world._call_store = call_store  # type: ignore[method-assign]
-    returned_at = world.now
-    while any(d.core.engines.listed_at < returned_at for d in world.daemons.values()):
-        world.run(0.05)
-    for name, daemon in world.daemons.items():
+    fleet = SimulatedFleet(1)
+    fleet.run(3.0)
+    call_store = fleet._call_store
+    fleet._call_store = lambda daemon, call: None  # type: ignore[method-assign]
+    fleet.run(8.0)
+    assert fleet.daemons["daemon-0"].core.membership.reader.attempts.failures
+    fleet.remove_engine("server-0")
+    fleet._call_store = call_store  # type: ignore[method-assign]
+    returned_at = fleet.now
+    while any(d.core.engines.listed_at < returned_at for d in fleet.daemons.values()):
+        fleet.run(0.05)
+    for name, daemon in fleet.daemons.items():
         assert "server-0" in in_use(daemon.core.engines, SERVICE), name
 
 
 def test_entries_renewed_within_two_seconds_after_a_silent_outage_stay_in_use() -> None:
     for seed in range(1, 6):
-        world = GatewayWorld(seed)
-        world.run(3.0)
-        world.faults.is_silent = True
-        world.run(2.0)
-        world.remove_engine("server-0")
-        world.run(1.5 + 0.1 * seed)
-        world.faults.is_silent = False
+        fleet = SimulatedFleet(seed)
+        fleet.run(3.0)
+        fleet.faults.is_silent = True
+        fleet.run(2.0)
+        fleet.remove_engine("server-0")
+        fleet.run(1.5 + 0.1 * seed)
+        fleet.faults.is_silent = False
         for _ in range(18):
-            world.run(0.1)
-            for name, daemon in world.daemons.items():
+            fleet.run(0.1)
+            for name, daemon in fleet.daemons.items():
                 assert "server-0" in in_use(daemon.core.engines, SERVICE), (seed, name)
--- a/tests/decisions/forwarding/test_gone_engines.py
+++ b/tests/decisions/forwarding/test_gone_engines.py
@@ -9,8 +9,8 @@
 """
 
 from tests.decisions.forwarding.harness import engine
-from tests.worlds.gateway_world import GatewayWorld
-from tests.worlds.plain_formats import SERVICE
+from tests.simulation.fleet import SimulatedFleet
+from tests.simulation.plain_formats import SERVICE
 from troutswitch.decisions.forwarding.engines import EngineRegistry
 
 DRAIN_SECONDS = 2.0
@@ -35,14 +35,14 @@
 
 
 def test_daemon_cut_off_from_the_store_drops_engines_that_peers_no_longer_list() -> None:
-    world = GatewayWorld(1)
-    world.run(3.0)
-    cut_off_daemon = world.daemons["daemon-0"]
-    cut_off_daemon.is_cut_from_store = True
-    world.run(2.0)
-    world.remove_engine("server-0")
-    world.run(DRAIN_SECONDS)
-    for name, daemon in world.daemons.items():
+    fleet = SimulatedFleet(1)
+    fleet.run(3.0)
+    cut_off_daemon = fleet.daemons["daemon-0"]
+    cut_off_daemon.is_partitioned_from_store = True
+    fleet.run(2.0)
+    fleet.remove_engine("server-0")
+    fleet.run(DRAIN_SECONDS)
+    for name, daemon in fleet.daemons.items():
         assert "server-0" not in in_use(daemon.core.engines, SERVICE), name
     assert in_use(cut_off_daemon.core.engines, SERVICE) == {"server-1", "server-2"}
 
--- a/tests/decisions/forwarding/test_kept_missing.py
+++ b/tests/decisions/forwarding/test_kept_missing.py
@@ -1,7 +1,7 @@
 """Metrics and log lines show which missing engines stay in use, and how requests end."""
 
 from tests.decisions.forwarding.harness import ForwardingHarness, arrival, engine
-from tests.worlds.gateway_world import GatewayWorld
+from tests.simulation.fleet import SimulatedFleet
 from troutswitch.decisions.forwarding.engines import EngineRegistry
 from troutswitch.decisions.forwarding.messages import CallerGone, LogLine
 
@@ -18,13 +18,13 @@
 
 
 def test_kept_engines_are_logged_once_with_the_age_of_the_failed_reading() -> None:
-    world = GatewayWorld(1)
-    world.run(3.0)
-    core = world.daemons["daemon-0"].core
-    core.engines.on_list_failed(world.now + 4.0)
+    fleet = SimulatedFleet(1)
+    fleet.run(3.0)
+    core = fleet.daemons["daemon-0"].core
+    core.engines.on_list_failed(fleet.now + 4.0)
     core.output.take()
-    core.membership._apply_list(world.now, world.now + 5.0, [], "")
-    core.membership._apply_list(world.now, world.now + 5.5, [], "")
+    core.membership._apply_list(fleet.now, fleet.now + 5.0, [], "")
+    core.membership._apply_list(fleet.now, fleet.now + 5.5, [], "")
     lines = [i for i in core.output.take() if isinstance(i, LogLine)]
     fields = [line.fields for line in lines if line.event == "missing engines kept"]
     assert len(fields) == 1
--- a/tests/decisions/jobs/test_index.py
+++ b/tests/decisions/jobs/test_index.py
@@ -1,6 +1,6 @@
 """Age of a job, computed from the clocks of two daemons."""
 
-from tests.worlds.gateway_world import GatewayWorld
+from tests.simulation.fleet import SimulatedFleet
 from troutswitch.decisions.jobs.index import JobIndex
 from troutswitch.decisions.jobs.records import Manifest, manifest_record
 
@@ -24,16 +24,16 @@
 
 
 def test_a_job_keeps_its_age_after_a_restart_of_all_daemons() -> None:
-    world = GatewayWorld(3)
-    world.run(3.0)
-    world.hand_in("job", 4)
-    world.run(6.0)
-    for name in list(world.daemons):
-        world.kill(name)
-    world.run(3.0)
+    fleet = SimulatedFleet(3)
+    fleet.run(3.0)
+    fleet.submit_job("job", 4)
+    fleet.run(6.0)
+    for name in list(fleet.daemons):
+        fleet.kill(name)
+    fleet.run(3.0)
     ages = [
-        entry.age(world.now)
-        for daemon in world.daemons.values()
+        entry.age(fleet.now)
+        for daemon in fleet.daemons.values()
         for entry in daemon.core.jobs.replicas.index.jobs.values()
     ]
     assert ages
--- a/tests/decisions/jobs/test_ownership.py
+++ b/tests/decisions/jobs/test_ownership.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from tests.worlds.gateway_world import GatewayWorld
+from tests.simulation.fleet import SimulatedFleet
 from troutswitch.decisions.jobs.ownership import ShardOwnership
 
 OUTAGE_SECONDS = 6.0
@@ -10,20 +10,20 @@
 
 def starts_in_outage() -> int:
     """Returns the number of runs started in an outage in which the only owner lost its writes."""
-    world = GatewayWorld(1, daemons=1, engines=1)
-    world.run(3.0)
-    owner = next(iter(world.daemons.values())).core.jobs.owner
-    ownership = next(iter(world.daemons.values())).core.jobs.ownership
-    world.hand_in("job", 40)
-    world.run(1.0)
+    fleet = SimulatedFleet(1, daemons=1, engines=1)
+    fleet.run(3.0)
+    owner = next(iter(fleet.daemons.values())).core.jobs.owner
+    ownership = next(iter(fleet.daemons.values())).core.jobs.ownership
+    fleet.submit_job("job", 40)
+    fleet.run(1.0)
     assert owner.runs
-    world.faults.is_down = True
+    fleet.faults.is_down = True
     for lease in ownership.owned():
-        ownership.fence_again(world.now, lease.shard)
+        ownership.fence_again(fleet.now, lease.shard)
     assert not ownership.owned()
     before = owner.runs_started
-    world.run(OUTAGE_SECONDS)
-    assert not world.violations
+    fleet.run(OUTAGE_SECONDS)
+    assert not fleet.violations
     return owner.runs_started - before
 
 
@@ -39,8 +39,8 @@
 
 
 def test_a_shard_that_was_never_read_is_not_startable() -> None:
-    world = GatewayWorld(1, daemons=1, engines=1)
-    world.faults.is_down = True
-    world.run(5.0)
-    daemon = next(iter(world.daemons.values()))
+    fleet = SimulatedFleet(1, daemons=1, engines=1)
+    fleet.faults.is_down = True
+    fleet.run(5.0)
+    daemon = next(iter(fleet.daemons.values()))
     assert daemon.core.jobs.ownership.startable(float("-inf")) == []
--- a/tests/decisions/jobs/test_progress_reports.py
+++ b/tests/decisions/jobs/test_progress_reports.py
@@ -3,7 +3,7 @@
 import random
 from collections import Counter
 
-from tests.worlds.gateway_world import GatewayWorld
+from tests.simulation.fleet import SimulatedFleet
 from troutswitch.decisions.forwarding.routes import RouteTable
 from troutswitch.decisions.jobs.open_items import OpenItems
 from troutswitch.decisions.jobs.ownership import ShardLease, ShardOwnership, ShardState
@@ -46,23 +46,23 @@
 
 
 def run_jobs(
-    reports: ReportCounter, tokens_most: int = 0, answers_lost: float = 0.0
-) -> GatewayWorld:
-    world = GatewayWorld(2, tokens_most=tokens_most, change=reports)
-    world.run(3.0)
+    reports: ReportCounter, max_queued_tokens: int = 0, answer_loss_rate: float = 0.0
+) -> SimulatedFleet:
+    fleet = SimulatedFleet(2, max_queued_tokens=max_queued_tokens, rewrite_call=reports)
+    fleet.run(3.0)
     for number in range(JOBS):
-        world.hand_in(f"job{number}", ITEMS, tokens=TOKENS_PER_ITEM)
-    world.run(1.0)
-    world.faults.answers_lost = answers_lost
-    world.run(20.0)
-    world.faults.answers_lost = 0.0
-    world.run(10.0)
-    return world
-
-
-def assert_all_daemons_know_that_jobs_are_done(world: GatewayWorld) -> None:
-    assert world.unfinished() == []
-    for daemon in world.daemons.values():
+        fleet.submit_job(f"job{number}", ITEMS, tokens=TOKENS_PER_ITEM)
+    fleet.run(1.0)
+    fleet.faults.answer_loss_rate = answer_loss_rate
+    fleet.run(20.0)
+    fleet.faults.answer_loss_rate = 0.0
+    fleet.run(10.0)
+    return fleet
+
+
+def assert_all_daemons_know_that_jobs_are_done(fleet: SimulatedFleet) -> None:
+    assert fleet.unfinished_jobs() == []
+    for daemon in fleet.daemons.values():
         entries = daemon.core.jobs.replicas.index.jobs.values()
         assert len(entries) == JOBS
         assert not any(entry.is_open for entry in entries)
@@ -81,21 +81,21 @@
 
 
 def test_a_report_without_an_answer_is_repeated() -> None:
-    assert_all_daemons_know_that_jobs_are_done(run_jobs(ReportCounter(), answers_lost=0.6))
+    assert_all_daemons_know_that_jobs_are_done(run_jobs(ReportCounter(), answer_loss_rate=0.6))
 
 
 def test_a_successor_reports_jobs_that_its_predecessor_could_not_report() -> None:
     counter = ReportCounter()
-    world = GatewayWorld(2, change=lambda call: _without_reports(call))
-    world.run(3.0)
+    fleet = SimulatedFleet(2, rewrite_call=lambda call: _without_reports(call))
+    fleet.run(3.0)
     for number in range(JOBS):
-        world.hand_in(f"job{number}", ITEMS, tokens=TOKENS_PER_ITEM)
-    world.run(15.0)
-    world._change = counter
-    for name in list(world.daemons):
-        world.kill(name)
-    world.run(15.0)
-    assert_all_daemons_know_that_jobs_are_done(world)
+        fleet.submit_job(f"job{number}", ITEMS, tokens=TOKENS_PER_ITEM)
+    fleet.run(15.0)
+    fleet._rewrite_call = counter
+    for name in list(fleet.daemons):
+        fleet.kill(name)
+    fleet.run(15.0)
+    assert_all_daemons_know_that_jobs_are_done(fleet)
 
 
 def _without_reports(call: StoreCall) -> StoreCall:
--- a/tests/decisions/jobs/test_tenants.py
+++ b/tests/decisions/jobs/test_tenants.py
@@ -2,8 +2,8 @@
 
 import pytest
 
-from tests.worlds.gateway_world import Daemon, GatewayWorld
-from tests.worlds.plain_formats import HOST, PREFIX
+from tests.simulation.fleet import Daemon, SimulatedFleet
+from tests.simulation.plain_formats import HOST, PREFIX
 from troutswitch.decisions.jobs.messages import (
     BodyRequested,
     ItemBody,
@@ -27,16 +27,16 @@
 UNKNOWN = key_digest("nobody")
 
 
-class TenantWorld(GatewayWorld):
+class TenantFleet(SimulatedFleet):
     """Daemons with two tenants; records the tenants whose items run."""
 
-    def __init__(self, seed: int = 1, tokens_most: int = 0) -> None:
+    def __init__(self, seed: int = 1, max_queued_tokens: int = 0) -> None:
         self.run_tenants: set[str] = set()
         tenants = (
             Tenant("ours", frozenset({OURS, OURS_NEW})),
             Tenant("theirs", frozenset({THEIRS})),
         )
-        super().__init__(seed, tokens_most=tokens_most, tenants=tenants)
+        super().__init__(seed, max_queued_tokens=max_queued_tokens, tenants=tenants)
         self.run(3.0)
 
     def run_item(self, daemon: Daemon, run: RunItem) -> None:
@@ -46,7 +46,7 @@
     def call(self, event: JobCall | JobSubmitted) -> JobAnswer:
         """Makes a call and returns its answer."""
         answers: list[JobAnswer] = []
-        self.ask_any(event, answers.append)
+        self.call_any_daemon(event, answers.append)
         self.run(2.5)
         assert answers, "a call was not answered"
         return answers[0]
@@ -64,59 +64,59 @@
 
 
 def test_items_run_for_the_tenant_that_submitted_them() -> None:
-    world = TenantWorld()
-    assert isinstance(world.submit_for(OURS), JobAccepted)
-    world.run(8.0)
-    assert world.run_tenants == {"ours"}
+    fleet = TenantFleet()
+    assert isinstance(fleet.submit_for(OURS), JobAccepted)
+    fleet.run(8.0)
+    assert fleet.run_tenants == {"ours"}
 
 
 @pytest.mark.parametrize("key", ["", UNKNOWN])
 def test_calls_about_jobs_without_a_known_key_are_refused(key: str) -> None:
-    world = TenantWorld()
-    assert status(world.submit_for(key)) == 401
-    assert isinstance(world.submit_for(OURS), JobAccepted)
-    assert status(world.call(ResultsRequested(world.next_token(), "job", 0, 4.0, key))) == 401
-    assert status(world.call(BodyRequested(world.next_token(), "job", "job-0", 4.0, key))) == 401
-    assert status(world.call(JobEndRequested(world.next_token(), "job", 4.0, key))) == 401
+    fleet = TenantFleet()
+    assert status(fleet.submit_for(key)) == 401
+    assert isinstance(fleet.submit_for(OURS), JobAccepted)
+    assert status(fleet.call(ResultsRequested(fleet.next_token(), "job", 0, 4.0, key))) == 401
+    assert status(fleet.call(BodyRequested(fleet.next_token(), "job", "job-0", 4.0, key))) == 401
+    assert status(fleet.call(JobEndRequested(fleet.next_token(), "job", 4.0, key))) == 401
 
 
 def test_a_job_of_another_tenant_looks_like_one_that_does_not_exist() -> None:
-    world = TenantWorld()
-    assert isinstance(world.submit_for(OURS), JobAccepted)
+    fleet = TenantFleet()
+    assert isinstance(fleet.submit_for(OURS), JobAccepted)
     for job_id in ("job", "no-job"):
-        results = world.call(ResultsRequested(world.next_token(), job_id, 0, 4.0, THEIRS))
-        body = world.call(BodyRequested(world.next_token(), job_id, "job-0", 4.0, THEIRS))
-        end = world.call(JobEndRequested(world.next_token(), job_id, 4.0, THEIRS))
+        results = fleet.call(ResultsRequested(fleet.next_token(), job_id, 0, 4.0, THEIRS))
+        body = fleet.call(BodyRequested(fleet.next_token(), job_id, "job-0", 4.0, THEIRS))
+        end = fleet.call(JobEndRequested(fleet.next_token(), job_id, 4.0, THEIRS))
         assert {results, body, end} == {JobRefused(404, "no such job")}
     assert isinstance(
-        world.call(ResultsRequested(world.next_token(), "job", 0, 4.0, OURS)), JobResults
+        fleet.call(ResultsRequested(fleet.next_token(), "job", 0, 4.0, OURS)), JobResults
     )
 
 
 def test_each_key_of_a_tenant_has_access_to_its_jobs() -> None:
-    world = TenantWorld()
-    world.submit_for(OURS)
-    answer = world.call(BodyRequested(world.next_token(), "job", "job-0", 4.0, OURS_NEW))
+    fleet = TenantFleet()
+    fleet.submit_for(OURS)
+    answer = fleet.call(BodyRequested(fleet.next_token(), "job", "job-0", 4.0, OURS_NEW))
     assert isinstance(answer, ItemBody | JobRefused)
-    assert isinstance(world.submit_for(OURS_NEW), JobAccepted)
+    assert isinstance(fleet.submit_for(OURS_NEW), JobAccepted)
     assert isinstance(
-        world.call(JobEndRequested(world.next_token(), "job", 4.0, OURS_NEW)), JobEnded
+        fleet.call(JobEndRequested(fleet.next_token(), "job", 4.0, OURS_NEW)), JobEnded
     )
 
 
 def test_a_job_id_of_another_tenant_is_refused_as_a_conflict() -> None:
-    world = TenantWorld()
-    assert isinstance(world.submit_for(OURS), JobAccepted)
-    assert status(world.submit_for(THEIRS)) == 409
+    fleet = TenantFleet()
+    assert isinstance(fleet.submit_for(OURS), JobAccepted)
+    assert status(fleet.submit_for(THEIRS)) == 409
 
 
 def test_queued_tokens_are_counted_by_tenant() -> None:
-    world = TenantWorld(tokens_most=1000)
-    for daemon in world.daemons.values():
+    fleet = TenantFleet(max_queued_tokens=1000)
+    for daemon in fleet.daemons.values():
         daemon.core.jobs.owner.is_draining = True  # so that no item starts
-    assert isinstance(world.submit_for(OURS, "a", 900), JobAccepted)
-    assert status(world.submit_for(OURS, "b", 900)) == 429
-    assert isinstance(world.submit_for(THEIRS, "c", 900), JobAccepted)
+    assert isinstance(fleet.submit_for(OURS, "a", 900), JobAccepted)
+    assert status(fleet.submit_for(OURS, "b", 900)) == 429
+    assert isinstance(fleet.submit_for(THEIRS, "c", 900), JobAccepted)
 
 
 def test_a_manifest_keeps_its_tenant_when_encoded() -> None:
--- a/tests/decisions/peers/test_catch_up.py
+++ b/tests/decisions/peers/test_catch_up.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from tests.worlds.gateway_world import Daemon, GatewayWorld
+from tests.simulation.fleet import Daemon, SimulatedFleet
 from troutswitch.common import Address
 from troutswitch.decisions.peers.catch_up import (
     GRACE_SECONDS,
@@ -93,46 +93,46 @@
     assert hosts == ["10.0.0.9", "10.0.9.9"] * 2
 
 
-def cut_world() -> tuple[GatewayWorld, Daemon]:
-    world = GatewayWorld(1)
-    world.run(3.0)
-    world.daemons[CUT].is_cut_from_store = True
-    world.run(1.0)
-    return world, world.daemons[CUT]
+def fleet_with_partitioned_daemon() -> tuple[SimulatedFleet, Daemon]:
+    fleet = SimulatedFleet(1)
+    fleet.run(3.0)
+    fleet.daemons[CUT].is_partitioned_from_store = True
+    fleet.run(1.0)
+    return fleet, fleet.daemons[CUT]
 
 
 def test_daemon_cut_from_the_store_learns_a_configuration_from_peers() -> None:
-    world, cut = cut_world()
-    world.publish(2)
-    world.run(3.0)
+    fleet, cut = fleet_with_partitioned_daemon()
+    fleet.publish(2)
+    fleet.run(3.0)
     assert cut.core.routes.version == 2
 
 
 def test_daemon_cut_from_the_store_learns_from_peers_that_an_engine_drains() -> None:
-    world, cut = cut_world()
-    world.list_engine("server-1", 8, is_draining=True)
-    world.run(3.0)
+    fleet, cut = fleet_with_partitioned_daemon()
+    fleet.register_engine("server-1", 8, is_draining=True)
+    fleet.run(3.0)
     assert cut.core.engines.engines["server-1"].is_draining
 
 
 def test_daemon_that_starts_cut_from_the_store_becomes_ready_through_peers() -> None:
-    world, _ = cut_world()
-    world.kill(CUT, down=0.5)
-    world.run(4.0)
-    restarted = world.daemons[CUT]
+    fleet, _ = fleet_with_partitioned_daemon()
+    fleet.kill(CUT, down=0.5)
+    fleet.run(4.0)
+    restarted = fleet.daemons[CUT]
     assert restarted.incarnation == 1
     assert restarted.core.is_ready
 
 
 def test_older_state_of_a_peer_does_not_replace_newer_state() -> None:
-    world, cut = cut_world()
-    cut.is_cut_from_store = False
-    world.publish(5)
-    world.run(2.0)
-    peer = world.daemons["daemon-1"]
+    fleet, cut = fleet_with_partitioned_daemon()
+    cut.is_partitioned_from_store = False
+    fleet.publish(5)
+    fleet.run(2.0)
+    peer = fleet.daemons["daemon-1"]
     peer.core.routes.configuration = None
-    cut.is_cut_from_store = True
-    world.run(3.0)
+    cut.is_partitioned_from_store = True
+    fleet.run(3.0)
     assert cut.core.routes.version == 5
 
 
@@ -140,12 +140,12 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(PeerCatchUp, "on_timer", lambda *_: [])
-    world, cut = cut_world()
-    world.publish(2)
-    world.list_engine("server-1", 8, is_draining=True)
-    world.run(3.0)
+    fleet, cut = fleet_with_partitioned_daemon()
+    fleet.publish(2)
+    fleet.register_engine("server-1", 8, is_draining=True)
+    fleet.run(3.0)
     assert cut.core.routes.version == 1
     assert not cut.core.engines.engines["server-1"].is_draining
-    world.kill(CUT, down=0.5)
-    world.run(4.0)
-    assert not world.daemons[CUT].core.is_ready
+    fleet.kill(CUT, down=0.5)
+    fleet.run(4.0)
+    assert not fleet.daemons[CUT].core.is_ready
--- a/tests/decisions/tenants/test_coordinated_quota.py
+++ b/tests/decisions/tenants/test_coordinated_quota.py
@@ -5,7 +5,7 @@
 import pytest
 
 from tests.decisions.forwarding.harness import engine
-from tests.worlds.quota_world import FixedFleet
+from tests.simulation.quota_fleet import FixedFleet
 from troutswitch.common import Address
 from troutswitch.daemons import datagram
 from troutswitch.daemons.identity import DaemonIdentity
--- a/tests/decisions/tenants/test_machine.py
+++ b/tests/decisions/tenants/test_machine.py
@@ -12,7 +12,7 @@
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
 
 from tests.decisions.forwarding.harness import engine
-from tests.worlds.quota_world import FixedFleet
+from tests.simulation.quota_fleet import FixedFleet
 from troutswitch.common import Address
 from troutswitch.daemons.identity import DaemonIdentity
 from troutswitch.daemons.messages import QuotaDecision, QuotaRequest
--- a/tests/decisions/test_gateway.py
+++ b/tests/decisions/test_gateway.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from tests.worlds.gateway_world import Daemon, GatewayWorld
+from tests.simulation.fleet import Daemon, SimulatedFleet
 from troutswitch.common import Address
 from troutswitch.decisions.active_configuration import CONFIGURATION_WAIT_SHARE
 from troutswitch.decisions.engine_membership import ENGINE_LIST_SHARE
@@ -22,39 +22,39 @@
 
 
 def test_item_that_has_begun_no_longer_counts_as_waiting_prefill() -> None:
-    world = GatewayWorld(1)
-    world.run(START_SECONDS)
-    world.hand_in("job", 3, tokens=1000)
+    fleet = SimulatedFleet(1)
+    fleet.run(START_SECONDS)
+    fleet.submit_job("job", 3, tokens=1000)
     for _ in range(40):
-        world.run(0.05)
-        owner = next((d for d in world.daemons.values() if d.core.jobs.owner.runs), None)
+        fleet.run(0.05)
+        owner = next((d for d in fleet.daemons.values() if d.core.jobs.owner.runs), None)
         if owner is not None:
             break
     assert owner is not None
-    world.run(AFTER_START_SECONDS)
+    fleet.run(AFTER_START_SECONDS)
     assert owner.core.jobs.owner.runs
     assert all(run.has_first_token for run in owner.core.jobs.owner.runs.values())
     assert waiting_prefill(owner) == 0
 
 
 def test_unhandled_event_type_is_an_error() -> None:
-    world = GatewayWorld(1)
-    daemon = next(iter(world.daemons.values()))
+    fleet = SimulatedFleet(1)
+    daemon = next(iter(fleet.daemons.values()))
     with pytest.raises(AssertionError, match="unreachable"):
         daemon.core.step(0.0, object())  # type: ignore[arg-type]
 
 
 def test_event_of_an_unknown_run_is_ignored() -> None:
-    world = GatewayWorld(1)
-    world.run(START_SECONDS)
-    daemon = next(iter(world.daemons.values()))
+    fleet = SimulatedFleet(1)
+    fleet.run(START_SECONDS)
+    daemon = next(iter(fleet.daemons.values()))
     daemon.core.step(START_SECONDS, ItemBegun(999))
     assert waiting_prefill(daemon) == 0
 
 
 def test_changed_bounds_apply_immediately() -> None:
-    world = GatewayWorld(1)
-    core = next(iter(world.daemons.values())).core
+    fleet = SimulatedFleet(1)
+    core = next(iter(fleet.daemons.values())).core
     core.step(0.0, BoundsChanged(drain_bound=1.0, apply_bound=4.0, job_retention=60.0))
     assert core.membership.reader.interval == ENGINE_LIST_SHARE * 1.0
     assert core.configuration.follower.wait == CONFIGURATION_WAIT_SHARE * 4.0
@@ -62,8 +62,8 @@
 
 
 def test_reads_slow_down_only_in_a_fleet_that_would_exceed_the_store_s_read_bound() -> None:
-    world = GatewayWorld(1)
-    core = next(iter(world.daemons.values())).core
+    fleet = SimulatedFleet(1)
+    core = next(iter(fleet.daemons.values())).core
     core.identity = replace(core.identity, store_reads_per_second=2000.0)
     for peers in (10, 300):
         address = Address("10.0.9.9", 7)
--- a/tests/forms/forms.py
+++ b/tests/forms/forms.py
@@ -1,4 +1,4 @@
-"""Compares forms with the bytes in `data`; shared by the tests here and by `write`."""
+"""Compares encoded samples with the bytes in `data`; shared by the tests here and by `write`."""
 
 import json
 from collections.abc import Callable, Mapping
@@ -13,39 +13,39 @@
 
 
 @dataclass(frozen=True)
-class Form:
-    """One form: `encode` writes a fixed value, `again` decodes bytes and encodes the result."""
+class Sample:
+    """A fixed value: `encode` encodes it, `reencode` decodes bytes and encodes the result."""
 
     encode: Callable[[], bytes]
-    again: Callable[[bytes], bytes] | None = None
+    reencode: Callable[[bytes], bytes] | None = None
 
 
-Forms = Mapping[str, Form]
+Samples = Mapping[str, Sample]
 
 
 def stored(kind: str) -> dict[str, Any]:
-    """Returns the held forms of a kind: bytes in hexadecimal, or plain JSON, by name."""
-    held: dict[str, Any] = json.loads((DATA / f"{kind}.json").read_text())
-    return held
+    """Returns the expected data of a kind by sample name: hexadecimal bytes or plain JSON."""
+    data: dict[str, Any] = json.loads((DATA / f"{kind}.json").read_text())
+    return data
 
 
-def check_all_are_held(kind: str, names: Mapping[str, object]) -> None:
-    """Each sample has held data, and no held data has lost its sample."""
+def check_samples_match_data(kind: str, names: Mapping[str, object]) -> None:
+    """Checks that every sample has expected data, and that all expected data has a sample."""
     assert set(names) == set(stored(kind))
 
 
-def check_form(kind: str, name: str, form: Form) -> None:
-    """A fixed value is encoded to the held bytes, and these come back after a decoding."""
+def check_sample(kind: str, name: str, sample: Sample) -> None:
+    """Checks that a sample encodes to the expected bytes, and that these survive a round trip."""
     expected = bytes.fromhex(stored(kind)[name])
-    assert form.encode() == expected
-    if form.again is not None:
-        assert form.again(expected) == expected
+    assert sample.encode() == expected
+    if sample.reencode is not None:
+        assert sample.reencode(expected) == expected
 
 
 def plain(value: object) -> Any:
-    """Returns a value by the places of its fields alone, as JSON can hold it.
+    """Returns a value as plain JSON types, with fields by position instead of by name.
 
-    Names of fields and of enumerations' members are left out: they never leave the program.
+    Names of fields and of enumeration members are left out, since they never leave the process.
     """
     if isinstance(value, Enum):
         return ["enumeration", list(type(value)).index(value)]
--- a/tests/forms/http_server.py
+++ b/tests/forms/http_server.py
@@ -1,4 +1,4 @@
-"""A server on the loopback interface that takes one request and answers that it is busy."""
+"""A loopback server that receives one request and answers it with status 503."""
 
 import socket
 import threading
@@ -11,31 +11,33 @@
 
 
 def sent_to_server(call: Callable[[Address], object]) -> bytes:
-    """Returns the bytes that a call sends to a server at an address, its port told as PORT."""
+    """Returns the bytes that a call sends to a server; `PORT` replaces the port of the server."""
     with socket.create_server(("127.0.0.1", 0)) as listener:
         listener.settimeout(WAIT_SECONDS)
         port = listener.getsockname()[1]
-        held: list[bytes] = []
-        thread = threading.Thread(target=lambda: held.append(_take(listener)), daemon=True)
+        received: list[bytes] = []
+        thread = threading.Thread(
+            target=lambda: received.append(_receive_request(listener)), daemon=True
+        )
         thread.start()
         call(Address("127.0.0.1", port))
         thread.join(WAIT_SECONDS)
-    (request,) = held
+    (request,) = received
     return request.replace(f"127.0.0.1:{port}".encode(), b"127.0.0.1:PORT")
 
 
-def _take(listener: socket.socket) -> bytes:
+def _receive_request(listener: socket.socket) -> bytes:
     connection, _ = listener.accept()
     with connection:
         connection.settimeout(WAIT_SECONDS)
         data = b""
-        while not _is_whole(data):
+        while not _is_complete(data):
             data += connection.recv(65536)
         connection.sendall(BUSY)
     return data
 
 
-def _is_whole(data: bytes) -> bool:
+def _is_complete(data: bytes) -> bool:
     head, separator, body = data.partition(b"\r\n\r\n")
     if not separator:
         return False
--- a/tests/forms/samples.py
+++ b/tests/forms/samples.py
@@ -1,10 +1,10 @@
-"""Builds one value of each form, by position or by the shortest path.
+"""The samples: one or more values of everything that leaves the process.
 
-The only module here that names classes and functions of the code under test. A sample is named by
-what its form is, so its name stays when the code's own names change.
+This is the only module here that names classes and functions of the code under test. A sample is
+named by its meaning, so that its name stays when names in the code change.
 
-Of the types that are encoded by the order of their fields, one value each is built by the fields'
-names: were all built by position, fields that changed places would go unseen.
+Of each type whose fields are encoded by position, one value is built with keyword arguments: if
+all were built with positional ones, fields that swapped places would not be detected.
 """
 
 import random
@@ -16,18 +16,18 @@
 from typing import Any, cast
 from unittest.mock import MagicMock
 
-from tests.forms.forms import Form, plain
+from tests.forms.forms import Sample, plain
 from tests.forms.http_server import sent_to_server
 from troutswitch.common import Address, rendezvous_order, stable_hash
 from troutswitch.daemons import datagram, peer_state
 from troutswitch.daemons import messages as peer_messages
 from troutswitch.daemons.identity import DaemonIdentity
 from troutswitch.decisions import active_configuration
-from troutswitch.decisions.crashes import shared as shared_module
+from troutswitch.decisions.crashes import shared as shared_crashes
 from troutswitch.decisions.crashes.content import content_key
 from troutswitch.decisions.crashes.messages import Crash
 from troutswitch.decisions.crashes.shared import SharedCrashes
-from troutswitch.decisions.forwarding import engine_list as serverlist
+from troutswitch.decisions.forwarding import engine_list
 from troutswitch.decisions.forwarding.learned_times import BatchRunTimes, LearnedTimes
 from troutswitch.decisions.forwarding.long_prompts import homes_of
 from troutswitch.decisions.forwarding.messages import LogLine
@@ -47,7 +47,7 @@
 from troutswitch.decisions.jobs.shard import JobContent
 from troutswitch.decisions.peers import peer_registry
 from troutswitch.decisions.peers.peer_registry import PeerRegistryEntry, decode_entry, encode_entry
-from troutswitch.decisions.slots import coordinator_claims as claims_module
+from troutswitch.decisions.slots import coordinator_claims
 from troutswitch.decisions.slots.coordinator_claims import CoordinatorClaims
 from troutswitch.decisions.slots.groups import EngineGroups, assign_groups
 from troutswitch.decisions.storage.messages import (
@@ -90,8 +90,8 @@
 
 # Messages between daemons of the gateway.
 
-_REPORT_SHORT = peer_messages.HoldingsReport("d-1", "z1", HOST, 3, 4)
-_REPORT_FULL = peer_messages.HoldingsReport(
+_SHORT_REPORT = peer_messages.HoldingsReport("d-1", "z1", HOST, 3, 4)
+_FULL_REPORT = peer_messages.HoldingsReport(
     sender="d-1",
     zone="zone é",
     address=HOST,
@@ -110,21 +110,21 @@
 )
 
 
-def _peer_message(message: peer_messages.PeerMessage) -> Form:
-    return Form(
+def _peer_message_sample(message: peer_messages.PeerMessage) -> Sample:
+    return Sample(
         lambda: datagram.encode(message), lambda data: datagram.encode(datagram.decode(data))
     )
 
 
 PEER_MESSAGES = {
-    "report of holdings, defaults": _peer_message(_REPORT_SHORT),
-    "report of holdings, all fields": _peer_message(_REPORT_FULL),
-    "ask for a place, defaults": _peer_message(
-        peer_messages.SlotRequest(_REPORT_SHORT, 31, "s|z|0", 4, -1)
+    "report of holdings, defaults": _peer_message_sample(_SHORT_REPORT),
+    "report of holdings, all fields": _peer_message_sample(_FULL_REPORT),
+    "ask for a place, defaults": _peer_message_sample(
+        peer_messages.SlotRequest(_SHORT_REPORT, 31, "s|z|0", 4, -1)
     ),
-    "ask for a place, all fields": _peer_message(
+    "ask for a place, all fields": _peer_message_sample(
         peer_messages.SlotRequest(
-            report=_REPORT_FULL,
+            report=_FULL_REPORT,
             number=31,
             group="s|z|0",
             prefill_units=4,
@@ -132,10 +132,10 @@
             excluded=(41, 42),
         )
     ),
-    "answer with a place, defaults": _peer_message(
+    "answer with a place, defaults": _peer_message_sample(
         peer_messages.SlotReply("d-2", LARGE, 31, "s|z|0", 51, 4294967295, 52, 53, 54)
     ),
-    "answer of one that counts not": _peer_message(
+    "answer of one that counts not": _peer_message_sample(
         peer_messages.SlotReply(
             sender="d-2",
             incarnation=6,
@@ -149,18 +149,18 @@
             is_coordinator=False,
         )
     ),
-    "places for batch items, granted": _peer_message(
+    "places for batch items, granted": _peer_message_sample(
         peer_messages.BatchSlotGrant("d-2", 6, "s|z|0", 61, 62, 63)
     ),
-    "places for batch items, taken back": _peer_message(
+    "places for batch items, taken back": _peer_message_sample(
         peer_messages.BatchSlotGrant(
             sender="d-2", incarnation=6, group="s|z|0", grant_number=61, engine_key=62, count=-3
         )
     ),
-    "digest of a group, empty": _peer_message(
+    "digest of a group, empty": _peer_message_sample(
         peer_messages.GroupDigest("d-2", 6, "s|z|0", (), 0, 0)
     ),
-    "digest of a group, filled": _peer_message(
+    "digest of a group, filled": _peer_message_sample(
         peer_messages.GroupDigest(
             sender="d-2",
             incarnation=6,
@@ -173,8 +173,10 @@
             open_items=78,
         )
     ),
-    "sign of life, defaults": _peer_message(peer_messages.Heartbeat("d-1", "z1", HOST, 81, -1)),
-    "sign of life, claims": _peer_message(
+    "sign of life, defaults": _peer_message_sample(
+        peer_messages.Heartbeat("d-1", "z1", HOST, 81, -1)
+    ),
+    "sign of life, claims": _peer_message_sample(
         peer_messages.Heartbeat(
             sender="d-1",
             zone="z1",
@@ -187,8 +189,8 @@
             ),
         )
     ),
-    "news of crashes, empty": _peer_message(peer_messages.CrashReport("d-1", ())),
-    "news of crashes, filled": _peer_message(
+    "news of crashes, empty": _peer_message_sample(peer_messages.CrashReport("d-1", ())),
+    "news of crashes, filled": _peer_message_sample(
         peer_messages.CrashReport(
             sender="d-1",
             crashes=(
@@ -202,16 +204,18 @@
             ),
         )
     ),
-    "servers that leave, empty": _peer_message(peer_messages.EngineDrainNotice("d-1", (), ())),
-    "servers that leave, filled": _peer_message(
+    "servers that leave, empty": _peer_message_sample(
+        peer_messages.EngineDrainNotice("d-1", (), ())
+    ),
+    "servers that leave, filled": _peer_message_sample(
         peer_messages.EngineDrainNotice(
             sender="d-1", draining=("i-1", "i-2"), removed=("i-3", "i-4", "i-5")
         )
     ),
-    "ask for a quota, defaults": _peer_message(
+    "ask for a quota, defaults": _peer_message_sample(
         peer_messages.QuotaRequest("d-1", HOST, 91, "s|z|0", "tenant", 65.0, 6.5, 92, 93)
     ),
-    "ask for a quota, all fields": _peer_message(
+    "ask for a quota, all fields": _peer_message_sample(
         peer_messages.QuotaRequest(
             sender="d-1",
             address=HOST,
@@ -225,36 +229,38 @@
             unreported=94,
         )
     ),
-    "answer on a quota, defaults": _peer_message(
+    "answer on a quota, defaults": _peer_message_sample(
         peer_messages.QuotaDecision("d-2", 91, "s|z|0", 101, 102)
     ),
-    "answer on a quota of one that counts not": _peer_message(
+    "answer on a quota of one that counts not": _peer_message_sample(
         peer_messages.QuotaDecision(
             sender="d-2", number=91, group="s|z|0", granted=0, wait_ms=102, is_coordinator=False
         )
     ),
 }
 
-# The store's state, told to a daemon that cannot read the store.
+# The store's state, sent to a daemon that cannot read the store.
 
 
-def _peer_state(state: peer_state.PeerState, version: int = peer_state.FIRST_VERSION) -> Form:
-    return Form(
+def _peer_state_sample(
+    state: peer_state.PeerState, version: int = peer_state.FIRST_VERSION
+) -> Sample:
+    return Sample(
         lambda: peer_state.encode_state(state, version),
         lambda data: peer_state.encode_state(peer_state.decode_state(data), version),
     )
 
 
 PEER_STATES = {
-    "nothing known": _peer_state(peer_state.PeerState(None, (), None)),
-    "configuration and servers": _peer_state(
+    "nothing known": _peer_state_sample(peer_state.PeerState(None, (), None)),
+    "configuration and servers": _peer_state_sample(
         peer_state.PeerState(
             peer_state.StoredRecord("config", b'{"version": 7}'),
             (peer_state.StoredRecord("i-1", b"{}"), peer_state.StoredRecord("i-2", b"\x00\xff")),
             1.25,
         )
     ),
-    "with the configuration's age": _peer_state(
+    "with the configuration's age": _peer_state_sample(
         peer_state.PeerState(
             peer_state.StoredRecord("config", b'{"version": 7}'),
             (peer_state.StoredRecord("i-1", b"{}"),),
@@ -265,7 +271,7 @@
     ),
 }
 
-# Messages between daemons of the other product.
+# Messages between standalone daemons.
 
 SEAL_KEY = b"key-1234"
 SENT_AT = 1_700_000_000.25
@@ -277,44 +283,44 @@
 ]
 
 
-def _sealed(message: messages.Message) -> Form:
-    def again(data: bytes) -> bytes:
+def _sealed_sample(message: messages.Message) -> Sample:
+    def reencode(data: bytes) -> bytes:
         opened = messages.Sealer(SEAL_KEY).open(SENT_AT, data)
         assert opened is not None
         return messages.Sealer(SEAL_KEY).seal(SENT_AT, opened)
 
-    return Form(lambda: messages.Sealer(SEAL_KEY).seal(SENT_AT, message), again)
+    return Sample(lambda: messages.Sealer(SEAL_KEY).seal(SENT_AT, message), reencode)
 
 
 SEALED_MESSAGES = {
-    "ping, no updates": _sealed(messages.Ping(1, "m-1", 3, [])),
-    "ping, updates": _sealed(
+    "ping, no updates": _sealed_sample(messages.Ping(1, "m-1", 3, [])),
+    "ping, updates": _sealed_sample(
         messages.Ping(sequence=LARGE, sender="m-1", configuration_offset=3, updates=_MEMBERS)
     ),
-    "answer to a ping, no updates": _sealed(messages.Ack(1, "m-2", 4, [])),
-    "answer to a ping, updates": _sealed(
+    "answer to a ping, no updates": _sealed_sample(messages.Ack(1, "m-2", 4, [])),
+    "answer to a ping, updates": _sealed_sample(
         messages.Ack(sequence=1, subject="m-2", configuration_offset=4, updates=_MEMBERS)
     ),
-    "indirect ping": _sealed(
+    "indirect ping": _sealed_sample(
         messages.IndirectPing(
             sequence=5, sender="m-1", subject="m-2", subject_address="10.0.0.2:7400"
         )
     ),
-    "ask for members, empty": _sealed(messages.SyncRequest("m-1", [], [])),
-    "ask for members, filled": _sealed(
+    "ask for members, empty": _sealed_sample(messages.SyncRequest("m-1", [], [])),
+    "ask for members, filled": _sealed_sample(
         messages.SyncRequest(sender="m-1", digests=[6, 2**63 - 1, 7], members=_MEMBERS)
     ),
-    "members, empty": _sealed(messages.SyncReply("m-1", [])),
-    "members, filled": _sealed(messages.SyncReply(sender="m-1", members=_MEMBERS)),
-    "ask for configuration": _sealed(messages.ConfigurationRequest(sender="m-1", offset=8)),
-    "configuration, empty": _sealed(messages.ConfigurationEntries("m-1", 8, [])),
-    "configuration, filled": _sealed(
+    "members, empty": _sealed_sample(messages.SyncReply("m-1", [])),
+    "members, filled": _sealed_sample(messages.SyncReply(sender="m-1", members=_MEMBERS)),
+    "ask for configuration": _sealed_sample(messages.ConfigurationRequest(sender="m-1", offset=8)),
+    "configuration, empty": _sealed_sample(messages.ConfigurationEntries("m-1", 8, [])),
+    "configuration, filled": _sealed_sample(
         messages.ConfigurationEntries(sender="m-1", offset=8, entries=[b"\x00\xff", b""])
     ),
-    "ask for slots": _sealed(
+    "ask for slots": _sealed_sample(
         messages.BatchSlotRequest(sender="m-1", engine="e-1", running=9, requested=10)
     ),
-    "grant of slots": _sealed(
+    "grant of slots": _sealed_sample(
         messages.SlotGrant(
             sender="m-1",
             engine="e-1",
@@ -325,17 +331,17 @@
             priority=13,
         )
     ),
-    "online requests were sent": _sealed(
+    "online requests were sent": _sealed_sample(
         messages.OnlineNotice(sender="m-1", engine="e-1", count=14)
     ),
-    "an engine leaves": _sealed(
+    "an engine leaves": _sealed_sample(
         messages.EngineLeaving(sender="m-1", engine="e-1", incarnation="inc")
     ),
-    "a shard has grown": _sealed(messages.ShardStreamGrown(sender="m-1", shard=15)),
-    "a shard is asked for": _sealed(messages.ShardHandoverRequest(sender="m-1", shard=16)),
+    "a shard has grown": _sealed_sample(messages.ShardStreamGrown(sender="m-1", shard=15)),
+    "a shard is asked for": _sealed_sample(messages.ShardHandoverRequest(sender="m-1", shard=16)),
 }
 
-# Records of the gateway in its store: keys and values as the store's calls carry them.
+# Records of the gateway in its store: keys and values as encoded in store calls.
 
 _MANIFEST = records.Manifest(
     "job:1", "route", "h.example", 3, 400, "digest", 5, 1_700_000_000.5, "tenant"
@@ -349,60 +355,62 @@
 RECORD_BYTES = records.RECORD_OVERHEAD_BYTES + 90
 
 
-def _records(
+def _records_sample(
     build: Callable[[], Iterable[KeyedRecord]],
     rebuild: Callable[[KeyedRecord], Iterable[KeyedRecord]] | None = None,
-) -> Form:
-    """A form of records in a store's call; `rebuild` decodes one record and encodes it again."""
+) -> Sample:
+    """Returns a sample of records in a store call; `rebuild` decodes and reencodes one record."""
 
-    def again(data: bytes) -> bytes:
+    def reencode(data: bytes) -> bytes:
         assert rebuild is not None
-        held = decode_records(data, 0)
-        return encode_records(tuple(chain.from_iterable(rebuild(record) for record in held)))
+        decoded = decode_records(data, 0)
+        return encode_records(tuple(chain.from_iterable(rebuild(record) for record in decoded)))
 
-    return Form(lambda: encode_records(tuple(build())), again if rebuild is not None else None)
+    return Sample(lambda: encode_records(tuple(build())), reencode if rebuild is not None else None)
 
 
-def _manifest_again(held: KeyedRecord) -> Iterator[KeyedRecord]:
-    kind, job_id, _ = records.split_key(held.key)
+def _reencode_manifest(stored: KeyedRecord) -> Iterator[KeyedRecord]:
+    kind, job_id, _ = records.split_key(stored.key)
     assert kind == "j"
-    yield records.manifest_record(records.read_manifest(job_id, held.value))
+    yield records.manifest_record(records.read_manifest(job_id, stored.value))
 
 
-def _progress_again(held: KeyedRecord) -> Iterator[KeyedRecord]:
-    yield records.progress_record(records.split_key(held.key)[1], records.read_progress(held.value))
+def _reencode_progress(stored: KeyedRecord) -> Iterator[KeyedRecord]:
+    yield records.progress_record(
+        records.split_key(stored.key)[1], records.read_progress(stored.value)
+    )
 
 
-def _end_again(held: KeyedRecord) -> Iterator[KeyedRecord]:
-    """The mark is taken by the index, in which its job then counts as ended."""
+def _reencode_end(stored: KeyedRecord) -> Iterator[KeyedRecord]:
+    """Applies the end record to an index; the result is empty unless the job counts as ended."""
     index = JobIndex()
     index.apply(0.0, records.manifest_record(_MANIFEST))
-    index.apply(0.0, held)
+    index.apply(0.0, stored)
     assert index.malformed == 0
     ((job_id, entry),) = index.jobs.items()
     if entry.is_ended:
         yield records.end_record(job_id)
 
 
-def _chunk_again(held: KeyedRecord) -> Iterator[KeyedRecord]:
-    """A chunk packed alone has number 0; its own number comes back by its key."""
-    _, job_id, number = records.split_key(held.key)
-    (packed,) = records.chunk_records(job_id, records.read_chunk(held.value), RECORD_BYTES)
+def _reencode_chunk(stored: KeyedRecord) -> Iterator[KeyedRecord]:
+    """Reencodes a chunk alone, which gives it number 0, and restores the original key."""
+    _, job_id, number = records.split_key(stored.key)
+    (packed,) = records.chunk_records(job_id, records.read_chunk(stored.value), RECORD_BYTES)
     assert number >= 0
-    yield KeyedRecord(held.key, packed.value)
+    yield KeyedRecord(stored.key, packed.value)
 
 
-def _failures_again(held: KeyedRecord) -> Iterator[KeyedRecord]:
-    _, job_id, item = records.split_key(held.key)
-    yield records.failures_record(job_id, item, records.read_failures(held.value))
+def _reencode_failures(stored: KeyedRecord) -> Iterator[KeyedRecord]:
+    _, job_id, item = records.split_key(stored.key)
+    yield records.failures_record(job_id, item, records.read_failures(stored.value))
 
 
-def _part_again(held: KeyedRecord) -> Iterator[KeyedRecord]:
-    job_id, item, part = records.split_part_key(held.key)
-    yield records.checkpoint_record(job_id, item, part, records.read_checkpoint(held.value))
+def _reencode_part(stored: KeyedRecord) -> Iterator[KeyedRecord]:
+    job_id, item, part = records.split_part_key(stored.key)
+    yield records.checkpoint_record(job_id, item, part, records.read_checkpoint(stored.value))
 
 
-def _result_again(data: bytes) -> bytes:
+def _reencode_result(data: bytes) -> bytes:
     *rests, head = decode_records(data, 0)
     pieces = {
         records.split_part_key(rest.key)[2]: records.read_continuation(rest.value) for rest in rests
@@ -413,49 +421,49 @@
     return encode_records(records.result_records(job_id, position, whole, RECORD_BYTES))
 
 
-def _result(position: int, *fields: str) -> Form:
+def _result_sample(position: int, *fields: str) -> Sample:
     built = records.ItemResult(*fields)
-    return Form(
+    return Sample(
         lambda: encode_records(records.result_records("job:1", position, built, RECORD_BYTES)),
-        _result_again,
+        _reencode_result,
     )
 
 
-def _no_log(event: str, **fields: object) -> None:
-    """Writes no log line."""
+def _discard_log(event: str, **fields: object) -> None:
+    """Discards a log line."""
 
 
-def crash_records(*, stands: bool) -> tuple[KeyedRecord, ...]:
-    """Returns what is written to the store of a crash, or of one that is taken back."""
+def crash_records(*, is_valid: bool) -> tuple[KeyedRecord, ...]:
+    """Returns the records that are written for a crash, or for a retracted one."""
     shared = SharedCrashes(
-        "d-1", CallNumbers(), random.Random(1), list, lambda *told: False, _no_log
+        "d-1", CallNumbers(), random.Random(1), list, lambda *args: False, _discard_log
     )
-    shared.publish(1.0, Crash("0123456789abcdef", "i-1"), 1_700_000_000.75, stands)
+    shared.publish(1.0, Crash("0123456789abcdef", "i-1"), 1_700_000_000.75, is_valid)
     due = shared.on_timer(60.0, True)
     (write,) = (call for call in due if isinstance(call, AppendRecords))
     return write.records
 
 
-def crashes_taken(held: Iterable[KeyedRecord]) -> Iterator[tuple[str, str, float, bool]]:
-    """Yields content, engine, time and whether it stands, of crashes that are read."""
-    told: list[tuple[str, str, float, bool]] = []
+def decoded_crashes(stored: Iterable[KeyedRecord]) -> Iterator[tuple[str, str, float, bool]]:
+    """Yields content, engine, time and validity of the crashes in records that are read."""
+    decoded: list[tuple[str, str, float, bool]] = []
 
-    def take(now: float, crash: Crash, at: float, stands: bool) -> bool:
-        told.append((crash.content, crash.engine_id, at, stands))
+    def add(now: float, crash: Crash, at: float, is_valid: bool) -> bool:
+        decoded.append((crash.content, crash.engine_id, at, is_valid))
         return False
 
-    shared = SharedCrashes("d-2", CallNumbers(), random.Random(1), list, take, _no_log)
+    shared = SharedCrashes("d-2", CallNumbers(), random.Random(1), list, add, _discard_log)
     (read,) = (call for call in shared.on_timer(0.0, True) if isinstance(call, ReadNewest))
-    shared.on_store(0.1, read.call, NewestPage(tuple(held), False, 1))
-    yield from told
+    shared.on_store(0.1, read.call, NewestPage(tuple(stored), False, 1))
+    yield from decoded
 
 
-def _crash_again(held: KeyedRecord) -> Iterator[KeyedRecord]:
-    for content, engine_id, at, stands in crashes_taken([held]):
+def _reencode_crash(stored: KeyedRecord) -> Iterator[KeyedRecord]:
+    for content, engine_id, at, is_valid in decoded_crashes([stored]):
         shared = SharedCrashes(
-            "d-1", CallNumbers(), random.Random(1), list, lambda *told: False, _no_log
+            "d-1", CallNumbers(), random.Random(1), list, lambda *args: False, _discard_log
         )
-        shared.publish(1.0, Crash(content, engine_id), at, stands)
+        shared.publish(1.0, Crash(content, engine_id), at, is_valid)
         for call in shared.on_timer(60.0, True):
             if isinstance(call, AppendRecords):
                 yield from call.records
@@ -469,14 +477,14 @@
         groups,
         CallNumbers(),
         random.Random(1),
-        _no_log,
+        _discard_log,
     )
 
 
 def claim_records(
     daemon: str = "d-1", address: Address = HOST, service: str = "service"
 ) -> tuple[KeyedRecord, ...]:
-    """Returns what a daemon writes to the store that claims the group of a service."""
+    """Returns the records with which a daemon claims the group of a service."""
     claims = _claims(daemon, address, service)
     for tenth in range(300):
         now = tenth / 10
@@ -490,19 +498,19 @@
     raise AssertionError("no claim was made")
 
 
-def _claim_again(held: KeyedRecord) -> Iterable[KeyedRecord]:
-    """The claim is read from the store, told to a peer, and claimed as it was told."""
-    claims = _claims("d-2", HOST, held.key.partition("|")[0])
+def _reencode_claim(stored: KeyedRecord) -> Iterable[KeyedRecord]:
+    """Reads a claim from the store, and claims its group with the values reported to peers."""
+    claims = _claims("d-2", HOST, stored.key.partition("|")[0])
     (read,) = (call for call in claims.on_timer(0.0) if isinstance(call, ReadNewest))
-    page = NewestPage((KeyedRecord(held.key, held.value, 7),), False, 8)
+    page = NewestPage((KeyedRecord(stored.key, stored.value, 7),), False, 8)
     claims.on_answer(0.1, read.call, page)
-    ((group, daemon, address, offset),) = (plain(told) for told in claims.known_claims())
+    ((group, daemon, address, offset),) = (plain(claim) for claim in claims.known_claims())
     assert offset == 7
     return claim_records(daemon, Address(*address), group.partition("|")[0])
 
 
-def removed_keys() -> list[KeyedRecord]:
-    """Returns the removal of a job's content, which has something of each kind."""
+def removed_content() -> list[KeyedRecord]:
+    """Returns the records that remove a job's content, which has records of each kind."""
     content = JobContent()
     content.heads[2] = records.ResultHead("item-1", records.DONE, b"", 0)
     content.continuations[2] = {0: b"a", 1: b"b"}
@@ -513,83 +521,85 @@
 
 
 STORED_RECORDS = {
-    "manifest of a job, defaults": _records(
+    "manifest of a job, defaults": _records_sample(
         lambda: [records.manifest_record(records.Manifest("j", "r", "h", 1, 2, "d", 0))],
-        _manifest_again,
+        _reencode_manifest,
+    ),
+    "manifest of a job, all fields": _records_sample(
+        lambda: [records.manifest_record(_MANIFEST)], _reencode_manifest
     ),
-    "manifest of a job, all fields": _records(
-        lambda: [records.manifest_record(_MANIFEST)], _manifest_again
+    "mark that a job was ended": _records_sample(
+        lambda: [records.end_record("job:1")], _reencode_end
     ),
-    "mark that a job was ended": _records(lambda: [records.end_record("job:1")], _end_again),
-    "tokens left of a job": _records(
+    "tokens left of a job": _records_sample(
         lambda: [records.progress_record("job:1", 0), records.progress_record("job:1", LARGE)],
-        _progress_again,
+        _reencode_progress,
     ),
-    "items of a job in several records": _records(
-        lambda: records.chunk_records("job:1", _ITEMS, RECORD_BYTES), _chunk_again
+    "items of a job in several records": _records_sample(
+        lambda: records.chunk_records("job:1", _ITEMS, RECORD_BYTES), _reencode_chunk
     ),
-    "result, empty": _result(0, "item-1", "done", ""),
-    "result, dead": _result(1, "item-2", "dead", "reason"),
-    "result in several records": _result(12345, "item-3", "done", "é0123456789" * 20),
-    "result of other bytes than text": _result(2, "item-4", "done", "\udcff\udc80x"),
-    "part of an item's output": _records(
+    "result, empty": _result_sample(0, "item-1", "done", ""),
+    "result, dead": _result_sample(1, "item-2", "dead", "reason"),
+    "result in several records": _result_sample(12345, "item-3", "done", "é0123456789" * 20),
+    "result of other bytes than text": _result_sample(2, "item-4", "done", "\udcff\udc80x"),
+    "part of an item's output": _records_sample(
         lambda: [
             records.checkpoint_record("job:1", 3, 0, records.OutputPart("", "4", "")),
             records.checkpoint_record("job:1", 3, 12, _OUTPUT),
         ],
-        _part_again,
+        _reencode_part,
     ),
-    "failed runs of an item": _records(
-        lambda: [records.failures_record("job:1", 7, 2)], _failures_again
+    "failed runs of an item": _records_sample(
+        lambda: [records.failures_record("job:1", 7, 2)], _reencode_failures
     ),
-    "removal of a job's content": _records(removed_keys),
-    "crash that stands": _records(lambda: crash_records(stands=True), _crash_again),
-    "crash taken back": _records(lambda: crash_records(stands=False), _crash_again),
-    "claim of a group": _records(claim_records, _claim_again),
+    "removal of a job's content": _records_sample(removed_content),
+    "crash that stands": _records_sample(lambda: crash_records(is_valid=True), _reencode_crash),
+    "crash taken back": _records_sample(lambda: crash_records(is_valid=False), _reencode_crash),
+    "claim of a group": _records_sample(claim_records, _reencode_claim),
 }
 
-# What daemons have learnt, in their directory in the store.
+# Learned times of daemons in the peer registry in the store.
 
-_LEARNT = LearnedTimes(
+_LEARNED_TIMES = LearnedTimes(
     {"s1": (120, 900), "s2": (3, LARGE)}, {"r1": 5000, "r2": 1}, BatchRunTimes(1, 2, 3)
 )
 
 
-def _directory(experience: LearnedTimes) -> Form:
+def _registry_sample(experience: LearnedTimes) -> Sample:
     entry = PeerRegistryEntry("d-1", HOST, "z1", experience)
-    return Form(
+    return Sample(
         lambda: encode_entry(entry),
         lambda data: encode_entry(decode_entry(KeyedRecord("d-1", data))),
     )
 
 
 EXPERIENCES = {
-    "nothing learnt": _directory(LearnedTimes()),
-    "times alone": _directory(LearnedTimes({"s1": (120, 900)})),
-    "patience alone": _directory(LearnedTimes({}, {"r1": 5000})),
-    "everything learnt": _directory(_LEARNT),
-    "more names than are kept": _directory(
+    "nothing learnt": _registry_sample(LearnedTimes()),
+    "times alone": _registry_sample(LearnedTimes({"s1": (120, 900)})),
+    "patience alone": _registry_sample(LearnedTimes({}, {"r1": 5000})),
+    "everything learnt": _registry_sample(_LEARNED_TIMES),
+    "more names than are kept": _registry_sample(
         LearnedTimes(
             {f"s{n}": (n, n + 1) for n in range(70)}, {f"r{n}": n for n in range(70)}, None
         )
     ),
 }
 
-# Entries of the other product's log.
+# Entries of the standalone daemon's log.
 
 
-def _entry(*held: entries.Record) -> Form:
-    def again(data: bytes) -> bytes:
+def _log_entry_sample(*log_records: entries.Record) -> Sample:
+    def reencode(data: bytes) -> bytes:
         entry = entries.decode_entry(data)
         return entries.encode_entry(entry.writer, entry.sequence, entry.records)
 
-    return Form(lambda: entries.encode_entry("writer", 7, list(held)), again)
+    return Sample(lambda: entries.encode_entry("writer", 7, list(log_records)), reencode)
 
 
 LOG_ENTRIES = {
-    "no record": _entry(),
-    "items of a job, empty": _entry(entries.ChunkSubmitted("job", 1, [])),
-    "items of a job, filled": _entry(
+    "no record": _log_entry_sample(),
+    "items of a job, empty": _log_entry_sample(entries.ChunkSubmitted("job", 1, [])),
+    "items of a job, filled": _log_entry_sample(
         entries.ChunkSubmitted(
             job_id="job",
             chunk_index=1,
@@ -599,7 +609,7 @@
             ],
         )
     ),
-    "job committed": _entry(
+    "job committed": _log_entry_sample(
         entries.JobCommitted(
             job_id="job",
             identity="identity",
@@ -613,24 +623,28 @@
             identity_window=3.5,
         )
     ),
-    "job cancelled": _entry(entries.JobCancelled("job")),
-    "shard claimed": _entry(entries.EpochClaimed("owner", 8)),
-    "shard released": _entry(entries.EpochReleased(9)),
-    "shard renewed": _entry(entries.EpochRenewed(10)),
-    "attempt started": _entry(entries.AttemptStarted(epoch=11, job_id="job", item_index=12)),
-    "item finished": _entry(
+    "job cancelled": _log_entry_sample(entries.JobCancelled("job")),
+    "shard claimed": _log_entry_sample(entries.EpochClaimed("owner", 8)),
+    "shard released": _log_entry_sample(entries.EpochReleased(9)),
+    "shard renewed": _log_entry_sample(entries.EpochRenewed(10)),
+    "attempt started": _log_entry_sample(
+        entries.AttemptStarted(epoch=11, job_id="job", item_index=12)
+    ),
+    "item finished": _log_entry_sample(
         entries.ItemFinished(
             epoch=13, job_id="job", item_index=14, outcome="completed", body="body"
         )
     ),
-    "job closed": _entry(entries.JobClosed(epoch=15, job_id="job", result_offsets=b"\x00\xff")),
-    "request claimed once": _entry(
+    "job closed": _log_entry_sample(
+        entries.JobClosed(epoch=15, job_id="job", result_offsets=b"\x00\xff")
+    ),
+    "request claimed once": _log_entry_sample(
         entries.OnceClaimed(key="key", request_id="id", claimed_at=16.5, window=17.5)
     ),
-    "configuration published, empty": _entry(
+    "configuration published, empty": _log_entry_sample(
         entries.ConfigurationPublished("p", "author", "message", 18, 19.5, [])
     ),
-    "configuration published, a value of each type": _entry(
+    "configuration published, a value of each type": _log_entry_sample(
         entries.ConfigurationPublished(
             publication_id="p",
             author="author",
@@ -646,62 +660,62 @@
             ],
         )
     ),
-    "several records": _entry(
+    "several records": _log_entry_sample(
         entries.EpochClaimed(owner="owner", previous_epoch=8), entries.JobCancelled("job")
     ),
 }
 
-# Calls to the store, as they go over its connection.
+# Calls to the store, as sent over its connection.
 
 _KEYED = (KeyedRecord("key é", b"\x00\xff"), KeyedRecord("removed", b""))
 
 
-def request_of(call: StoreCall) -> bytes:
-    """Returns what the client of the store sends for a call, without the port of its host."""
+def sent_request(call: StoreCall) -> bytes:
+    """Returns the bytes that the store client sends for a call, without the port of its host."""
     return sent_to_server(lambda address: StoreClient(address).call(call))
 
 
-def _store_call(call: StoreCall) -> Form:
-    return Form(lambda: request_of(call))
+def _store_call_sample(call: StoreCall) -> Sample:
+    return Sample(lambda: sent_request(call))
 
 
 def ownership_calls() -> list[StoreCall]:
-    """Returns the calls with which a daemon joins, claims a shard that it is dealt, and leaves."""
+    """Returns the calls with which a daemon joins, claims its assigned shards, and leaves."""
     numbers, rng = CallNumbers(), random.Random(1)
-    ownership = ShardOwnership("d-1", 1.0, JobReplicas(numbers, rng), numbers, rng, _no_log)
+    ownership = ShardOwnership("d-1", 1.0, JobReplicas(numbers, rng), numbers, rng, _discard_log)
     (join,) = ownership.on_timer(0.0)
     dealt = GroupJoined(3, (records.shard_partition(2), records.shard_partition(5)))
     ownership.on_answer(0.1, join.call, dealt)
-    again, *claims = ownership.on_timer(0.2)
-    return [join, again, *claims, *ownership.leave()]
+    rejoin, *claims = ownership.on_timer(0.2)
+    return [join, rejoin, *claims, *ownership.leave()]
 
 
 _INDEX, _SHARD = records.INDEX, records.shard_partition(3)
 STORE_CALLS = {
-    "newest records": _store_call(ReadNewest(1, _SHARD)),
-    "newest records after a key": _store_call(ReadNewest(1, _INDEX, "b:j é:&")),
-    "records": _store_call(ReadRecords(1, _SHARD, 7)),
-    "records, waiting": _store_call(ReadRecords(1, _INDEX, 7, 1.25)),
-    "append": _store_call(AppendRecords(1, _SHARD, _KEYED)),
-    "append at an expected end": _store_call(AppendRecords(1, _SHARD, _KEYED, 9)),
-    "append with a fence": _store_call(
+    "newest records": _store_call_sample(ReadNewest(1, _SHARD)),
+    "newest records after a key": _store_call_sample(ReadNewest(1, _INDEX, "b:j é:&")),
+    "records": _store_call_sample(ReadRecords(1, _SHARD, 7)),
+    "records, waiting": _store_call_sample(ReadRecords(1, _INDEX, 7, 1.25)),
+    "append": _store_call_sample(AppendRecords(1, _SHARD, _KEYED)),
+    "append at an expected end": _store_call_sample(AppendRecords(1, _SHARD, _KEYED, 9)),
+    "append with a fence": _store_call_sample(
         AppendRecords(1, _SHARD, _KEYED, None, WriterStamp("writer", LARGE, 4))
     ),
-    "append at an end with a fence": _store_call(
+    "append at an end with a fence": _store_call_sample(
         AppendRecords(1, _SHARD, (), 0, WriterStamp("writer", 2, 0))
     ),
-    "join a group": _store_call(JoinGroup(1, "group", "d-1", ("items", "servers"), 2.5, 6)),
-    "leave a group": _store_call(LeaveGroup(1, "group", "d-1")),
+    "join a group": _store_call_sample(JoinGroup(1, "group", "d-1", ("items", "servers"), 2.5, 6)),
+    "leave a group": _store_call_sample(LeaveGroup(1, "group", "d-1")),
     **{
-        f"ownership of shards, call {number}": _store_call(call)
+        f"ownership of shards, call {number}": _store_call_sample(call)
         for number, call in enumerate(ownership_calls())
     },
 }
 
-# Refusals and answers as callers get them.
+# Refusals and other answers to callers.
 
 
-def _answered(response: Response) -> Form:
+def _response_sample(response: Response) -> Sample:
     def encode() -> bytes:
         heads: list[bytes] = []
 
@@ -712,31 +726,33 @@
         body = b"".join(send(response, start))
         return heads[0] + b"\r\n" + body
 
-    return Form(encode)
+    return Sample(encode)
 
 
-def _given_up(outcome: NotRun | MayHaveRun | Cut, request_id: str = "id-1") -> Form:
-    return _answered(error_response(outcome, request_id))
+def _outcome_sample(outcome: NotRun | MayHaveRun | Cut, request_id: str = "id-1") -> Sample:
+    return _response_sample(error_response(outcome, request_id))
 
 
 def _without_request_id() -> Response:
-    """Returns the answer to a request without an id, as the application gives it."""
-    held: list[Any] = []
+    """Returns the application's answer to a request without an id."""
+    start_args: list[Any] = []
     application = CallerApplication(
         MagicMock(), MagicMock(), MagicMock(), MagicMock(), lambda request, body: None
     )
-    body = application({"REQUEST_METHOD": "GET", "PATH_INFO": "/"}, lambda *told: held.extend(told))
-    status, headers = held
+    body = application(
+        {"REQUEST_METHOD": "GET", "PATH_INFO": "/"}, lambda *args: start_args.extend(args)
+    )
+    status, headers = start_args
     rows = dict(headers)
     return Response(int(status[:3]), b"".join(body), rows["Content-Type"])
 
 
-def _identified(key: str, *, is_behind: bool) -> NotRun:
-    """Returns the refusal of a caller's key."""
+def _key_refusal(key: str, *, may_be_outdated: bool) -> NotRun:
+    """Returns the refusal of a caller's API key."""
     routes = MagicMock()
     routes.configuration = decode_configuration(CONFIGURATION_OF_TENANTS)
     tenant_keys = TenantKeys(routes)
-    routes.may_be_outdated = is_behind
+    routes.may_be_outdated = may_be_outdated
     refusal = tenant_keys.owner_of(key)
     assert isinstance(refusal, NotRun)
     return refusal
@@ -744,24 +760,30 @@
 
 CONFIGURATION_OF_TENANTS = b'{"version": 1, "tenants": [{"name": "t", "apiKeys": ["k"]}]}'
 REFUSALS = {
-    "not run": _given_up(NotRun("reason", Step.ADMIT)),
-    "not run, to be asked again": _given_up(NotRun("reason", Step.DISPATCH, "peer", 0.25)),
-    "not run, to be asked again at once": _given_up(NotRun("reason", Step.RELAY, "peer", 0.0)),
-    "not run, another status": _given_up(NotRun("reason", Step.ROUTE, "", None, 404)),
-    "not run, no request id": _given_up(NotRun("reason", Step.ADMIT, "", 12.3456), ""),
-    "may have run": _given_up(MayHaveRun("reason", Step.DISPATCH, "peer", 1.5)),
-    "may have run, another status": _given_up(MayHaveRun("reason", Step.RELAY, "", None, 502)),
-    "cut": _given_up(Cut("reason", 5, Step.RELAY, "peer")),
-    **{f"step {step}": _given_up(NotRun("reason", step)) for step in Step},
-    "request without an id": _answered(_without_request_id()),
-    "no key": _given_up(_identified("", is_behind=False)),
-    "unknown key": _given_up(_identified("x", is_behind=False)),
-    "unknown key, configuration may be old": _given_up(_identified("x", is_behind=True)),
-    "job accepted": _answered(encode_answer(JobAccepted())),
-    "job ended": _answered(encode_answer(JobEnded())),
-    "item's body": _answered(encode_answer(ItemBody(b"\x00\xff"))),
-    "results, none": _answered(encode_answer(JobResults(3, 0, ()))),
-    "results": _answered(
+    "not run": _outcome_sample(NotRun("reason", Step.ADMIT)),
+    "not run, to be asked again": _outcome_sample(NotRun("reason", Step.DISPATCH, "peer", 0.25)),
+    "not run, to be asked again at once": _outcome_sample(
+        NotRun("reason", Step.RELAY, "peer", 0.0)
+    ),
+    "not run, another status": _outcome_sample(NotRun("reason", Step.ROUTE, "", None, 404)),
+    "not run, no request id": _outcome_sample(NotRun("reason", Step.ADMIT, "", 12.3456), ""),
+    "may have run": _outcome_sample(MayHaveRun("reason", Step.DISPATCH, "peer", 1.5)),
+    "may have run, another status": _outcome_sample(
+        MayHaveRun("reason", Step.RELAY, "", None, 502)
+    ),
+    "cut": _outcome_sample(Cut("reason", 5, Step.RELAY, "peer")),
+    **{f"step {step}": _outcome_sample(NotRun("reason", step)) for step in Step},
+    "request without an id": _response_sample(_without_request_id()),
+    "no key": _outcome_sample(_key_refusal("", may_be_outdated=False)),
+    "unknown key": _outcome_sample(_key_refusal("x", may_be_outdated=False)),
+    "unknown key, configuration may be old": _outcome_sample(
+        _key_refusal("x", may_be_outdated=True)
+    ),
+    "job accepted": _response_sample(encode_answer(JobAccepted())),
+    "job ended": _response_sample(encode_answer(JobEnded())),
+    "item's body": _response_sample(encode_answer(ItemBody(b"\x00\xff"))),
+    "results, none": _response_sample(encode_answer(JobResults(3, 0, ()))),
+    "results": _response_sample(
         encode_answer(
             JobResults(
                 9,
@@ -773,34 +795,36 @@
             )
         )
     ),
-    "job refused": _answered(encode_answer(JobRefused(409, "reason"))),
-    "job refused, to be asked again": _answered(encode_answer(JobRefused(429, "reason", 0.5))),
+    "job refused": _response_sample(encode_answer(JobRefused(409, "reason"))),
+    "job refused, to be asked again": _response_sample(
+        encode_answer(JobRefused(429, "reason", 0.5))
+    ),
 }
 
-# Figures told at the metrics address.
+# Metrics exported at the metrics address.
 
 
 def metric_rows() -> dict[str, Any]:
-    """Returns type, label names and buckets of each metric, by its name."""
-    figures = GatewayMetrics(MagicMock())
+    """Returns type, label names and buckets of each metric by its name."""
+    metrics = GatewayMetrics(MagicMock())
     rows: dict[str, Any] = {}
-    for collector in figures.registry._collector_to_names:
+    for collector in metrics.registry._collector_to_names:
         (family,) = collector.collect()
         buckets = [row.labels["le"] for row in family.samples if "le" in row.labels]
         rows[family.name] = [family.type, list(getattr(collector, "_labelnames")), buckets]  # noqa: B009
     return rows
 
 
-def metrics_of_lines() -> list[str]:
-    """Returns the rows of the text that count what log lines tell, without their help."""
-    figures = GatewayMetrics(MagicMock())
-    for event, told in LINES:
-        figures.on_log_line(LogLine(event, told))
-    rows = figures.render().decode().splitlines()
+def metrics_after_log_lines() -> list[str]:
+    """Returns the metrics text after the log lines, without help texts and creation times."""
+    metrics = GatewayMetrics(MagicMock())
+    for event, fields in LOG_LINES:
+        metrics.on_log_line(LogLine(event, fields))
+    rows = metrics.render().decode().splitlines()
     return [row for row in rows if not row.startswith("# HELP") and "_created" not in row]
 
 
-LINES: list[tuple[str, dict[str, object]]] = [
+LOG_LINES: list[tuple[str, dict[str, object]]] = [
     *(
         ("attempt ended", {"kind": kind, "first_ms": 30 * number})
         for number, kind in enumerate(AttemptOutcome)
@@ -814,11 +838,11 @@
     ("request given up", {}),
 ]
 
-# Settings, configuration and records of engines: text that operators and the platform write.
+# Settings, configuration and engine records: text that operators and the platform write.
 
 
 def read_settings(text: str) -> Any:
-    """Returns the settings that a file holds."""
+    """Returns the settings in a file with the given text."""
     with NamedTemporaryFile("w", suffix=".toml") as file:
         file.write(text)
         file.flush()
@@ -849,14 +873,14 @@
 
 
 PACKED_OFFSETS = "789c636480005610c1c8c00000004b0008"
-"""Offsets as packed on one machine; another compression library may pack them otherwise."""
+"""Offsets compressed on one machine; another compression library may give other bytes."""
 
 
-def names_told() -> dict[str, Any]:
-    """Returns names and hashes, as plain values."""
+def names_and_hashes() -> dict[str, Any]:
+    """Returns names on the wire and hashes as plain values."""
     groups = assign_groups(_ENGINES[:16]) | assign_groups(_ENGINES[16:])
     prompt = read_prompt("9000,10", "a:4000,session:4000,own:1000")
-    held = [SimpleNamespace(record=record) for record in _ENGINES[16:]]
+    engines = [SimpleNamespace(record=record) for record in _ENGINES[16:]]
     constants = (value for name, value in vars(names).items() if name.isupper())
     return {
         "hash of parts": [stable_hash("a"), stable_hash("a", "é", ""), stable_hash()],
@@ -866,22 +890,22 @@
         "units of prompts": [peer_messages.prefill_units(n) for n in (0, 1023, 1024, 1025, 9999)],
         "groups of servers": {engine: group.name for engine, group in groups.items()},
         "servers for a long prompt": [
-            home.record.engine_id for home in homes_of(prompt, cast(Any, held))
+            home.record.engine_id for home in homes_of(prompt, cast(Any, engines))
         ],
         "content of requests": [
             content_key("h.example", "POST", "/p?q=1", b"\x00body"),
             content_key("", "", "", b""),
         ],
         "digests of keys": [key_digest("secret é"), key_digest("")],
-        "digest of a hand-in": records_digest(b'{"requests": [{"id": "a", "path": "/p"}]}'),
+        "digest of a hand-in": submission_digest(b'{"requests": [{"id": "a", "path": "/p"}]}'),
         "topics": [
             topic_name(topic)
             for topic in (
                 active_configuration.CONFIGURATION_TOPIC,
-                serverlist.ENGINES_TOPIC,
+                engine_list.ENGINES_TOPIC,
                 peer_registry.PEERS_TOPIC,
-                claims_module.CLAIMS_TOPIC,
-                shared_module.CRASHES_TOPIC,
+                coordinator_claims.CLAIMS_TOPIC,
+                shared_crashes.CRASHES_TOPIC,
                 records.INDEX_TOPIC,
                 records.SHARD_TOPIC,
             )
@@ -902,7 +926,7 @@
     }
 
 
-def records_digest(body: bytes) -> str:
-    """Returns the digest by which a hand-in is known again."""
+def submission_digest(body: bytes) -> str:
+    """Returns the digest by which a repeated job submission is recognised."""
     request = IncomingRequest("j", "POST", "/p", "h", "/p", "", [], 4.0, "", read_prompt("", ""))
     return decode_submission(1, request, body).digest
--- a/tests/forms/test_experience.py
+++ b/tests/forms/test_experience.py
@@ -1,19 +1,19 @@
-"""What daemons have learnt keeps its bytes in their directory in the store.
+"""Learned times keep their bytes in the entries of the peer registry in the store.
 
-Guards against a daemon that starts and cannot read the times that daemons of the former version
-have learnt, or leaves in the directory what those cannot read.
+Guards against a daemon that cannot read the learned times of daemons of the previous version when
+it starts, or that writes entries which those cannot read.
 """
 
 import pytest
 
 from tests.forms import samples
-from tests.forms.forms import check_all_are_held, check_form
+from tests.forms.forms import check_sample, check_samples_match_data
 
 
-def test_each_entry_is_held() -> None:
-    check_all_are_held("experience", samples.EXPERIENCES)
+def test_samples_and_data_have_the_same_names() -> None:
+    check_samples_match_data("experience", samples.EXPERIENCES)
 
 
 @pytest.mark.parametrize("name", samples.EXPERIENCES)
-def test_an_entry_of_the_directory(name: str) -> None:
-    check_form("experience", name, samples.EXPERIENCES[name])
+def test_registry_entry_keeps_its_bytes(name: str) -> None:
+    check_sample("experience", name, samples.EXPERIENCES[name])
--- a/tests/forms/test_names.py
+++ b/tests/forms/test_names.py
@@ -1,7 +1,7 @@
-"""Names on the wire, and hashes on which all daemons must agree, are as before.
+"""Names on the wire, and hashes on which all daemons must agree, are unchanged.
 
-Guards against daemons of two versions that look for a job in different shards, deal engines into
-different groups, call an engine or a request by different keys, or read different topics.
+Guards against daemons of two versions that look up a job in different shards, assign engines to
+different groups, identify an engine or a request by different keys, or read different topics.
 """
 
 import json
@@ -9,15 +9,15 @@
 import pytest
 
 from tests.forms import samples
-from tests.forms.forms import check_all_are_held, stored
+from tests.forms.forms import check_samples_match_data, stored
 
-TOLD = samples.names_told()
+NAMES = samples.names_and_hashes()
 
 
-def test_each_name_is_held() -> None:
-    check_all_are_held("names", TOLD)
+def test_samples_and_data_have_the_same_names() -> None:
+    check_samples_match_data("names", NAMES)
 
 
-@pytest.mark.parametrize("name", TOLD)
-def test_names_and_hashes(name: str) -> None:
-    assert json.loads(json.dumps(TOLD[name])) == stored("names")[name]
+@pytest.mark.parametrize("name", NAMES)
+def test_name_or_hash_is_unchanged(name: str) -> None:
+    assert json.loads(json.dumps(NAMES[name])) == stored("names")[name]
--- a/tests/forms/test_refusals.py
+++ b/tests/forms/test_refusals.py
@@ -1,19 +1,19 @@
-"""Refusals, and answers about jobs, keep status, headers and body as callers get them.
+"""Refusals and answers about jobs keep the status, headers and body that callers get.
 
-Guards against callers that act on a status, on `Retry-After` or on a word of the body. The class
-of an outcome and the step stand in the body by name, so their names are part of the form.
+Callers act on the status, on `Retry-After` or on words of the body. The body contains the class
+name of an outcome and the name of the step, so these names must not change.
 """
 
 import pytest
 
 from tests.forms import samples
-from tests.forms.forms import check_all_are_held, check_form
+from tests.forms.forms import check_sample, check_samples_match_data
 
 
-def test_each_answer_is_held() -> None:
-    check_all_are_held("refusals", samples.REFUSALS)
+def test_samples_and_data_have_the_same_names() -> None:
+    check_samples_match_data("refusals", samples.REFUSALS)
 
 
 @pytest.mark.parametrize("name", samples.REFUSALS)
-def test_an_answer(name: str) -> None:
-    check_form("refusals", name, samples.REFUSALS[name])
+def test_answer_keeps_its_bytes(name: str) -> None:
+    check_sample("refusals", name, samples.REFUSALS[name])
--- a/tests/forms/test_settings.py
+++ b/tests/forms/test_settings.py
@@ -1,7 +1,7 @@
-"""Settings, configuration, records of engines and hand-ins are read as before; defaults too.
+"""Settings, configuration, engine records and job submissions decode as before, with defaults.
 
-Guards against a file or record written for the former version that is read as something else.
-Values are compared by the places of their fields, whatever the fields are called.
+Guards against a file or record written for the previous version that decodes to other values.
+Values are compared by the position of their fields, not by field names.
 """
 
 from pathlib import Path
@@ -11,20 +11,20 @@
 from tests.forms import samples
 from tests.forms.forms import DATA, stored
 
-HELD = stored("settings")
+STORED = stored("settings")
 ROOT = Path(__file__).parents[2]
 
 
-@pytest.mark.parametrize("name", HELD)
-def test_a_text_is_read_as_before(name: str) -> None:
-    row = HELD[name]
+@pytest.mark.parametrize("name", STORED)
+def test_text_decodes_to_the_same_values(name: str) -> None:
+    row = STORED[name]
     assert samples.SETTINGS[row["kind"]](row["text"]) == row["read"]
 
 
-def test_each_kind_of_text_is_held() -> None:
-    assert {row["kind"] for row in HELD.values()} == set(samples.SETTINGS)
+def test_each_kind_of_text_has_data() -> None:
+    assert {row["kind"] for row in STORED.values()} == set(samples.SETTINGS)
 
 
-def test_the_deploy_file_is_as_it_was() -> None:
-    """It names the command, the listeners and the address of the metrics."""
+def test_deployed_settings_file_is_unchanged() -> None:
+    """The file names the command, the listeners and the address of the metrics."""
     assert (ROOT / "deploy" / "system.toml").read_bytes() == (DATA / "system.toml").read_bytes()
--- a/tests/forms/test_store_calls.py
+++ b/tests/forms/test_store_calls.py
@@ -1,19 +1,19 @@
-"""Calls to the store keep their bytes: method, path, query, headers and body.
+"""Store calls keep their bytes: method, path, query, headers and body.
 
-Guards against a store that no longer understands a call, or understands another fence or group:
-then two daemons of different versions could own one shard.
+Guards against a call that the store no longer understands, or for which it uses another fence or
+group: two daemons of different versions could then own the same shard.
 """
 
 import pytest
 
 from tests.forms import samples
-from tests.forms.forms import check_all_are_held, check_form
+from tests.forms.forms import check_sample, check_samples_match_data
 
 
-def test_each_call_is_held() -> None:
-    check_all_are_held("store_calls", samples.STORE_CALLS)
+def test_samples_and_data_have_the_same_names() -> None:
+    check_samples_match_data("store_calls", samples.STORE_CALLS)
 
 
 @pytest.mark.parametrize("name", samples.STORE_CALLS)
-def test_a_call(name: str) -> None:
-    check_form("store_calls", name, samples.STORE_CALLS[name])
+def test_store_call_keeps_its_bytes(name: str) -> None:
+    check_sample("store_calls", name, samples.STORE_CALLS[name])
--- a/tests/forms/write.py
+++ b/tests/forms/write.py
@@ -1,11 +1,11 @@
-"""Writes the data in `data` anew from the code as it is; run by hand.
+"""Rewrites the expected data in `data` from the current code; run by hand.
 
     PYTHONPATH=$PWD/src python -m tests.forms.write KIND...
 
-Data is rewritten only when a form is meant to change: then a daemon of the former version and
-records stored earlier must still be understood, and the commit says how. A test that fails after
-a renaming or a tidying is a fault of that change, and this command is no way to mend it. Without
-a kind nothing is written.
+Rewrite data only for an intended change of a format. A daemon of the previous version and records
+stored earlier must then still be understood, and the commit says how. A test that fails after a
+rename or refactoring shows a fault of that change, which this command must not hide. Without a
+kind nothing is written.
 """
 
 import json
@@ -14,19 +14,19 @@
 from typing import Any
 
 from tests.forms import samples
-from tests.forms.forms import DATA, Forms, stored
+from tests.forms.forms import DATA, Samples, stored
 
 
-def encoded(forms: Forms) -> dict[str, str]:
-    """Returns the bytes of forms in hexadecimal."""
-    return {name: form.encode().hex() for name, form in forms.items()}
+def encoded(kind_samples: Samples) -> dict[str, str]:
+    """Returns the encoded samples in hexadecimal."""
+    return {name: sample.encode().hex() for name, sample in kind_samples.items()}
 
 
-def rewritten(held: dict[str, Any]) -> dict[str, Any]:
-    """Returns settings with what their texts, which are written by hand, are read as now."""
+def redecoded(settings: dict[str, Any]) -> dict[str, Any]:
+    """Returns the settings data with the decoded values of its texts, which are written by hand."""
     return {
         name: {**row, "read": samples.SETTINGS[row["kind"]](row["text"])}
-        for name, row in held.items()
+        for name, row in settings.items()
     }
 
 
@@ -40,16 +40,16 @@
     "refusals": lambda: encoded(samples.REFUSALS),
     "metrics": lambda: {
         "metrics": samples.metric_rows(),
-        "text after log lines": samples.metrics_of_lines(),
+        "text after log lines": samples.metrics_after_log_lines(),
     },
-    "names": samples.names_told,
-    "settings": lambda: rewritten(stored("settings")),
+    "names": samples.names_and_hashes,
+    "settings": lambda: redecoded(stored("settings")),
     "experience": lambda: encoded(samples.EXPERIENCES),
 }
 
 
 def main() -> None:
-    """Writes the kinds that are named."""
+    """Writes the kinds given on the command line."""
     for kind in sys.argv[1:]:
         text = json.dumps(KINDS[kind](), indent=1, ensure_ascii=True)
         (DATA / f"{kind}.json").write_text(text + "\n")
--- a/tests/gateway/engines/test_silent_engines.py
+++ b/tests/gateway/engines/test_silent_engines.py
@@ -75,7 +75,7 @@
             exchange.open(LONG_WAIT_SECONDS)
         for exchange in exchanges:
             exchange.body()
-        assert self.proxy.connections == count
+        assert self.proxy.connection_count == count
 
     def assert_request_succeeds(self, request_id: str) -> None:
         exchange = self.exchange(request_id)
@@ -99,7 +99,7 @@
         proxied.exchange("lost").open(SHORT_WAIT_SECONDS)
     proxied.assert_request_succeeds("next")
     assert (
-        proxied.proxy.connections == IDLE_CONNECTIONS + 1
+        proxied.proxy.connection_count == IDLE_CONNECTIONS + 1
     )  # a new connection, without a second timeout
     assert proxied.suspects_closed == [("one", IDLE_CONNECTIONS - 1)]
 
@@ -113,7 +113,7 @@
     proxied.assert_request_succeeds("meanwhile")
     proxied.connections.close_suspects("one", in_progress.last_seen_at)
     proxied.assert_request_succeeds("next")
-    assert proxied.proxy.connections == 2
+    assert proxied.proxy.connection_count == 2
     assert proxied.suspects_closed == []
 
 
@@ -131,7 +131,7 @@
     with pytest.raises(AnswerLost):
         exchange.open(LONG_WAIT_SECONDS)
     proxied.assert_request_succeeds("next")
-    assert proxied.proxy.connections == IDLE_CONNECTIONS + 1
+    assert proxied.proxy.connection_count == IDLE_CONNECTIONS + 1
 
 
 def test_abort_for_a_disconnected_caller_closes_no_idle_connection(
@@ -144,7 +144,7 @@
     exchange.abort()
     exchange.close()
     proxied.assert_request_succeeds("next")
-    assert proxied.proxy.connections == IDLE_CONNECTIONS
+    assert proxied.proxy.connection_count == IDLE_CONNECTIONS
     assert proxied.suspects_closed == []
 
 
@@ -154,7 +154,7 @@
     with pytest.raises(AnswerLost):
         proxied.exchange("lost", b"x" * BODY_BYTES).open(SHORT_WAIT_SECONDS)
     proxied.assert_request_succeeds("next")
-    assert proxied.proxy.connections == IDLE_CONNECTIONS + 1
+    assert proxied.proxy.connection_count == IDLE_CONNECTIONS + 1
 
 
 def test_connection_silent_inside_the_head_times_out(proxied: ProxiedEngine) -> None:
--- a/tests/platform/test_silent_store.py
+++ b/tests/platform/test_silent_store.py
@@ -67,7 +67,7 @@
             pooled.connection.getresponse().read()
         for pooled in acquired:
             self.client.connections.release(pooled)
-        assert self.proxy.connections == count
+        assert self.proxy.connection_count == count
 
 
 @pytest.fixture
@@ -100,7 +100,7 @@
     call, answer = calls(LONG_SECONDS)[call_index]
     assert isinstance(proxied.client.call(call), answer)
     assert (
-        proxied.proxy.connections == IDLE_CONNECTIONS + 1
+        proxied.proxy.connection_count == IDLE_CONNECTIONS + 1
     )  # a new connection, without a second timeout
     assert proxied.suspects_closed == [IDLE_CONNECTIONS - 1]
 
@@ -139,7 +139,7 @@
 def test_connection_that_the_store_closed_is_not_reused(proxied: ProxiedStore) -> None:
     proxied.add_idle_connections(IDLE_CONNECTIONS)
     sockets = [pooled.connection.sock for pooled in proxied.client.connections._idle]
-    proxied.proxy.close_pairs()
+    proxied.proxy.close_connections()
     for sock in sockets:
         assert select.select([sock], [], [], LONG_SECONDS)[0], "its end was not received"
     for _ in range(IDLE_CONNECTIONS):
--- a/tests/proofs/test_configuration.py
+++ b/tests/proofs/test_configuration.py
@@ -1,63 +1,63 @@
-"""A confirmed configuration is in force everywhere in time, and never reverts.
+"""A confirmed configuration is in force at all daemons within a bound, and is never reverted.
 
-The bounds are the users': `APPLY_SECONDS` after its confirmation, or `CONTACT_SECONDS` after the
-end of what kept a daemon from the store, whichever is later.
+The bounds are the users': `APPLY_SECONDS` after the confirmation, or `CONTACT_SECONDS` after the
+end of the fault that kept a daemon from the store, whichever is later.
 """
 
 import pytest
 
-from tests.worlds.configuration_disruptions import (
+from tests.simulation.configuration_disruptions import (
     APPLY_SECONDS,
     CONTACT_SECONDS,
-    DisruptedWorld,
+    DisruptedFleet,
 )
-from tests.worlds.gateway_world import GatewayWorld
+from tests.simulation.fleet import SimulatedFleet
 
 START_SECONDS = 3.0
-PLAY_SECONDS = 40.0
+RUN_SECONDS = 40.0
 
 
-def versions(world: GatewayWorld) -> set[int]:
-    return {daemon.core.routes.version for daemon in world.daemons.values()}
+def versions_in_force(fleet: SimulatedFleet) -> set[int]:
+    return {daemon.core.routes.version for daemon in fleet.daemons.values()}
 
 
 def versions_after_outage(seed: int, outage: float) -> set[int]:
-    """Has version 2 confirmed just after an outage; returns the versions in force at the bound."""
-    world = GatewayWorld(seed, daemons=9)
-    world.run(START_SECONDS)
-    world.faults.is_silent = True
-    world.run(outage)
-    world.faults.is_silent = False
-    world.run(0.1)
-    world.publish(2)
-    world.run(max(APPLY_SECONDS, CONTACT_SECONDS - 0.1))
-    return versions(world)
-
-
-def test_a_version_confirmed_after_a_silent_store_returned_is_in_force_in_time() -> None:
+    """Publishes version 2 just after an outage; returns the versions in force at the bound."""
+    fleet = SimulatedFleet(seed, daemons=9)
+    fleet.run(START_SECONDS)
+    fleet.faults.is_silent = True
+    fleet.run(outage)
+    fleet.faults.is_silent = False
+    fleet.run(0.1)
+    fleet.publish(2)
+    fleet.run(max(APPLY_SECONDS, CONTACT_SECONDS - 0.1))
+    return versions_in_force(fleet)
+
+
+def test_version_confirmed_after_a_store_outage_is_in_force_within_the_bound() -> None:
     outages = (1.5, 3.9, 5.0, 7.8, 9.0)
     found = {(seed, s): versions_after_outage(seed, s) for seed in range(1, 5) for s in outages}
-    assert {case: held for case, held in found.items() if held != {2}} == {}
+    assert {case: in_force for case, in_force in found.items() if in_force != {2}} == {}
 
 
-def test_a_zone_that_the_store_turns_away_learns_a_version_from_other_zones() -> None:
-    """Guards against daemons that ask only peers which know as little as they do."""
+def test_zone_partitioned_from_the_store_learns_a_version_from_other_zones() -> None:
+    """Guards against daemons that ask only peers of their own zone, which lack the version too."""
     late: dict[int, list[str]] = {}
     for seed in range(1, 11):
-        world = GatewayWorld(seed, daemons=12, zones=("a", "b", "c"))
-        world.run(START_SECONDS)
-        away = [d for d in world.daemons.values() if d.core.identity.zone == "a"]
-        for daemon in away:
-            daemon.is_cut_from_store = True
-        world.run(3.0)
-        world.publish(2)
-        world.run(APPLY_SECONDS)
-        held = [daemon.name for daemon in away if daemon.core.routes.version < 2]
-        if held:
-            late[seed] = held
+        fleet = SimulatedFleet(seed, daemons=12, zones=("a", "b", "c"))
+        fleet.run(START_SECONDS)
+        partitioned = [d for d in fleet.daemons.values() if d.core.identity.zone == "a"]
+        for daemon in partitioned:
+            daemon.is_partitioned_from_store = True
+        fleet.run(3.0)
+        fleet.publish(2)
+        fleet.run(APPLY_SECONDS)
+        outdated = [daemon.name for daemon in partitioned if daemon.core.routes.version < 2]
+        if outdated:
+            late[seed] = outdated
     assert late == {}
 
 
 @pytest.mark.parametrize("seed", range(1, 9))
-def test_random_disruptions_around_changes_break_no_bound(seed: int) -> None:
-    assert DisruptedWorld(seed).play(PLAY_SECONDS) == []
+def test_random_disruptions_during_changes_violate_no_bound(seed: int) -> None:
+    assert DisruptedFleet(seed).run(RUN_SECONDS) == []
--- a/tests/proofs/test_jobs.py
+++ b/tests/proofs/test_jobs.py
@@ -1,11 +1,11 @@
-"""Promises of batch jobs on the store, with and without the mechanisms that keep them."""
+"""Guarantees of batch jobs under faults, with and without the mechanisms that provide them."""
 
 import dataclasses
 
 import pytest
 
-from tests.worlds.gateway_world import Daemon, GatewayWorld
-from tests.worlds.job_truth import EVENTS_AN_ITEM
+from tests.simulation.fleet import Daemon, SimulatedFleet
+from tests.simulation.observed_job import EVENTS_PER_ITEM
 from troutswitch.decisions.jobs.messages import RunItem
 from troutswitch.decisions.jobs.ownership import WRITER
 from troutswitch.decisions.jobs.records import (
@@ -28,47 +28,47 @@
 START_SECONDS = 3.0
 
 
-def started(seed: int, **options: object) -> GatewayWorld:
-    world = GatewayWorld(seed, **options)  # type: ignore[arg-type]
-    world.run(START_SECONDS)
-    return world
+def started_fleet(seed: int, **options: object) -> SimulatedFleet:
+    fleet = SimulatedFleet(seed, **options)  # type: ignore[arg-type]
+    fleet.run(START_SECONDS)
+    return fleet
 
 
-def check(world: GatewayWorld, jobs: int | None = None) -> None:
-    assert world.violations == []
-    assert world.unfinished() == []
+def check_jobs(fleet: SimulatedFleet, jobs: int | None = None) -> None:
+    assert fleet.violations == []
+    assert fleet.unfinished_jobs() == []
     if jobs is not None:
-        assert sum(j.accepted_at < float("inf") for j in world.jobs.values()) == jobs
+        assert sum(j.accepted_at < float("inf") for j in fleet.jobs.values()) == jobs
 
 
-def test_jobs_are_accepted_run_and_listed() -> None:
-    world = started(1)
+def test_items_of_accepted_jobs_run_once_and_are_listed() -> None:
+    fleet = started_fleet(1)
     for number in range(6):
-        world.hand_in(f"job{number}", 5)
-    world.run(30.0)
-    check(world, 6)
-    assert all(set(job.ran.values()) == {1} for job in world.jobs.values())
+        fleet.submit_job(f"job{number}", 5)
+    fleet.run(30.0)
+    check_jobs(fleet, 6)
+    assert all(set(job.run_counts.values()) == {1} for job in fleet.jobs.values())
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_all_daemons_killed_at_once(seed: int) -> None:
-    world = started(seed)
+def test_jobs_survive_simultaneous_kills_of_all_daemons(seed: int) -> None:
+    fleet = started_fleet(seed)
     for number in range(4):
-        world.hand_in(f"job{number}", 4)
-    world.run(1.5)
-    for name in list(world.daemons):
-        world.kill(name)
-    world.run(40.0)
-    check(world, 4)
+        fleet.submit_job(f"job{number}", 4)
+    fleet.run(1.5)
+    for name in list(fleet.daemons):
+        fleet.kill(name)
+    fleet.run(40.0)
+    check_jobs(fleet, 4)
 
 
-class CountingWorld(GatewayWorld):
-    """Counts the events that engines make."""
+class EventCountingFleet(SimulatedFleet):
+    """Counts the events that engines produce."""
 
-    made = 0
+    event_count = 0
 
     def _make_event(self, daemon: Daemon, run: RunItem, number: int, interval: float) -> None:
-        self.made += daemon.is_alive and run.run not in daemon.stopped
+        self.event_count += daemon.is_alive and run.run not in daemon.stopped_runs
         super()._make_event(daemon, run, number, interval)
 
 
@@ -79,40 +79,43 @@
     return dataclasses.replace(call, records=kept)
 
 
-@pytest.mark.parametrize("is_saved", [True, False])
-def test_a_planned_stop_loses_no_output(is_saved: bool) -> None:
-    change = None if is_saved else without_saved_output
-    world = CountingWorld(5, change=change)
-    world.run(START_SECONDS)
-    world.hand_in("job", 4)
-    world.run(2.0)
-    for name in list(world.daemons):
-        world.drain(name)
-    world.run(40.0)
-    check(world, 1)
-    if is_saved:
-        assert world.made == 4 * EVENTS_AN_ITEM  # none is made twice
+@pytest.mark.parametrize("saves_output", [True, False])
+def test_a_planned_stop_loses_no_output(saves_output: bool) -> None:
+    rewrite_call = None if saves_output else without_saved_output
+    fleet = EventCountingFleet(5, rewrite_call=rewrite_call)
+    fleet.run(START_SECONDS)
+    fleet.submit_job("job", 4)
+    fleet.run(2.0)
+    for name in list(fleet.daemons):
+        fleet.drain(name)
+    fleet.run(40.0)
+    check_jobs(fleet, 1)
+    if saves_output:
+        assert fleet.event_count == 4 * EVENTS_PER_ITEM  # no event is produced twice
     else:
-        assert world.made > 4 * EVENTS_AN_ITEM
+        assert fleet.event_count > 4 * EVENTS_PER_ITEM
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_an_owner_that_wakes_up_changes_nothing(seed: int) -> None:
-    world = started(seed)
+def test_owner_that_resumes_changes_nothing(seed: int) -> None:
+    fleet = started_fleet(seed)
     for number in range(4):
-        world.hand_in(f"job{number}", 4)
-    world.run(1.6)
-    for name in list(world.daemons)[:2]:
-        world.pause(name, 5.0)
-    world.run(40.0)
-    check(world, 4)
+        fleet.submit_job(f"job{number}", 4)
+    fleet.run(1.6)
+    for name in list(fleet.daemons)[:2]:
+        fleet.pause(name, 5.0)
+    fleet.run(40.0)
+    check_jobs(fleet, 4)
 
 
 class StaleWrites:
-    """Counts records that reach the store from an owner whose successor has claimed."""
+    """Counts records that an owner writes after its successor claimed the shard.
+
+    Unless `is_fenced`, it removes the fencing stamp from every append.
+    """
 
     def __init__(self, is_fenced: bool) -> None:
-        self.taken = 0
+        self.stale_records = 0
         self._is_fenced = is_fenced
         self._epochs: dict[int, int] = {}
 
@@ -120,29 +123,29 @@
         if not isinstance(call, AppendRecords) or call.stamp is None:
             return call
         shard = call.partition.number
-        newest = max(self._epochs.get(shard, 0), call.stamp.epoch)
-        self._epochs[shard] = newest
+        newest_epoch = max(self._epochs.get(shard, 0), call.stamp.epoch)
+        self._epochs[shard] = newest_epoch
         if self._is_fenced:
             return call
-        self.taken += len(call.records) if call.stamp.epoch < newest else 0
+        self.stale_records += len(call.records) if call.stamp.epoch < newest_epoch else 0
         return dataclasses.replace(call, stamp=None)
 
 
 def test_without_the_fence_a_paused_owner_writes_after_its_successor() -> None:
-    """The pair of the test above: the same faults with the mechanism taken out."""
+    """Counterpart of the test above: the same faults without the mechanism."""
     writes = StaleWrites(is_fenced=False)
-    world = started(0, change=writes)
+    fleet = started_fleet(0, rewrite_call=writes)
     for number in range(4):
-        world.hand_in(f"job{number}", 4)
-    world.run(1.6)
-    for name in list(world.daemons)[:2]:
-        world.pause(name, 5.0)
-    world.run(40.0)
-    assert writes.taken > 0
+        fleet.submit_job(f"job{number}", 4)
+    fleet.run(1.6)
+    for name in list(fleet.daemons)[:2]:
+        fleet.pause(name, 5.0)
+    fleet.run(40.0)
+    assert writes.stale_records > 0
 
 
 @pytest.mark.parametrize("is_fenced", [True, False])
-def test_a_position_holds_what_the_newest_owner_listed(is_fenced: bool) -> None:
+def test_result_position_keeps_what_the_newest_owner_wrote(is_fenced: bool) -> None:
     store = KeyedStoreModel()
     shard = shard_partition(0)
 
@@ -157,144 +160,144 @@
     append(1, "of the owner that woke up")
     page = store.call(0.0, ReadNewest(1, shard))
     assert isinstance(page, NewestPage)
-    held = read_result_head(page.records[0].value).item_id
-    assert held == ("of the successor" if is_fenced else "of the owner that woke up")
+    item_id = read_result_head(page.records[0].value).item_id
+    assert item_id == ("of the successor" if is_fenced else "of the owner that woke up")
 
 
 @pytest.mark.parametrize("late", [False, True])
-def test_answers_lost_although_the_appends_act(late: bool) -> None:
-    world = started(7)
-    world.faults.answers_lost = 0.4
-    world.faults.is_late = late
+def test_jobs_survive_lost_answers_to_applied_appends(late: bool) -> None:
+    fleet = started_fleet(7)
+    fleet.faults.answer_loss_rate = 0.4
+    fleet.faults.delays_lost_appends = late
     for number in range(5):
-        world.hand_in(f"job{number}", 4)
-        world.run(0.5)
-    world.run(10.0)
-    world.faults.answers_lost = 0.0
-    world.run(40.0)
-    check(world)
+        fleet.submit_job(f"job{number}", 4)
+        fleet.run(0.5)
+    fleet.run(10.0)
+    fleet.faults.answer_loss_rate = 0.0
+    fleet.run(40.0)
+    check_jobs(fleet)
 
 
-def test_history_is_forgotten_and_shards_are_dealt_anew() -> None:
-    world = started(8)
+def test_jobs_survive_compaction_and_shard_reassignment() -> None:
+    fleet = started_fleet(8)
     for number in range(5):
-        world.hand_in(f"job{number}", 4)
-        world.run(1.0)
-        world.compact()
-        world.reassign()
-    world.run(40.0)
-    check(world, 5)
+        fleet.submit_job(f"job{number}", 4)
+        fleet.run(1.0)
+        fleet.compact()
+        fleet.reassign_shards()
+    fleet.run(40.0)
+    check_jobs(fleet, 5)
 
 
-def test_the_store_is_down_for_long() -> None:
-    world = started(9)
+def test_jobs_survive_a_long_store_outage() -> None:
+    fleet = started_fleet(9)
     for number in range(4):
-        world.hand_in(f"job{number}", 4)
-    world.run(1.0)
-    world.faults.is_down = True
-    world.run(6.0)
-    world.faults.is_down = False
-    world.run(40.0)
-    check(world)
-
-
-def test_an_ended_job_stops_everywhere() -> None:
-    world = started(10)
-    job = world.hand_in("job", 40)
-    world.run(2.0)
-    world.end_job(job)
-    world.run(3.5)
+        fleet.submit_job(f"job{number}", 4)
+    fleet.run(1.0)
+    fleet.faults.is_down = True
+    fleet.run(6.0)
+    fleet.faults.is_down = False
+    fleet.run(40.0)
+    check_jobs(fleet)
+
+
+def test_items_of_an_ended_job_stop_at_all_daemons() -> None:
+    fleet = started_fleet(10)
+    job = fleet.submit_job("job", 40)
+    fleet.run(2.0)
+    fleet.end_job(job)
+    fleet.run(3.5)
     assert job.ended_at < float("inf")
-    ran = sum(job.ran.values())
-    world.run(20.0)
-    assert sum(job.ran.values()) == ran
-    assert world.violations == []
+    runs = sum(job.run_counts.values())
+    fleet.run(20.0)
+    assert sum(job.run_counts.values()) == runs
+    assert fleet.violations == []
 
 
-def test_jobs_that_do_not_fit_are_refused_wherever_they_are_handed_in() -> None:
-    world = started(11, tokens_most=1000)
+def test_jobs_over_the_token_limit_are_refused_at_every_daemon() -> None:
+    fleet = started_fleet(11, max_queued_tokens=1000)
     for number in range(12):
-        world.hand_in(f"job{number}", 4, tokens=100, tries=1)
-    world.run(0.6)
-    accepted = [job for job in world.jobs.values() if job.accepted_at < float("inf")]
+        fleet.submit_job(f"job{number}", 4, tokens=100, tries=1)
+    fleet.run(0.6)
+    accepted = [job for job in fleet.jobs.values() if job.accepted_at < float("inf")]
     assert len(accepted) == 2
-    assert {s for job in world.jobs.values() for s in job.refusals} == {429}
-    world.run(30.0)
-    check(world)
+    assert {s for job in fleet.jobs.values() for s in job.refusals} == {429}
+    fleet.run(30.0)
+    check_jobs(fleet)
 
 
-def unconditional(call: StoreCall) -> StoreCall:
+def without_expected_end(call: StoreCall) -> StoreCall:
     if isinstance(call, AppendRecords) and call.expected_end is not None:
         return dataclasses.replace(call, expected_end=None)
     return call
 
 
 def test_without_the_expected_end_too_many_tokens_are_accepted() -> None:
-    """The pair of the test above: the same jobs with the condition taken out."""
-    world = started(11, tokens_most=1000, change=unconditional)
+    """Counterpart of the test above: the same jobs without the condition."""
+    fleet = started_fleet(11, max_queued_tokens=1000, rewrite_call=without_expected_end)
     for number in range(12):
-        world.hand_in(f"job{number}", 4, tokens=100, tries=1)
-    world.run(0.6)
-    assert sum(job.accepted_at < float("inf") for job in world.jobs.values()) > 2
+        fleet.submit_job(f"job{number}", 4, tokens=100, tries=1)
+    fleet.run(0.6)
+    assert sum(job.accepted_at < float("inf") for job in fleet.jobs.values()) > 2
 
 
-def test_room_comes_back_as_items_are_listed() -> None:
-    world = started(12, tokens_most=1000)
+def test_capacity_is_freed_as_items_are_listed() -> None:
+    fleet = started_fleet(12, max_queued_tokens=1000)
     for number in range(4):
-        world.hand_in(f"job{number}", 5, tokens=100, tries=1)
-        world.run(12.0)
-    check(world, 4)
+        fleet.submit_job(f"job{number}", 5, tokens=100, tries=1)
+        fleet.run(12.0)
+    check_jobs(fleet, 4)
 
 
-def test_finished_jobs_leave_the_store_when_their_time_is_over() -> None:
-    world = started(13)
+def test_finished_jobs_are_removed_after_their_retention() -> None:
+    fleet = started_fleet(13)
     for number in range(3):
-        world.hand_in(f"job{number}", 4)
-    world.run(20.0)
-    check(world, 3)
-    kept = [key for log in world.store.logs.values() for key in log.newest if "job" in key]
+        fleet.submit_job(f"job{number}", 4)
+    fleet.run(20.0)
+    check_jobs(fleet, 3)
+    kept = [key for log in fleet.store.logs.values() for key in log.newest if "job" in key]
     assert len(kept) > 3 * 4
-    for name in list(world.daemons)[:2]:
-        world.kill(name)  # an owner that dies half way leaves nothing behind
-        world.run(100.0)
-    world.run(300.0)
-    held = [key for log in world.store.logs.values() for key in log.newest if "job" in key]
-    assert held == []
-    assert all(not daemon.core.jobs.replicas.index.jobs for daemon in world.daemons.values())
+    for name in list(fleet.daemons)[:2]:
+        fleet.kill(name)  # an owner that is killed while it removes a job leaves no record behind
+        fleet.run(100.0)
+    fleet.run(300.0)
+    remaining = [key for log in fleet.store.logs.values() for key in log.newest if "job" in key]
+    assert remaining == []
+    assert all(not daemon.core.jobs.replicas.index.jobs for daemon in fleet.daemons.values())
 
 
-def test_open_jobs_stay_however_old_they_are() -> None:
-    world = started(14, engines=0)
-    world.hand_in("job", 2)
-    world.run(400.0)
-    assert "job" in world.any_daemon().core.jobs.replicas.index.jobs
-    assert world.violations == []
+def test_open_jobs_are_kept_regardless_of_age() -> None:
+    fleet = started_fleet(14, engines=0)
+    fleet.submit_job("job", 2)
+    fleet.run(400.0)
+    assert "job" in fleet.random_daemon().core.jobs.replicas.index.jobs
+    assert fleet.violations == []
 
 
 @pytest.mark.parametrize("seed", range(10))
-def test_random_faults(seed: int) -> None:
-    world = started(100 + seed)
+def test_jobs_survive_random_faults(seed: int) -> None:
+    fleet = started_fleet(100 + seed)
     for number in range(12):
-        world.hand_in(f"job{number}", world.rng.randint(1, 6))
-        name = world.rng.choice(list(world.daemons))
-        fault = world.rng.randrange(7)
+        fleet.submit_job(f"job{number}", fleet.rng.randint(1, 6))
+        name = fleet.rng.choice(list(fleet.daemons))
+        fault = fleet.rng.randrange(7)
         if fault == 0:
-            world.kill(name)
+            fleet.kill(name)
         elif fault == 1:
-            world.pause(name, world.rng.uniform(1.0, 6.0))
+            fleet.pause(name, fleet.rng.uniform(1.0, 6.0))
         elif fault == 2:
-            world.compact()
+            fleet.compact()
         elif fault == 3:
-            world.reassign()
+            fleet.reassign_shards()
         elif fault == 4:
-            world.faults.answers_lost = 0.3
-            world.faults.is_late = True
+            fleet.faults.answer_loss_rate = 0.3
+            fleet.faults.delays_lost_appends = True
         elif fault == 5:
-            world.faults.is_down = not world.faults.is_down
+            fleet.faults.is_down = not fleet.faults.is_down
         else:
-            world.drain(name)
-        world.run(1.0)
-    world.faults.is_down = False
-    world.faults.answers_lost = 0.0
-    world.run(60.0)
-    check(world)
+            fleet.drain(name)
+        fleet.run(1.0)
+    fleet.faults.is_down = False
+    fleet.faults.answer_loss_rate = 0.0
+    fleet.run(60.0)
+    check_jobs(fleet)
--- a/tests/silent_proxy.py
+++ b/tests/silent_proxy.py
@@ -1,7 +1,7 @@
-"""A loopback proxy whose connections go silent for good, without a reset.
+"""A loopback proxy whose connections can become permanently silent without being reset.
 
-A silent connection stays open: bytes of either side are neither read nor passed on. New
-connections work, unless a byte count at which they fall silent is set before they are made.
+A silent connection stays open, but bytes of either side are neither read nor forwarded. New
+connections work, unless `silent_after_up` or `silent_after_down` limits their bytes beforehand.
 """
 
 import socket
@@ -12,25 +12,29 @@
 READ_BYTES = 4096
 
 
-class _Pair:
+class _ProxiedConnection:
     """One connection through the proxy."""
 
     def __init__(
-        self, near: socket.socket, far: socket.socket, up_most: int | None, down_most: int | None
+        self,
+        near: socket.socket,
+        far: socket.socket,
+        max_up_bytes: int | None,
+        max_down_bytes: int | None,
     ) -> None:
         self.is_silent = False
         self.near, self.far = near, far
-        self._ways = ((near, far, up_most), (far, near, down_most))
+        self._directions = ((near, far, max_up_bytes), (far, near, max_down_bytes))
 
     def start(self) -> None:
-        for way in self._ways:
-            threading.Thread(target=self._pump, args=way, daemon=True).start()
+        for direction in self._directions:
+            threading.Thread(target=self._pump, args=direction, daemon=True).start()
 
-    def _pump(self, source: socket.socket, target: socket.socket, most: int | None) -> None:
-        """Passes bytes on, `most` of them; then the whole connection falls silent."""
-        while most is None or most > 0:
+    def _pump(self, source: socket.socket, target: socket.socket, max_bytes: int | None) -> None:
+        """Forwards at most `max_bytes`; then the whole connection becomes silent."""
+        while max_bytes is None or max_bytes > 0:
             try:
-                data = source.recv(READ_BYTES if most is None else min(READ_BYTES, most))
+                data = source.recv(READ_BYTES if max_bytes is None else min(READ_BYTES, max_bytes))
             except OSError:
                 return
             if self.is_silent:
@@ -41,11 +45,11 @@
                 return
             if not data:
                 return
-            most = None if most is None else most - len(data)
+            max_bytes = None if max_bytes is None else max_bytes - len(data)
         self.is_silent = True
 
     def shut_down(self) -> None:
-        """Ends the near side; the far one follows when its end is read."""
+        """Shuts down the near side; the far side follows when its pump reads the end."""
         self.near.shutdown(socket.SHUT_RDWR)
 
     def close(self) -> None:
@@ -54,14 +58,18 @@
 
 
 class SilentProxy:
-    """Passes connections on to a target, at an address of its own."""
+    """Forwards connections to a target.
+
+    `silent_after_up` and `silent_after_down` are the numbers of bytes to and from the target after
+    which a new connection becomes silent; None means unlimited.
+    """
 
     def __init__(self, target: Address) -> None:
         self.target = target
         self.silent_after_up: int | None = None
         self.silent_after_down: int | None = None
-        self.connections = 0
-        self._pairs: list[_Pair] = []
+        self.connection_count = 0
+        self._connections: list[_ProxiedConnection] = []
         self._listener = socket.create_server(("127.0.0.1", 0))
         self.address = Address("127.0.0.1", self._listener.getsockname()[1])
         threading.Thread(target=self._accept, daemon=True).start()
@@ -72,27 +80,29 @@
                 near, _ = self._listener.accept()
             except OSError:
                 return
-            self.connections += 1
-            # Small buffers: the kernel must not take what the proxy does not read.
+            self.connection_count += 1
+            # A small buffer, since the kernel accepts bytes that the proxy does not read.
             near.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, READ_BYTES)
             far = socket.create_connection((self.target.host, self.target.port))
-            pair = _Pair(near, far, self.silent_after_up, self.silent_after_down)
-            self._pairs.append(pair)  # before a byte is passed on, so that none is missed
-            pair.start()
+            connection = _ProxiedConnection(near, far, self.silent_after_up, self.silent_after_down)
+            self._connections.append(
+                connection
+            )  # before start, so that `silence` reaches every started connection
+            connection.start()
 
     def silence(self) -> None:
-        """Has all connections that are open now fall silent; later ones work."""
+        """Makes all open connections silent; later ones work."""
         self.silent_after_up = self.silent_after_down = None
-        for pair in self._pairs:
-            pair.is_silent = True
+        for connection in self._connections:
+            connection.is_silent = True
 
-    def close_pairs(self) -> None:
-        """Ends all connections that are open now, as the target would."""
-        for pair in self._pairs:
-            pair.shut_down()
+    def close_connections(self) -> None:
+        """Shuts down all open connections, as the target would."""
+        for connection in self._connections:
+            connection.shut_down()
 
     def close(self) -> None:
-        """Ends everything."""
+        """Closes the listener and all connections."""
         self._listener.close()
-        for pair in self._pairs:
-            pair.close()
+        for connection in self._connections:
+            connection.close()
--- a/tests/worlds/plain_formats.py
+++ b/tests/simulation/plain_formats.py
@@ -1,4 +1,4 @@
-"""Plain forms of the configuration and the engines' entries in the modelled store."""
+"""Simple encodings of the configuration and of engine entries in the simulated store."""
 
 from dataclasses import replace
 
@@ -13,16 +13,16 @@
 
 
 class PlainFormats:
-    """Decodes the records that the virtual world writes."""
+    """Decodes the records that the simulated fleet writes."""
 
     def __init__(self, configuration: FleetConfiguration) -> None:
         self._configuration = configuration
 
     def configuration(self, key: str, data: bytes) -> FleetConfiguration | None:
-        """Returns the world's configuration, with the version that the record holds."""
+        """Returns the fleet's configuration with the version in the record."""
         return replace(self._configuration, version=int(data))
 
     def engine(self, engine_id: str, data: bytes) -> EngineRecord:
-        """Decodes an engine's entry."""
+        """Decodes an engine entry."""
         slots, is_draining = cbor2.loads(data)
         return EngineRecord(engine_id, SERVICE, Address("10.0.0.1", 1), "z", slots, is_draining)
--- a/tests/worlds/quota_world.py
+++ b/tests/simulation/quota_fleet.py
@@ -1,4 +1,4 @@
-"""Daemons that keep one tenant's quota together, on a virtual clock, to compare ways to keep it."""
+"""A simulated fleet that enforces one tenant's quota, on a virtual clock, to compare policies."""
 
 import heapq
 import itertools
@@ -23,47 +23,50 @@
 from troutswitch.decisions.tenants.types import QuotaBounds, Tenant
 
 MESSAGE_SECONDS = (0.001, 0.004)
-"""Time of a message between daemons."""
-CREST_SECONDS = (3.4, 5.8)
-"""Of each such period, requests come at the rate of a crest after the first part."""
-CREST_FACTORS = (0.383, 1.87)
-"""Rates before and in a crest, in means."""
+"""Range of the delay of a message between daemons."""
+BURST_SECONDS = (3.4, 5.8)
+"""Start of the burst in each period, and length of the period."""
+BURST_RATE_FACTORS = (0.383, 1.87)
+"""Request rates before and during a burst, as multiples of the mean rate."""
 
 
 @dataclass
-class QuotaFigures:
-    """What was seen. `owed` are requests inside the limit by a count that knows all at once."""
+class QuotaStatistics:
+    """Counts of requests and messages, and the times of allowed requests.
+
+    `within_limit` counts the requests that one token bucket for the whole fleet would allow.
+    """
 
     requests: int = 0
-    owed: int = 0
-    refused_owed: int = 0
+    within_limit: int = 0
+    refused_within_limit: int = 0
     allowed_at: list[float] = field(default_factory=list)
     messages: int = 0
     message_bytes: int = 0
 
-    def most_in(self, window: float) -> int:
-        """Returns the most requests that were allowed in any window."""
-        most, first = 0, 0
+    def max_allowed_in(self, window: float) -> int:
+        """Returns the maximum number of requests allowed in any window of that length."""
+        maximum, first = 0, 0
         for last, at in enumerate(self.allowed_at):
             while self.allowed_at[first] <= at - window:
                 first += 1
-            most = max(most, last - first + 1)
-        return most
+            maximum = max(maximum, last - first + 1)
+        return maximum
 
 
 @dataclass
 class _Daemon:
-    """One daemon's quota."""
+    """One daemon with its quota and its claims of coordination."""
 
     name: str
     quota: Quota
     claims: CoordinatorClaims
     coordinated: dict[str, float]
-    silent_until: float = float("-inf")
+    unresponsive_until: float = float("-inf")
 
 
 class FixedFleet:
-    """A fleet of some daemons, with one configuration in force."""
+    """A fleet of a fixed number of daemons, with one configuration in force."""
 
     configuration_version = 1
 
@@ -71,14 +74,14 @@
         self.daemons = daemons
 
 
-class QuotaWorld:
-    """Daemons, one tenant's callers, and messages that take time or are lost."""
+class QuotaFleet:
+    """Daemons, the callers of one tenant, and messages that are delayed or lost."""
 
     def __init__(
         self, policy: str, tenant: Tenant, daemons: int, seed: int, loss: float = 0.0
     ) -> None:
         self.now = 0.0
-        self.figures = QuotaFigures()
+        self.statistics = QuotaStatistics()
         self.tenant = tenant
         self.bounds = QuotaBounds()
         self._policy = policy
@@ -86,8 +89,8 @@
         self._rng = random.Random(seed)
         self._events: list[tuple[float, int, Callable[[], None]]] = []
         self._numbers = itertools.count()
-        self._reference = TokenBucket(tenant.burst, 0.0)
-        self._owed: set[int] = set()
+        self._reference_bucket = TokenBucket(tenant.burst, 0.0)
+        self._tokens_within_limit: set[int] = set()
         self.group = ""
         self.daemons = [self._daemon(number, daemons) for number in range(daemons)]
         self.coordinate(0, since=-100.0)
@@ -106,7 +109,7 @@
             self.bounds,
             QuotaGroups(groups, claims, coordinated),
             FixedFleet(count),
-            lambda made: self._send(number, made),
+            lambda instruction: self._send(number, instruction),
             self._rng,
             leases=self._policy == "leased",
         )
@@ -115,7 +118,7 @@
     # The coordinator.
 
     def coordinate(self, number: int, since: float, known_to: set[int] | None = None) -> None:
-        """Has a daemon count from now on, as far as daemons know of its claim."""
+        """Makes a daemon the coordinator, for the daemons in `known_to` (default: all of them)."""
         offset = next(self._numbers)
         self.daemons[number].coordinated[self.group] = since
         for other, daemon in enumerate(self.daemons):
@@ -125,93 +128,95 @@
                 if other != number:
                     daemon.coordinated.pop(self.group, None)
 
-    def silence(self, number: int, seconds: float) -> None:
-        """Has a daemon reply to nobody for some seconds."""
-        self.daemons[number].silent_until = self.now + seconds
+    def make_unresponsive(self, number: int, seconds: float) -> None:
+        """Has a daemon ignore all messages that it receives for some seconds."""
+        self.daemons[number].unresponsive_until = self.now + seconds
 
     # Time and messages.
 
-    def after(self, seconds: float, act: Callable[[], None]) -> None:
-        """Does something later."""
-        heapq.heappush(self._events, (self.now + seconds, next(self._numbers), act))
+    def call_later(self, seconds: float, callback: Callable[[], None]) -> None:
+        """Schedules a call of a function."""
+        heapq.heappush(self._events, (self.now + seconds, next(self._numbers), callback))
 
-    def _send(self, sender: int, made: object) -> None:
-        if not isinstance(made, SendToPeers):
+    def _send(self, sender: int, instruction: object) -> None:
+        if not isinstance(instruction, SendToPeers):
             return
-        for address in made.addresses:
-            self.figures.messages += 1
-            self.figures.message_bytes += len(encode(made.message))
+        for address in instruction.addresses:
+            self.statistics.messages += 1
+            self.statistics.message_bytes += len(encode(instruction.message))
             if self._rng.random() >= self._loss:
                 delay = self._rng.uniform(*MESSAGE_SECONDS)
-                receiver, message = address.port, made.message
-                self.after(delay, lambda r=receiver, m=message: self._receive(r, m))  # type: ignore[misc]
+                receiver, message = address.port, instruction.message
+                self.call_later(delay, lambda r=receiver, m=message: self._receive(r, m))  # type: ignore[misc]
 
     def _receive(self, number: int, message: object) -> None:
         daemon = self.daemons[number]
-        if self.now < daemon.silent_until:
+        if self.now < daemon.unresponsive_until:
             return
         if isinstance(message, QuotaRequest):
             daemon.quota.on_request(self.now, message)
         elif isinstance(message, QuotaDecision):
-            self._end(daemon.quota.on_decision(self.now, message))
+            self._record_completions(daemon.quota.on_decision(self.now, message))
 
     def run(self, seconds: float) -> None:
-        """Lets time pass."""
+        """Advances virtual time by some seconds."""
         until = self.now + seconds
         while self._events and self._events[0][0] <= until:
-            self.now, _, act = heapq.heappop(self._events)
-            act()
-            self._run_timers()
+            self.now, _, callback = heapq.heappop(self._events)
+            callback()
+            self._run_due_timers()
         self.now = until
-        self._run_timers()
+        self._run_due_timers()
 
-    def _run_timers(self) -> None:
+    def _run_due_timers(self) -> None:
         for daemon in self.daemons:
             if daemon.quota.next_due() <= self.now:
-                self._end(daemon.quota.on_timer(self.now))
+                self._record_completions(daemon.quota.on_timer(self.now))
 
     # Requests.
 
     def send_for(self, seconds: float, mean_rate: float, daemons: int | None = None) -> None:
-        """Has the tenant send at a mean rate, in crests, through some of the daemons."""
+        """Schedules the tenant's requests at a mean rate with bursts, at the first `daemons`."""
         at = 0.0
         while True:
-            is_crest = (self.now + at) % CREST_SECONDS[1] >= CREST_SECONDS[0]
-            at += self._rng.expovariate(mean_rate * CREST_FACTORS[is_crest])
+            is_burst = (self.now + at) % BURST_SECONDS[1] >= BURST_SECONDS[0]
+            at += self._rng.expovariate(mean_rate * BURST_RATE_FACTORS[is_burst])
             if at >= seconds:
                 return
             number = self._rng.randrange(daemons or len(self.daemons))
-            self.after(at, lambda n=number: self._request(n))  # type: ignore[misc]
+            self.call_later(at, lambda n=number: self._request(n))  # type: ignore[misc]
 
     def _request(self, number: int) -> None:
         token = next(self._numbers)
-        self.figures.requests += 1
+        self.statistics.requests += 1
         rate, burst = self.tenant.rate, self.tenant.burst
-        if self._reference.refill(self.now, rate, burst) >= 1.0:
-            self._reference.tokens -= 1.0
-            self.figures.owed += 1
-            self._owed.add(token)
+        if self._reference_bucket.refill(self.now, rate, burst) >= 1.0:
+            self._reference_bucket.tokens -= 1.0
+            self.statistics.within_limit += 1
+            self._tokens_within_limit.add(token)
         result = self.daemons[number].quota.take(self.now, token, self.tenant)
         if result is not None:
-            self._end([QuotaCompletion(token, result)])
+            self._record_completions([QuotaCompletion(token, result)])
         else:
             for seconds in (0.0121, 0.0301):
-                self.after(seconds, _nothing)  # so that time-outs are noticed
+                self.call_later(
+                    seconds, _nothing
+                )  # runs the timers after the timeouts of a request
 
-    def _end(self, ended: list[QuotaCompletion]) -> None:
-        for end in ended:
-            self._note(end.token, end.result)
+    def _record_completions(self, completions: list[QuotaCompletion]) -> None:
+        for completion in completions:
+            self._record_result(completion.token, completion.result)
 
-    def _note(self, token: int, result: QuotaResult) -> None:
+    def _record_result(self, token: int, result: QuotaResult) -> None:
         if result.is_allowed:
-            self.figures.allowed_at.append(self.now)
-        elif token in self._owed:
-            self.figures.refused_owed += 1
+            self.statistics.allowed_at.append(self.now)
+        elif token in self._tokens_within_limit:
+            self.statistics.refused_within_limit += 1
 
 
 def _nothing() -> None:
-    """Only lets time pass."""
+    """Does nothing; only the timers that run after it matter."""
 
 
 def _log_nothing(event: str, **fields: object) -> None:
-    """Stands for a log."""
+    """Discards a log line."""
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,4 +1,4 @@
-"""The list of known red tests, judged by whole runs of small suites."""
+"""Known red tests, checked by complete pytest runs of small suites."""
 
 from pathlib import Path
 
@@ -28,10 +28,10 @@
     def test_setup(broken):
         pass
 """
-RED = "tests/test_suite.py::test_red | the door is open | issue 7"
-GREEN = "tests/test_suite.py::test_green | none that is left | issue 8"
-NAMED = "tests/test_suite.py::test_named[a | b] | names are cut | issue 9"
-SETUP = "tests/test_suite.py::test_setup | no disk | issue 10"
+RED = "tests/test_suite.py::test_red | race at startup | issue 7"
+GREEN = "tests/test_suite.py::test_green | already fixed | issue 8"
+NAMED = "tests/test_suite.py::test_named[a | b] | truncated names | issue 9"
+SETUP = "tests/test_suite.py::test_setup | disk full | issue 10"
 ABSENT = "tests/test_suite.py::test_absent | it was renamed | issue 11"
 ELSEWHERE = "tests/test_gone.py::test_red | it was moved | issue 12"
 ONE_PROCESS = ()
@@ -40,7 +40,7 @@
 
 @pytest.fixture(params=[ONE_PROCESS, TWO_WORKERS], ids=["one process", "two workers"])
 def processes(request: pytest.FixtureRequest) -> tuple[str, ...]:
-    """The same verdicts are due with and without workers."""
+    """Runs a test both without and with workers; the outcome must be the same."""
     chosen: tuple[str, ...] = request.param
     return chosen
 
@@ -60,7 +60,7 @@
     return suite.runpytest_subprocess(*arguments)
 
 
-def test_absent_file_lists_none(suite: pytest.Pytester, processes: tuple[str, ...]) -> None:
+def test_absent_file_lists_no_test(suite: pytest.Pytester, processes: tuple[str, ...]) -> None:
     result = suite.runpytest_subprocess(*processes)
     result.assert_outcomes(passed=3, failed=2, errors=1)
     result.stdout.no_fnmatch_line(f"*{known_red.FILE_NAME}*")
@@ -75,16 +75,14 @@
     result.stdout.fnmatch_lines(
         [
             "*= KNOWN-RED.txt =*",
-            "tests/test_suite.py::test_red: fails as known: the door is open (issue 7)",
-            "*test_named[[]a | b]: fails as known: names are cut (issue 9)",
-            "*test_setup: fails as known: no disk (issue 10)",
+            "tests/test_suite.py::test_red: fails as known: race at startup (issue 7)",
+            "*test_named[[]a | b]: fails as known: truncated names (issue 9)",
+            "*test_setup: fails as known: disk full (issue 10)",
         ]
     )
 
 
-def test_only_listed_tests_are_passed_over(
-    suite: pytest.Pytester, processes: tuple[str, ...]
-) -> None:
+def test_unlisted_failures_fail_the_run(suite: pytest.Pytester, processes: tuple[str, ...]) -> None:
     result = run(suite, [RED, NAMED], *processes)
     assert result.ret == pytest.ExitCode.TESTS_FAILED
     result.assert_outcomes(passed=3, xfailed=2, errors=1)
@@ -96,10 +94,10 @@
     result = run(suite, [RED, GREEN], *processes, "-k", "red or green")
     assert result.ret == pytest.ExitCode.TESTS_FAILED
     result.assert_outcomes(xfailed=1, failed=1)
-    result.stdout.fnmatch_lines(["*test_green: PASSES: take it off the list: none that is left*"])
+    result.stdout.fnmatch_lines(["*test_green: PASSES: take it off the list: already fixed*"])
 
 
-def test_own_lenient_mark_does_not_ease_the_list(suite: pytest.Pytester) -> None:
+def test_lenient_xfail_mark_of_a_test_does_not_override_the_list(suite: pytest.Pytester) -> None:
     lenient = "import pytest\n@pytest.mark.xfail\ndef test_it(): pass"
     suite.makepyfile(**{"tests/test_lenient": lenient})
     line = "tests/test_lenient.py::test_it | not yet | issue 7"
@@ -118,7 +116,7 @@
 
 
 @pytest.mark.parametrize("argument", ["tests", "."])
-def test_whole_run_may_be_named(
+def test_complete_run_may_be_given_as_arguments(
     suite: pytest.Pytester, processes: tuple[str, ...], argument: str
 ) -> None:
     result = run(suite, [ABSENT], *processes, "-k", "green", argument)
@@ -134,17 +132,17 @@
     ],
     ids=["file", "test", "ignored"],
 )
-def test_run_of_a_part_does_not_judge_names(
+def test_partial_run_does_not_check_for_missing_tests(
     suite: pytest.Pytester, processes: tuple[str, ...], arguments: tuple[str, ...]
 ) -> None:
     result = run(suite, [RED, ABSENT], *processes, *arguments)
     assert result.ret == pytest.ExitCode.OK
     result.assert_outcomes(passed=1)
-    result.stdout.fnmatch_lines(["*test_red: not run: the door is open (issue 7)"])
+    result.stdout.fnmatch_lines(["*test_red: not run: race at startup (issue 7)"])
 
 
 @pytest.mark.parametrize("narrowing", [("-k", "green"), ("--deselect", RED.split()[0])])
-def test_deselected_test_is_no_missing_one(
+def test_deselected_test_is_not_missing(
     suite: pytest.Pytester, processes: tuple[str, ...], narrowing: tuple[str, ...]
 ) -> None:
     result = run(suite, [RED, NAMED, SETUP], *processes, *narrowing)
@@ -152,7 +150,7 @@
     result.stdout.fnmatch_lines(["*test_red: not run: *"])
 
 
-def test_what_a_later_hook_takes_out_is_no_missing_one(
+def test_item_removed_by_a_later_hook_is_not_missing(
     suite: pytest.Pytester, processes: tuple[str, ...]
 ) -> None:
     hook = "def pytest_collection_modifyitems(items): items[:] = items[:1]"
@@ -163,13 +161,15 @@
     result.stdout.fnmatch_lines(["*test_red: not run: *"])
 
 
-def test_grouped_tests_are_known_by_their_ids(suite: pytest.Pytester) -> None:
-    grouped = "import pytest\n@pytest.mark.xdist_group('door')\ndef test_it(): assert False"
+def test_grouped_tests_are_matched_by_their_ids(suite: pytest.Pytester) -> None:
+    grouped = "import pytest\n@pytest.mark.xdist_group('group')\ndef test_it(): assert False"
     suite.makepyfile(**{"tests/test_grouped": grouped})
-    line = "tests/test_grouped.py::test_it | shut | issue 7"
+    line = "tests/test_grouped.py::test_it | deadlock | issue 7"
     result = run(suite, [line], *TWO_WORKERS, "--dist", "loadgroup", "-k", "grouped")
     assert result.ret == pytest.ExitCode.OK
-    result.stdout.fnmatch_lines(["tests/test_grouped.py::test_it: fails as known: shut (issue 7)"])
+    result.stdout.fnmatch_lines(
+        ["tests/test_grouped.py::test_it: fails as known: deadlock (issue 7)"]
+    )
 
 
 @pytest.mark.parametrize(
@@ -178,14 +178,14 @@
         [RED, GREEN, NAMED, SETUP],
         [RED, RED],
         ["tests/test_suite.py::test_red"],
-        ["tests/test_suite.py::test_red | the door is open"],
+        ["tests/test_suite.py::test_red | race at startup"],
         ["tests/test_suite.py::test_red |  | issue 7"],
-        ["tests/test_suite.py::test_red | the door is open | "],
-        ["tests/test_suite.py::test_red | the door is open | some day"],
+        ["tests/test_suite.py::test_red | race at startup | "],
+        ["tests/test_suite.py::test_red | race at startup | some day"],
     ],
     ids=["four", "twice", "id only", "no issue", "no cause", "empty issue", "issue unnamed"],
 )
-def test_malformed_list_stops_the_run(
+def test_malformed_list_is_a_usage_error(
     suite: pytest.Pytester, processes: tuple[str, ...], lines: list[str]
 ) -> None:
     result = run(suite, lines, *processes)
--- a/tests/test_layout.py
+++ b/tests/test_layout.py
@@ -1,7 +1,7 @@
-"""Guards which packages may import which, read from the source without importing it.
+"""Checks the imports between packages, by parsing the source without importing it.
 
-What the gateway daemon runs must be readable without the standalone daemon, and what only tests
-use must not be part of the program.
+The gateway daemon must not depend on the standalone daemon, and `src` must not contain modules
+that only tests use.
 """
 
 import ast
@@ -12,7 +12,7 @@
 STANDALONE = "troutswitch.standalone"
 PROGRAMS = ("troutswitch.gateway.__main__", "troutswitch.cli.__main__", "troutswitch.cli.main")
 STARTED_BY_NAME = ("troutswitch.soak.clocked_daemon",)
-"""Modules that another program starts as a process of its own, by `python -m`."""
+"""Modules that another program starts in a separate process by `python -m`."""
 
 
 def module_name(path: Path) -> str:
@@ -24,17 +24,17 @@
 
 
 def imported_names(path: Path) -> Iterator[str]:
-    """Yields the dotted names that a module's import statements name, wherever they stand."""
+    """Yields the dotted names in all import statements of a module, also in nested scopes."""
     for node in ast.walk(ast.parse(path.read_text())):
         if isinstance(node, ast.Import):
             yield from (alias.name for alias in node.names)
         elif isinstance(node, ast.ImportFrom):
-            assert node.level == 0, f"{path}: a relative import, which this test can't follow"
+            assert node.level == 0, f"{path}: relative imports are not supported by this test"
             yield from (f"{node.module}.{alias.name}" for alias in node.names)
 
 
 def modules_of(name: str) -> Iterator[str]:
-    """Yields the module that a dotted name is or lies in, and the packages around it."""
+    """Yields the module that a dotted name is or belongs to, and its parent packages."""
     parts = name.split(".")
     for length in range(len(parts), 0, -1):
         module = ".".join(parts[:length])
@@ -42,24 +42,24 @@
             yield module
 
 
-def reached_from(*programs: str) -> set[str]:
-    """Returns all modules that the programs import, directly or by others."""
-    reached: set[str] = set()
-    open_modules = [module for program in programs for module in modules_of(program)]
-    while open_modules:
-        module = open_modules.pop()
-        if module in reached:
+def modules_imported_by(*programs: str) -> set[str]:
+    """Returns all modules that the programs import, directly or indirectly."""
+    imported: set[str] = set()
+    pending = [module for program in programs for module in modules_of(program)]
+    while pending:
+        module = pending.pop()
+        if module in imported:
             continue
-        reached.add(module)
+        imported.add(module)
         for name in imported_names(MODULES[module]):
-            open_modules += modules_of(name)
-    return reached
+            pending += modules_of(name)
+    return imported
 
 
-def test_the_gateway_imports_nothing_of_the_standalone_daemon() -> None:
-    reached = reached_from("troutswitch.gateway.__main__")
-    assert "troutswitch.decisions.gateway" in reached, "the search follows imports"
-    assert [module for module in reached if module.startswith(STANDALONE)] == []
+def test_gateway_imports_nothing_of_the_standalone_daemon() -> None:
+    imported = modules_imported_by("troutswitch.gateway.__main__")
+    assert "troutswitch.decisions.gateway" in imported, "imports are not followed"
+    assert [module for module in imported if module.startswith(STANDALONE)] == []
 
 
 def test_shared_packages_import_nothing_of_the_standalone_daemon() -> None:
@@ -70,6 +70,6 @@
             assert not [name for name in names if name.startswith(STANDALONE)], module
 
 
-def test_a_program_reaches_each_module() -> None:
-    reached = reached_from(*PROGRAMS, *STARTED_BY_NAME)
-    assert sorted(set(MODULES) - reached) == []
+def test_every_module_is_imported_by_a_program() -> None:
+    imported = modules_imported_by(*PROGRAMS, *STARTED_BY_NAME)
+    assert sorted(set(MODULES) - imported) == []
