--- a/src/troutswitch/decisions/peers/peer_registry.py
+++ b/src/troutswitch/decisions/peers/peer_registry.py
@@ -38,9 +38,9 @@
 """Time after which a call without an answer is repeated."""
 WRITE_RETRY_PAUSE_SECONDS = 1.0
 """Pause after a write that failed."""
-MIN_EXPERIENCE_INTERVAL_SECONDS = 6.0
+MIN_LEARNED_TIMES_INTERVAL_SECONDS = 6.0
 """Minimum interval between writes of learnt run times."""
-MIN_EXPERIENCE_INTERVAL_PER_PEER_SECONDS = 0.1
+MIN_LEARNED_TIMES_INTERVAL_PER_PEER_SECONDS = 0.1
 """Minimum such interval for each known peer, which bounds the writes of a large fleet."""
 
 
@@ -51,7 +51,7 @@
     name: str
     address: Address
     zone: str
-    experience: LearnedTimes
+    learned_times: LearnedTimes
 
 
 class PeerRegistry:
@@ -103,19 +103,19 @@
     def _write(self, now: float) -> list[StoreCall]:
         entry = self._own_entry()
         is_first = self._write_call == 0
-        if not is_first and entry.experience.is_similar_to(self._last_written):
-            self._next_write_at = now + self._experience_interval()
+        if not is_first and entry.learned_times.is_similar_to(self._last_written):
+            self._next_write_at = now + self._learned_times_interval()
             return []
         self._next_write_at = now + CALL_EXPIRY_SECONDS
         self._write_call = self._numbers.next()
-        self._last_written = entry.experience
+        self._last_written = entry.learned_times
         record = KeyedRecord(entry.name, encode_entry(entry))
         return [AppendRecords(self._write_call, Partition(PEERS_TOPIC), (record,))]
 
-    def _experience_interval(self) -> float:
+    def _learned_times_interval(self) -> float:
         return max(
-            MIN_EXPERIENCE_INTERVAL_SECONDS,
-            MIN_EXPERIENCE_INTERVAL_PER_PEER_SECONDS * self._count_peers(),
+            MIN_LEARNED_TIMES_INTERVAL_SECONDS,
+            MIN_LEARNED_TIMES_INTERVAL_PER_PEER_SECONDS * self._count_peers(),
         )
 
     def _read(self, now: float) -> StoreCall:
@@ -148,7 +148,7 @@
 
     def _on_written(self, now: float, succeeded: bool) -> None:
         if succeeded:
-            self._next_write_at = now + self._experience_interval()
+            self._next_write_at = now + self._learned_times_interval()
         else:
             self._last_written = LearnedTimes()
             self._write_call = 0
@@ -166,7 +166,7 @@
 def encode_entry(entry: PeerRegistryEntry) -> bytes:
     """Encodes an entry as a record's value."""
     address = entry.address
-    return cbor2.dumps([address.host, address.port, entry.zone, entry.experience.to_fields()])
+    return cbor2.dumps([address.host, address.port, entry.zone, entry.learned_times.to_fields()])
 
 
 def decode_entry(record: KeyedRecord) -> PeerRegistryEntry:
@@ -177,5 +177,5 @@
     """
     fields: list[Any] = cbor2.loads(record.value)
     host, port, zone, learnt = fields
-    experience = LearnedTimes.from_fields(learnt)
-    return PeerRegistryEntry(record.key, Address(str(host), int(port)), str(zone), experience)
+    learned_times = LearnedTimes.from_fields(learnt)
+    return PeerRegistryEntry(record.key, Address(str(host), int(port)), str(zone), learned_times)
--- a/src/troutswitch/decisions/run_time_sharing.py
+++ b/src/troutswitch/decisions/run_time_sharing.py
@@ -31,14 +31,14 @@
     def own_entry(self) -> PeerRegistryEntry:
         """Returns this daemon's current entry."""
         identity = self._identity
-        experience = replace(
+        learned_times = replace(
             self._requests.learned_times(), batch_run_times=self._job_owner.run_times.snapshot()
         )
-        return PeerRegistryEntry(identity.name, identity.peer_address, identity.zone, experience)
+        return PeerRegistryEntry(identity.name, identity.peer_address, identity.zone, learned_times)
 
     def apply_entry(self, now: float, entry: PeerRegistryEntry) -> None:
         """Records a daemon's address, and its run times where this daemon has none yet."""
         self._peers.on_registered(entry)
-        self._requests.merge(entry.experience)
-        if entry.experience.batch_run_times is not None:
-            self._job_owner.run_times.adopt(entry.experience.batch_run_times)
+        self._requests.merge(entry.learned_times)
+        if entry.learned_times.batch_run_times is not None:
+            self._job_owner.run_times.adopt(entry.learned_times.batch_run_times)
--- a/tests/decisions/peers/test_peer_registry.py
+++ b/tests/decisions/peers/test_peer_registry.py
@@ -12,7 +12,7 @@
 from troutswitch.decisions.forwarding.requests import ForwardedRequests
 from troutswitch.decisions.peers.peer_registry import (
     INITIAL_READ_INTERVAL_SECONDS,
-    MIN_EXPERIENCE_INTERVAL_SECONDS,
+    MIN_LEARNED_TIMES_INTERVAL_SECONDS,
     WRITE_RETRY_PAUSE_SECONDS,
     PeerRegistry,
     PeerRegistryEntry,
@@ -35,7 +35,7 @@
 KNOWN = LearnedTimes({"s": (60, 640)}, {"r": 5000})
 NAMES = st.text(max_size=8)
 MILLISECONDS = st.integers(0, 100_000)
-EXPERIENCES = st.builds(
+LEARNED_TIMES = st.builds(
     LearnedTimes,
     st.dictionaries(NAMES, st.tuples(MILLISECONDS, MILLISECONDS), max_size=5),
     st.dictionaries(NAMES, MILLISECONDS, max_size=5),
@@ -48,11 +48,11 @@
     """A registry, the calls that it makes to the store, and the entries that it applied."""
 
     def __init__(self) -> None:
-        self.experience = LearnedTimes()
+        self.learned_times = LearnedTimes()
         self.applied: list[PeerRegistryEntry] = []
         self.malformed = 0
         self.peer_registry = PeerRegistry(
-            lambda: PeerRegistryEntry("me", ADDRESS, "z", self.experience),
+            lambda: PeerRegistryEntry("me", ADDRESS, "z", self.learned_times),
             lambda: 8,
             CallNumbers(),
             lambda now, entry: self.applied.append(entry),
@@ -85,12 +85,12 @@
     registry.answer(
         0.1, first[0], earlier, KeyedRecord("bad", b"\xff"), KeyedRecord("odd", b"\x01")
     )
-    assert [entry.experience for entry in registry.applied] == [KNOWN]
+    assert [entry.learned_times for entry in registry.applied] == [KNOWN]
     assert registry.malformed == 2
-    registry.experience = registry.applied[0].experience
+    registry.learned_times = registry.applied[0].learned_times
     written = registry.next_write(0.1)
     assert written is not None
-    assert decode_entry(written.records[0]).experience == KNOWN
+    assert decode_entry(written.records[0]).learned_times == KNOWN
 
 
 def test_entry_is_written_even_if_the_read_is_not_answered() -> None:
@@ -124,55 +124,55 @@
     written = registry.next_write(0.0)
     assert written is not None
     registry.answer(0.1, written)
-    registry.experience = KNOWN
-    assert registry.next_write(MIN_EXPERIENCE_INTERVAL_SECONDS / 2) is None
-    written = registry.next_write(0.1 + MIN_EXPERIENCE_INTERVAL_SECONDS)
+    registry.learned_times = KNOWN
+    assert registry.next_write(MIN_LEARNED_TIMES_INTERVAL_SECONDS / 2) is None
+    written = registry.next_write(0.1 + MIN_LEARNED_TIMES_INTERVAL_SECONDS)
     assert written is not None
     registry.answer(7.0, written)
-    registry.experience = LearnedTimes({"s": (65, 660)}, {"r": 5000})
-    assert registry.next_write(7.0 + MIN_EXPERIENCE_INTERVAL_SECONDS) is None
+    registry.learned_times = LearnedTimes({"s": (65, 660)}, {"r": 5000})
+    assert registry.next_write(7.0 + MIN_LEARNED_TIMES_INTERVAL_SECONDS) is None
 
 
 @DETERMINISTIC
-@given(EXPERIENCES)
-def test_decoded_entry_equals_the_encoded_one(experience: LearnedTimes) -> None:
-    entry = PeerRegistryEntry("me", ADDRESS, "z", experience)
+@given(LEARNED_TIMES)
+def test_decoded_entry_equals_the_encoded_one(learned_times: LearnedTimes) -> None:
+    entry = PeerRegistryEntry("me", ADDRESS, "z", learned_times)
     assert decode_entry(KeyedRecord("me", encode_entry(entry))) == entry
-    assert experience.is_similar_to(experience)
+    assert learned_times.is_similar_to(learned_times)
 
 
 # Use of the shared run times.
 
 
-def busy_world(experience: LearnedTimes | None) -> ForwardingHarness:
-    """Returns a world whose only engine was sent 40 requests since the daemon started."""
-    world = ForwardingHarness(engines=1)
-    world.requests = ForwardedRequests(
-        "z", world.routes, world.engines, random.Random(1), "prefix_aware", "defer_late"
+def busy_harness(learned_times: LearnedTimes | None) -> ForwardingHarness:
+    """Returns a harness whose only engine was sent 40 requests since the daemon started."""
+    harness = ForwardingHarness(engines=1)
+    harness.requests = ForwardedRequests(
+        "z", harness.routes, harness.engines, random.Random(1), "prefix_aware", "defer_late"
     )
-    if experience is not None:
-        world.requests.merge(experience)
+    if learned_times is not None:
+        harness.requests.merge(learned_times)
     for token in range(40):
-        world.requests.on_arrived(1.0, arrival(token, time_left=3.0))
-    return world
+        harness.requests.on_arrived(1.0, arrival(token, time_left=3.0))
+    return harness
 
 
-def test_daemon_with_shared_experience_defers_late_requests_but_not_retried_ones() -> None:
-    world = busy_world(KNOWN)
-    assert isinstance(world.arrive(1.0, arrival(90, time_left=5.0)), FinishRequest)
-    assert isinstance(world.arrive(1.0, arrival(91, time_left=3.0)), SendRequest)
+def test_daemon_with_shared_learned_times_defers_late_requests_but_not_retried_ones() -> None:
+    harness = busy_harness(KNOWN)
+    assert isinstance(harness.arrive(1.0, arrival(90, time_left=5.0)), FinishRequest)
+    assert isinstance(harness.arrive(1.0, arrival(91, time_left=3.0)), SendRequest)
 
 
-def test_daemon_without_experience_defers_no_request() -> None:
-    world = busy_world(None)
-    assert isinstance(world.arrive(1.0, arrival(90, time_left=5.0)), SendRequest)
+def test_daemon_without_learned_times_defers_no_request() -> None:
+    harness = busy_harness(None)
+    assert isinstance(harness.arrive(1.0, arrival(90, time_left=5.0)), SendRequest)
 
 
 def test_own_run_times_take_precedence_over_shared_ones() -> None:
-    world = ForwardingHarness(engines=1)
-    sent = world.arrive(0.0, arrival(1, time_left=5.0))
+    harness = ForwardingHarness(engines=1)
+    sent = harness.arrive(0.0, arrival(1, time_left=5.0))
     assert isinstance(sent, SendRequest)
-    world.requests.on_answer_begun(0.1, AnswerBegun(1, sent.attempt, None))
-    world.end(1.0, sent, AttemptOutcome.COMPLETED, delivered=31)
-    world.requests.merge(KNOWN)
-    assert world.requests.learned_times().times["s"] == (100, 1000)
+    harness.requests.on_answer_begun(0.1, AnswerBegun(1, sent.attempt, None))
+    harness.end(1.0, sent, AttemptOutcome.COMPLETED, delivered=31)
+    harness.requests.merge(KNOWN)
+    assert harness.requests.learned_times().times["s"] == (100, 1000)
--- a/tests/forms/samples.py
+++ b/tests/forms/samples.py
@@ -560,24 +560,24 @@
 
 # Learned times of daemons in the peer registry in the store.
 
-_LEARNED_TIMES = LearnedTimes(
+_ALL_LEARNED_TIMES = LearnedTimes(
     {"s1": (120, 900), "s2": (3, LARGE)}, {"r1": 5000, "r2": 1}, BatchRunTimes(1, 2, 3)
 )
 
 
-def _registry_sample(experience: LearnedTimes) -> Sample:
-    entry = PeerRegistryEntry("d-1", HOST, "z1", experience)
+def _registry_sample(learned_times: LearnedTimes) -> Sample:
+    entry = PeerRegistryEntry("d-1", HOST, "z1", learned_times)
     return Sample(
         lambda: encode_entry(entry),
         lambda data: encode_entry(decode_entry(KeyedRecord("d-1", data))),
     )
 
 
-EXPERIENCES = {
+LEARNED_TIMES = {
     "nothing learnt": _registry_sample(LearnedTimes()),
     "times alone": _registry_sample(LearnedTimes({"s1": (120, 900)})),
     "patience alone": _registry_sample(LearnedTimes({}, {"r1": 5000})),
-    "everything learnt": _registry_sample(_LEARNED_TIMES),
+    "everything learnt": _registry_sample(_ALL_LEARNED_TIMES),
     "more names than are kept": _registry_sample(
         LearnedTimes(
             {f"s{n}": (n, n + 1) for n in range(70)}, {f"r{n}": n for n in range(70)}, None
--- a/tests/forms/test_experience.py
+++ b/tests/forms/test_learned_times.py
@@ -11,9 +11,9 @@
 
 
 def test_samples_and_data_have_the_same_names() -> None:
-    check_samples_match_data("experience", samples.EXPERIENCES)
+    check_samples_match_data("experience", samples.LEARNED_TIMES)
 
 
-@pytest.mark.parametrize("name", samples.EXPERIENCES)
+@pytest.mark.parametrize("name", samples.LEARNED_TIMES)
 def test_registry_entry_keeps_its_bytes(name: str) -> None:
-    check_sample("experience", name, samples.EXPERIENCES[name])
+    check_sample("experience", name, samples.LEARNED_TIMES[name])
--- a/tests/forms/write.py
+++ b/tests/forms/write.py
@@ -44,7 +44,7 @@
     },
     "names": samples.names_and_hashes,
     "settings": lambda: redecoded(stored("settings")),
-    "experience": lambda: encoded(samples.EXPERIENCES),
+    "experience": lambda: encoded(samples.LEARNED_TIMES),
 }
 
 
