--- a/src/troutswitch/decisions/forwarding/placer.py
+++ b/src/troutswitch/decisions/forwarding/placer.py
@@ -27,14 +27,14 @@
 class PlacementRequest:
     """A request to be placed.
 
-    `token` identifies the request within this process. `longest_wait` is the wait for a slot, in
-    seconds, with which it is sent; infinite if it is sent whatever the wait.
+    `token` identifies the request within this process. `max_wait` is the maximum wait for a slot,
+    in seconds, with which it is sent; infinite if it is sent whatever the wait.
     """
 
     token: int
     service: str
     prompt: PromptShape
-    longest_wait: float
+    max_wait: float
 
 
 class AssignedBy(Enum):
@@ -105,9 +105,9 @@
         self, now: float, request: PlacementRequest, candidates: list[Engine]
     ) -> Placement | None:
         """Returns the policy's choice, unless the wait is too long at every engine."""
-        if request.longest_wait < float("inf"):
+        if request.max_wait < float("inf"):
             best = shortest_wait(now, candidates, self._times.of(request.service))
-            if best is not None and best.wait > request.longest_wait:
+            if best is not None and best.wait > request.max_wait:
                 return NoSlotInTime(best)
         engine = self._policy.choose(now, candidates, request.prompt, self._zone, self._rng)
         is_queued = engine.in_flight(now) >= engine.slots
--- a/src/troutswitch/decisions/forwarding/placing.py
+++ b/src/troutswitch/decisions/forwarding/placing.py
@@ -70,9 +70,9 @@
             return self._open.wait_or_end(now, request, reason, Step.ROUTE)
         request.state = RequestState.PLACING
         arrival = request.arrival
-        longest_wait = float("inf") if request.ended_attempts else request.longest_wait
+        max_wait = float("inf") if request.ended_attempts else request.longest_wait
         placement_request = PlacementRequest(
-            arrival.token, request.service, arrival.prompt, longest_wait
+            arrival.token, request.service, arrival.prompt, max_wait
         )
         placement = self.placer.place(now, placement_request, candidates)
         return self.on_placement(now, request, placement) if placement is not None else []
--- a/src/troutswitch/decisions/slots/group_search.py
+++ b/src/troutswitch/decisions/slots/group_search.py
@@ -74,8 +74,8 @@
         """Returns the maximum wait to accept in the current group, in seconds."""
         has_alternative = bool(self._groups) or self._shortest is not None
         if self._joins_queue or not has_alternative:
-            return self.request.longest_wait
-        return min(SHORT_WAIT_SECONDS, self.request.longest_wait)
+            return self.request.max_wait
+        return min(SHORT_WAIT_SECONDS, self.request.max_wait)
 
     def record_wait(self, group: Group, estimate: WaitEstimate) -> None:
         """Records the wait at a group that was not accepted."""
@@ -89,7 +89,7 @@
         if self._shortest is None or self._joins_queue:
             return None
         estimate = self._shortest.estimate
-        return estimate if estimate.wait > self.request.longest_wait else None
+        return estimate if estimate.wait > self.request.max_wait else None
 
     def join_queue(self) -> Group | None:
         """Moves to the group with the shortest wait, whose queue the request joins.
