--- a/src/troutswitch/decisions/gateway_messages.py
+++ b/src/troutswitch/decisions/gateway_messages.py
@@ -35,8 +35,10 @@
     `peer_address` is where it receives peers' datagrams. `drain_bound` is the maximum time from an
     engine's first sign of draining until it gets no more requests, and `apply_bound` that from the
     acceptance of a configuration until it is active. `min_member_ttl` is the shortest time to live
-    that the store accepts for a member of a group. `job_retention` is how long an ended job stays
-    readable. `store_reads_per_second` bounds the reads of all daemons together; 0 means no bound.
+    that the store accepts for a member of a group. `job_retention` is how long a job stays readable
+    at least, counted from when this daemon first read its manifest; a job that is not open is
+    removed `RETENTION_MARGIN_SECONDS` later. `store_reads_per_second` bounds the reads of all
+    daemons together; 0 means no bound.
     """
 
     name: str
--- a/src/troutswitch/gateway/settings.py
+++ b/src/troutswitch/gateway/settings.py
@@ -38,8 +38,10 @@
 
     `configuration_apply` runs from the acceptance of a configuration until it is in force
     everywhere. `drain` runs from an engine's first sign of draining until it receives no more
-    requests. `grace` runs from SIGTERM to the end of the process. `job_kept` runs from the end of a
-    job until it is removed. `quota` bounds what a tenant may use beyond its quota.
+    requests. `grace` runs from SIGTERM to the end of the process. `job_kept` runs from when the
+    daemon that owns a job first read its manifest until the client may last read the job; a job
+    that is not open is removed `RETENTION_MARGIN_SECONDS` later. `quota` bounds what a tenant may
+    use beyond its quota.
     """
 
     configuration_apply: float = 2.0
