--- a/src/troutswitch/decisions/jobs/starvation_guard.py
+++ b/src/troutswitch/decisions/jobs/starvation_guard.py
@@ -3,15 +3,15 @@
 Inputs: the number of batch items that this daemon has started since its last start of a late item,
 and the seconds since that start, on this process's clock. Both are current.
 
-The rule: a late item may start after `LATE_TURN` starts of other items, or when none has started
-for `LATE_WAIT_SECONDS`.
+The rule: a late item may start after `LATE_START_INTERVAL` starts of other items, or when none has
+started for `LATE_WAIT_SECONDS`.
 
 Why: under lasting overload some item can always meet its target, so without the rule late items
 would never run. tests/proofs/test_starvation.py shows this; docs/POLICY.md, "Rules", lists the
 constants.
 """
 
-LATE_TURN = 8
+LATE_START_INTERVAL = 8
 """Number of starts of other items after which a late item may start."""
 LATE_WAIT_SECONDS = 15.0
 """Maximum time without the start of a late item. Needed if only other daemons have items that can
@@ -33,7 +33,7 @@
     def is_late_turn(self, now: float) -> bool:
         """Returns whether a late item may start before items that can meet their targets."""
         is_overdue = now - self._late_started_at >= LATE_WAIT_SECONDS
-        return self._starts_since >= LATE_TURN or is_overdue
+        return self._starts_since >= LATE_START_INTERVAL or is_overdue
 
     def on_started_in_time(self) -> None:
         """Counts the start of an item that can meet its target."""
--- a/tests/proofs/test_starvation.py
+++ b/tests/proofs/test_starvation.py
@@ -35,7 +35,7 @@
 
 
 def test_without_reserved_starts_some_late_items_starve(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(starvation_guard, "LATE_TURN", 1 << 30)
+    monkeypatch.setattr(starvation_guard, "LATE_START_INTERVAL", 1 << 30)
     monkeypatch.setattr(starvation_guard, "LATE_WAIT_SECONDS", 1e9)
     monkeypatch.setattr(batch_slots, "LATE_SLOT_INTERVAL", 1 << 30)
     done, items = late_items_done()
