--- a/tests/decisions/crashes/test_shared.py
+++ b/tests/decisions/crashes/test_shared.py
@@ -38,7 +38,7 @@
 CRASH = Crash("0123456789abcdef", "i-0123456789")
 
 
-class World:
+class SharingHarness:
     """The sharing of one daemon, and the set of crashes that it applied."""
 
     def __init__(self, peers: list[Address] = PEERS) -> None:
@@ -69,82 +69,82 @@
 
 
 def test_simultaneous_crashes_are_written_together() -> None:
-    world = World()
+    harness = SharingHarness()
     for number in range(5):
-        world.shared.publish(1.0, Crash("x", f"s{number}"), AT, True)
-    assert not world.writes(1.0)
-    (write,) = world.writes(1.0 + WRITE_DELAY_SECONDS)
+        harness.shared.publish(1.0, Crash("x", f"s{number}"), AT, True)
+    assert not harness.writes(1.0)
+    (write,) = harness.writes(1.0 + WRITE_DELAY_SECONDS)
     assert [record.key for record in write.records] == [f"x/s{n}" for n in range(5)]
     assert cbor2.loads(write.records[0].value) == [int(AT)]
 
 
 def test_failed_write_is_repeated_before_the_remaining_records() -> None:
-    world = World()
+    harness = SharingHarness()
     for number in range(MAX_RECORDS_PER_WRITE + 1):
-        world.shared.publish(1.0, Crash("x", f"s{number}"), AT, True)
-    (first,) = world.writes(2.0)
-    world.shared.on_store(2.1, first.call, CallFailed("lost", True))
-    assert not world.writes(2.2)
-    (again,) = world.writes(2.1 + WRITE_RETRY_PAUSE_SECONDS)
+        harness.shared.publish(1.0, Crash("x", f"s{number}"), AT, True)
+    (first,) = harness.writes(2.0)
+    harness.shared.on_store(2.1, first.call, CallFailed("lost", True))
+    assert not harness.writes(2.2)
+    (again,) = harness.writes(2.1 + WRITE_RETRY_PAUSE_SECONDS)
     assert again.records == first.records
-    world.shared.on_store(3.0, again.call, Appended(0, MAX_RECORDS_PER_WRITE))
-    (rest,) = world.writes(3.0)
+    harness.shared.on_store(3.0, again.call, Appended(0, MAX_RECORDS_PER_WRITE))
+    (rest,) = harness.writes(3.0)
     assert [record.key for record in rest.records] == [f"x/s{MAX_RECORDS_PER_WRITE}"]
 
 
 def test_pending_writes_and_reports_are_bounded() -> None:
-    world = World()
+    harness = SharingHarness()
     for number in range(2 * MAX_PENDING_RECORDS):
-        world.shared.publish(1.0, Crash("x", f"s{number}"), AT, True)
-    assert len(world.shared._pending_writes) == MAX_PENDING_RECORDS
-    assert len(world.shared._pending_reports) == MAX_PENDING_REPORTS
+        harness.shared.publish(1.0, Crash("x", f"s{number}"), AT, True)
+    assert len(harness.shared._pending_writes) == MAX_PENDING_RECORDS
+    assert len(harness.shared._pending_reports) == MAX_PENDING_REPORTS
 
 
 def test_new_report_is_forwarded_once_to_some_peers() -> None:
-    world = World()
-    world.shared.on_report(1.0, world.report())
-    (message,) = world.messages(1.0)
+    harness = SharingHarness()
+    harness.shared.on_report(1.0, harness.report())
+    (message,) = harness.messages(1.0)
     assert len(set(message.addresses)) == PEERS_NOTIFIED
-    world.shared.on_report(2.0, world.report())
-    assert not world.messages(2.0)
+    harness.shared.on_report(2.0, harness.report())
+    assert not harness.messages(2.0)
 
 
 def test_late_report_does_not_restore_a_retracted_crash() -> None:
-    world = World()
-    world.shared.on_report(1.0, world.report())
-    world.shared.on_report(2.0, world.report(is_valid=False))
-    assert not world.known
-    world.shared.on_report(3.0, world.report())
-    assert not world.known
+    harness = SharingHarness()
+    harness.shared.on_report(1.0, harness.report())
+    harness.shared.on_report(2.0, harness.report(is_valid=False))
+    assert not harness.known
+    harness.shared.on_report(3.0, harness.report())
+    assert not harness.known
 
 
 def test_record_in_the_store_restores_a_retracted_crash() -> None:
-    world = World()
-    world.shared.on_report(1.0, world.report())
-    world.shared.on_report(1.0, world.report(is_valid=False))
-    read = next(i for i in world.shared.on_timer(1.0, False) if isinstance(i, ReadNewest))
+    harness = SharingHarness()
+    harness.shared.on_report(1.0, harness.report())
+    harness.shared.on_report(1.0, harness.report(is_valid=False))
+    read = next(i for i in harness.shared.on_timer(1.0, False) if isinstance(i, ReadNewest))
     record = KeyedRecord(f"{CRASH.content}/{CRASH.engine_id}", cbor2.dumps([int(AT)]), 0)
-    world.shared.on_store(1.1, read.call, NewestPage((record,), False, 1))
-    assert world.known == {CRASH}
+    harness.shared.on_store(1.1, read.call, NewestPage((record,), False, 1))
+    assert harness.known == {CRASH}
 
 
 @pytest.mark.parametrize("value", [b"\xff", cbor2.dumps({}), cbor2.dumps(["late"])])
 def test_malformed_record_is_logged_and_ignored(value: bytes) -> None:
-    world = World()
-    read = next(i for i in world.shared.on_timer(1.0, False) if isinstance(i, ReadNewest))
+    harness = SharingHarness()
+    read = next(i for i in harness.shared.on_timer(1.0, False) if isinstance(i, ReadNewest))
     record = KeyedRecord("x/s", value, 0)
-    world.shared.on_store(1.1, read.call, NewestPage((record,), False, 1))
-    assert world.logged == ["crash record malformed"]
-    assert not world.known
+    harness.shared.on_store(1.1, read.call, NewestPage((record,), False, 1))
+    assert harness.logged == ["crash record malformed"]
+    assert not harness.known
 
 
 def test_reads_wait_longer_at_the_store_while_no_crash_is_on_record() -> None:
-    world = World()
-    read = next(i for i in world.shared.on_timer(1.0, False) if isinstance(i, ReadNewest))
-    world.shared.on_store(1.1, read.call, NewestPage((), False, 0))
-    (calm,) = (i for i in world.shared.on_timer(1.2, False) if isinstance(i, ReadRecords))
-    world.shared.follower.read_again(1.3)
-    (alert,) = (i for i in world.shared.on_timer(1.3, True) if isinstance(i, ReadRecords))
+    harness = SharingHarness()
+    read = next(i for i in harness.shared.on_timer(1.0, False) if isinstance(i, ReadNewest))
+    harness.shared.on_store(1.1, read.call, NewestPage((), False, 0))
+    (calm,) = (i for i in harness.shared.on_timer(1.2, False) if isinstance(i, ReadRecords))
+    harness.shared.follower.read_again(1.3)
+    (alert,) = (i for i in harness.shared.on_timer(1.3, True) if isinstance(i, ReadRecords))
     assert (calm.wait, alert.wait) == (
         shared_module.READ_WAIT_SECONDS,
         shared_module.ALERT_READ_WAIT_SECONDS,
@@ -162,8 +162,8 @@
 def test_about_one_of_all_daemons_removes_an_expired_crash() -> None:
     removed = 0
     for seed in range(2000):
-        world = World()
-        world.shared._rng = random.Random(seed)
-        world.shared.forget(1.0, CRASH)
-        removed += len(world.shared._pending_writes)
+        harness = SharingHarness()
+        harness.shared._rng = random.Random(seed)
+        harness.shared.forget(1.0, CRASH)
+        removed += len(harness.shared._pending_writes)
     assert 0.7 < removed / 2000 * (1 + len(PEERS)) < 1.3
--- a/tests/decisions/crashes/test_suspects.py
+++ b/tests/decisions/crashes/test_suspects.py
@@ -18,7 +18,7 @@
 OFFSET = 1.7e9
 
 
-class World:
+class SuspectsHarness:
     """The crash suspects of one daemon with six engines."""
 
     def __init__(self, name: str = "d") -> None:
@@ -49,58 +49,58 @@
 
 
 def test_detected_and_reported_crashes_count_together() -> None:
-    world = World()
-    world.crash(1.0, "x", "s0")
-    world.report(1.1, "x", "s0", "s1")
-    assert not world.suspects.refused
-    world.report(1.2, "x", "elsewhere")
-    assert world.suspects.refused == {"x"}
-    assert "request refused from now on" in world.logged
+    harness = SuspectsHarness()
+    harness.crash(1.0, "x", "s0")
+    harness.report(1.1, "x", "s0", "s1")
+    assert not harness.suspects.refused
+    harness.report(1.2, "x", "elsewhere")
+    assert harness.suspects.refused == {"x"}
+    assert "request refused from now on" in harness.logged
 
 
 def test_refused_caller_may_retry_at_first_and_not_after_the_retraction_window() -> None:
-    world = World()
-    world.crash(1.0, "x", "s0", "s1", "s2")
-    first = world.suspects.refusal(1.1, "x")
+    harness = SuspectsHarness()
+    harness.crash(1.0, "x", "s0", "s1", "s2")
+    first = harness.suspects.refusal(1.1, "x")
     assert (first.status, first.retry_after) == (503, RETRACTION_WINDOW_SECONDS)
-    later = world.suspects.refusal(1.1 + RETRACTION_WINDOW_SECONDS, "x")
+    later = harness.suspects.refusal(1.1 + RETRACTION_WINDOW_SECONDS, "x")
     assert (later.status, later.retry_after) == (NON_RETRYABLE_STATUS, None)
 
 
 def test_request_that_was_served_is_cleared() -> None:
-    world = World()
-    world.crash(1.0, "x", "s0", "s1", "s2")
-    world.suspects.on_served(2.0, "x")
-    assert not world.suspects.refused
-    assert world.suspects.count == 0
+    harness = SuspectsHarness()
+    harness.crash(1.0, "x", "s0", "s1", "s2")
+    harness.suspects.on_served(2.0, "x")
+    assert not harness.suspects.refused
+    assert harness.suspects.count == 0
 
 
 def test_engine_that_answers_a_later_attempt_has_not_crashed() -> None:
     """Guards against a daemon whose connections are reset: it considers all its engines crashed."""
-    world = World()
-    world.report(1.0, "x", "s0", "s1", "s2")
-    world.report(1.0, "y", "s0", "s1", "s2")
-    world.suspects.on_answered(2.0, "s0", sent_at=1.5)
-    assert world.suspects.count == 2
-    assert not world.suspects.awaits_crash_report("z")
-    world.suspects.on_answered(2.0, "s1", sent_at=1.5)
-    world.suspects.on_answered(2.0, "s2", sent_at=1.5)
-    assert world.suspects.count == 0
+    harness = SuspectsHarness()
+    harness.report(1.0, "x", "s0", "s1", "s2")
+    harness.report(1.0, "y", "s0", "s1", "s2")
+    harness.suspects.on_answered(2.0, "s0", sent_at=1.5)
+    assert harness.suspects.count == 2
+    assert not harness.suspects.awaits_crash_report("z")
+    harness.suspects.on_answered(2.0, "s1", sent_at=1.5)
+    harness.suspects.on_answered(2.0, "s2", sent_at=1.5)
+    assert harness.suspects.count == 0
 
 
 def test_answer_to_an_attempt_sent_before_the_crash_proves_nothing() -> None:
-    world = World()
-    world.report(1.0, "x", "s0", "s1", "s2")
-    world.suspects.on_answered(1.1, "s0", sent_at=0.9)
-    assert world.suspects.refused == {"x"}
+    harness = SuspectsHarness()
+    harness.report(1.0, "x", "s0", "s1", "s2")
+    harness.suspects.on_answered(1.1, "s0", sent_at=0.9)
+    assert harness.suspects.refused == {"x"}
 
 
 def test_next_attempt_waits_for_the_crash_report_after_two_crashes() -> None:
-    world = World()
-    world.crash(1.0, "x", "s0")
-    assert not world.suspects.awaits_crash_report("x")
-    world.report(1.1, "x", "s1")
-    assert world.suspects.awaits_crash_report("x")
+    harness = SuspectsHarness()
+    harness.crash(1.0, "x", "s0")
+    assert not harness.suspects.awaits_crash_report("x")
+    harness.report(1.1, "x", "s1")
+    assert harness.suspects.awaits_crash_report("x")
 
 
 def test_daemons_end_deferrals_at_different_times() -> None:
@@ -110,17 +110,17 @@
     a deferral between 23.7519 and 23.7535 s. Callers that kept retrying then sent the cause to two
     engines 80 ms later, before the first of these crashed.
     """
-    fleet = [World(f"daemon-{number}") for number in range(20)]
-    for world in fleet:
+    fleet = [SuspectsHarness(f"daemon-{number}") for number in range(20)]
+    for harness in fleet:
         for content in ("cause", "other"):
-            world.report(0.0, content, "s0", "s1", "s2")
-        assert world.suspects.refused == {"cause", "other"}
+            harness.report(0.0, content, "s0", "s1", "s2")
+        assert harness.suspects.refused == {"cause", "other"}
     ended_at: list[float] = []
-    for world in fleet:
+    for harness in fleet:
         now = 0.0
-        while world.suspects.refused:
-            now = max(now + 0.01, world.suspects.next_due())
-            world.suspects.on_timer(now)
+        while harness.suspects.refused:
+            now = max(now + 0.01, harness.suspects.next_due())
+            harness.suspects.on_timer(now)
         ended_at.append(now)
     ended_at.sort()
     assert ended_at[0] >= MIN_DEFERRAL_SHARE * MAX_DEFERRAL_SECONDS
--- a/tests/decisions/slots/test_batch_coordination.py
+++ b/tests/decisions/slots/test_batch_coordination.py
@@ -1,6 +1,6 @@
 """Batch items wait for a coordinator's grants, or start without them if it is silent."""
 
-from tests.decisions.slots.worlds import SlotsDaemon, deliver, record
+from tests.decisions.slots.harness import SlotsDaemon, deliver, record
 from troutswitch.decisions.slots.batch_coordination import UNCOORDINATED_SECONDS
 from troutswitch.decisions.slots.coordinator import DIGEST_SECONDS
 
--- a/tests/decisions/slots/test_coordinator.py
+++ b/tests/decisions/slots/test_coordinator.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from tests.decisions.slots.worlds import GROUP, SlotsDaemon, address_of, deliver, record, report
+from tests.decisions.slots.harness import GROUP, SlotsDaemon, address_of, deliver, record, report
 from troutswitch.daemons.messages import (
     BatchSlotGrant,
     EngineShare,
--- a/tests/decisions/slots/test_coordinator_claims.py
+++ b/tests/decisions/slots/test_coordinator_claims.py
@@ -4,7 +4,7 @@
 
 import cbor2
 
-from tests.decisions.slots.worlds import GROUP, ZONE, address_of, record
+from tests.decisions.slots.harness import GROUP, ZONE, address_of, record
 from troutswitch.daemons.identity import DaemonIdentity
 from troutswitch.daemons.messages import KnownClaim
 from troutswitch.decisions.slots.coordinator_claims import (
--- a/tests/decisions/slots/test_fleet.py
+++ b/tests/decisions/slots/test_fleet.py
@@ -1,6 +1,6 @@
 """Grants are used once, and only those of the known coordinator."""
 
-from tests.decisions.slots.worlds import GROUP, SlotsDaemon, incarnation_of, record
+from tests.decisions.slots.harness import GROUP, SlotsDaemon, incarnation_of, record
 from troutswitch.daemons.messages import BatchSlotGrant, engine_key
 
 NOW = 5.0
--- a/tests/decisions/slots/test_groups.py
+++ b/tests/decisions/slots/test_groups.py
@@ -2,7 +2,7 @@
 
 import random
 
-from tests.decisions.slots.worlds import record
+from tests.decisions.slots.harness import record
 from troutswitch.decisions.slots.groups import (
     MAX_SINGLE_GROUP_ENGINES,
     TARGET_GROUP_ENGINES,
--- a/tests/decisions/slots/test_ledger.py
+++ b/tests/decisions/slots/test_ledger.py
@@ -2,7 +2,7 @@
 
 from msgspec.structs import replace
 
-from tests.decisions.slots.worlds import record, report
+from tests.decisions.slots.harness import record, report
 from troutswitch.daemons.messages import EngineShare, engine_key
 from troutswitch.decisions.forwarding.engines import EngineRegistry
 from troutswitch.decisions.slots.ledger import GRANT_EXPIRY_SECONDS, SILENT_SECONDS, SlotLedger
--- a/tests/decisions/slots/test_machine.py
+++ b/tests/decisions/slots/test_machine.py
@@ -20,7 +20,7 @@
     run_state_machine_as_test,
 )
 
-from tests.decisions.slots.worlds import SlotsDaemon, incarnation_of, record
+from tests.decisions.slots.harness import SlotsDaemon, incarnation_of, record
 from troutswitch.common import Address
 from troutswitch.daemons.messages import HoldingsReport, PeerMessage
 from troutswitch.decisions.slots import ledger
--- a/tests/decisions/slots/test_reports.py
+++ b/tests/decisions/slots/test_reports.py
@@ -1,6 +1,6 @@
 """Changes are reported to coordinators soon; a daemon without work sends no reports."""
 
-from tests.decisions.slots.worlds import SlotsDaemon, deliver, record
+from tests.decisions.slots.harness import SlotsDaemon, deliver, record
 from troutswitch.daemons.messages import HoldingsReport
 from troutswitch.decisions.forwarding.engine import NO_SIZE
 from troutswitch.decisions.slots.reports import ACKNOWLEDGE_SECONDS, REFRESH_SECONDS, REPORT_SECONDS
--- a/tests/decisions/slots/test_slot_requests.py
+++ b/tests/decisions/slots/test_slot_requests.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from tests.decisions.slots.worlds import GROUP, SlotsDaemon, deliver, record
+from tests.decisions.slots.harness import GROUP, SlotsDaemon, deliver, record
 from troutswitch.daemons.messages import SlotRequest
 from troutswitch.decisions.forwarding.placer import AssignedBy, Assignment, NoEngine, NoSlotInTime
 from troutswitch.decisions.slots.coordinator_health import SUSPECT_SECONDS
