--- a/src/troutswitch/decisions/jobs/intake.py
+++ b/src/troutswitch/decisions/jobs/intake.py
@@ -60,7 +60,7 @@
 """Part of a client's timeout that is reserved for sending the answer."""
 RETRY_PAUSE_SECONDS = 0.15
 """Pause after a store call that failed."""
-CALL_LOST_SECONDS = 4.0
+CALL_TIMEOUT_SECONDS = 4.0
 """Time after which a store call without an answer makes `on_timer` due."""
 RETRY_AFTER_SECONDS = 0.5
 """Retry-After if the store did not answer, or the configuration or the index is not read yet."""
@@ -101,7 +101,7 @@
 
     def next_due(self) -> float:
         """Returns when the submission expires, is retried, or its store call counts as lost."""
-        lost_at = self.call_at + CALL_LOST_SECONDS if self.call else float("inf")
+        lost_at = self.call_at + CALL_TIMEOUT_SECONDS if self.call else float("inf")
         return min(self.expires_at, self.retry_at, lost_at)
 
 
--- a/src/troutswitch/decisions/jobs/ownership.py
+++ b/src/troutswitch/decisions/jobs/ownership.py
@@ -41,7 +41,7 @@
 """Random low bits of an epoch."""
 JOIN_SECONDS = 0.5
 """Mean interval between joins, which renew the membership."""
-CALL_LOST_SECONDS = 4.0
+CALL_TIMEOUT_SECONDS = 4.0
 """Time after which a join or an append without an answer is repeated."""
 TTL_JOINS = 5.0
 """Time without a join after which the membership expires, in intervals between joins."""
@@ -84,7 +84,7 @@
         """Returns when the fencing append is due, or counts as lost."""
         if self.state is not ShardState.FENCING:
             return float("inf")
-        return self.call_at + CALL_LOST_SECONDS if self.call else self.retry_at
+        return self.call_at + CALL_TIMEOUT_SECONDS if self.call else self.retry_at
 
 
 class ShardOwnership:
@@ -140,7 +140,7 @@
         """Returns when `on_timer` has something to do."""
         if self.is_leaving:
             return float("inf")
-        join_due = self._join_at + CALL_LOST_SECONDS if self._join_call else self._join_at
+        join_due = self._join_at + CALL_TIMEOUT_SECONDS if self._join_call else self._join_at
         return min([join_due, *(lease.next_due() for lease in self.leases.values())])
 
     def on_timer(self, now: float) -> list[StoreCall]:
@@ -148,7 +148,7 @@
         if self.is_leaving:
             return []
         calls: list[StoreCall] = []
-        if self._join_call and now >= self._join_at + CALL_LOST_SECONDS:
+        if self._join_call and now >= self._join_at + CALL_TIMEOUT_SECONDS:
             self._join_call = 0
         if not self._join_call and now >= self._join_at:
             calls.append(self._join(now))
@@ -242,7 +242,7 @@
 
     def _fence(self, now: float, lease: ShardLease) -> list[StoreCall]:
         """Appends no records under the new epoch, after which the store refuses lower epochs."""
-        if lease.call and now >= lease.call_at + CALL_LOST_SECONDS:
+        if lease.call and now >= lease.call_at + CALL_TIMEOUT_SECONDS:
             lease.call = 0
         if lease.call or now < lease.retry_at:
             return []
--- a/src/troutswitch/decisions/jobs/writer.py
+++ b/src/troutswitch/decisions/jobs/writer.py
@@ -39,7 +39,7 @@
 
 RETRY_SECONDS = 0.2
 """Pause after a failed write."""
-CALL_LOST_SECONDS = 4.0
+CALL_TIMEOUT_SECONDS = 4.0
 """Time after which a write without an answer is repeated."""
 CHECKPOINT_SECONDS = 1.0
 """Interval at which the output of running items is saved."""
@@ -140,7 +140,7 @@
         A draining daemon saves output immediately, without waiting for the interval.
         """
         writes = self._shard(lease.shard)
-        if writes.call and now >= writes.call_at + CALL_LOST_SECONDS:
+        if writes.call and now >= writes.call_at + CALL_TIMEOUT_SECONDS:
             writes.call = 0
         calls: list[StoreCall] = []
         if not writes.call and now >= writes.retry_at:
