--- a/tests/decisions/jobs/test_tenants.py
+++ b/tests/decisions/jobs/test_tenants.py
@@ -93,6 +93,23 @@
     )
 
 
+def test_a_job_is_not_denied_by_a_daemon_that_has_no_configuration_yet() -> None:
+    """A daemon that has just started and knows no tenants must not answer that there is no job."""
+    fleet = TenantFleet()
+    assert isinstance(fleet.submit_for(OURS), JobAccepted)
+    name = next(iter(fleet.daemons))
+    killed = fleet.daemons[name]
+    fleet.kill(name)
+    while fleet.daemons[name] is killed:
+        fleet.run(0.001)
+    answers: list[JobAnswer] = []
+    call = ResultsRequested(fleet.next_token(), "job", 0, 4.0, OURS)
+    fleet.ask(fleet.daemons[name], call, answers.append)
+    fleet.run(4.0)
+    (answer,) = answers
+    assert not isinstance(answer, JobRefused) or answer.status == 503
+
+
 def test_each_key_of_a_tenant_has_access_to_its_jobs() -> None:
     fleet = TenantFleet()
     fleet.submit_for(OURS)
